--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -19,7 +19,6 @@
 pub use duties::{CIRCUITS, Duty, DutyPlan, NAMES, PUBLISH, SWEEP};
 pub use heirs::{Deed, Heirs};
 pub use lives::{Agreed, Lives, start_of};
-/// What is said to last so long on the wire is not forgotten by time.
 pub use member::{Counts, Finding, Member, Save, Stored, Ways};
 pub use peers::{PeerLink, Peers};
 pub use plan::Plan;
--- /dev/null
+++ b/crates/fleet/src/member/background.rs
@@ -0,0 +1,87 @@
+//! Background work, done in short slices between the calls that matter for latency.
+
+use std::time::Duration;
+
+use lotussaddle_chores::ChoreId;
+use lotussaddle_replica::print;
+
+use super::Member;
+use super::batches::FRAME;
+use super::interface::Ways;
+
+/// Copies forgotten, or looked at for heirs, in one slice.
+pub(super) const SLICE: usize = 2048;
+pub(super) const FORGET: ChoreId = ChoreId(0);
+pub(super) const LOOK: ChoreId = ChoreId(1);
+pub(super) const PIECES: ChoreId = ChoreId(2);
+pub(super) const REPAIR: ChoreId = ChoreId(3);
+
+impl Member {
+    pub(super) fn want_chores(&mut self) {
+        let now = self.now;
+        let forget = self.book.next_due().is_some_and(|due| due <= now);
+        self.chores.wanted(now, FORGET, forget, None);
+        self.chores.wanted(now, LOOK, self.look_from.is_some(), None);
+        self.chores.wanted(now, PIECES, !self.wants_pieces.is_empty(), None);
+        self.chores.wanted(now, REPAIR, !self.repairs.is_empty(), None);
+    }
+
+    /// Does one slice of what may wait, if there is any: true, and [`Member::worked`] is to be told how long it took.
+    pub fn work(&mut self, now: Duration, pressed: bool, ways: &mut dyn Ways) -> Option<ChoreId> {
+        self.now = now;
+        self.want_chores();
+        let slice = self.chores.next(now, pressed)?;
+        match slice.chore {
+            FORGET => {
+                let gone = self.book.forget(now, SLICE);
+                self.counts.forgotten += gone.len() as u64;
+                self.changed.extend(gone);
+            }
+            LOOK => self.look_for_heirs(),
+            PIECES => {
+                if let Some((member, cursor)) = self.wants_pieces.pop_front() {
+                    self.send_piece(member, cursor, ways);
+                }
+            }
+            _ => {
+                if let Some((member, mend)) = self.repairs.pop_front() {
+                    self.send_repair(member, mend, ways);
+                }
+            }
+        }
+        Some(slice.chore)
+    }
+
+    /// A slice that [`Member::work`] did took so long.
+    pub fn worked(&mut self, now: Duration, chore: ChoreId, took: Duration) {
+        let more = match chore {
+            FORGET => self.book.next_due().is_some_and(|due| due <= now),
+            LOOK => self.look_from.is_some(),
+            PIECES => !self.wants_pieces.is_empty(),
+            _ => !self.repairs.is_empty(),
+        };
+        self.chores.done(now, chore, FRAME, took, more);
+    }
+
+    fn look_for_heirs(&mut self) {
+        let Some(from) = self.look_from.take().filter(|_| self.lives.mine() > 0) else { return };
+        let now = self.now;
+        let mut deeds = Vec::new();
+        let mut next = None;
+        let life = self.lives.mine();
+        for (looks, (id, copy)) in self.book.from(from).enumerate() {
+            if looks >= SLICE {
+                next = Some(print(id));
+                break;
+            }
+            if !copy.owner().is_some_and(|owner| self.heirs.is_ended(owner)) {
+                continue;
+            }
+            let live = |member: u16| !self.sight.gone(now, member) && self.sight.hears(now, member);
+            let first = self.book.group().candidates(print(id)).iter().find(|member| live(*member));
+            deeds.extend(self.heirs.look(now, id, copy, first, life));
+        }
+        self.look_from = next;
+        self.do_deeds(deeds);
+    }
+}
--- /dev/null
+++ b/crates/fleet/src/member/batches.rs
@@ -0,0 +1,70 @@
+//! Splits copies into frames of a bounded length.
+
+use lotussaddle_trunk::{Answer, CopySent, Given, Part, Reached};
+
+/// Bytes of copies in one frame, and copies sent to one member in one turn.
+pub(super) const FRAME: usize = 40 * 1024;
+
+/// More bytes than a copy takes, found without encoding it: that is done once, when it is sent.
+pub(super) fn at_most(copy: &CopySent) -> usize {
+    let part = |part: &Part| match &part.reached {
+        Reached::Out { server, .. } | Reached::Stands { server, .. } => 96 + server.0.len(),
+        Reached::Taken | Reached::Over => 96,
+    };
+    let given = |given: &Given| match &given.answer {
+        Answer::Stands { server } => 64 + server.0.len(),
+        Answer::Refused { .. } | Answer::Failed => 64,
+    };
+    let parts = copy.parts.iter().map(part).sum::<usize>();
+    32 + copy.dialogue.0.len() + parts + copy.answers.iter().map(given).sum::<usize>()
+}
+
+/// Copies in frames that are not too long; one empty one where there are none.
+pub(super) fn in_frames(copies: Vec<CopySent>) -> Vec<Vec<CopySent>> {
+    let mut frames = vec![Vec::new()];
+    let mut bytes = 0;
+    for copy in copies {
+        let size = at_most(&copy);
+        if bytes + size > FRAME {
+            frames.push(Vec::new());
+            bytes = 0;
+        }
+        bytes += size;
+        frames.last_mut().expect("there is one").push(copy);
+    }
+    frames
+}
+
+#[cfg(test)]
+mod tests {
+    use std::time::Duration;
+
+    use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
+    use lotussaddle_trunk::{Given, Owner, Part, copy_bytes};
+
+    use super::*;
+
+    #[test]
+    fn a_copy_takes_no_more_than_is_reckoned() {
+        let owner = Owner { round: u32::MAX, member: u16::MAX, life: u64::MAX };
+        let server = ServerId("s".repeat(128).into());
+        let stands = Reached::Stands { server: server.clone(), launch: LaunchNo(u32::MAX) };
+        let most = Duration::from_secs(900_000);
+        for reached in [Reached::Taken, Reached::Over, stands] {
+            for answer in [
+                Answer::Failed,
+                Answer::Refused { come_back: Some(most) },
+                Answer::Stands { server: server.clone() },
+            ] {
+                let part =
+                    Part { owner, version: u32::MAX, reached: reached.clone(), bar: most, lasts: most };
+                let copy = CopySent {
+                    dialogue: DialogueId("d".repeat(128).into()),
+                    parts: vec![part; 16],
+                    answers: vec![Given { owner, answer }; 4],
+                };
+                assert!(copy_bytes(&copy).len() <= at_most(&copy));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/fleet/src/member/core_servers.rs
@@ -0,0 +1,145 @@
+//! Core servers: links that come up or go down, the audit of the dialogues that stand there, and the takeover of orphaned ones.
+
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
+use lotussaddle_replica::Copy;
+use lotussaddle_trunk::{Audit, Frame, HeldLine, Reached};
+
+use super::Member;
+use super::interface::{Finding, Ways};
+use crate::duties::SWEEP;
+use crate::heirs::{Deed, LineOf};
+
+/// Core servers whose lines are looked after, at most.
+pub(super) const MOST_CORES: usize = 10_000;
+
+impl Member {
+    /// A link to a core server is up. What stands there of this member and is not held here is nobody's.
+    pub fn core_up(&mut self, now: Duration, server: &ServerId) {
+        self.now = now;
+        if self.cores.len() < MOST_CORES && self.cores.insert(server.clone()) && self.lives.mine() > 0 {
+            let deed = self.heirs.ask_of_mine(now, server);
+            self.do_deeds(vec![deed]);
+        }
+    }
+
+    /// The link to a core server has gone.
+    pub fn core_down(&mut self, server: &ServerId) {
+        if self.cores.remove(server) {
+            self.heirs.forget_server(server);
+        }
+    }
+
+    /// A core server speaks of whose dialogues are; `held` tells what this member's edge proxy has standing.
+    pub fn core_said(
+        &mut self, now: Duration, server: &ServerId, audit: Audit, held: &dyn Fn(&DialogueId) -> bool,
+        ways: &mut dyn Ways,
+    ) {
+        self.now = now;
+        match audit {
+            Audit::Holds { serial, more, lines } => {
+                // Where all peers have forgotten a life, core servers still know of it.
+                let ours = lines.iter().map(|line| line.owner).filter(|owner| owner.member == self.plan.me);
+                if self.lives.witnessed(ours.map(|owner| owner.life).max().unwrap_or_default()) {
+                    return self.overtaken(ways);
+                }
+                let (me, book) = (self.plan.me, &self.book);
+                let kept: BTreeSet<DialogueId> =
+                    lines.iter().map(|line| line.dialogue.clone()).filter(|id| self.is_coming(id)).collect();
+                let whose = |line: &HeldLine| {
+                    if line.owner.member == me && line.owner.life == book.life() && held(&line.dialogue) {
+                        return LineOf::Held;
+                    }
+                    let owner = book.get(&line.dialogue).and_then(Copy::owner);
+                    match kept.contains(&line.dialogue) || owner.is_some_and(|owner| owner > line.owner) {
+                        true => LineOf::Claimed,
+                        false => LineOf::Nobody,
+                    }
+                };
+                let life = self.lives.mine();
+                if life > 0 {
+                    let deeds = self.heirs.holds(now, server, serial, &lines, more, life, whose);
+                    self.do_deeds(deeds);
+                }
+            }
+            Audit::Adopted { dialogue, owner, launch, by } => {
+                let launch = launch.map(LaunchNo);
+                let todo = self.redials.adopted(&dialogue, server, owner, launch, by);
+                self.carry_out(todo);
+                let deeds = self.heirs.adopted(now, &dialogue, server, owner, launch, by);
+                self.do_deeds(deeds);
+            }
+            Audit::Moved { dialogue, by, .. } => {
+                self.book.replaced(now, &dialogue, by);
+                self.heirs.drop_of(&dialogue);
+                self.findings.push(Finding::Replaced(dialogue));
+            }
+            Audit::Fenced { dialogue, duty, highest } => {
+                self.heirs.drop_of(&dialogue);
+                self.duties.iter_mut().for_each(|duties| duties.refused(now, duty, highest));
+            }
+            Audit::What { .. } | Audit::Adopt { .. } => {}
+        }
+    }
+
+    /// A standing dialogue has ended at a core server; true: it was one that this member had taken over.
+    pub fn core_ended(&mut self, now: Duration, id: &DialogueId) -> bool {
+        self.now = now;
+        let deeds = self.heirs.over(id);
+        let mine = !deeds.is_empty();
+        self.do_deeds(deeds);
+        mine
+    }
+
+    /// A core server could not be told.
+    pub fn unreached(&mut self, now: Duration, frame: &Frame) {
+        self.now = now;
+        match frame {
+            Frame::Audit(Audit::Adopt { dialogue, .. }) => {
+                let todo = self.redials.unreached(dialogue);
+                self.carry_out(todo); // An heir asks again by itself.
+            }
+            Frame::Audit(Audit::What { serial, .. }) => self.heirs.unasked(*serial),
+            _ => {}
+        }
+    }
+
+    pub(super) fn do_deeds(&mut self, deeds: Vec<Deed>) {
+        for deed in deeds {
+            match deed {
+                Deed::Adopt { server, dialogue, owner, swept } => {
+                    let duties = self.duties.as_ref().filter(|_| swept);
+                    let act = duties.and_then(|duties| duties.act(self.now, SWEEP));
+                    if duties.is_some() && act.is_none() {
+                        // The duty is another's by now.
+                        self.heirs.drop_of(&dialogue);
+                        continue;
+                    }
+                    self.heirs.let_go(self.now, &server);
+                    self.findings
+                        .push(Finding::ToCore(server, Frame::Audit(Audit::Adopt { dialogue, owner, act })));
+                }
+                Deed::Own { dialogue, owner, server, launch } => {
+                    self.counts.taken_over += 1;
+                    self.book.claim(self.now, &dialogue, owner, &Copy::default());
+                    let reached = Reached::Stands { server, launch };
+                    self.write(&dialogue, reached, Duration::ZERO, None, self.now, 0);
+                }
+                Deed::Release { server, dialogue, launch } => {
+                    self.counts.released += 1;
+                    self.findings.push(Finding::ToCore(server, Frame::Release { dialogue, launch }));
+                }
+                Deed::Over { dialogue, owner } => {
+                    self.book.claim(self.now, &dialogue, owner, &Copy::default());
+                    self.write(&dialogue, Reached::Over, Duration::ZERO, None, self.now, 0);
+                }
+                Deed::What { server, serial, member, life, after } => {
+                    let what = Audit::What { serial, member, life, after };
+                    self.findings.push(Finding::ToCore(server, Frame::Audit(what)));
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/fleet/src/member/dispatch.rs
@@ -0,0 +1,117 @@
+//! Frames that arrive on a peer link, each passed on to the part of the member that handles it.
+
+use std::time::Duration;
+
+use lotussaddle_trunk::{Frame, Peer, Replaced};
+
+use super::Member;
+use super::interface::{Finding, Ways};
+use super::repair::Mend;
+use crate::lives::Agreed;
+use crate::peers::{Known, PeerLink, Way};
+use crate::sight::Members;
+
+impl Member {
+    /// A frame came on a peer link.
+    pub fn heard(&mut self, now: Duration, link: PeerLink, frame: Frame, ways: &mut dyn Ways) {
+        self.now = now;
+        let Some(known) = self.peers.links.get(&link).cloned() else { return };
+        match frame {
+            Frame::Ping { nonce } => drop(self.tell(link, Frame::Pong { nonce }, ways)),
+            Frame::Pong { .. } => {}
+            Frame::Bye { why } => self.close(link, &format!("said good-bye: {why}"), ways),
+            Frame::Hello(hello) if !known.greeted => self.greeted(link, &known, &hello, ways),
+            Frame::Peer(peer) if known.greeted => self.peer_said(link, &known, peer, ways),
+            _ => self.close(link, "said what is not a member's to say", ways),
+        }
+    }
+
+    fn peer_said(&mut self, link: PeerLink, known: &Known, peer: Peer, ways: &mut dyn Ways) {
+        if let (Way::Operator, Peer::Inquire { what }) = (known.way, &peer) {
+            return self.inquired(link, what, ways);
+        }
+        let Some(member) = known.member else {
+            return self.close(link, "is no member", ways);
+        };
+        if let Peer::Here { group, member: place, life, yours, saved, away } = peer {
+            return self.is_here(link, member, group, place, life, (yours, saved), away, ways);
+        }
+        if known.way != Way::Here {
+            return self.close(link, "spoke before it said who it is", ways);
+        }
+        self.sight.heard(self.now, member);
+        let place = usize::from(member);
+        match peer {
+            Peer::Here { .. } => {}
+            Peer::NewLife { life } => self.life_asked(link, member, life, ways),
+            Peer::Life { life, given, highest } => {
+                if let Agreed::New { life, fresh } = self.lives.answered(member, life, given, highest) {
+                    self.begin_life(life, fresh, ways);
+                }
+            }
+            Peer::Beat { life, hears, caught_up, saved } => {
+                self.sight.saved(member, saved);
+                self.sight.beat(member, Members::of(hears), caught_up);
+                if life > 0 && life >= self.sight.life(member) {
+                    self.peer_lives(member, life, ways);
+                }
+            }
+            Peer::Copies { life, first, copies } => self.copies_came(member, life, first, &copies, ways),
+            Peer::Kept { life, up_to, saved, replaced } if life == self.lives.mine() => {
+                self.sight.saved(member, saved);
+                for Replaced { dialogue, by } in replaced {
+                    self.goes(&dialogue);
+                    if self.book.replaced(self.now, &dialogue, by) {
+                        self.counts.replaced += 1;
+                        self.heirs.drop_of(&dialogue);
+                        self.changed.insert(dialogue.clone());
+                        self.findings.push(Finding::Replaced(dialogue));
+                    }
+                }
+                self.book.kept(member, up_to);
+                self.are_kept();
+            }
+            Peer::Resume { life, have, snapshot } if life == self.lives.mine() => {
+                self.resume_asked(member, have, snapshot);
+            }
+            Peer::Piece { life, cursor, next, copies } if life == self.sight.life(member) => {
+                self.piece_came(member, cursor, next, &copies, ways);
+            }
+            Peer::Ask { serial, dialogue, owner } => self.asked(member, serial, dialogue, owner),
+            Peer::Know { serial, sure, higher, copy } => {
+                self.told(member, serial, sure, higher, copy.as_ref());
+            }
+            Peer::Sums { level, from, sums } => self.mend(member, Mend::Sums(level, from, sums)),
+            Peer::Prints { range, prints } => self.mend(member, Mend::Prints(range, prints)),
+            Peer::Want { ids } => self.mend(member, Mend::Want(ids)),
+            // Of another life than the one that is known: it will be said again.
+            Peer::Kept { .. } | Peer::Resume { .. } | Peer::Piece { .. } => {}
+            Peer::Duties { word } => {
+                let now = self.now;
+                if self.duties.as_mut().is_some_and(|duties| !duties.heard(now, member, &word)) {
+                    self.close(link, "said what cannot be read about duties", ways);
+                }
+            }
+            Peer::Check { act, server } => self.check(member, &act, &server, ways),
+            Peer::Publish { act, serial, order } => self.ordered(member, &act, serial, order, ways),
+            Peer::Published { serial, why } => {
+                let (now, life) = (self.now, self.sight.life(member));
+                if let Some(duties) = &mut self.duties {
+                    duties.published(now, member, life, serial, why.as_deref());
+                }
+            }
+            Peer::Wanted { name } => {
+                let now = self.now;
+                self.duties.iter_mut().for_each(|duties| {
+                    let _ = duties.want(now, &name); // Who asked sees by `fleet duties` what came of it.
+                });
+            }
+            Peer::Fenced { duty, highest } => {
+                let now = self.now;
+                self.duties.iter_mut().for_each(|duties| duties.refused(now, duty, highest));
+            }
+            Peer::Inquire { .. } | Peer::Tell { .. } => self.close(link, "is no operator", ways),
+        }
+        debug_assert!(place < self.incoming.len());
+    }
+}
--- /dev/null
+++ b/crates/fleet/src/member/duty_acts.rs
@@ -0,0 +1,140 @@
+//! Duties: acts that arrive under a fencing number, and the messages, disk writes and steps that the lease asks for.
+
+use std::time::Duration;
+
+use lotussaddle::interface::ServerId;
+use lotussaddle_lease::Duty;
+use lotussaddle_trunk::{Act, Frame, Peer};
+
+use super::Member;
+use super::interface::{Save, Ways};
+use super::saves::Unsaved;
+use crate::duties::{Duties, SWEEP, ToDo};
+
+impl Member {
+    /// The holder of `circuits` has this member look after its own lines at a core server.
+    pub(super) fn check(&mut self, member: u16, act: &Act, server: &ServerId, ways: &mut dyn Ways) {
+        let again = || Unsaved::Check(member, *act, server.clone());
+        if !self.may(member, act, again, ways) {
+            return;
+        }
+        if self.lives.mine() > 0 && self.cores.contains(server) {
+            let deed = self.heirs.check_mine(self.now, server);
+            self.do_deeds(deed.into_iter().collect());
+        }
+    }
+
+    /// Whether an act of a duty may be done: its number is no lower than one that was seen, and where it is new it is on disk, so that
+    /// this member refuses lower ones past its own restart.
+    pub(super) fn may(
+        &mut self, from: u16, act: &Act, again: impl Fn() -> Unsaved, ways: &mut dyn Ways,
+    ) -> bool {
+        let Some(duties) = self.duties.as_mut().filter(|_| act.member == from) else { return false };
+        match duties.admits(act) {
+            Err(highest) => {
+                self.to_say.push((from, Peer::Fenced { duty: act.duty, highest }));
+                false
+            }
+            Ok(new) => {
+                let fence = duties.fence();
+                if new {
+                    self.fenced_by = self.order(vec![Save::Fence(fence)], ways);
+                }
+                // What comes under it before it is on disk waits behind the first.
+                let Some(number) = self.fenced_by.filter(|number| *number > self.reported) else {
+                    return true;
+                };
+                self.unsaved.entry(number).or_default().push(again());
+                false
+            }
+        }
+    }
+
+    /// What has come of it for duties: said, kept, done.
+    pub(super) fn settle_duties(&mut self, ways: &mut dyn Ways) {
+        let (now, me) = (self.now, self.plan.me);
+        let Some(mut duties) = self.duties.take() else { return };
+        // A disk that fails leaves none, and what was on it is older than what is said from then on.
+        self.has_disk |= ways.keeps();
+        let swept = duties.act(now, SWEEP).is_some();
+        if swept != self.sweeps {
+            self.sweeps = swept;
+            self.heirs.sweeps_no_more();
+        }
+        loop {
+            let todo = duties.outs(now);
+            if todo.is_empty() {
+                break;
+            }
+            for todo in todo {
+                match todo {
+                    ToDo::Say(to, word) => {
+                        if let Some(link) = self.peers.to(to) {
+                            self.tell(link, Frame::Peer(Peer::Duties { word }), ways);
+                        }
+                    }
+                    ToDo::Keep(number, kept) => match self.order(vec![Save::Duties(kept)], ways) {
+                        Some(order) => duties.ordered(order, number),
+                        // Where there is no disk, memory is all that is promised; one that is too far behind promises nothing.
+                        None => duties.kept(now, number, !self.has_disk),
+                    },
+                    ToDo::Check(act, server) => {
+                        for member in (0..self.plan.members.len() as u16).filter(|member| *member != me) {
+                            if let Some(link) = self.peers.to(member) {
+                                let check = Peer::Check { act, server: server.clone() };
+                                self.tell(link, Frame::Peer(check), ways);
+                            }
+                        }
+                        let deed = self.heirs.check_mine(now, &server);
+                        self.do_deeds(deed.into_iter().collect());
+                    }
+                    ToDo::Log(line) => ways.log(&line),
+                }
+            }
+        }
+        let heard = || -> Vec<(u16, u64)> {
+            let all = (0..self.plan.members.len() as u16).filter(|member| self.sight.hears(now, *member));
+            let life = |member: u16| if member == me { self.lives.mine() } else { self.sight.life(member) };
+            all.map(|member| (member, life(member))).filter(|(_, life)| *life > 0).collect()
+        };
+        let orders = duties.publishes(now, heard);
+        self.duties = Some(duties);
+        // Others first, so that what this member does itself was seen to be ordered.
+        let (own, others): (Vec<_>, Vec<_>) = orders.into_iter().partition(|(member, ..)| *member == me);
+        for (member, act, serial, order) in others {
+            if let Some(link) = self.peers.to(member) {
+                self.tell(link, Frame::Peer(Peer::Publish { act, serial, order }), ways);
+            }
+        }
+        for (_, act, serial, order) in own {
+            self.ordered(me, &act, serial, order, ways);
+        }
+    }
+
+    /// An operator wants a duty to go to that member, or to whoever is next.
+    pub(crate) fn hand_over(&mut self, duty: Duty, to: Option<u16>) {
+        let now = self.now;
+        self.duties.iter_mut().for_each(|duties| duties.hand_over(now, duty, to));
+    }
+
+    /// An operator wants other voters.
+    pub(crate) fn change_voters(&mut self, voters: Vec<u16>) {
+        let now = self.now;
+        self.duties.iter_mut().for_each(|duties| duties.change_voters(now, voters.clone()));
+    }
+
+    pub(crate) fn duties(&self) -> Option<&Duties> {
+        self.duties.as_ref()
+    }
+
+    /// This process is to end: duties that it holds go to others.
+    pub fn ends(&mut self, now: Duration) {
+        self.now = now;
+        self.duties.iter_mut().for_each(|duties| duties.end(now));
+    }
+
+    /// Nothing of it is left that others would wait for.
+    pub fn is_done(&self) -> bool {
+        self.duties.as_ref().is_none_or(Duties::is_done)
+    }
+}
--- /dev/null
+++ b/crates/fleet/src/member/incarnations.rs
@@ -0,0 +1,150 @@
+//! Incarnations of this member and of its peers: a number for each start, agreed on by a majority, that tells one process of a
+//! name from the next.
+
+use std::time::Duration;
+
+use lotussaddle_replica::Reading;
+use lotussaddle_trunk::{Audit, Frame, Owner, Peer};
+
+use super::Member;
+use super::interface::{Finding, Save, Ways};
+use super::saves::Unsaved;
+use super::streams::Incoming;
+use crate::lives::start_of;
+use crate::peers::PeerLink;
+
+/// An overtaken process asks for a life again after so long: two under one name are a mistake that only an operator mends.
+pub(super) const RETIRED: Duration = Duration::from_secs(60);
+
+impl Member {
+    /// A later life of this member is known: of another process under its name, or of a former one that those who gave this life
+    /// had forgotten. The latter is over with a new life; the former is not, and the one that is overtaken twice gives way.
+    pub(super) fn overtaken(&mut self, ways: &mut dyn Ways) {
+        let again = self.overtaken_at.replace(self.now).is_some_and(|at| self.now < at + RETIRED);
+        if again {
+            self.retired_until = self.now + RETIRED;
+            let line = "another process has this member's name, and the later life: this one keeps no copies for a while";
+            ways.log(line);
+        } else {
+            ways.log("a later life of this member is known than the one it was given: it takes another");
+        }
+        self.end_life(ways);
+    }
+
+    pub(super) fn ask_for_life(&mut self, ways: &mut dyn Ways) {
+        if self.now < self.retired_until {
+            return;
+        }
+        if self.plan.members.len() == 1 && self.lives.mine() == 0 {
+            return; // Nobody is there to agree, nor to keep copies.
+        }
+        if let Some(life) = self.lives.ask(self.now) {
+            self.order(vec![Save::Asked(life)], ways);
+            for member in 0..self.plan.members.len() as u16 {
+                if let Some(link) = self.peers.to(member) {
+                    self.tell(link, Frame::Peer(Peer::NewLife { life }), ways);
+                }
+            }
+        }
+    }
+
+    pub(super) fn life_asked(&mut self, link: PeerLink, member: u16, life: u64, ways: &mut dyn Ways) {
+        let (given, highest) = self.lives.asked(member, self.sight.life(member), life);
+        if !given {
+            self.tell(link, Frame::Peer(Peer::Life { life, given, highest }), ways);
+            return;
+        }
+        // A vote is kept before it is said.
+        if let Some(number) = self.order(vec![Save::Given(member, life)], ways) {
+            self.unsaved.entry(number).or_default().push(Unsaved::Given(link, life, highest));
+        } else {
+            self.tell(link, Frame::Peer(Peer::Life { life, given, highest }), ways);
+        }
+    }
+
+    pub(super) fn begin_life(&mut self, life: u64, fresh: bool, ways: &mut dyn Ways) {
+        let first = self.book.life() == 0;
+        self.fresh = fresh && first;
+        if !fresh && first && !self.book.is_empty() {
+            // What the disk had is older than what was written in the life before.
+            let dropped = self.book.drop_others();
+            let why = self.lives.why_older();
+            ways.log(&format!("{why}: its {dropped} copies are not all that was kept, and are let go"));
+        }
+        let now = self.now;
+        if let Some(duties) = &mut self.duties {
+            if !fresh && first {
+                duties.is_older(now);
+            }
+            duties.lives(now, life);
+        }
+        // By their own clocks, peers know how long this member was away: the clock on the wall may have been set in between.
+        if let Some(away) = self.away.take().filter(|_| first) {
+            self.book.age(self.now, away);
+        }
+        ways.log(&format!("life {} begins", start_of(life)));
+        self.book.begin_life(self.now, life);
+        // What stands goes on under this life: its core servers are told, or it would pass for what the former one left, or, where
+        // it was launched before this process had a life, end with its link.
+        let standing = self.book.each().filter_map(|(id, copy)| {
+            let owner = copy.owner().filter(|owner| (owner.member, owner.life) == (self.plan.me, life))?;
+            match copy.reading() {
+                Reading::Stands { server, .. } => Some((server.clone(), id.clone(), owner)),
+                _ => None,
+            }
+        });
+        let adopts = standing.map(|(server, dialogue, owner)| {
+            Finding::ToCore(server, Frame::Audit(Audit::Adopt { dialogue, owner, act: None }))
+        });
+        self.findings.extend(adopts);
+        // An older copy has had fewer writes: from here on they are counted above all that were told.
+        self.saves = self.saves.max(self.lives.saved());
+        self.order(vec![Save::Life(life)], ways);
+        for member in 0..self.plan.members.len() as u16 {
+            if let Some(link) = self.peers.to(member) {
+                self.say_here(link, member, ways);
+            }
+            self.resume(member, ways);
+        }
+        // A former life of this member left something behind, perhaps.
+        self.heirs.ended(self.now, self.plan.me, life - 1);
+        self.beat_at = self.now;
+    }
+
+    /// This process has no life until it gets a new one: nothing is copied under the old one.
+    pub(super) fn end_life(&mut self, ways: &mut dyn Ways) {
+        let now = self.now;
+        self.duties.iter_mut().for_each(|duties| duties.lives(now, 0));
+        self.fresh = false;
+        self.wise_at = self.now + self.plan.forget + self.plan.forget / 8;
+        for member in 0..self.plan.members.len() as u16 {
+            self.book.stream(member).halt();
+            self.resumed[usize::from(member)] = false;
+            self.incoming[usize::from(member)] = Incoming::default();
+            if let Some(link) = self.peers.to(member) {
+                self.say_here(link, member, ways);
+            }
+        }
+    }
+
+    /// A peer is in this life.
+    pub(super) fn peer_lives(&mut self, member: u16, life: u64, ways: &mut dyn Ways) {
+        let before = self.sight.life(member);
+        if self.sight.lives(member, life) {
+            if before > 0 {
+                self.heirs.ended(self.now, member, before);
+            }
+            self.resume(member, ways);
+        } else if self.incoming[usize::from(member)].life != life {
+            self.resume(member, ways);
+        }
+        self.heirs.returned(member, life);
+        if life > 0 {
+            // What it left in lives before this one is nobody's.
+            let ended = life - 1;
+            if !self.heirs.is_ended(Owner { round: 0, member, life: ended }) {
+                self.heirs.ended(self.now, member, ended);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/fleet/src/member/links.rs
@@ -0,0 +1,169 @@
+//! Peer links: the greeting, the identification of both sides, and what is dropped when a link closes.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use lotussaddle_trunk::{Frame, Hello, Peer, Role, VERSION};
+
+use super::Member;
+use super::interface::Ways;
+use crate::lives::start_of;
+use crate::peers::{Known, PeerLink, Way};
+
+/// Clocks may differ by so much over an absence before one is taken to have stood still, in parts of it, and in itself.
+pub(super) const STOOD_STILL: Duration = Duration::from_secs(5);
+
+impl Member {
+    /// A link has come in where peers come in.
+    pub fn linked(&mut self, now: Duration, link: PeerLink) {
+        self.now = now;
+        self.peers.came(now, link);
+    }
+
+    /// A link begun from here is up.
+    pub fn connected(&mut self, now: Duration, link: PeerLink, ways: &mut dyn Ways) {
+        self.now = now;
+        if let Some(known) = self.peers.links.get_mut(&link) {
+            (known.way, known.since) = (Way::Fresh, now);
+            self.greet(link, ways);
+        }
+    }
+
+    fn greet(&mut self, link: PeerLink, ways: &mut dyn Ways) {
+        let name: Arc<str> = Arc::from(&*self.plan.members[usize::from(self.plan.me)]);
+        self.tell(link, Frame::Hello(Hello::new(Role::Edge, name)), ways);
+        if let Some(member) = self.peers.links.get(&link).and_then(|known| known.member) {
+            self.say_here(link, member, ways);
+        }
+    }
+
+    pub(super) fn say_here(&mut self, link: PeerLink, member: u16, ways: &mut dyn Ways) {
+        let yours = self.sight.life(member).max(self.lives.given_to(member));
+        let away = (self.sight.life(member) > 0).then(|| self.sight.away(self.now, member));
+        let saved = self.sight.most_saved(member);
+        let (group, me, life) = (self.group, self.plan.me, self.lives.mine());
+        let here = Peer::Here { group, member: me, life, yours, saved, away };
+        self.tell(link, Frame::Peer(here), ways);
+    }
+
+    /// Closes a link that cannot take what is said: what was to be said is not lost in silence.
+    pub(super) fn tell(&mut self, link: PeerLink, frame: Frame, ways: &mut dyn Ways) -> bool {
+        let said = ways.say(link, frame);
+        if !said {
+            self.close(link, "its queue is full", ways);
+        }
+        said
+    }
+
+    pub(super) fn close(&mut self, link: PeerLink, why: &str, ways: &mut dyn Ways) {
+        if self.peers.links.contains_key(&link) {
+            ways.close(link, why);
+            self.forget_link(link, why, ways);
+        }
+    }
+
+    /// A link has gone, or did not come up.
+    pub fn lost(&mut self, now: Duration, link: PeerLink, why: &str, ways: &mut dyn Ways) {
+        self.now = now;
+        self.forget_link(link, why, ways);
+    }
+
+    fn forget_link(&mut self, link: PeerLink, why: &str, ways: &mut dyn Ways) {
+        let up = self.peers.links.get(&link).is_some_and(|known| known.way == Way::Here);
+        let Some(member) = self.peers.lost(self.now, link) else { return };
+        let place = usize::from(member);
+        self.resumed[place] = false;
+        self.book.stream(member).halt();
+        self.incoming[place].owed = false;
+        self.incoming[place].replaced.clear();
+        self.wants_pieces.retain(|(to, _)| *to != member);
+        self.repairs.retain(|(to, _)| *to != member);
+        if up {
+            ways.log(&format!("member {} gone: {why}", self.plan.members[place]));
+        }
+    }
+
+    pub(super) fn greeted(&mut self, link: PeerLink, known: &Known, hello: &Hello, ways: &mut dyn Ways) {
+        let place = self.plan.members.iter().position(|name| **name == *hello.name);
+        let member = place.map(|place| place as u16);
+        let wrong = match (hello.role, hello.version, member, known.member) {
+            (Role::Edge, VERSION, Some(member), _) if member == self.plan.me => {
+                Some("has this member's name".into())
+            }
+            (Role::Edge, VERSION, Some(member), Some(meant)) if member != meant => {
+                Some(format!("is {}, not {}", hello.name, self.name(meant)))
+            }
+            (Role::Edge, VERSION, _, _) => None,
+            (Role::Edge, version, ..) => Some(format!("speaks version {version}, not {VERSION}")),
+            (role, ..) => Some(format!("is a {role:?}")),
+        };
+        if let Some(wrong) = wrong {
+            return self.close(link, &wrong, ways);
+        }
+        let came_in = known.member.is_none();
+        if let Some(known) = self.peers.links.get_mut(&link) {
+            known.greeted = true;
+            known.member = member;
+            if member.is_none() {
+                known.way = Way::Operator;
+            }
+        }
+        if came_in {
+            self.greet(link, ways);
+        }
+    }
+
+    #[expect(clippy::too_many_arguments)]
+    pub(super) fn is_here(
+        &mut self, link: PeerLink, member: u16, group: u64, place: u16, life: u64,
+        (yours, saved): (u64, u64), away: Option<Duration>, ways: &mut dyn Ways,
+    ) {
+        if group != self.group || place != member {
+            let line = format!(
+                "member {} has another group or other figures: no copies go there",
+                self.name(member)
+            );
+            ways.log(&line);
+            return self.close(link, "another group", ways);
+        }
+        // A clock here that stood still while the other's went on: what is kept here may be forgotten elsewhere, and would be
+        // brought back to life.
+        let mine = self.sight.away(self.now, member);
+        let still = away.filter(|away| *away > mine + mine / 8 + STOOD_STILL && yours == self.lives.mine());
+        if self.lives.mine() == 0
+            && let Some(away) = away
+        {
+            self.away = Some(self.away.map_or(away, |known| known.min(away)));
+        }
+        if self.lives.told(member, yours, saved) {
+            self.overtaken(ways);
+        } else if still.is_some() && self.lives.mine() > 0 {
+            let dropped = self.book.drop_others();
+            ways.log(&format!("this clock stood still: {dropped} copies let go, a new life begins"));
+            self.lives.renew();
+            self.end_life(ways);
+        }
+        if let Some(known) = self.peers.links.get_mut(&link) {
+            known.way = Way::Here;
+        }
+        match self.peers.seated(link, member) {
+            Some(closed) if closed == link => return self.close(link, "there is a link already", ways),
+            Some(before) => {
+                ways.close(before, "another link of the same member");
+                self.peers.lost(self.now, before);
+            }
+            None => {}
+        }
+        let new = self.peers.links.contains_key(&link) && !self.sight.hears(self.now, member);
+        if new {
+            ways.log(&format!("member {} here, in life {}", self.name(member), start_of(life)));
+        }
+        self.sight.heard(self.now, member);
+        self.resumed[usize::from(member)] = false;
+        if life >= self.sight.life(member) && life > 0 {
+            self.peer_lives(member, life, ways);
+        }
+        self.ask_for_life(ways);
+        self.resume(member, ways);
+    }
+}
--- /dev/null
+++ b/crates/fleet/src/member/repair.rs
@@ -0,0 +1,66 @@
+//! Anti-entropy: two members compare sums over what they hold, narrow down the ranges that differ, and send what is missing.
+
+use lotussaddle_replica::Differing;
+use lotussaddle_trunk::{Frame, Peer};
+
+use super::Member;
+use super::batches::in_frames;
+use super::interface::Ways;
+
+/// Steps of comparisons that wait, at most; beyond it they are dropped, and come again with the next comparison.
+pub(super) const MOST_REPAIRS: usize = 1024;
+
+/// A step of a comparison that waits for its turn.
+pub(super) enum Mend {
+    Sums(u8, u32, Vec<u64>),
+    Prints(u32, Vec<(u64, u64)>),
+    Want(Vec<u64>),
+}
+
+impl Member {
+    pub(super) fn mend(&mut self, member: u16, mend: Mend) {
+        if self.repairs.len() < MOST_REPAIRS {
+            self.repairs.push_back((member, mend));
+        }
+    }
+
+    pub(super) fn compare(&mut self) {
+        for member in self.plan.me + 1..self.plan.members.len() as u16 {
+            if self.peers.to(member).is_some() && self.incoming[usize::from(member)].synced {
+                let (level, from, sums) = self.book.top(member);
+                self.to_say.push((member, Peer::Sums { level, from, sums }));
+            }
+        }
+    }
+
+    pub(super) fn send_repair(&mut self, member: u16, mend: Mend, ways: &mut dyn Ways) {
+        let Some(link) = self.peers.to(member) else { return };
+        let mut copies = Vec::new();
+        match mend {
+            Mend::Sums(level, from, sums) => {
+                for differing in self.book.compare(member, level, from, &sums) {
+                    let peer = match differing {
+                        Differing::Below(level, from, sums) => Peer::Sums { level, from, sums },
+                        Differing::Range(range, prints) => Peer::Prints { range, prints },
+                    };
+                    self.tell(link, Frame::Peer(peer), ways);
+                }
+            }
+            Mend::Prints(range, prints) => {
+                let life = self.sight.life(member);
+                let repair = self.book.look(self.now, member, life, range, &prints);
+                self.counts.repaired += (repair.send.len() + repair.want.len() + repair.dropped) as u64;
+                if !repair.want.is_empty() {
+                    self.tell(link, Frame::Peer(Peer::Want { ids: repair.want }), ways);
+                }
+                copies = repair.send;
+            }
+            Mend::Want(ids) => copies = self.book.wanted(self.now, member, &ids),
+        }
+        for copies in in_frames(copies).into_iter().filter(|copies| !copies.is_empty()) {
+            self.counts.copies_sent += copies.len() as u64;
+            let life = self.lives.mine();
+            self.tell(link, Frame::Peer(Peer::Copies { life, first: 0, copies }), ways);
+        }
+    }
+}
--- /dev/null
+++ b/crates/fleet/src/member/search.rs
@@ -0,0 +1,134 @@
+//! Redials: what is known of a dialogue that was dialled before, asked of the replicas, and the answers this member gives
+//! when another member asks.
+
+use std::time::Duration;
+
+use lotussaddle::interface::DialogueId;
+use lotussaddle_replica::{Copy, Reading, print};
+use lotussaddle_trunk::{Audit, CopySent, Frame, Owner, Peer, Reached};
+
+use super::Member;
+use super::interface::Finding;
+use crate::redial::{Begin, Todo, Verdict};
+
+/// Questions answered in one turn, at most; whoever gets no answer is not sure.
+pub(super) const MOST_KNOWN: usize = 30_000;
+
+impl Member {
+    /// A dialogue is dialled that was dialled before: what is known of it? Told by [`Finding::Found`].
+    pub fn seek(&mut self, now: Duration, id: &DialogueId, cut_off: Duration) {
+        self.now = now;
+        self.counts.asks += 1;
+        let come_back = self.plan.silence;
+        if self.lives.mine() == 0 || self.redials.len() + self.confirming.len() >= self.plan.asks {
+            self.counts.asks_refused += 1;
+            return self.findings.push(Finding::Found(id.clone(), Verdict::Unsure { come_back }));
+        }
+        self.confirmed(id);
+        if let Some((server, launch)) = self.heirs.claim(id) {
+            return self.confirm(id.clone(), Verdict::Stands { server, launch });
+        }
+        // What this member owns nobody else has gone on with, or its writes will be refused. What stood is asked for all the same:
+        // it is not held here any more.
+        let own = self.book.get(id).filter(|_| self.book.is_mine(id)).map(Copy::reading);
+        let verdict = match own {
+            Some(Reading::Answered(answer)) => Some(Verdict::Answered(answer.clone())),
+            Some(Reading::Over) => Some(Verdict::Concluded),
+            Some(Reading::Open { bar, .. }) if bar > now && bar + self.plan.release >= cut_off => {
+                Some(Verdict::Unsure { come_back: bar - now })
+            }
+            Some(Reading::Open { bar, .. }) => Some(Verdict::Free { not_before: bar.max(now) }),
+            Some(Reading::Stands { .. }) | None => None,
+        };
+        if let Some(verdict) = verdict {
+            return self.confirm(id.clone(), verdict);
+        }
+        self.heirs.drop_of(id);
+        let print = print(id);
+        let candidates: Vec<u16> = self.book.group().candidates(print).iter().collect();
+        let known = self.book.get(id).cloned().unwrap_or_default();
+        let round = known.owner().map_or(0, |owner| owner.round) + 1;
+        let owner = Owner { round, member: self.plan.me, life: self.lives.mine() };
+        let mut knows = candidates.contains(&self.plan.me) && self.caught_up();
+        if candidates.contains(&self.plan.me) {
+            self.book.asked(now, id, owner);
+            knows &= self.book.promised(id, owner);
+        }
+        let (peers, sight) = (&self.peers, &self.sight);
+        let reached = |member: u16| peers.to(member).is_some() && sight.hears(now, member);
+        let begin = Begin { reached: &reached, knows, known, owner, cut_off };
+        let todo = self.redials.begin(now, id, begin);
+        self.carry_out(todo);
+    }
+
+    /// Its caller wants no more of what is sought.
+    pub fn sought_no_more(&mut self, id: &DialogueId) {
+        self.redials.drop_of(id);
+    }
+
+    pub(super) fn carry_out(&mut self, todo: Vec<Todo>) {
+        for todo in todo {
+            match todo {
+                Todo::Ask { to, serial, dialogue, owner } => {
+                    self.to_say.push((to, Peer::Ask { serial, dialogue, owner }));
+                }
+                Todo::Claim { dialogue, owner, found } => {
+                    self.book.claim(self.now, &dialogue, owner, &found);
+                    self.write(&dialogue, Reached::Taken, Duration::ZERO, None, self.now, 0);
+                }
+                Todo::Adopt { server, dialogue, owner } => {
+                    self.heirs.let_go(self.now, &server); // The answer may be lost.
+                    let frame = Frame::Audit(Audit::Adopt { dialogue, owner, act: None });
+                    self.findings.push(Finding::ToCore(server, frame));
+                }
+                Todo::Say(id, verdict) => self.confirm(id, verdict),
+            }
+        }
+    }
+
+    pub(super) fn asked(&mut self, member: u16, serial: u64, id: DialogueId, owner: Owner) {
+        if owner.member != member || owner.life != self.sight.life(member) {
+            return; // Of another life, or in another's name.
+        }
+        let todo = self.redials.beaten(&id, owner);
+        self.carry_out(todo);
+        if self.book.is_mine(&id) && self.book.get(&id).and_then(Copy::owner) < Some(owner) {
+            // What is out is called off first, so that the answer says how long it is in doubt.
+            let waits = self.lets.entry(id.clone()).or_default();
+            waits.push((member, serial, owner));
+            self.confirmed(&id);
+            self.goes(&id);
+            return self.findings.push(Finding::LetGo(id));
+        }
+        self.answer_asked(member, serial, &id, owner);
+    }
+
+    pub(super) fn answer_asked(&mut self, member: u16, serial: u64, id: &DialogueId, owner: Owner) {
+        let (higher, copy) = self.book.asked(self.now, id, owner);
+        let sure = higher.is_none() && self.caught_up() && self.book.promised(id, owner);
+        self.changed.insert(id.clone());
+        // A promise that a kill undoes is none: it is kept before it is said.
+        if self.known.len() < MOST_KNOWN {
+            self.known.push((member, Peer::Know { serial, sure, higher, copy }));
+        }
+    }
+
+    pub(super) fn told(
+        &mut self, from: u16, serial: u64, sure: bool, higher: Option<Owner>, copy: Option<&CopySent>,
+    ) {
+        let Some((id, owner)) = self.redials.of(serial) else { return };
+        let id = id.clone();
+        let copy = copy.filter(|copy| copy.dialogue == id).map(|copy| Copy::received(self.now, copy));
+        let candidate = self.book.group().candidates(print(&id)).contains(self.plan.me);
+        let knows = candidate && self.caught_up();
+        if let (true, Some(higher)) = (candidate, higher) {
+            // This member promises itself the higher claim that it is about to make.
+            let owner = Owner { round: owner.round.max(higher.round + 1), ..owner };
+            self.book.asked(self.now, &id, owner);
+        }
+        let (peers, sight, now) = (&self.peers, &self.sight, self.now);
+        let reached = |member: u16| peers.to(member).is_some() && sight.hears(now, member);
+        let todo = self.redials.answered(now, serial, from, sure, higher, copy.as_ref(), &reached, knows);
+        self.carry_out(todo);
+    }
+}
--- /dev/null
+++ b/crates/fleet/src/member/streams.rs
@@ -0,0 +1,151 @@
+//! Replication streams: copies sent and received in order, and the snapshots that precede a stream.
+
+use lotussaddle::interface::DialogueId;
+use lotussaddle_replica::{Copy, News};
+use lotussaddle_trunk::{CopySent, Cursor, Frame, Peer, Replaced};
+
+use super::Member;
+use super::batches::in_frames;
+use super::interface::{Finding, Ways};
+
+pub(super) const A_TURN: usize = 512;
+
+/// What is had of a peer's stream.
+#[derive(Default)]
+pub(super) struct Incoming {
+    pub(super) life: u64,
+    pub(super) have: u64,
+    /// Where its snapshot stands, while one comes.
+    pub(super) snapshot: Option<Cursor>,
+    /// All that it knew, and this member is to know, was had once in this life.
+    pub(super) synced: bool,
+    /// An acknowledgement is owed; none is given before the snapshot is whole, since what it leads up to was not had before.
+    pub(super) owed: bool,
+    pub(super) replaced: Vec<Replaced>,
+}
+
+impl Member {
+    /// Says what is had of a peer's stream, and asks for a snapshot where all before it is not had.
+    pub(super) fn resume(&mut self, member: u16, ways: &mut dyn Ways) {
+        let life = self.sight.life(member);
+        let Some(link) = self.peers.to(member).filter(|_| life > 0 && self.lives.mine() > 0) else { return };
+        let incoming = &mut self.incoming[usize::from(member)];
+        if incoming.life != life {
+            (incoming.life, incoming.have, incoming.snapshot, incoming.owed) = (life, 0, None, false);
+        }
+        // What it has, its disk may not have had yet: it is acknowledged behind that.
+        incoming.owed |= incoming.synced;
+        let snapshot = (!incoming.synced).then(|| incoming.snapshot.unwrap_or(Cursor { at: 0, from: 0 }));
+        let resume = Peer::Resume { life, have: incoming.have, snapshot };
+        self.tell(link, Frame::Peer(resume), ways);
+    }
+
+    /// A peer says what it has of the stream to it.
+    pub(super) fn resume_asked(&mut self, member: u16, have: u64, snapshot: Option<Cursor>) {
+        let place = usize::from(member);
+        let first = !std::mem::replace(&mut self.resumed[place], true);
+        let begins = snapshot == Some(Cursor { at: 0, from: 0 });
+        if begins {
+            let cursor = self.book.cursor(member);
+            self.book.stream(member).resume(cursor.at);
+            self.wants_pieces.push_back((member, cursor));
+        } else if first && !self.book.stream(member).resume(have) {
+            // The tail behind it is not kept any more: all anew.
+            let cursor = self.book.cursor(member);
+            self.wants_pieces.push_back((member, cursor));
+        } else if let Some(cursor) = snapshot {
+            self.wants_pieces.push_back((member, cursor));
+        }
+    }
+
+    pub(super) fn piece_came(
+        &mut self, member: u16, cursor: Cursor, next: Option<u64>, copies: &[CopySent], ways: &mut dyn Ways,
+    ) {
+        let news = self.book.take(self.now, copies);
+        self.counts.pieces += 1;
+        self.news(news, ways);
+        let incoming = &mut self.incoming[usize::from(member)];
+        incoming.have = incoming.have.max(cursor.at);
+        incoming.synced = next.is_none();
+        incoming.owed |= incoming.synced;
+        incoming.snapshot = next.map(|from| Cursor { at: cursor.at, from });
+        if next.is_some() {
+            self.resume(member, ways);
+        } else {
+            ways.log(&format!("caught up with member {}", self.name(member)));
+            self.compare_at = self.now;
+        }
+    }
+
+    pub(super) fn copies_came(
+        &mut self, member: u16, life: u64, first: u64, copies: &[CopySent], ways: &mut dyn Ways,
+    ) {
+        let news = self.book.take(self.now, copies);
+        let replaced = self.news(news, ways);
+        let incoming = &mut self.incoming[usize::from(member)];
+        if first == 0 || life != incoming.life {
+            if !replaced.is_empty() && life == incoming.life {
+                incoming.replaced.extend(replaced);
+            }
+            return;
+        }
+        incoming.replaced.extend(replaced);
+        // Behind a snapshot that has begun the stream goes on at a number that is told with its first piece.
+        if incoming.synced && first > incoming.have + 1 {
+            // Some are missing: it is told again what is had.
+            self.resumed[usize::from(member)] = false;
+            return self.resume(member, ways);
+        }
+        incoming.have = incoming.have.max(first + copies.len() as u64 - 1);
+        incoming.owed = true;
+    }
+
+    /// What came of copies: those that were refused are given back.
+    fn news(&mut self, news: News, ways: &mut dyn Ways) -> Vec<Replaced> {
+        self.counts.copies_taken += news.changed.len() as u64;
+        self.counts.copies_refused += news.refused as u64;
+        for id in &news.differ {
+            self.counts.differ += 1;
+            let answers = self.book.get(id).map(Copy::answers).unwrap_or_default();
+            ways.log(&format!("dialogue {} has two different answers: {answers:?}", id.0));
+        }
+        for (id, _) in news.lost {
+            self.counts.replaced += 1;
+            self.goes(&id);
+            self.heirs.drop_of(&id);
+            self.findings.push(Finding::Replaced(id));
+        }
+        if self.heirs.any_ended() {
+            let left = |id: &DialogueId| {
+                self.book.get(id).and_then(Copy::owner).is_some_and(|o| self.heirs.is_ended(o))
+            };
+            let look = news.changed.iter().any(left);
+            self.heirs.look_again |= look;
+        }
+        self.changed.extend(news.changed);
+        news.replaced
+    }
+
+    pub(super) fn send_piece(&mut self, member: u16, cursor: Cursor, ways: &mut dyn Ways) {
+        let Some(link) = self.peers.to(member) else { return };
+        let (copies, next) = self.book.piece(self.now, member, cursor.from);
+        let life = self.lives.mine();
+        let mut frames = in_frames(copies);
+        let last = frames.pop().unwrap_or_default();
+        for copies in frames {
+            self.counts.copies_sent += copies.len() as u64;
+            self.tell(link, Frame::Peer(Peer::Copies { life, first: 0, copies }), ways);
+        }
+        self.counts.copies_sent += last.len() as u64;
+        self.tell(link, Frame::Peer(Peer::Piece { life, cursor, next, copies: last }), ways);
+    }
+
+    /// Whether there is more to be sent than one turn takes.
+    pub fn is_behind(&mut self) -> bool {
+        (0..self.plan.members.len() as u16).any(|member| {
+            self.resumed[usize::from(member)]
+                && self.peers.to(member).is_some()
+                && self.book.stream(member).waits()
+        })
+    }
+}
--- /dev/null
+++ b/crates/fleet/src/member/timers.rs
@@ -0,0 +1,133 @@
+//! Work that is due at a time: connection attempts, heartbeats, retries, and the search for members that are gone.
+
+use std::time::Duration;
+
+use lotussaddle_replica::digest;
+use lotussaddle_trunk::{Frame, Peer};
+
+use super::Member;
+use super::interface::Ways;
+use crate::duties::{Duties, SWEEP};
+use crate::heirs::Deed;
+use crate::peers::Way;
+
+/// A link that says nothing of use for so long is closed.
+pub(super) const GREET_WITHIN: Duration = Duration::from_secs(2);
+
+impl Member {
+    /// When `alarm` is to be called next.
+    pub fn next_due(&self) -> Duration {
+        let dues = [
+            self.peers.next_due(),
+            self.lives.next_due().map(|at| at.max(self.retired_until)),
+            self.redials.next_due(),
+            self.confirm_dues.first().map(|(by, _)| *by),
+            self.heirs.next_due(),
+            self.duties.as_ref().map(Duties::next_due),
+            self.chores.due(false),
+            Some(self.look_at),
+            Some(self.compare_at),
+        ];
+        dues.into_iter().flatten().fold(self.beat_at, Duration::min)
+    }
+
+    /// The time given by `next_due` has come.
+    pub fn alarm(&mut self, now: Duration, ways: &mut dyn Ways) {
+        self.now = now;
+        for member in self.peers.to_begin(now) {
+            let link = ways.connect(member);
+            self.peers.begun(now, member, link);
+        }
+        self.ask_for_life(ways);
+        if let Some(duties) = self.duties.as_mut().filter(|duties| duties.next_due() <= now) {
+            duties.alarm(now, &self.cores);
+        }
+        let todo = self.redials.alarm(now);
+        self.carry_out(todo);
+        self.unconfirmed();
+        let deeds = self.heirs.alarm(now);
+        self.do_deeds(deeds);
+        if self.beat_at <= now {
+            self.beat_at = now + self.plan.beat();
+            self.beat(ways);
+        }
+        if self.look_at <= now {
+            self.look_at = now + self.plan.silence / 2;
+            self.look_round(ways);
+        }
+        if self.compare_at <= now {
+            self.compare_at = now + self.plan.compare_every;
+            self.compare();
+        }
+        self.want_chores();
+    }
+
+    fn beat(&mut self, ways: &mut dyn Ways) {
+        let hears = self.sight.all_heard(self.now).words().to_vec();
+        let (caught_up, saved) = (self.caught_up(), self.saved);
+        let beat = Peer::Beat { life: self.lives.mine(), hears, caught_up, saved };
+        for member in 0..self.plan.members.len() as u16 {
+            if let Some(link) = self.peers.to(member) {
+                self.tell(link, Frame::Peer(beat.clone()), ways);
+            }
+        }
+    }
+
+    /// Who is gone, which links are dead, what is left behind.
+    fn look_round(&mut self, ways: &mut dyn Ways) {
+        let now = self.now;
+        for member in 0..self.plan.members.len() as u16 {
+            let gone = self.sight.gone(now, member);
+            if gone && !self.was_gone.has(member) {
+                self.was_gone.set(member);
+                ways.log(&format!("member {} is not heard by a majority", self.name(member)));
+                self.heirs.ended(now, member, self.sight.life(member));
+            } else if !gone && self.was_gone.has(member) {
+                self.was_gone.unset(member);
+                ways.log(&format!("member {} is heard again", self.name(member)));
+                let life = self.sight.life(member);
+                self.heirs.returned(member, life);
+                self.heirs.ended(now, member, life.saturating_sub(1));
+            }
+            if let Some(link) = self.peers.to(member)
+                && self.sight.away(now, member) >= self.plan.silence * 2
+            {
+                self.close(link, "silent, taken as dead", ways);
+            }
+        }
+        let slow = self.peers.links.iter().filter(|(_, known)| {
+            let wait = if known.way == Way::Operator { GREET_WITHIN * 15 } else { GREET_WITHIN };
+            known.way != Way::Here && now >= known.since + wait
+        });
+        for link in slow.map(|(link, _)| *link).collect::<Vec<_>>() {
+            self.close(link, "no greeting in time", ways);
+        }
+        if self.lives.mine() > 0 {
+            let live = |member: u16| !self.sight.gone(now, member) && self.sight.hears(now, member);
+            let (group, plan, me) = (self.book.group(), &self.plan, self.plan.me);
+            let is_heir_of = |member: u16| {
+                let print = digest(&[b"estate", plan.members[usize::from(member)].as_bytes()]);
+                group.ranked(print).into_iter().find(|member| live(*member)) == Some(me)
+            };
+            // One that hears no majority cannot tell who is gone.
+            if self.sight.with_majority(now) {
+                // Where there are duties one member sweeps for all; else each estate has its own heir.
+                let sweeps = self.duties.as_ref().map(|duties| duties.act(now, SWEEP).is_some());
+                let is_heir_of = |member: u16| sweeps.unwrap_or_else(|| is_heir_of(member));
+                let deeds = self.heirs.sweep(now, is_heir_of, &self.cores);
+                let asked = deeds.iter().rev().find_map(|deed| match deed {
+                    Deed::What { server, member, .. } if *member != self.plan.me => Some((server, *member)),
+                    _ => None,
+                });
+                if let (Some((server, member)), Some(true)) = (asked, sweeps) {
+                    let mark = format!("{} at {}", self.name(member), server.0);
+                    self.duties.iter_mut().for_each(|duties| duties.mark(now, SWEEP, mark.clone()));
+                }
+                self.do_deeds(deeds);
+            }
+            if std::mem::take(&mut self.heirs.look_again) && self.look_from.is_none() {
+                self.look_from = Some(0);
+            }
+        }
+    }
+}
