--- a/crates/fleet/src/member/background.rs
+++ b/crates/fleet/src/member/background.rs
@@ -44,8 +44,8 @@
                 }
             }
             _ => {
-                if let Some((member, mend)) = self.repairs.pop_front() {
-                    self.send_repair(member, mend, ways);
+                if let Some((member, step)) = self.repairs.pop() {
+                    self.send_repair(member, step, ways);
                 }
             }
         }
--- a/crates/fleet/src/member/batches.rs
+++ b/crates/fleet/src/member/batches.rs
@@ -2,7 +2,7 @@
 
 use lotussaddle_trunk::{Answer, CopySent, Given, Part, Reached};
 
-/// Bytes of copies in one frame, and copies sent to one member in one turn.
+/// Bytes of copies in one frame, at most.
 pub(super) const FRAME: usize = 40 * 1024;
 
 /// More bytes than a copy takes, found without encoding it: that is done once, when it is sent.
--- a/crates/fleet/src/member/confirmations.rs
+++ b/crates/fleet/src/member/confirmations.rs
@@ -1,5 +1,6 @@
 //! The outcome of a redial is written under the new owner and acknowledged by replicas before it is reported.
 
+use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use lotussaddle::interface::DialogueId;
@@ -10,11 +11,57 @@
 use super::interface::Finding;
 use crate::redial::Verdict;
 
-/// What was found, and is said once it is kept.
-pub(super) struct Confirming {
-    pub(super) ticket: u64,
-    pub(super) by: Duration,
-    pub(super) verdict: Verdict,
+/// What was found of one dialogue, and is reported once it is acknowledged.
+struct Confirmation {
+    ticket: u64,
+    by: Duration,
+    verdict: Verdict,
+}
+
+/// What was found of dialogues and waits for acknowledgements, by dialogue, by ticket and by deadline.
+#[derive(Default)]
+pub(super) struct Confirmations {
+    pending: BTreeMap<DialogueId, Confirmation>,
+    tickets: BTreeMap<u64, DialogueId>,
+    deadlines: BTreeSet<(Duration, DialogueId)>,
+}
+
+impl Confirmations {
+    pub(super) fn len(&self) -> usize {
+        self.pending.len()
+    }
+
+    pub(super) fn contains(&self, id: &DialogueId) -> bool {
+        self.pending.contains_key(id)
+    }
+
+    pub(super) fn next_due(&self) -> Option<Duration> {
+        self.deadlines.first().map(|(by, _)| *by)
+    }
+
+    /// The dialogue whose write has this ticket.
+    fn dialogue_of(&self, ticket: u64) -> Option<DialogueId> {
+        self.tickets.get(&ticket).cloned()
+    }
+
+    /// A dialogue whose deadline has passed.
+    fn overdue(&self, now: Duration) -> Option<DialogueId> {
+        self.deadlines.first().filter(|(by, _)| *by <= now).map(|(_, id)| id.clone())
+    }
+
+    fn insert(&mut self, id: DialogueId, ticket: u64, by: Duration, verdict: Verdict) {
+        self.tickets.insert(ticket, id.clone());
+        self.deadlines.insert((by, id.clone()));
+        self.pending.insert(id, Confirmation { ticket, by, verdict });
+    }
+
+    /// It is acknowledged, or nobody waits for it any more.
+    pub(super) fn remove(&mut self, id: &DialogueId) -> Option<Verdict> {
+        let known = self.pending.remove(id)?;
+        self.tickets.remove(&known.ticket);
+        self.deadlines.remove(&(known.by, id.clone()));
+        Some(known.verdict)
+    }
 }
 
 impl Member {
@@ -37,28 +84,16 @@
             None => self.findings.push(Finding::Found(id, verdict)),
             Some(ticket) => {
                 let by = self.now + self.plan.ask_within;
-                self.confirm_tickets.insert(ticket, id.clone());
-                self.confirm_dues.insert((by, id.clone()));
-                self.confirming.insert(id, Confirming { ticket, by, verdict });
+                self.confirmations.insert(id, ticket, by, verdict);
             }
         }
     }
 
-    /// Nobody waits for it any more, or it is kept.
-    pub(super) fn confirmed(&mut self, id: &DialogueId) -> Option<Verdict> {
-        let known = self.confirming.remove(id)?;
-        self.confirm_tickets.remove(&known.ticket);
-        self.confirm_dues.remove(&(known.by, id.clone()));
-        Some(known.verdict)
-    }
-
     /// Acknowledgements did not come in time: what was found is said where the sheet has answers go without, else its caller is to
     /// come again. A line that was taken over for it waits meanwhile.
     pub(super) fn unconfirmed(&mut self) {
-        while let Some((by, id)) = self.confirm_dues.first().cloned()
-            && by <= self.now
-        {
-            let Some(verdict) = self.confirmed(&id) else { break };
+        while let Some(id) = self.confirmations.overdue(self.now) {
+            let Some(verdict) = self.confirmations.remove(&id) else { break };
             if !self.plan.strictly && self.book.is_mine(&id) {
                 self.findings.push(Finding::Found(id, verdict));
                 continue;
@@ -76,9 +111,9 @@
     /// Writes that are kept by as many as was asked for.
     pub(super) fn are_kept(&mut self) {
         for ticket in self.book.done() {
-            match self.confirm_tickets.get(&ticket).cloned() {
+            match self.confirmations.dialogue_of(ticket) {
                 Some(id) => {
-                    let verdict = self.confirmed(&id);
+                    let verdict = self.confirmations.remove(&id);
                     self.findings.extend(verdict.map(|verdict| Finding::Found(id, verdict)));
                 }
                 None => self.findings.push(Finding::Kept(ticket)),
--- a/crates/fleet/src/member/dispatch.rs
+++ b/crates/fleet/src/member/dispatch.rs
@@ -6,7 +6,7 @@
 
 use super::Member;
 use super::interface::{Finding, Ways};
-use super::repair::Mend;
+use super::repair::RepairStep;
 use crate::lives::Agreed;
 use crate::peers::{Known, PeerLink, Way};
 use crate::sight::Members;
@@ -81,9 +81,11 @@
             Peer::Know { serial, sure, higher, copy } => {
                 self.told(member, serial, sure, higher, copy.as_ref());
             }
-            Peer::Sums { level, from, sums } => self.mend(member, Mend::Sums(level, from, sums)),
-            Peer::Prints { range, prints } => self.mend(member, Mend::Prints(range, prints)),
-            Peer::Want { ids } => self.mend(member, Mend::Want(ids)),
+            Peer::Sums { level, from, sums } => {
+                self.repairs.push(member, RepairStep::Sums(level, from, sums))
+            }
+            Peer::Prints { range, prints } => self.repairs.push(member, RepairStep::Prints(range, prints)),
+            Peer::Want { ids } => self.repairs.push(member, RepairStep::Want(ids)),
             // Of another life than the one that is known: it will be said again.
             Peer::Kept { .. } | Peer::Resume { .. } | Peer::Piece { .. } => {}
             Peer::Duties { word } => {
--- a/crates/fleet/src/member/duty_acts.rs
+++ b/crates/fleet/src/member/duty_acts.rs
@@ -8,13 +8,13 @@
 
 use super::Member;
 use super::interface::{Save, Ways};
-use super::saves::Unsaved;
+use super::saves::AfterWrite;
 use crate::duties::{Duties, SWEEP, ToDo};
 
 impl Member {
     /// The holder of `circuits` has this member look after its own lines at a core server.
     pub(super) fn check(&mut self, member: u16, act: &Act, server: &ServerId, ways: &mut dyn Ways) {
-        let again = || Unsaved::Check(member, *act, server.clone());
+        let again = || AfterWrite::Check { from: member, act: *act, server: server.clone() };
         if !self.may(member, act, again, ways) {
             return;
         }
@@ -27,7 +27,7 @@
     /// Whether an act of a duty may be done: its number is no lower than one that was seen, and where it is new it is on disk, so that
     /// this member refuses lower ones past its own restart.
     pub(super) fn may(
-        &mut self, from: u16, act: &Act, again: impl Fn() -> Unsaved, ways: &mut dyn Ways,
+        &mut self, from: u16, act: &Act, again: impl Fn() -> AfterWrite, ways: &mut dyn Ways,
     ) -> bool {
         let Some(duties) = self.duties.as_mut().filter(|_| act.member == from) else { return false };
         match duties.admits(act) {
@@ -41,10 +41,10 @@
                     self.fenced_by = self.order(vec![Save::Fence(fence)], ways);
                 }
                 // What comes under it before it is on disk waits behind the first.
-                let Some(number) = self.fenced_by.filter(|number| *number > self.reported) else {
+                let Some(number) = self.fenced_by.filter(|number| self.writes.is_pending(*number)) else {
                     return true;
                 };
-                self.unsaved.entry(number).or_default().push(again());
+                self.writes.wait_for(number, [again()]);
                 false
             }
         }
--- a/crates/fleet/src/member/incarnations.rs
+++ b/crates/fleet/src/member/incarnations.rs
@@ -8,7 +8,7 @@
 
 use super::Member;
 use super::interface::{Finding, Save, Ways};
-use super::saves::Unsaved;
+use super::saves::AfterWrite;
 use super::streams::Incoming;
 use crate::lives::start_of;
 use crate::peers::PeerLink;
@@ -56,7 +56,7 @@
         }
         // A vote is kept before it is said.
         if let Some(number) = self.order(vec![Save::Given(member, life)], ways) {
-            self.unsaved.entry(number).or_default().push(Unsaved::Given(link, life, highest));
+            self.writes.wait_for(number, [AfterWrite::GrantLife { link, life, highest }]);
         } else {
             self.tell(link, Frame::Peer(Peer::Life { life, given, highest }), ways);
         }
@@ -98,7 +98,7 @@
         });
         self.findings.extend(adopts);
         // An older copy has had fewer writes: from here on they are counted above all that were told.
-        self.saves = self.saves.max(self.lives.saved());
+        self.writes.count_from(self.lives.saved());
         self.order(vec![Save::Life(life)], ways);
         for member in 0..self.plan.members.len() as u16 {
             if let Some(link) = self.peers.to(member) {
--- a/crates/fleet/src/member/links.rs
+++ b/crates/fleet/src/member/links.rs
@@ -77,7 +77,7 @@
         self.incoming[place].owed = false;
         self.incoming[place].replaced.clear();
         self.wants_pieces.retain(|(to, _)| *to != member);
-        self.repairs.retain(|(to, _)| *to != member);
+        self.repairs.forget(member);
         if up {
             ways.log(&format!("member {} gone: {why}", self.plan.members[place]));
         }
--- a/crates/fleet/src/member/mod.rs
+++ b/crates/fleet/src/member/mod.rs
@@ -20,7 +20,6 @@
 mod timers;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::sync::Arc;
 use std::time::Duration;
 
 use lotussaddle::interface::{DialogueId, ServerId};
@@ -37,10 +36,11 @@
 use crate::sight::{Members, Sight};
 
 use background::{FORGET, LOOK, PIECES, REPAIR};
-use confirmations::Confirming;
-use repair::Mend;
-use saves::Unsaved;
+use confirmations::Confirmations;
+use repair::RepairQueue;
+use saves::DiskWrites;
 use streams::Incoming;
+use table_orders::TableOrders;
 
 pub use interface::{Counts, Finding, Save, Stored, Ways};
 
@@ -56,9 +56,7 @@
     redials: Redials,
     heirs: Heirs,
     duties: Option<Duties>,
-    /// Orders about number tables that are being carried out, and for whom; and what came of the last ones.
-    orders: Vec<(u64, u16)>,
-    tabled: VecDeque<(u64, Option<Arc<str>>)>,
+    table_orders: TableOrders,
     /// The order to the disk that the last number of a duty is kept by.
     fenced_by: Option<u64>,
     /// It held `sweep` when it was looked at last.
@@ -74,10 +72,7 @@
     wise_at: Duration,
     retired_until: Duration,
     overtaken_at: Option<Duration>,
-    /// What was found of dialogues, and waits to be kept before it is said; by ticket, and by when.
-    confirming: BTreeMap<DialogueId, Confirming>,
-    confirm_tickets: BTreeMap<u64, DialogueId>,
-    confirm_dues: BTreeSet<(Duration, DialogueId)>,
+    confirmations: Confirmations,
     lets: BTreeMap<DialogueId, Vec<(u16, u64, Owner)>>,
     findings: Vec<Finding>,
     /// Said to peers at the end of the turn.
@@ -86,14 +81,7 @@
     known: Vec<(u16, Peer)>,
     /// Changed in this turn, to be kept on disk.
     changed: BTreeSet<DialogueId>,
-    /// By the order to the disk after which it goes.
-    unsaved: BTreeMap<u64, Vec<Unsaved>>,
-    /// Writes ordered, and those that the disk has had.
-    saves: u64,
-    saved: u64,
-    /// The last order that the disk took, and the last of which it told what came of it.
-    ordered: u64,
-    reported: u64,
+    writes: DiskWrites,
     /// The shortest time, as peers count it, for which the life before this one has been gone.
     away: Option<Duration>,
     tickets: u64,
@@ -102,7 +90,7 @@
     chores: Chores,
     look_from: Option<u64>,
     wants_pieces: VecDeque<(u16, Cursor)>,
-    repairs: VecDeque<(u16, Mend)>,
+    repairs: RepairQueue,
     beat_at: Duration,
     look_at: Duration,
     compare_at: Duration,
@@ -129,8 +117,7 @@
         let mut member = Self {
             duties,
             fenced_by: None,
-            orders: Vec::new(),
-            tabled: VecDeque::new(),
+            table_orders: TableOrders::default(),
             sweeps: false,
             has_disk: false,
             group: plan.digest(),
@@ -154,26 +141,20 @@
             wise_at: now + plan.forget + plan.forget / 8,
             retired_until: Duration::ZERO,
             overtaken_at: None,
-            confirming: BTreeMap::new(),
-            confirm_tickets: BTreeMap::new(),
-            confirm_dues: BTreeSet::new(),
+            confirmations: Confirmations::default(),
             known: Vec::new(),
             lets: BTreeMap::new(),
             findings: Vec::new(),
             to_say: Vec::new(),
             changed: BTreeSet::new(),
-            unsaved: BTreeMap::new(),
-            saves: stored.count,
-            saved: stored.count,
-            ordered: 0,
-            reported: 0,
+            writes: DiskWrites::new(stored.count),
             away: None,
             tickets: 0,
             cores: BTreeSet::new(),
             chores,
             look_from: None,
             wants_pieces: VecDeque::new(),
-            repairs: VecDeque::new(),
+            repairs: RepairQueue::default(),
             beat_at: now,
             look_at: now,
             compare_at: now + plan.compare_every,
--- a/crates/fleet/src/member/own_dialogues.rs
+++ b/crates/fleet/src/member/own_dialogues.rs
@@ -109,6 +109,6 @@
 
     /// It is kept for its caller, or being taken over for one: its edge proxy does not hold it yet.
     pub(super) fn is_coming(&self, id: &DialogueId) -> bool {
-        self.heirs.has(id) || self.redials.has(id) || self.confirming.contains_key(id)
+        self.heirs.has(id) || self.redials.has(id) || self.confirmations.contains(id)
     }
 }
--- a/crates/fleet/src/member/repair.rs
+++ b/crates/fleet/src/member/repair.rs
@@ -1,5 +1,7 @@
 //! Anti-entropy: two members compare sums over what they hold, narrow down the ranges that differ, and send what is missing.
 
+use std::collections::VecDeque;
+
 use lotussaddle_replica::Differing;
 use lotussaddle_trunk::{Frame, Peer};
 
@@ -8,22 +10,44 @@
 use super::interface::Ways;
 
 /// Steps of comparisons that wait, at most; beyond it they are dropped, and come again with the next comparison.
-pub(super) const MOST_REPAIRS: usize = 1024;
+const MOST_REPAIRS: usize = 1024;
 
 /// A step of a comparison that waits for its turn.
-pub(super) enum Mend {
+pub(super) enum RepairStep {
     Sums(u8, u32, Vec<u64>),
     Prints(u32, Vec<(u64, u64)>),
     Want(Vec<u64>),
 }
 
-impl Member {
-    pub(super) fn mend(&mut self, member: u16, mend: Mend) {
-        if self.repairs.len() < MOST_REPAIRS {
-            self.repairs.push_back((member, mend));
+/// Steps of comparisons that wait, with the member that each is for.
+#[derive(Default)]
+pub(super) struct RepairQueue {
+    steps: VecDeque<(u16, RepairStep)>,
+}
+
+impl RepairQueue {
+    pub(super) fn is_empty(&self) -> bool {
+        self.steps.is_empty()
+    }
+
+    /// Adds a step; where the queue is full it is dropped, and comes again with the next comparison.
+    pub(super) fn push(&mut self, member: u16, step: RepairStep) {
+        if self.steps.len() < MOST_REPAIRS {
+            self.steps.push_back((member, step));
         }
     }
 
+    pub(super) fn pop(&mut self) -> Option<(u16, RepairStep)> {
+        self.steps.pop_front()
+    }
+
+    /// Drops the steps of a member whose link has gone.
+    pub(super) fn forget(&mut self, member: u16) {
+        self.steps.retain(|(to, _)| *to != member);
+    }
+}
+
+impl Member {
     pub(super) fn compare(&mut self) {
         for member in self.plan.me + 1..self.plan.members.len() as u16 {
             if self.peers.to(member).is_some() && self.incoming[usize::from(member)].synced {
@@ -33,11 +57,11 @@
         }
     }
 
-    pub(super) fn send_repair(&mut self, member: u16, mend: Mend, ways: &mut dyn Ways) {
+    pub(super) fn send_repair(&mut self, member: u16, step: RepairStep, ways: &mut dyn Ways) {
         let Some(link) = self.peers.to(member) else { return };
         let mut copies = Vec::new();
-        match mend {
-            Mend::Sums(level, from, sums) => {
+        match step {
+            RepairStep::Sums(level, from, sums) => {
                 for differing in self.book.compare(member, level, from, &sums) {
                     let peer = match differing {
                         Differing::Below(level, from, sums) => Peer::Sums { level, from, sums },
@@ -46,7 +70,7 @@
                     self.tell(link, Frame::Peer(peer), ways);
                 }
             }
-            Mend::Prints(range, prints) => {
+            RepairStep::Prints(range, prints) => {
                 let life = self.sight.life(member);
                 let repair = self.book.look(self.now, member, life, range, &prints);
                 self.counts.repaired += (repair.send.len() + repair.want.len() + repair.dropped) as u64;
@@ -55,7 +79,7 @@
                 }
                 copies = repair.send;
             }
-            Mend::Want(ids) => copies = self.book.wanted(self.now, member, &ids),
+            RepairStep::Want(ids) => copies = self.book.wanted(self.now, member, &ids),
         }
         for copies in in_frames(copies).into_iter().filter(|copies| !copies.is_empty()) {
             self.counts.copies_sent += copies.len() as u64;
--- a/crates/fleet/src/member/saves.rs
+++ b/crates/fleet/src/member/saves.rs
@@ -1,24 +1,98 @@
 //! Disk writes and what waits for them: an acknowledgement or a promise is sent only once it is on disk.
 
+use std::collections::BTreeMap;
 use std::time::Duration;
 
 use lotussaddle::interface::ServerId;
 use lotussaddle_trunk::{Act, Frame, Peer, Replaced, TablesOrder, copy_bytes};
 
 use super::Member;
-use super::batches::in_frames;
 use super::interface::{Save, Ways};
-use super::streams::A_TURN;
 use crate::peers::PeerLink;
 
-/// What waits for the disk.
-pub(super) enum Unsaved {
-    Know(u16, Peer),
-    Kept(u16, u64, u64, Vec<Replaced>),
-    Given(PeerLink, u64, u64),
-    /// Acts of duties under a number that was new.
-    Check(u16, Act, ServerId),
-    Ordered(u16, Act, u64, TablesOrder),
+/// What is done once a disk write has succeeded.
+pub(super) enum AfterWrite {
+    /// A message to a member that promises what was written.
+    Say { to: u16, message: Peer },
+    /// A member's writes are kept here, as far as that.
+    Acknowledge { to: u16, life: u64, up_to: u64, replaced: Vec<Replaced> },
+    /// The vote for a peer's incarnation.
+    GrantLife { link: PeerLink, life: u64, highest: u64 },
+    /// An act of the duty `circuits` under a number that was new.
+    Check { from: u16, act: Act, server: ServerId },
+    /// An act of the duty `publish` under a number that was new.
+    Order { from: u16, act: Act, serial: u64, order: TablesOrder },
+}
+
+/// Numbers of disk writes, and what waits for them.
+pub(super) struct DiskWrites {
+    /// The last write that was numbered, and the last that is on disk.
+    issued: u64,
+    saved: u64,
+    /// The last write that the disk took, and the last of which it told what came of it.
+    accepted: u64,
+    reported: u64,
+    waiting: BTreeMap<u64, Vec<AfterWrite>>,
+}
+
+impl DiskWrites {
+    /// `count`: the writes that the disk has had in earlier processes.
+    pub(super) fn new(count: u64) -> Self {
+        Self { issued: count, saved: count, accepted: 0, reported: 0, waiting: BTreeMap::new() }
+    }
+
+    /// The last write that is on disk.
+    pub(super) fn saved(&self) -> u64 {
+        self.saved
+    }
+
+    /// From here on writes are numbered above this.
+    pub(super) fn count_from(&mut self, number: u64) {
+        self.issued = self.issued.max(number);
+    }
+
+    /// Counts a change that is kept in memory alone: a disk that lacks it is told by that.
+    fn count_in_memory(&mut self) {
+        self.issued += 1;
+        self.saved = self.saved.max(self.issued);
+    }
+
+    /// Has it kept on disk; gives the write's number, none where there is no disk to wait for.
+    fn submit(&mut self, mut what: Vec<Save>, ways: &mut dyn Ways) -> Option<u64> {
+        let number = self.issued + 1;
+        what.push(Save::Count(number));
+        if !ways.save(what, number) {
+            self.count_in_memory();
+            return None;
+        }
+        self.issued = number;
+        self.accepted = number;
+        Some(number)
+    }
+
+    /// Whether the disk has yet to tell of this write.
+    pub(super) fn is_pending(&self, number: u64) -> bool {
+        number > self.reported
+    }
+
+    /// The last write of which the disk has yet to tell.
+    fn last_pending(&self) -> Option<u64> {
+        Some(self.accepted).filter(|number| self.is_pending(*number))
+    }
+
+    /// This is done after that write.
+    pub(super) fn wait_for(&mut self, number: u64, after: impl IntoIterator<Item = AfterWrite>) {
+        self.waiting.entry(number).or_default().extend(after);
+    }
+
+    /// The disk tells of a write; gives what waited for it.
+    fn report(&mut self, number: u64, well: bool) -> Vec<AfterWrite> {
+        if well {
+            self.saved = self.saved.max(number);
+        }
+        self.reported = self.reported.max(number);
+        self.waiting.remove(&number).unwrap_or_default()
+    }
 }
 
 impl Member {
@@ -26,119 +100,94 @@
     pub fn flush(&mut self, now: Duration, ways: &mut dyn Ways) {
         self.now = now;
         self.settle_duties(ways);
-        let changed = std::mem::take(&mut self.changed);
+        let mut after = self.owed_acknowledgements();
+        self.save_changed(ways);
+        let known = std::mem::take(&mut self.known).into_iter();
+        after.extend(known.map(|(to, message)| AfterWrite::Say { to, message }));
+        self.do_after_last_write(after, ways);
+        for (member, peer) in std::mem::take(&mut self.to_say) {
+            if let Some(link) = self.peers.to(member) {
+                self.tell(link, Frame::Peer(peer), ways);
+            }
+        }
+        self.send_streams(ways);
+    }
+
+    /// What peers have sent and is not acknowledged yet.
+    fn owed_acknowledgements(&mut self) -> Vec<AfterWrite> {
         let mut owed = Vec::new();
         for (place, incoming) in self.incoming.iter_mut().enumerate() {
             let replaced = std::mem::take(&mut incoming.replaced);
             let up_to = if incoming.synced && std::mem::take(&mut incoming.owed) { incoming.have } else { 0 };
             if up_to > 0 || !replaced.is_empty() {
-                owed.push((place as u16, incoming.life, up_to, replaced));
-            }
-        }
-        // An acknowledgement says that it is kept: on disk, where there is one, and with all that came before it.
-        if !changed.is_empty() && !ways.keeps() {
-            self.saves += 1;
-            self.saved = self.saved.max(self.saves);
-        } else if !changed.is_empty() {
-            let copies = changed.into_iter().map(|id| {
-                let copy = self.book.get(&id).map(|copy| copy_bytes(&copy.sent(now, &id)));
-                Save::Copy(id, copy)
-            });
-            let copies: Vec<Save> = copies.collect();
-            self.order(copies, ways);
-        }
-        let kept = owed
-            .into_iter()
-            .map(|(member, life, up_to, replaced)| Unsaved::Kept(member, life, up_to, replaced));
-        let known =
-            std::mem::take(&mut self.known).into_iter().map(|(member, peer)| Unsaved::Know(member, peer));
-        let waits: Vec<Unsaved> = kept.chain(known).collect();
-        if self.ordered > self.reported {
-            self.unsaved.entry(self.ordered).or_default().extend(waits);
-        } else {
-            waits.into_iter().for_each(|unsaved| self.is_saved(unsaved, ways));
-        }
-        for (member, peer) in std::mem::take(&mut self.to_say) {
-            if let Some(link) = self.peers.to(member) {
-                self.tell(link, Frame::Peer(peer), ways);
+                owed.push(AfterWrite::Acknowledge { to: place as u16, life: incoming.life, up_to, replaced });
             }
         }
-        if self.lives.mine() == 0 {
+        owed
+    }
+
+    /// Has the copies that changed in this turn kept on disk.
+    fn save_changed(&mut self, ways: &mut dyn Ways) {
+        let changed = std::mem::take(&mut self.changed);
+        if changed.is_empty() {
             return;
         }
-        for member in 0..self.plan.members.len() as u16 {
-            if !self.resumed[usize::from(member)] || !self.book.stream(member).waits() {
-                continue;
-            }
-            let Some(link) = self.peers.to(member) else { continue };
-            if self.book.stream(member).overrun() {
-                self.close(link, "too far behind: it begins anew with a snapshot", ways);
-                continue;
-            }
-            let Some((mut first, copies)) = self.book.next_copies(now, member, A_TURN) else { continue };
-            let life = self.lives.mine();
-            for copies in in_frames(copies) {
-                let count = copies.len() as u64;
-                self.counts.copies_sent += count;
-                if !self.tell(link, Frame::Peer(Peer::Copies { life, first, copies }), ways) {
-                    break;
-                }
-                first += count;
-            }
+        if !ways.keeps() {
+            return self.writes.count_in_memory();
         }
+        let now = self.now;
+        let copies = changed.into_iter().map(|id| {
+            let copy = self.book.get(&id).map(|copy| copy_bytes(&copy.sent(now, &id)));
+            Save::Copy(id, copy)
+        });
+        let copies: Vec<Save> = copies.collect();
+        self.order(copies, ways);
     }
 
-    /// Has it kept on disk; gives the order's number, none where there is no disk to wait for.
-    pub(super) fn order(&mut self, mut what: Vec<Save>, ways: &mut dyn Ways) -> Option<u64> {
-        self.saves += 1;
-        what.push(Save::Count(self.saves));
-        if ways.save(what, self.saves) {
-            self.ordered = self.saves;
-            return Some(self.saves);
+    /// An acknowledgement says that it is kept: on disk, where there is one, and with all that came before it.
+    fn do_after_last_write(&mut self, after: Vec<AfterWrite>, ways: &mut dyn Ways) {
+        match self.writes.last_pending() {
+            Some(number) => self.writes.wait_for(number, after),
+            None => after.into_iter().for_each(|after| self.is_saved(after, ways)),
         }
-        // What is kept in memory alone counts too: a disk that lacks it is told by that.
-        self.saved = self.saved.max(self.saves);
-        None
     }
 
-    fn say_kept(&mut self, member: u16, life: u64, up_to: u64, replaced: Vec<Replaced>, ways: &mut dyn Ways) {
-        if let Some(link) = self.peers.to(member) {
-            let saved = self.saved;
-            self.tell(link, Frame::Peer(Peer::Kept { life, up_to, saved, replaced }), ways);
-        }
+    /// Has it kept on disk; gives the write's number, none where there is no disk to wait for.
+    pub(super) fn order(&mut self, what: Vec<Save>, ways: &mut dyn Ways) -> Option<u64> {
+        self.writes.submit(what, ways)
     }
 
-    /// What `Ways::save` was given this number for is on disk; or it failed, and nothing more is kept there.
+    /// What [`Ways::save`] was given this number for is on disk; or it failed, and nothing more is kept there.
     pub fn saved(&mut self, now: Duration, number: u64, well: bool, ways: &mut dyn Ways) {
         self.now = now;
-        if well {
-            self.saved = self.saved.max(number);
-        }
-        self.reported = self.reported.max(number);
+        let waited = self.writes.report(number, well);
         self.duties.iter_mut().for_each(|duties| duties.saved(now, number, well));
         // Not kept: not acknowledged. The owner goes by whoever else has it.
-        for unsaved in self.unsaved.remove(&number).unwrap_or_default().into_iter().filter(|_| well) {
-            self.is_saved(unsaved, ways);
+        for after in waited.into_iter().filter(|_| well) {
+            self.is_saved(after, ways);
         }
     }
 
-    fn is_saved(&mut self, unsaved: Unsaved, ways: &mut dyn Ways) {
-        match unsaved {
-            Unsaved::Know(member, peer) => {
-                if let Some(link) = self.peers.to(member) {
-                    self.tell(link, Frame::Peer(peer), ways);
+    fn is_saved(&mut self, after: AfterWrite, ways: &mut dyn Ways) {
+        match after {
+            AfterWrite::Say { to, message } => {
+                if let Some(link) = self.peers.to(to) {
+                    self.tell(link, Frame::Peer(message), ways);
                 }
             }
-            Unsaved::Kept(member, life, up_to, replaced) => {
-                self.say_kept(member, life, up_to, replaced, ways);
+            AfterWrite::Acknowledge { to, life, up_to, replaced } => {
+                if let Some(link) = self.peers.to(to) {
+                    let saved = self.writes.saved();
+                    self.tell(link, Frame::Peer(Peer::Kept { life, up_to, saved, replaced }), ways);
+                }
             }
-            Unsaved::Check(from, act, server) => self.check(from, &act, &server, ways),
-            Unsaved::Ordered(from, act, serial, order) => self.ordered(from, &act, serial, order, ways),
-            Unsaved::Given(link, life, highest) => {
+            AfterWrite::GrantLife { link, life, highest } => {
                 if self.peers.links.contains_key(&link) {
                     self.tell(link, Frame::Peer(Peer::Life { life, given: true, highest }), ways);
                 }
             }
+            AfterWrite::Check { from, act, server } => self.check(from, &act, &server, ways),
+            AfterWrite::Order { from, act, serial, order } => self.ordered(from, &act, serial, order, ways),
         }
     }
 }
--- a/crates/fleet/src/member/search.rs
+++ b/crates/fleet/src/member/search.rs
@@ -20,11 +20,11 @@
         self.now = now;
         self.counts.asks += 1;
         let come_back = self.plan.silence;
-        if self.lives.mine() == 0 || self.redials.len() + self.confirming.len() >= self.plan.asks {
+        if self.lives.mine() == 0 || self.redials.len() + self.confirmations.len() >= self.plan.asks {
             self.counts.asks_refused += 1;
             return self.findings.push(Finding::Found(id.clone(), Verdict::Unsure { come_back }));
         }
-        self.confirmed(id);
+        self.confirmations.remove(id);
         if let Some((server, launch)) = self.heirs.claim(id) {
             return self.confirm(id.clone(), Verdict::Stands { server, launch });
         }
@@ -96,7 +96,7 @@
             // What is out is called off first, so that the answer says how long it is in doubt.
             let waits = self.lets.entry(id.clone()).or_default();
             waits.push((member, serial, owner));
-            self.confirmed(&id);
+            self.confirmations.remove(&id);
             self.goes(&id);
             return self.findings.push(Finding::LetGo(id));
         }
--- a/crates/fleet/src/member/streams.rs
+++ b/crates/fleet/src/member/streams.rs
@@ -8,7 +8,8 @@
 use super::batches::in_frames;
 use super::interface::{Finding, Ways};
 
-pub(super) const A_TURN: usize = 512;
+/// Copies sent to one member in one turn, at most.
+const A_TURN: usize = 512;
 
 /// What is had of a peer's stream.
 #[derive(Default)]
@@ -140,6 +141,35 @@
         self.tell(link, Frame::Peer(Peer::Piece { life, cursor, next, copies: last }), ways);
     }
 
+    /// Sends what the streams to all peers have, as much as one turn takes.
+    pub(super) fn send_streams(&mut self, ways: &mut dyn Ways) {
+        if self.lives.mine() == 0 {
+            return;
+        }
+        for member in 0..self.plan.members.len() as u16 {
+            if self.resumed[usize::from(member)] && self.book.stream(member).waits() {
+                self.send_stream(member, ways);
+            }
+        }
+    }
+
+    fn send_stream(&mut self, member: u16, ways: &mut dyn Ways) {
+        let Some(link) = self.peers.to(member) else { return };
+        if self.book.stream(member).overrun() {
+            return self.close(link, "too far behind: it begins anew with a snapshot", ways);
+        }
+        let Some((mut first, copies)) = self.book.next_copies(self.now, member, A_TURN) else { return };
+        let life = self.lives.mine();
+        for copies in in_frames(copies) {
+            let count = copies.len() as u64;
+            self.counts.copies_sent += count;
+            if !self.tell(link, Frame::Peer(Peer::Copies { life, first, copies }), ways) {
+                return;
+            }
+            first += count;
+        }
+    }
+
     /// Whether there is more to be sent than one turn takes.
     pub fn is_behind(&mut self) -> bool {
         (0..self.plan.members.len() as u16).any(|member| {
--- a/crates/fleet/src/member/table_orders.rs
+++ b/crates/fleet/src/member/table_orders.rs
@@ -1,5 +1,6 @@
 //! Orders about number tables: received from the holder of the duty `publish`, carried out once, and answered.
 
+use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -7,34 +8,77 @@
 
 use super::Member;
 use super::interface::{Finding, Ways};
-use super::saves::Unsaved;
+use super::saves::AfterWrite;
 use crate::duties::PUBLISH;
 
 /// Orders about number tables carried out at once, and remembered, at most; one beyond it comes again.
-pub(super) const MOST_ORDERS: usize = 64;
+const MOST_ORDERS: usize = 64;
+
+/// An order that is being carried out.
+struct RunningOrder {
+    serial: u64,
+    /// Who is told what came of it.
+    from: u16,
+}
+
+/// An order that was carried out, or could not be.
+struct FinishedOrder {
+    serial: u64,
+    error: Option<Arc<str>>,
+}
+
+/// Orders about number tables: those being carried out, and what came of the last ones.
+#[derive(Default)]
+pub(super) struct TableOrders {
+    running: Vec<RunningOrder>,
+    finished: VecDeque<FinishedOrder>,
+}
+
+impl TableOrders {
+    /// Whether this order was carried out well, the last time.
+    fn is_done(&self, serial: u64) -> bool {
+        let last = self.finished.iter().rev().find(|order| order.serial == serial);
+        last.is_some_and(|order| order.error.is_none())
+    }
+
+    /// Notes who is told what comes of an order. True: it is to be carried out. An order that comes again while it is being carried
+    /// out is answered to whoever asked last; one that finds no room comes again.
+    fn begin(&mut self, serial: u64, from: u16) -> bool {
+        let first = !self.running.iter().any(|order| order.serial == serial);
+        self.running.retain(|order| order.serial != serial);
+        let room = self.running.len() < MOST_ORDERS;
+        if room {
+            self.running.push(RunningOrder { serial, from });
+        }
+        room && first
+    }
+
+    /// An order has ended; gives who is told.
+    fn end(&mut self, serial: u64, error: Option<Arc<str>>) -> Option<u16> {
+        let place = self.running.iter().position(|order| order.serial == serial)?;
+        let order = self.running.remove(place);
+        if self.finished.len() >= MOST_ORDERS {
+            self.finished.pop_front();
+        }
+        self.finished.push_back(FinishedOrder { serial, error });
+        Some(order.from)
+    }
+}
 
 impl Member {
     /// An order about number tables came from whoever holds `publish`, perhaps this member. It is carried out once.
     pub(super) fn ordered(
         &mut self, from: u16, act: &Act, serial: u64, order: TablesOrder, ways: &mut dyn Ways,
     ) {
-        let again = || Unsaved::Ordered(from, *act, serial, order.clone());
+        let again = || AfterWrite::Order { from, act: *act, serial, order: order.clone() };
         if !self.may(from, act, again, ways) {
             return;
         }
-        if let Some((_, why)) = self.tabled.iter().rev().find(|(done, _)| *done == serial).cloned()
-            && why.is_none()
-        {
-            return self.answer_order(from, serial, why);
+        if self.table_orders.is_done(serial) {
+            return self.answer_order(from, serial, None);
         }
-        // Asked again while it is being read: whoever asked last is told.
-        let first = !self.orders.iter().any(|(known, _)| *known == serial);
-        self.orders.retain(|(known, _)| *known != serial);
-        if self.orders.len() < MOST_ORDERS {
-            self.orders.push((serial, from));
-            if first {
-                self.findings.push(Finding::Tables(serial, order));
-            }
+        if self.table_orders.begin(serial, from) {
+            self.findings.push(Finding::Tables(serial, order));
         }
     }
 
@@ -50,14 +94,10 @@
     /// What came of an order about number tables, a [`Finding::Tables`] among others.
     pub fn tabled(&mut self, now: Duration, serial: u64, why: Option<&str>) {
         self.now = now;
-        let Some(place) = self.orders.iter().position(|(known, _)| *known == serial) else { return };
-        let (_, from) = self.orders.remove(place);
-        let why: Option<Arc<str>> = why.map(Arc::from);
-        if self.tabled.len() >= MOST_ORDERS {
-            self.tabled.pop_front();
+        let error: Option<Arc<str>> = why.map(Arc::from);
+        if let Some(from) = self.table_orders.end(serial, error.clone()) {
+            self.answer_order(from, serial, error);
         }
-        self.tabled.push_back((serial, why.clone()));
-        self.answer_order(from, serial, why);
     }
 
     /// A generation of number tables is wanted in force on all members; false: nobody is there to do it.
--- a/crates/fleet/src/member/timers.rs
+++ b/crates/fleet/src/member/timers.rs
@@ -21,7 +21,7 @@
             self.peers.next_due(),
             self.lives.next_due().map(|at| at.max(self.retired_until)),
             self.redials.next_due(),
-            self.confirm_dues.first().map(|(by, _)| *by),
+            self.confirmations.next_due(),
             self.heirs.next_due(),
             self.duties.as_ref().map(Duties::next_due),
             self.chores.due(false),
@@ -64,7 +64,7 @@
 
     fn beat(&mut self, ways: &mut dyn Ways) {
         let hears = self.sight.all_heard(self.now).words().to_vec();
-        let (caught_up, saved) = (self.caught_up(), self.saved);
+        let (caught_up, saved) = (self.caught_up(), self.writes.saved());
         let beat = Peer::Beat { life: self.lives.mine(), hears, caught_up, saved };
         for member in 0..self.plan.members.len() as u16 {
             if let Some(link) = self.peers.to(member) {
