--- /dev/null
+++ b/crates/fleet/tests/unit/redial.rs
@@ -0,0 +1,285 @@
+//! Tests of the module `redial`, with access to its private items.
+
+use std::sync::Arc;
+
+use lotussaddle_trunk::Reached;
+
+use super::*;
+
+fn ms(time: u64) -> Duration {
+    Duration::from_millis(time)
+}
+
+/// Of five members, with two copies.
+fn group() -> Group {
+    Group::new(["a", "b", "c", "d", "e"], 2)
+}
+
+/// Member 4 asks; candidates are 1, 2 and 3 in some order.
+fn id() -> DialogueId {
+    let wanted = |id: &DialogueId| {
+        let mut candidates: Vec<u16> = group().candidates(print(id)).iter().collect();
+        candidates.sort_unstable();
+        candidates == [1, 2, 3]
+    };
+    (0..).map(|n| DialogueId(Arc::from(format!("d{n}")))).find(wanted).unwrap()
+}
+
+fn owner(round: u32, member: u16) -> Owner {
+    Owner { round, member, life: 1 }
+}
+
+fn written(owner: Owner, reached: Reached, bar: u64) -> Copy {
+    let mut copy = Copy::default();
+    copy.write(owner, reached, ms(bar), ms(60_000));
+    copy
+}
+
+fn server() -> ServerId {
+    ServerId(Arc::from("s"))
+}
+
+/// Launches wait for both copies: two of the candidates must answer.
+fn asks(reached: &dyn Fn(u16) -> bool, known: Copy) -> (Redials, Vec<Todo>) {
+    asks_with(2, reached, known)
+}
+
+fn asks_with(awaited: usize, reached: &dyn Fn(u16) -> bool, known: Copy) -> (Redials, Vec<Todo>) {
+    let mut redials = Redials::new(4, group(), awaited, ms(60), ms(1000), ms(300));
+    let begin = Begin { reached, knows: false, known, owner: owner(1, 4), cut_off: ms(3000) };
+    let todo = redials.begin(ms(0), &id(), begin);
+    (redials, todo)
+}
+
+fn all(_: u16) -> bool {
+    true
+}
+
+fn asked(todo: &[Todo]) -> Vec<u16> {
+    let to = |todo: &Todo| if let Todo::Ask { to, .. } = todo { Some(*to) } else { None };
+    let mut asked: Vec<u16> = todo.iter().filter_map(to).collect();
+    asked.sort_unstable();
+    asked
+}
+
+fn serial(todo: &[Todo]) -> u64 {
+    todo.iter()
+        .find_map(|todo| if let Todo::Ask { serial, .. } = todo { Some(*serial) } else { None })
+        .unwrap()
+}
+
+fn said(todo: &[Todo]) -> Option<Verdict> {
+    todo.iter().find_map(|todo| if let Todo::Say(_, verdict) = todo { Some(verdict.clone()) } else { None })
+}
+
+const UNSURE: Verdict = Verdict::Unsure { come_back: Duration::from_secs(1) };
+
+#[test]
+fn nobody_knows_it_and_it_is_free_at_once() {
+    let (mut redials, todo) = asks(&all, Copy::default());
+    assert_eq!(asked(&todo), [1, 2, 3]);
+    let n = serial(&todo);
+    for from in [1, 2] {
+        assert_eq!(redials.answered(ms(1), n, from, true, None, None, &all, false), []);
+    }
+    let todo = redials.answered(ms(1), n, 3, true, None, None, &all, false);
+    assert_eq!(said(&todo), Some(Verdict::Free { not_before: ms(1) }));
+    assert!(matches!(todo[0], Todo::Claim { .. }));
+    assert!(redials.is_empty() && redials.next_due().is_none());
+}
+
+#[test]
+fn too_few_that_can_answer_are_seen_at_once_or_at_the_end_of_the_time() {
+    let (redials, todo) = asks(&|member| member == 2, Copy::default());
+    assert_eq!((said(&todo), redials.len()), (Some(UNSURE), 0));
+    // One answers, the second does not know all, the third is silent.
+    let (mut redials, todo) = asks(&all, Copy::default());
+    let n = serial(&todo);
+    redials.answered(ms(1), n, 1, true, None, None, &all, false);
+    redials.answered(ms(1), n, 2, false, None, None, &all, false);
+    assert_eq!((redials.alarm(ms(59)), redials.next_due()), (vec![], Some(ms(60))));
+    assert_eq!(redials.alarm(ms(60)), [Todo::Say(id(), UNSURE)]);
+    // An answer after that is nobody's.
+    assert_eq!(redials.answered(ms(61), n, 3, true, None, None, &all, false), []);
+}
+
+#[test]
+fn enough_have_answered_when_the_time_ends() {
+    let (mut redials, todo) = asks(&all, Copy::default());
+    let n = serial(&todo);
+    redials.answered(ms(1), n, 1, true, None, None, &all, false);
+    redials.answered(ms(1), n, 1, true, None, None, &all, false);
+    assert_eq!(said(&redials.alarm(ms(60))), Some(UNSURE), "one that answers twice counts once");
+    let (mut redials, todo) = asks(&all, Copy::default());
+    let n = serial(&todo);
+    redials.answered(ms(1), n, 1, true, None, None, &all, false);
+    redials.answered(ms(1), n, 2, true, None, None, &all, false);
+    assert_eq!(said(&redials.alarm(ms(60))), Some(Verdict::Free { not_before: ms(60) }));
+}
+
+#[test]
+fn whoever_claimed_it_later_is_asked_for_at_its_own_holders() {
+    let ranked: Vec<u16> = group().candidates(print(&id())).iter().collect();
+    let (first, others) = (ranked[0], &ranked[1..]);
+    let without_first = |member: u16| member != first;
+    // The holders of the first candidate, who wrote last, are the others; those of member 0, who claimed it, the first two.
+    let verdict = |claimed: Option<Owner>| {
+        let out = Reached::Out { server: server(), launch: LaunchNo(0) };
+        let mut copy = written(owner(0, first), out, 0);
+        claimed.iter().for_each(|owner| copy.merge(&Copy::claimed(*owner, ms(60_000))));
+        let (mut redials, todo) = asks_with(1, &without_first, Copy::default());
+        let n = serial(&todo);
+        for member in others {
+            let todo = redials.answered(ms(1), n, *member, true, None, Some(&copy), &without_first, false);
+            if let Some(verdict) = said(&todo) {
+                return Some(verdict);
+            }
+        }
+        said(&redials.alarm(ms(60)))
+    };
+    assert_eq!(verdict(None), Some(Verdict::Free { not_before: ms(1) }));
+    assert_eq!(verdict(Some(owner(1, 0))), Some(UNSURE), "it may have gone on, and the first candidate know");
+    // What this process itself had claimed, and could not go on with, holds nobody up.
+    assert_eq!(verdict(Some(owner(1, 4))), Some(Verdict::Free { not_before: ms(1) }));
+}
+
+#[test]
+fn what_is_found_is_said() {
+    let found = |copy: Copy| {
+        let (mut redials, todo) = asks(&|member| member < 3, Copy::default());
+        let n = serial(&todo);
+        redials.answered(ms(1), n, 1, true, None, None, &|member| member < 3, false);
+        redials.answered(ms(1), n, 2, true, None, Some(&copy), &|member| member < 3, false)
+    };
+    let mut refused = written(owner(0, 9), Reached::Over, 0);
+    refused.answered(owner(0, 0), &Answer::Refused { come_back: None });
+    assert_eq!(said(&found(refused)), Some(Verdict::Answered(Answer::Refused { come_back: None })));
+    let mut over = written(owner(0, 9), Reached::Over, 0);
+    over.answered(owner(0, 0), &Answer::Stands { server: server() });
+    assert_eq!(said(&found(over)), Some(Verdict::Concluded));
+    let out = Reached::Out { server: server(), launch: LaunchNo(0) };
+    assert_eq!(
+        said(&found(written(owner(0, 9), out.clone(), 800))),
+        Some(Verdict::Free { not_before: ms(800) })
+    );
+    // A bar that leaves no time for a launch is told at once, not at the cut-off.
+    let late = Verdict::Unsure { come_back: ms(2799) };
+    assert_eq!(said(&found(written(owner(0, 9), out, 2800))), Some(late));
+}
+
+#[test]
+fn its_owner_is_asked_once_it_is_known_and_calls_its_launch_off() {
+    let (mut redials, todo) = asks(&all, Copy::default());
+    let n = serial(&todo);
+    let out = Reached::Out { server: server(), launch: LaunchNo(0) };
+    let copy = written(owner(0, 7), out, 2500);
+    let todo = redials.answered(ms(1), n, 1, true, None, Some(&copy), &all, false);
+    assert_eq!(asked(&todo), [7]);
+    redials.answered(ms(1), n, 2, true, None, None, &all, false);
+    assert_eq!(redials.answered(ms(1), n, 3, true, None, None, &all, false), [], "its owner may yet say");
+    let mut back = copy.clone();
+    back.write(owner(0, 7), Reached::Taken, ms(302), ms(60_000));
+    let todo = redials.answered(ms(2), n, 7, true, None, Some(&back), &all, false);
+    assert_eq!(said(&todo), Some(Verdict::Free { not_before: ms(302) }));
+    // One that says nothing leaves its launch to end by itself.
+    let (mut redials, todo) = asks(&all, copy);
+    assert_eq!(asked(&todo), [1, 2, 3, 7]);
+    let n = serial(&todo);
+    for from in [1, 2, 3] {
+        redials.answered(ms(1), n, from, true, None, None, &all, false);
+    }
+    assert_eq!(said(&redials.alarm(ms(60))), Some(Verdict::Free { not_before: ms(2500) }));
+}
+
+#[test]
+fn a_higher_claim_is_gone_over_a_few_times_and_a_lost_one_says_so() {
+    let (mut redials, todo) = asks(&all, Copy::default());
+    let mut n = serial(&todo);
+    for round in [5, 7] {
+        let todo = redials.answered(ms(1), n, 1, true, Some(owner(round, 8)), None, &all, false);
+        assert_eq!(asked(&todo), [1, 2, 3]);
+        assert!(matches!(&todo[0], Todo::Ask { owner, .. } if owner.round == round + 1));
+        assert_eq!(redials.answered(ms(1), n, 2, true, None, None, &all, false), [], "of the former claim");
+        n = serial(&todo);
+    }
+    assert_eq!(
+        redials.answered(ms(1), n, 1, true, Some(owner(9, 8)), None, &all, false),
+        [Todo::Say(id(), UNSURE)]
+    );
+    let (mut redials, _) = asks(&all, Copy::default());
+    assert_eq!(redials.beaten(&id(), owner(0, 9)), []);
+    assert_eq!(redials.beaten(&id(), owner(1, 9)), [Todo::Say(id(), UNSURE)]);
+    assert!(redials.is_empty());
+}
+
+#[test]
+fn what_stands_is_adopted_at_its_core_server_or_is_over() {
+    let stands = written(owner(0, 9), Reached::Stands { server: server(), launch: LaunchNo(2) }, 0);
+    let adopting = || {
+        let (mut redials, todo) = asks(&|member| member < 3, Copy::default());
+        let n = serial(&todo);
+        redials.answered(ms(1), n, 1, true, None, Some(&stands), &|member| member < 3, false);
+        let todo = redials.answered(ms(1), n, 2, true, None, None, &|member| member < 3, false);
+        let adopt = Todo::Adopt { server: server(), dialogue: id(), owner: owner(1, 4) };
+        assert!(todo.contains(&adopt) && said(&todo).is_none());
+        redials
+    };
+    let mine = owner(1, 4);
+    let verdict = |launch, by| said(&adopting().adopted(&id(), &server(), mine, launch, by));
+    let there = Verdict::Stands { server: server(), launch: LaunchNo(2) };
+    assert_eq!(verdict(Some(LaunchNo(2)), mine), Some(there));
+    assert_eq!(verdict(None, mine), Some(Verdict::Concluded));
+    assert_eq!(verdict(None, owner(2, 8)), Some(UNSURE));
+    assert_eq!(
+        adopting().adopted(&id(), &server(), owner(0, 4), None, mine),
+        [],
+        "another question's answer"
+    );
+    assert_eq!(said(&adopting().unreached(&id())), Some(UNSURE));
+    assert_eq!(said(&adopting().alarm(ms(121))), Some(UNSURE));
+    assert_eq!(adopting().alarm(ms(120)), []);
+}
+
+#[test]
+fn whoever_is_found_to_own_it_is_asked_after_by_his_holders() {
+    // One acknowledgement is awaited: all three candidates must answer, or both holders of its owner.
+    let out = Reached::Out { server: server(), launch: LaunchNo(0) };
+    let copy = written(owner(0, 1), out, 500);
+    let dead = |member: u16| member != 1;
+    let (mut redials, todo) = asks_with(1, &dead, Copy::default());
+    assert_eq!(asked(&todo), [2, 3]);
+    let n = serial(&todo);
+    redials.answered(ms(1), n, 2, true, None, Some(&copy), &dead, false);
+    let todo = redials.answered(ms(1), n, 3, true, None, None, &dead, false);
+    assert_eq!(said(&todo), Some(Verdict::Free { not_before: ms(500) }));
+    // Nothing is found, and the third may have been the one that acknowledged it.
+    let (mut redials, todo) = asks_with(1, &dead, Copy::default());
+    let n = serial(&todo);
+    redials.answered(ms(1), n, 2, true, None, None, &dead, false);
+    let todo = redials.answered(ms(1), n, 3, true, None, None, &dead, false);
+    assert_eq!(said(&todo), Some(UNSURE));
+    // Nor where its owner is another one, and the dead one holds a copy.
+    let (mut redials, todo) = asks_with(1, &dead, Copy::default());
+    let n = serial(&todo);
+    let copy = written(owner(0, 0), Reached::Taken, 0);
+    redials.answered(ms(1), n, 2, true, None, Some(&copy), &dead, false);
+    redials.answered(ms(1), n, 3, true, None, None, &dead, false);
+    let todo = redials.answered(ms(1), n, 0, true, None, Some(&copy), &dead, false);
+    let holders: Vec<u16> = group().holders(print(&id()), 0).collect();
+    assert_eq!(said(&todo) == Some(UNSURE), holders.contains(&1), "{holders:?}");
+    assert_eq!(
+        asks_with(1, &|member| member == 2, Copy::default()).1,
+        [Todo::Say(id(), UNSURE)],
+        "too few at once"
+    );
+}
+
+#[test]
+fn one_of_two_decides_by_itself_what_it_holds_a_copy_of() {
+    let mut redials = Redials::new(1, Group::new(["a", "b"], 1), 1, ms(60), ms(1000), ms(300));
+    let copy = written(owner(0, 0), Reached::Taken, 0);
+    let begin =
+        |known| Begin { reached: &|_| false, knows: true, known, owner: owner(1, 1), cut_off: ms(3000) };
+    assert_eq!(said(&redials.begin(ms(0), &id(), begin(copy))), Some(Verdict::Free { not_before: ms(0) }));
+    assert_eq!(said(&redials.begin(ms(0), &id(), begin(Copy::default()))), Some(UNSURE));
+}
