--- a/crates/day/src/virt.rs
+++ b/crates/day/src/virt.rs
@@ -9,7 +9,7 @@
 use lotussaddle::brain::Brain;
 use lotussaddle::interface::{DialogueId, RoutePlan};
 use lotussaddle_edge::{Decisions, Edge, Limits, LinkId, Note, Step, Wires};
-use lotussaddle_fleet::{Member, PeerLink, Save, Stored, Ways};
+use lotussaddle_fleet::{Effects, Member, PeerLink, Save, Stored};
 use lotussaddle_judge::{Brief, Judge, Line, Verdict};
 use lotussaddle_numbers::Tables;
 use lotussaddle_serve::Proxy;
@@ -93,7 +93,7 @@
     Log(String),
 }
 
-/// The ways of one member.
+/// The effects of one member, as they are played.
 #[derive(Default)]
 struct PeerEnds {
     deeds: Vec<PeerDeed>,
@@ -103,8 +103,8 @@
     open: BTreeSet<u64>,
 }
 
-impl Ways for PeerEnds {
-    fn say(&mut self, link: PeerLink, frame: Frame) -> bool {
+impl Effects for PeerEnds {
+    fn send(&mut self, link: PeerLink, frame: Frame) -> bool {
         let there = self.open.contains(&link.0);
         if there {
             self.deeds.push(PeerDeed::Say(link.0, frame));
@@ -129,7 +129,7 @@
         self.deeds.push(PeerDeed::Log(line.into()));
     }
 
-    fn keeps(&self) -> bool {
+    fn has_disk(&self) -> bool {
         self.disk
     }
 
@@ -698,31 +698,31 @@
         let now = seat.clock(self.now);
         let Some(known) = seat.proxy.as_mut() else { return };
         let mut ends = Ends { nets: &mut self.nets, edge };
-        let (ends, ways) = (&mut ends, &mut seat.peers);
+        let (ends, effects) = (&mut ends, &mut seat.peers);
         match input {
             Input::Linked(link) => known.linked(now, LinkId(link), ends),
             Input::PeerHeard(link, message) => {
-                if ways.open.contains(&link) {
-                    known.peer_heard(now, PeerLink(link), message.frame, ends, ways);
+                if effects.open.contains(&link) {
+                    known.peer_heard(now, PeerLink(link), message.frame, ends, effects);
                 }
             }
-            Input::Heard(link, message) => known.heard(now, LinkId(link), message, ends, ways),
+            Input::Heard(link, message) => known.heard(now, LinkId(link), message, ends, effects),
             Input::Lost(link) => known.lost(now, LinkId(link), "closed by its peer", ends),
             Input::Connected(link) => known.connected(now, LinkId(link), ends),
             Input::Recorded(number) => known.recorded(now, number, ends),
             Input::Loaded(name, tables) => known.loaded(now, &name, tables, ends),
             Input::Replied(server, datagram) => known.replied(now, server, &datagram, ends),
             Input::PeerLinked(link) => {
-                ways.open.insert(link);
+                effects.open.insert(link);
                 known.peer_linked(now, PeerLink(link));
             }
-            Input::PeerUp(link) => known.peer_connected(now, PeerLink(link), ends, ways),
+            Input::PeerUp(link) => known.peer_connected(now, PeerLink(link), ends, effects),
             Input::PeerLost(link) => {
-                if ways.open.remove(&link) {
-                    known.peer_lost(now, PeerLink(link), "closed by its peer", ends, ways);
+                if effects.open.remove(&link) {
+                    known.peer_lost(now, PeerLink(link), "closed by its peer", ends, effects);
                 }
             }
-            Input::Saved(number, well) => known.saved(now, number, well, ends, ways),
+            Input::Saved(number, well) => known.saved(now, number, well, ends, effects),
             Input::Publish(name) => known.publish(now, &name),
         }
         self.end_turn(edge);
--- a/crates/fleet/src/member/background.rs
+++ b/crates/fleet/src/member/background.rs
@@ -7,7 +7,7 @@
 
 use super::Member;
 use super::batches::FRAME;
-use super::interface::Ways;
+use super::interface::Effects;
 
 /// Copies forgotten, or looked at for heirs, in one slice.
 pub(super) const SLICE: usize = 2048;
@@ -27,7 +27,7 @@
     }
 
     /// Does one slice of what may wait, if there is any: true, and [`Member::worked`] is to be told how long it took.
-    pub fn work(&mut self, now: Duration, pressed: bool, ways: &mut dyn Ways) -> Option<ChoreId> {
+    pub fn work(&mut self, now: Duration, pressed: bool, effects: &mut dyn Effects) -> Option<ChoreId> {
         self.now = now;
         self.want_chores();
         let slice = self.chores.next(now, pressed)?;
@@ -40,12 +40,12 @@
             LOOK => self.look_for_heirs(),
             PIECES => {
                 if let Some((member, cursor)) = self.wants_pieces.pop_front() {
-                    self.send_piece(member, cursor, ways);
+                    self.send_piece(member, cursor, effects);
                 }
             }
             _ => {
                 if let Some((member, step)) = self.repairs.pop() {
-                    self.send_repair(member, step, ways);
+                    self.send_repair(member, step, effects);
                 }
             }
         }
--- a/crates/fleet/src/member/core_servers.rs
+++ b/crates/fleet/src/member/core_servers.rs
@@ -8,7 +8,7 @@
 use lotussaddle_trunk::{Audit, Frame, HeldLine, Reached};
 
 use super::Member;
-use super::interface::{Finding, Ways};
+use super::interface::{Effects, Finding};
 use crate::duties::SWEEP;
 use crate::heirs::{Deed, LineOf};
 
@@ -35,7 +35,7 @@
     /// A core server speaks of whose dialogues are; `held` tells what this member's edge proxy has standing.
     pub fn core_said(
         &mut self, now: Duration, server: &ServerId, audit: Audit, held: &dyn Fn(&DialogueId) -> bool,
-        ways: &mut dyn Ways,
+        effects: &mut dyn Effects,
     ) {
         self.now = now;
         match audit {
@@ -43,7 +43,7 @@
                 // Where all peers have forgotten a life, core servers still know of it.
                 let ours = lines.iter().map(|line| line.owner).filter(|owner| owner.member == self.plan.me);
                 if self.lives.witnessed(ours.map(|owner| owner.life).max().unwrap_or_default()) {
-                    return self.overtaken(ways);
+                    return self.overtaken(effects);
                 }
                 let (me, book) = (self.plan.me, &self.book);
                 let kept: BTreeSet<DialogueId> =
--- a/crates/fleet/src/member/dispatch.rs
+++ b/crates/fleet/src/member/dispatch.rs
@@ -5,7 +5,7 @@
 use lotussaddle_trunk::{Frame, Peer, Replaced};
 
 use super::Member;
-use super::interface::{Finding, Ways};
+use super::interface::{Effects, Finding};
 use super::repair::RepairStep;
 use crate::lives::Agreed;
 use crate::peers::{Known, PeerLink, Way};
@@ -13,50 +13,50 @@
 
 impl Member {
     /// A frame came on a peer link.
-    pub fn heard(&mut self, now: Duration, link: PeerLink, frame: Frame, ways: &mut dyn Ways) {
+    pub fn heard(&mut self, now: Duration, link: PeerLink, frame: Frame, effects: &mut dyn Effects) {
         self.now = now;
         let Some(known) = self.peers.links.get(&link).cloned() else { return };
         match frame {
-            Frame::Ping { nonce } => drop(self.tell(link, Frame::Pong { nonce }, ways)),
+            Frame::Ping { nonce } => drop(self.tell(link, Frame::Pong { nonce }, effects)),
             Frame::Pong { .. } => {}
-            Frame::Bye { why } => self.close(link, &format!("said good-bye: {why}"), ways),
-            Frame::Hello(hello) if !known.greeted => self.greeted(link, &known, &hello, ways),
-            Frame::Peer(peer) if known.greeted => self.peer_said(link, &known, peer, ways),
-            _ => self.close(link, "said what is not a member's to say", ways),
+            Frame::Bye { why } => self.close(link, &format!("said good-bye: {why}"), effects),
+            Frame::Hello(hello) if !known.greeted => self.greeted(link, &known, &hello, effects),
+            Frame::Peer(peer) if known.greeted => self.peer_said(link, &known, peer, effects),
+            _ => self.close(link, "said what is not a member's to say", effects),
         }
     }
 
-    fn peer_said(&mut self, link: PeerLink, known: &Known, peer: Peer, ways: &mut dyn Ways) {
+    fn peer_said(&mut self, link: PeerLink, known: &Known, peer: Peer, effects: &mut dyn Effects) {
         if let (Way::Operator, Peer::Inquire { what }) = (known.way, &peer) {
-            return self.inquired(link, what, ways);
+            return self.inquired(link, what, effects);
         }
         let Some(member) = known.member else {
-            return self.close(link, "is no member", ways);
+            return self.close(link, "is no member", effects);
         };
         if let Peer::Here { group, member: place, life, yours, saved, away } = peer {
-            return self.is_here(link, member, group, place, life, (yours, saved), away, ways);
+            return self.is_here(link, member, group, place, life, (yours, saved), away, effects);
         }
         if known.way != Way::Here {
-            return self.close(link, "spoke before it said who it is", ways);
+            return self.close(link, "spoke before it said who it is", effects);
         }
         self.sight.heard(self.now, member);
         let place = usize::from(member);
         match peer {
             Peer::Here { .. } => {}
-            Peer::NewLife { life } => self.life_asked(link, member, life, ways),
+            Peer::NewLife { life } => self.life_asked(link, member, life, effects),
             Peer::Life { life, given, highest } => {
                 if let Agreed::New { life, fresh } = self.lives.answered(member, life, given, highest) {
-                    self.begin_life(life, fresh, ways);
+                    self.begin_life(life, fresh, effects);
                 }
             }
             Peer::Beat { life, hears, caught_up, saved } => {
                 self.sight.saved(member, saved);
                 self.sight.beat(member, Members::of(hears), caught_up);
                 if life > 0 && life >= self.sight.life(member) {
-                    self.peer_lives(member, life, ways);
+                    self.peer_lives(member, life, effects);
                 }
             }
-            Peer::Copies { life, first, copies } => self.copies_came(member, life, first, &copies, ways),
+            Peer::Copies { life, first, copies } => self.copies_came(member, life, first, &copies, effects),
             Peer::Kept { life, up_to, saved, replaced } if life == self.lives.mine() => {
                 self.sight.saved(member, saved);
                 for Replaced { dialogue, by } in replaced {
@@ -75,7 +75,7 @@
                 self.resume_asked(member, have, snapshot);
             }
             Peer::Piece { life, cursor, next, copies } if life == self.sight.life(member) => {
-                self.piece_came(member, cursor, next, &copies, ways);
+                self.piece_came(member, cursor, next, &copies, effects);
             }
             Peer::Ask { serial, dialogue, owner } => self.asked(member, serial, dialogue, owner),
             Peer::Know { serial, sure, higher, copy } => {
@@ -91,11 +91,11 @@
             Peer::Duties { word } => {
                 let now = self.now;
                 if self.duties.as_mut().is_some_and(|duties| !duties.heard(now, member, &word)) {
-                    self.close(link, "said what cannot be read about duties", ways);
+                    self.close(link, "said what cannot be read about duties", effects);
                 }
             }
-            Peer::Check { act, server } => self.check(member, &act, &server, ways),
-            Peer::Publish { act, serial, order } => self.ordered(member, &act, serial, order, ways),
+            Peer::Check { act, server } => self.check(member, &act, &server, effects),
+            Peer::Publish { act, serial, order } => self.ordered(member, &act, serial, order, effects),
             Peer::Published { serial, why } => {
                 let (now, life) = (self.now, self.sight.life(member));
                 if let Some(duties) = &mut self.duties {
@@ -112,7 +112,7 @@
                 let now = self.now;
                 self.duties.iter_mut().for_each(|duties| duties.refused(now, duty, highest));
             }
-            Peer::Inquire { .. } | Peer::Tell { .. } => self.close(link, "is no operator", ways),
+            Peer::Inquire { .. } | Peer::Tell { .. } => self.close(link, "is no operator", effects),
         }
         debug_assert!(place < self.incoming.len());
     }
--- a/crates/fleet/src/member/duty_acts.rs
+++ b/crates/fleet/src/member/duty_acts.rs
@@ -7,15 +7,15 @@
 use lotussaddle_trunk::{Act, Frame, Peer};
 
 use super::Member;
-use super::interface::{Save, Ways};
+use super::interface::{Effects, Save};
 use super::saves::AfterWrite;
 use crate::duties::{Duties, SWEEP, ToDo};
 
 impl Member {
     /// The holder of `circuits` has this member look after its own lines at a core server.
-    pub(super) fn check(&mut self, member: u16, act: &Act, server: &ServerId, ways: &mut dyn Ways) {
+    pub(super) fn check(&mut self, member: u16, act: &Act, server: &ServerId, effects: &mut dyn Effects) {
         let again = || AfterWrite::Check { from: member, act: *act, server: server.clone() };
-        if !self.may(member, act, again, ways) {
+        if !self.may(member, act, again, effects) {
             return;
         }
         if self.lives.mine() > 0 && self.cores.contains(server) {
@@ -27,7 +27,7 @@
     /// Whether an act of a duty may be done: its number is no lower than one that was seen, and where it is new it is on disk, so that
     /// this member refuses lower ones past its own restart.
     pub(super) fn may(
-        &mut self, from: u16, act: &Act, again: impl Fn() -> AfterWrite, ways: &mut dyn Ways,
+        &mut self, from: u16, act: &Act, again: impl Fn() -> AfterWrite, effects: &mut dyn Effects,
     ) -> bool {
         let Some(duties) = self.duties.as_mut().filter(|_| act.member == from) else { return false };
         match duties.admits(act) {
@@ -38,7 +38,7 @@
             Ok(new) => {
                 let fence = duties.fence();
                 if new {
-                    self.fenced_by = self.order(vec![Save::Fence(fence)], ways);
+                    self.fenced_by = self.order(vec![Save::Fence(fence)], effects);
                 }
                 // What comes under it before it is on disk waits behind the first.
                 let Some(number) = self.fenced_by.filter(|number| self.writes.is_pending(*number)) else {
@@ -51,11 +51,11 @@
     }
 
     /// What has come of it for duties: said, kept, done.
-    pub(super) fn settle_duties(&mut self, ways: &mut dyn Ways) {
+    pub(super) fn settle_duties(&mut self, effects: &mut dyn Effects) {
         let (now, me) = (self.now, self.plan.me);
         let Some(mut duties) = self.duties.take() else { return };
         // A disk that fails leaves none, and what was on it is older than what is said from then on.
-        self.has_disk |= ways.keeps();
+        self.has_disk |= effects.has_disk();
         let swept = duties.act(now, SWEEP).is_some();
         if swept != self.sweeps {
             self.sweeps = swept;
@@ -70,10 +70,10 @@
                 match todo {
                     ToDo::Say(to, word) => {
                         if let Some(link) = self.peers.to(to) {
-                            self.tell(link, Frame::Peer(Peer::Duties { word }), ways);
+                            self.tell(link, Frame::Peer(Peer::Duties { word }), effects);
                         }
                     }
-                    ToDo::Keep(number, kept) => match self.order(vec![Save::Duties(kept)], ways) {
+                    ToDo::Keep(number, kept) => match self.order(vec![Save::Duties(kept)], effects) {
                         Some(order) => duties.ordered(order, number),
                         // Where there is no disk, memory is all that is promised; one that is too far behind promises nothing.
                         None => duties.kept(now, number, !self.has_disk),
@@ -82,13 +82,13 @@
                         for member in (0..self.plan.members.len() as u16).filter(|member| *member != me) {
                             if let Some(link) = self.peers.to(member) {
                                 let check = Peer::Check { act, server: server.clone() };
-                                self.tell(link, Frame::Peer(check), ways);
+                                self.tell(link, Frame::Peer(check), effects);
                             }
                         }
                         let deed = self.heirs.check_mine(now, &server);
                         self.do_deeds(deed.into_iter().collect());
                     }
-                    ToDo::Log(line) => ways.log(&line),
+                    ToDo::Log(line) => effects.log(&line),
                 }
             }
         }
@@ -103,11 +103,11 @@
         let (own, others): (Vec<_>, Vec<_>) = orders.into_iter().partition(|(member, ..)| *member == me);
         for (member, act, serial, order) in others {
             if let Some(link) = self.peers.to(member) {
-                self.tell(link, Frame::Peer(Peer::Publish { act, serial, order }), ways);
+                self.tell(link, Frame::Peer(Peer::Publish { act, serial, order }), effects);
             }
         }
         for (_, act, serial, order) in own {
-            self.ordered(me, &act, serial, order, ways);
+            self.ordered(me, &act, serial, order, effects);
         }
     }
 
--- a/crates/fleet/src/member/incarnations.rs
+++ b/crates/fleet/src/member/incarnations.rs
@@ -7,7 +7,7 @@
 use lotussaddle_trunk::{Audit, Frame, Owner, Peer};
 
 use super::Member;
-use super::interface::{Finding, Save, Ways};
+use super::interface::{Effects, Finding, Save};
 use super::saves::AfterWrite;
 use super::streams::Incoming;
 use crate::lives::start_of;
@@ -19,19 +19,19 @@
 impl Member {
     /// A later life of this member is known: of another process under its name, or of a former one that those who gave this life
     /// had forgotten. The latter is over with a new life; the former is not, and the one that is overtaken twice gives way.
-    pub(super) fn overtaken(&mut self, ways: &mut dyn Ways) {
+    pub(super) fn overtaken(&mut self, effects: &mut dyn Effects) {
         let again = self.overtaken_at.replace(self.now).is_some_and(|at| self.now < at + RETIRED);
         if again {
             self.retired_until = self.now + RETIRED;
             let line = "another process has this member's name, and the later life: this one keeps no copies for a while";
-            ways.log(line);
+            effects.log(line);
         } else {
-            ways.log("a later life of this member is known than the one it was given: it takes another");
+            effects.log("a later life of this member is known than the one it was given: it takes another");
         }
-        self.end_life(ways);
+        self.end_life(effects);
     }
 
-    pub(super) fn ask_for_life(&mut self, ways: &mut dyn Ways) {
+    pub(super) fn ask_for_life(&mut self, effects: &mut dyn Effects) {
         if self.now < self.retired_until {
             return;
         }
@@ -39,37 +39,37 @@
             return; // Nobody is there to agree, nor to keep copies.
         }
         if let Some(life) = self.lives.ask(self.now) {
-            self.order(vec![Save::Asked(life)], ways);
+            self.order(vec![Save::Asked(life)], effects);
             for member in 0..self.plan.members.len() as u16 {
                 if let Some(link) = self.peers.to(member) {
-                    self.tell(link, Frame::Peer(Peer::NewLife { life }), ways);
+                    self.tell(link, Frame::Peer(Peer::NewLife { life }), effects);
                 }
             }
         }
     }
 
-    pub(super) fn life_asked(&mut self, link: PeerLink, member: u16, life: u64, ways: &mut dyn Ways) {
+    pub(super) fn life_asked(&mut self, link: PeerLink, member: u16, life: u64, effects: &mut dyn Effects) {
         let (given, highest) = self.lives.asked(member, self.sight.life(member), life);
         if !given {
-            self.tell(link, Frame::Peer(Peer::Life { life, given, highest }), ways);
+            self.tell(link, Frame::Peer(Peer::Life { life, given, highest }), effects);
             return;
         }
         // A vote is kept before it is said.
-        if let Some(number) = self.order(vec![Save::Given(member, life)], ways) {
+        if let Some(number) = self.order(vec![Save::Given(member, life)], effects) {
             self.writes.wait_for(number, [AfterWrite::GrantLife { link, life, highest }]);
         } else {
-            self.tell(link, Frame::Peer(Peer::Life { life, given, highest }), ways);
+            self.tell(link, Frame::Peer(Peer::Life { life, given, highest }), effects);
         }
     }
 
-    pub(super) fn begin_life(&mut self, life: u64, fresh: bool, ways: &mut dyn Ways) {
+    pub(super) fn begin_life(&mut self, life: u64, fresh: bool, effects: &mut dyn Effects) {
         let first = self.book.life() == 0;
         self.fresh = fresh && first;
         if !fresh && first && !self.book.is_empty() {
             // What the disk had is older than what was written in the life before.
             let dropped = self.book.drop_others();
             let why = self.lives.why_older();
-            ways.log(&format!("{why}: its {dropped} copies are not all that was kept, and are let go"));
+            effects.log(&format!("{why}: its {dropped} copies are not all that was kept, and are let go"));
         }
         let now = self.now;
         if let Some(duties) = &mut self.duties {
@@ -82,7 +82,7 @@
         if let Some(away) = self.away.take().filter(|_| first) {
             self.book.age(self.now, away);
         }
-        ways.log(&format!("life {} begins", start_of(life)));
+        effects.log(&format!("life {} begins", start_of(life)));
         self.book.begin_life(self.now, life);
         // What stands goes on under this life: its core servers are told, or it would pass for what the former one left, or, where
         // it was launched before this process had a life, end with its link.
@@ -99,12 +99,12 @@
         self.findings.extend(adopts);
         // An older copy has had fewer writes: from here on they are counted above all that were told.
         self.writes.count_from(self.lives.saved());
-        self.order(vec![Save::Life(life)], ways);
+        self.order(vec![Save::Life(life)], effects);
         for member in 0..self.plan.members.len() as u16 {
             if let Some(link) = self.peers.to(member) {
-                self.say_here(link, member, ways);
+                self.say_here(link, member, effects);
             }
-            self.resume(member, ways);
+            self.resume(member, effects);
         }
         // A former life of this member left something behind, perhaps.
         self.heirs.ended(self.now, self.plan.me, life - 1);
@@ -112,7 +112,7 @@
     }
 
     /// This process has no life until it gets a new one: nothing is copied under the old one.
-    pub(super) fn end_life(&mut self, ways: &mut dyn Ways) {
+    pub(super) fn end_life(&mut self, effects: &mut dyn Effects) {
         let now = self.now;
         self.duties.iter_mut().for_each(|duties| duties.lives(now, 0));
         self.fresh = false;
@@ -122,21 +122,21 @@
             self.resumed[usize::from(member)] = false;
             self.incoming[usize::from(member)] = Incoming::default();
             if let Some(link) = self.peers.to(member) {
-                self.say_here(link, member, ways);
+                self.say_here(link, member, effects);
             }
         }
     }
 
     /// A peer is in this life.
-    pub(super) fn peer_lives(&mut self, member: u16, life: u64, ways: &mut dyn Ways) {
+    pub(super) fn peer_lives(&mut self, member: u16, life: u64, effects: &mut dyn Effects) {
         let before = self.sight.life(member);
         if self.sight.lives(member, life) {
             if before > 0 {
                 self.heirs.ended(self.now, member, before);
             }
-            self.resume(member, ways);
+            self.resume(member, effects);
         } else if self.incoming[usize::from(member)].life != life {
-            self.resume(member, ways);
+            self.resume(member, effects);
         }
         self.heirs.returned(member, life);
         if life > 0 {
--- a/crates/fleet/src/member/interface.rs
+++ b/crates/fleet/src/member/interface.rs
@@ -41,9 +41,9 @@
 }
 
 /// All that a member does to the world. None of it waits, and none of it calls back.
-pub trait Ways {
+pub trait Effects {
     /// False: the queue is full or the link gone; nothing was queued.
-    fn say(&mut self, link: PeerLink, frame: Frame) -> bool;
+    fn send(&mut self, link: PeerLink, frame: Frame) -> bool;
     /// Begins a connection to a member; [`Member::connected`] or [`Member::lost`] follows.
     fn connect(&mut self, member: u16) -> PeerLink;
     /// Closes a link that the member has given up.
@@ -51,7 +51,7 @@
     /// A line for the log.
     fn log(&mut self, line: &str);
     /// There is a disk at all: else nothing is made ready for it.
-    fn keeps(&self) -> bool;
+    fn has_disk(&self) -> bool;
     /// Has it kept on disk; [`Member::saved`] tells by the number when it is. False: there is no disk.
     fn save(&mut self, what: Vec<Save>, number: u64) -> bool;
 }
--- a/crates/fleet/src/member/links.rs
+++ b/crates/fleet/src/member/links.rs
@@ -6,7 +6,7 @@
 use lotussaddle_trunk::{Frame, Hello, Peer, Role, VERSION};
 
 use super::Member;
-use super::interface::Ways;
+use super::interface::Effects;
 use crate::lives::start_of;
 use crate::peers::{Known, PeerLink, Way};
 
@@ -21,54 +21,54 @@
     }
 
     /// A link begun from here is up.
-    pub fn connected(&mut self, now: Duration, link: PeerLink, ways: &mut dyn Ways) {
+    pub fn connected(&mut self, now: Duration, link: PeerLink, effects: &mut dyn Effects) {
         self.now = now;
         if let Some(known) = self.peers.links.get_mut(&link) {
             (known.way, known.since) = (Way::Fresh, now);
-            self.greet(link, ways);
+            self.greet(link, effects);
         }
     }
 
-    fn greet(&mut self, link: PeerLink, ways: &mut dyn Ways) {
+    fn greet(&mut self, link: PeerLink, effects: &mut dyn Effects) {
         let name: Arc<str> = Arc::from(&*self.plan.members[usize::from(self.plan.me)]);
-        self.tell(link, Frame::Hello(Hello::new(Role::Edge, name)), ways);
+        self.tell(link, Frame::Hello(Hello::new(Role::Edge, name)), effects);
         if let Some(member) = self.peers.links.get(&link).and_then(|known| known.member) {
-            self.say_here(link, member, ways);
+            self.say_here(link, member, effects);
         }
     }
 
-    pub(super) fn say_here(&mut self, link: PeerLink, member: u16, ways: &mut dyn Ways) {
+    pub(super) fn say_here(&mut self, link: PeerLink, member: u16, effects: &mut dyn Effects) {
         let yours = self.sight.life(member).max(self.lives.given_to(member));
         let away = (self.sight.life(member) > 0).then(|| self.sight.away(self.now, member));
         let saved = self.sight.most_saved(member);
         let (group, me, life) = (self.group, self.plan.me, self.lives.mine());
         let here = Peer::Here { group, member: me, life, yours, saved, away };
-        self.tell(link, Frame::Peer(here), ways);
+        self.tell(link, Frame::Peer(here), effects);
     }
 
     /// Closes a link that cannot take what is said: what was to be said is not lost in silence.
-    pub(super) fn tell(&mut self, link: PeerLink, frame: Frame, ways: &mut dyn Ways) -> bool {
-        let said = ways.say(link, frame);
+    pub(super) fn tell(&mut self, link: PeerLink, frame: Frame, effects: &mut dyn Effects) -> bool {
+        let said = effects.send(link, frame);
         if !said {
-            self.close(link, "its queue is full", ways);
+            self.close(link, "its queue is full", effects);
         }
         said
     }
 
-    pub(super) fn close(&mut self, link: PeerLink, why: &str, ways: &mut dyn Ways) {
+    pub(super) fn close(&mut self, link: PeerLink, why: &str, effects: &mut dyn Effects) {
         if self.peers.links.contains_key(&link) {
-            ways.close(link, why);
-            self.forget_link(link, why, ways);
+            effects.close(link, why);
+            self.forget_link(link, why, effects);
         }
     }
 
     /// A link has gone, or did not come up.
-    pub fn lost(&mut self, now: Duration, link: PeerLink, why: &str, ways: &mut dyn Ways) {
+    pub fn lost(&mut self, now: Duration, link: PeerLink, why: &str, effects: &mut dyn Effects) {
         self.now = now;
-        self.forget_link(link, why, ways);
+        self.forget_link(link, why, effects);
     }
 
-    fn forget_link(&mut self, link: PeerLink, why: &str, ways: &mut dyn Ways) {
+    fn forget_link(&mut self, link: PeerLink, why: &str, effects: &mut dyn Effects) {
         let up = self.peers.links.get(&link).is_some_and(|known| known.way == Way::Here);
         let Some(member) = self.peers.lost(self.now, link) else { return };
         let place = usize::from(member);
@@ -79,11 +79,13 @@
         self.wants_pieces.retain(|(to, _)| *to != member);
         self.repairs.forget(member);
         if up {
-            ways.log(&format!("member {} gone: {why}", self.plan.members[place]));
+            effects.log(&format!("member {} gone: {why}", self.plan.members[place]));
         }
     }
 
-    pub(super) fn greeted(&mut self, link: PeerLink, known: &Known, hello: &Hello, ways: &mut dyn Ways) {
+    pub(super) fn greeted(
+        &mut self, link: PeerLink, known: &Known, hello: &Hello, effects: &mut dyn Effects,
+    ) {
         let place = self.plan.members.iter().position(|name| **name == *hello.name);
         let member = place.map(|place| place as u16);
         let wrong = match (hello.role, hello.version, member, known.member) {
@@ -98,7 +100,7 @@
             (role, ..) => Some(format!("is a {role:?}")),
         };
         if let Some(wrong) = wrong {
-            return self.close(link, &wrong, ways);
+            return self.close(link, &wrong, effects);
         }
         let came_in = known.member.is_none();
         if let Some(known) = self.peers.links.get_mut(&link) {
@@ -109,22 +111,22 @@
             }
         }
         if came_in {
-            self.greet(link, ways);
+            self.greet(link, effects);
         }
     }
 
     #[expect(clippy::too_many_arguments)]
     pub(super) fn is_here(
         &mut self, link: PeerLink, member: u16, group: u64, place: u16, life: u64,
-        (yours, saved): (u64, u64), away: Option<Duration>, ways: &mut dyn Ways,
+        (yours, saved): (u64, u64), away: Option<Duration>, effects: &mut dyn Effects,
     ) {
         if group != self.group || place != member {
             let line = format!(
                 "member {} has another group or other figures: no copies go there",
                 self.name(member)
             );
-            ways.log(&line);
-            return self.close(link, "another group", ways);
+            effects.log(&line);
+            return self.close(link, "another group", effects);
         }
         // A clock here that stood still while the other's went on: what is kept here may be forgotten elsewhere, and would be
         // brought back to life.
@@ -136,34 +138,34 @@
             self.away = Some(self.away.map_or(away, |known| known.min(away)));
         }
         if self.lives.told(member, yours, saved) {
-            self.overtaken(ways);
+            self.overtaken(effects);
         } else if still.is_some() && self.lives.mine() > 0 {
             let dropped = self.book.drop_others();
-            ways.log(&format!("this clock stood still: {dropped} copies let go, a new life begins"));
+            effects.log(&format!("this clock stood still: {dropped} copies let go, a new life begins"));
             self.lives.renew();
-            self.end_life(ways);
+            self.end_life(effects);
         }
         if let Some(known) = self.peers.links.get_mut(&link) {
             known.way = Way::Here;
         }
         match self.peers.seated(link, member) {
-            Some(closed) if closed == link => return self.close(link, "there is a link already", ways),
+            Some(closed) if closed == link => return self.close(link, "there is a link already", effects),
             Some(before) => {
-                ways.close(before, "another link of the same member");
+                effects.close(before, "another link of the same member");
                 self.peers.lost(self.now, before);
             }
             None => {}
         }
         let new = self.peers.links.contains_key(&link) && !self.sight.hears(self.now, member);
         if new {
-            ways.log(&format!("member {} here, in life {}", self.name(member), start_of(life)));
+            effects.log(&format!("member {} here, in life {}", self.name(member), start_of(life)));
         }
         self.sight.heard(self.now, member);
         self.resumed[usize::from(member)] = false;
         if life >= self.sight.life(member) && life > 0 {
-            self.peer_lives(member, life, ways);
+            self.peer_lives(member, life, effects);
         }
-        self.ask_for_life(ways);
-        self.resume(member, ways);
+        self.ask_for_life(effects);
+        self.resume(member, effects);
     }
 }
--- a/crates/fleet/src/member/mod.rs
+++ b/crates/fleet/src/member/mod.rs
@@ -42,9 +42,9 @@
 use streams::Incoming;
 use table_orders::TableOrders;
 
-pub use interface::{Counts, Finding, Save, Stored, Ways};
+pub use interface::{Counts, Effects, Finding, Save, Stored};
 
-/// One member of a fleet as a state machine: calls are its inputs, [`Ways`] and [`Finding`] its outputs.
+/// One member of a fleet as a state machine: calls are its inputs, [`Effects`] and [`Finding`] its outputs.
 pub struct Member {
     plan: Plan,
     group: u64,
--- a/crates/fleet/src/member/repair.rs
+++ b/crates/fleet/src/member/repair.rs
@@ -7,7 +7,7 @@
 
 use super::Member;
 use super::batches::in_frames;
-use super::interface::Ways;
+use super::interface::Effects;
 
 /// Steps of comparisons that wait, at most; beyond it they are dropped, and come again with the next comparison.
 const MOST_REPAIRS: usize = 1024;
@@ -57,7 +57,7 @@
         }
     }
 
-    pub(super) fn send_repair(&mut self, member: u16, step: RepairStep, ways: &mut dyn Ways) {
+    pub(super) fn send_repair(&mut self, member: u16, step: RepairStep, effects: &mut dyn Effects) {
         let Some(link) = self.peers.to(member) else { return };
         let mut copies = Vec::new();
         match step {
@@ -67,7 +67,7 @@
                         Differing::Below(level, from, sums) => Peer::Sums { level, from, sums },
                         Differing::Range(range, prints) => Peer::Prints { range, prints },
                     };
-                    self.tell(link, Frame::Peer(peer), ways);
+                    self.tell(link, Frame::Peer(peer), effects);
                 }
             }
             RepairStep::Prints(range, prints) => {
@@ -75,7 +75,7 @@
                 let repair = self.book.look(self.now, member, life, range, &prints);
                 self.counts.repaired += (repair.send.len() + repair.want.len() + repair.dropped) as u64;
                 if !repair.want.is_empty() {
-                    self.tell(link, Frame::Peer(Peer::Want { ids: repair.want }), ways);
+                    self.tell(link, Frame::Peer(Peer::Want { ids: repair.want }), effects);
                 }
                 copies = repair.send;
             }
@@ -84,7 +84,7 @@
         for copies in in_frames(copies).into_iter().filter(|copies| !copies.is_empty()) {
             self.counts.copies_sent += copies.len() as u64;
             let life = self.lives.mine();
-            self.tell(link, Frame::Peer(Peer::Copies { life, first: 0, copies }), ways);
+            self.tell(link, Frame::Peer(Peer::Copies { life, first: 0, copies }), effects);
         }
     }
 }
--- a/crates/fleet/src/member/saves.rs
+++ b/crates/fleet/src/member/saves.rs
@@ -7,7 +7,7 @@
 use lotussaddle_trunk::{Act, Frame, Peer, Replaced, TablesOrder, copy_bytes};
 
 use super::Member;
-use super::interface::{Save, Ways};
+use super::interface::{Effects, Save};
 use crate::peers::PeerLink;
 
 /// What is done once a disk write has succeeded.
@@ -58,10 +58,10 @@
     }
 
     /// Has it kept on disk; gives the write's number, none where there is no disk to wait for.
-    fn submit(&mut self, mut what: Vec<Save>, ways: &mut dyn Ways) -> Option<u64> {
+    fn submit(&mut self, mut what: Vec<Save>, effects: &mut dyn Effects) -> Option<u64> {
         let number = self.issued + 1;
         what.push(Save::Count(number));
-        if !ways.save(what, number) {
+        if !effects.save(what, number) {
             self.count_in_memory();
             return None;
         }
@@ -97,20 +97,20 @@
 
 impl Member {
     /// Sends what came up in this turn: acknowledgements, writes, what is to be kept on disk.
-    pub fn flush(&mut self, now: Duration, ways: &mut dyn Ways) {
+    pub fn flush(&mut self, now: Duration, effects: &mut dyn Effects) {
         self.now = now;
-        self.settle_duties(ways);
+        self.settle_duties(effects);
         let mut after = self.owed_acknowledgements();
-        self.save_changed(ways);
+        self.save_changed(effects);
         let known = std::mem::take(&mut self.known).into_iter();
         after.extend(known.map(|(to, message)| AfterWrite::Say { to, message }));
-        self.do_after_last_write(after, ways);
+        self.do_after_last_write(after, effects);
         for (member, peer) in std::mem::take(&mut self.to_say) {
             if let Some(link) = self.peers.to(member) {
-                self.tell(link, Frame::Peer(peer), ways);
+                self.tell(link, Frame::Peer(peer), effects);
             }
         }
-        self.send_streams(ways);
+        self.send_streams(effects);
     }
 
     /// What peers have sent and is not acknowledged yet.
@@ -127,12 +127,12 @@
     }
 
     /// Has the copies that changed in this turn kept on disk.
-    fn save_changed(&mut self, ways: &mut dyn Ways) {
+    fn save_changed(&mut self, effects: &mut dyn Effects) {
         let changed = std::mem::take(&mut self.changed);
         if changed.is_empty() {
             return;
         }
-        if !ways.keeps() {
+        if !effects.has_disk() {
             return self.writes.count_in_memory();
         }
         let now = self.now;
@@ -141,53 +141,55 @@
             Save::Copy(id, copy)
         });
         let copies: Vec<Save> = copies.collect();
-        self.order(copies, ways);
+        self.order(copies, effects);
     }
 
     /// An acknowledgement says that it is kept: on disk, where there is one, and with all that came before it.
-    fn do_after_last_write(&mut self, after: Vec<AfterWrite>, ways: &mut dyn Ways) {
+    fn do_after_last_write(&mut self, after: Vec<AfterWrite>, effects: &mut dyn Effects) {
         match self.writes.last_pending() {
             Some(number) => self.writes.wait_for(number, after),
-            None => after.into_iter().for_each(|after| self.is_saved(after, ways)),
+            None => after.into_iter().for_each(|after| self.is_saved(after, effects)),
         }
     }
 
     /// Has it kept on disk; gives the write's number, none where there is no disk to wait for.
-    pub(super) fn order(&mut self, what: Vec<Save>, ways: &mut dyn Ways) -> Option<u64> {
-        self.writes.submit(what, ways)
+    pub(super) fn order(&mut self, what: Vec<Save>, effects: &mut dyn Effects) -> Option<u64> {
+        self.writes.submit(what, effects)
     }
 
-    /// What [`Ways::save`] was given this number for is on disk; or it failed, and nothing more is kept there.
-    pub fn saved(&mut self, now: Duration, number: u64, well: bool, ways: &mut dyn Ways) {
+    /// What [`Effects::save`] was given this number for is on disk; or it failed, and nothing more is kept there.
+    pub fn saved(&mut self, now: Duration, number: u64, well: bool, effects: &mut dyn Effects) {
         self.now = now;
         let waited = self.writes.report(number, well);
         self.duties.iter_mut().for_each(|duties| duties.saved(now, number, well));
         // Not kept: not acknowledged. The owner goes by whoever else has it.
         for after in waited.into_iter().filter(|_| well) {
-            self.is_saved(after, ways);
+            self.is_saved(after, effects);
         }
     }
 
-    fn is_saved(&mut self, after: AfterWrite, ways: &mut dyn Ways) {
+    fn is_saved(&mut self, after: AfterWrite, effects: &mut dyn Effects) {
         match after {
             AfterWrite::Say { to, message } => {
                 if let Some(link) = self.peers.to(to) {
-                    self.tell(link, Frame::Peer(message), ways);
+                    self.tell(link, Frame::Peer(message), effects);
                 }
             }
             AfterWrite::Acknowledge { to, life, up_to, replaced } => {
                 if let Some(link) = self.peers.to(to) {
                     let saved = self.writes.saved();
-                    self.tell(link, Frame::Peer(Peer::Kept { life, up_to, saved, replaced }), ways);
+                    self.tell(link, Frame::Peer(Peer::Kept { life, up_to, saved, replaced }), effects);
                 }
             }
             AfterWrite::GrantLife { link, life, highest } => {
                 if self.peers.links.contains_key(&link) {
-                    self.tell(link, Frame::Peer(Peer::Life { life, given: true, highest }), ways);
+                    self.tell(link, Frame::Peer(Peer::Life { life, given: true, highest }), effects);
                 }
             }
-            AfterWrite::Check { from, act, server } => self.check(from, &act, &server, ways),
-            AfterWrite::Order { from, act, serial, order } => self.ordered(from, &act, serial, order, ways),
+            AfterWrite::Check { from, act, server } => self.check(from, &act, &server, effects),
+            AfterWrite::Order { from, act, serial, order } => {
+                self.ordered(from, &act, serial, order, effects)
+            }
         }
     }
 }
--- a/crates/fleet/src/member/streams.rs
+++ b/crates/fleet/src/member/streams.rs
@@ -6,7 +6,7 @@
 
 use super::Member;
 use super::batches::in_frames;
-use super::interface::{Finding, Ways};
+use super::interface::{Effects, Finding};
 
 /// Copies sent to one member in one turn, at most.
 const A_TURN: usize = 512;
@@ -27,7 +27,7 @@
 
 impl Member {
     /// Says what is had of a peer's stream, and asks for a snapshot where all before it is not had.
-    pub(super) fn resume(&mut self, member: u16, ways: &mut dyn Ways) {
+    pub(super) fn resume(&mut self, member: u16, effects: &mut dyn Effects) {
         let life = self.sight.life(member);
         let Some(link) = self.peers.to(member).filter(|_| life > 0 && self.lives.mine() > 0) else { return };
         let incoming = &mut self.incoming[usize::from(member)];
@@ -38,7 +38,7 @@
         incoming.owed |= incoming.synced;
         let snapshot = (!incoming.synced).then(|| incoming.snapshot.unwrap_or(Cursor { at: 0, from: 0 }));
         let resume = Peer::Resume { life, have: incoming.have, snapshot };
-        self.tell(link, Frame::Peer(resume), ways);
+        self.tell(link, Frame::Peer(resume), effects);
     }
 
     /// A peer says what it has of the stream to it.
@@ -60,29 +60,30 @@
     }
 
     pub(super) fn piece_came(
-        &mut self, member: u16, cursor: Cursor, next: Option<u64>, copies: &[CopySent], ways: &mut dyn Ways,
+        &mut self, member: u16, cursor: Cursor, next: Option<u64>, copies: &[CopySent],
+        effects: &mut dyn Effects,
     ) {
         let news = self.book.take(self.now, copies);
         self.counts.pieces += 1;
-        self.news(news, ways);
+        self.news(news, effects);
         let incoming = &mut self.incoming[usize::from(member)];
         incoming.have = incoming.have.max(cursor.at);
         incoming.synced = next.is_none();
         incoming.owed |= incoming.synced;
         incoming.snapshot = next.map(|from| Cursor { at: cursor.at, from });
         if next.is_some() {
-            self.resume(member, ways);
+            self.resume(member, effects);
         } else {
-            ways.log(&format!("caught up with member {}", self.name(member)));
+            effects.log(&format!("caught up with member {}", self.name(member)));
             self.compare_at = self.now;
         }
     }
 
     pub(super) fn copies_came(
-        &mut self, member: u16, life: u64, first: u64, copies: &[CopySent], ways: &mut dyn Ways,
+        &mut self, member: u16, life: u64, first: u64, copies: &[CopySent], effects: &mut dyn Effects,
     ) {
         let news = self.book.take(self.now, copies);
-        let replaced = self.news(news, ways);
+        let replaced = self.news(news, effects);
         let incoming = &mut self.incoming[usize::from(member)];
         if first == 0 || life != incoming.life {
             if !replaced.is_empty() && life == incoming.life {
@@ -95,20 +96,20 @@
         if incoming.synced && first > incoming.have + 1 {
             // Some are missing: it is told again what is had.
             self.resumed[usize::from(member)] = false;
-            return self.resume(member, ways);
+            return self.resume(member, effects);
         }
         incoming.have = incoming.have.max(first + copies.len() as u64 - 1);
         incoming.owed = true;
     }
 
     /// What came of copies: those that were refused are given back.
-    fn news(&mut self, news: News, ways: &mut dyn Ways) -> Vec<Replaced> {
+    fn news(&mut self, news: News, effects: &mut dyn Effects) -> Vec<Replaced> {
         self.counts.copies_taken += news.changed.len() as u64;
         self.counts.copies_refused += news.refused as u64;
         for id in &news.differ {
             self.counts.differ += 1;
             let answers = self.book.get(id).map(Copy::answers).unwrap_or_default();
-            ways.log(&format!("dialogue {} has two different answers: {answers:?}", id.0));
+            effects.log(&format!("dialogue {} has two different answers: {answers:?}", id.0));
         }
         for (id, _) in news.lost {
             self.counts.replaced += 1;
@@ -127,7 +128,7 @@
         news.replaced
     }
 
-    pub(super) fn send_piece(&mut self, member: u16, cursor: Cursor, ways: &mut dyn Ways) {
+    pub(super) fn send_piece(&mut self, member: u16, cursor: Cursor, effects: &mut dyn Effects) {
         let Some(link) = self.peers.to(member) else { return };
         let (copies, next) = self.book.piece(self.now, member, cursor.from);
         let life = self.lives.mine();
@@ -135,35 +136,35 @@
         let last = frames.pop().unwrap_or_default();
         for copies in frames {
             self.counts.copies_sent += copies.len() as u64;
-            self.tell(link, Frame::Peer(Peer::Copies { life, first: 0, copies }), ways);
+            self.tell(link, Frame::Peer(Peer::Copies { life, first: 0, copies }), effects);
         }
         self.counts.copies_sent += last.len() as u64;
-        self.tell(link, Frame::Peer(Peer::Piece { life, cursor, next, copies: last }), ways);
+        self.tell(link, Frame::Peer(Peer::Piece { life, cursor, next, copies: last }), effects);
     }
 
     /// Sends what the streams to all peers have, as much as one turn takes.
-    pub(super) fn send_streams(&mut self, ways: &mut dyn Ways) {
+    pub(super) fn send_streams(&mut self, effects: &mut dyn Effects) {
         if self.lives.mine() == 0 {
             return;
         }
         for member in 0..self.plan.members.len() as u16 {
             if self.resumed[usize::from(member)] && self.book.stream(member).waits() {
-                self.send_stream(member, ways);
+                self.send_stream(member, effects);
             }
         }
     }
 
-    fn send_stream(&mut self, member: u16, ways: &mut dyn Ways) {
+    fn send_stream(&mut self, member: u16, effects: &mut dyn Effects) {
         let Some(link) = self.peers.to(member) else { return };
         if self.book.stream(member).overrun() {
-            return self.close(link, "too far behind: it begins anew with a snapshot", ways);
+            return self.close(link, "too far behind: it begins anew with a snapshot", effects);
         }
         let Some((mut first, copies)) = self.book.next_copies(self.now, member, A_TURN) else { return };
         let life = self.lives.mine();
         for copies in in_frames(copies) {
             let count = copies.len() as u64;
             self.counts.copies_sent += count;
-            if !self.tell(link, Frame::Peer(Peer::Copies { life, first, copies }), ways) {
+            if !self.tell(link, Frame::Peer(Peer::Copies { life, first, copies }), effects) {
                 return;
             }
             first += count;
--- a/crates/fleet/src/member/table_orders.rs
+++ b/crates/fleet/src/member/table_orders.rs
@@ -7,7 +7,7 @@
 use lotussaddle_trunk::{Act, Peer, TablesOrder};
 
 use super::Member;
-use super::interface::{Finding, Ways};
+use super::interface::{Effects, Finding};
 use super::saves::AfterWrite;
 use crate::duties::PUBLISH;
 
@@ -68,10 +68,10 @@
 impl Member {
     /// An order about number tables came from whoever holds `publish`, perhaps this member. It is carried out once.
     pub(super) fn ordered(
-        &mut self, from: u16, act: &Act, serial: u64, order: TablesOrder, ways: &mut dyn Ways,
+        &mut self, from: u16, act: &Act, serial: u64, order: TablesOrder, effects: &mut dyn Effects,
     ) {
         let again = || AfterWrite::Order { from, act: *act, serial, order: order.clone() };
-        if !self.may(from, act, again, ways) {
+        if !self.may(from, act, again, effects) {
             return;
         }
         if self.table_orders.is_done(serial) {
--- a/crates/fleet/src/member/timers.rs
+++ b/crates/fleet/src/member/timers.rs
@@ -6,7 +6,7 @@
 use lotussaddle_trunk::{Frame, Peer};
 
 use super::Member;
-use super::interface::Ways;
+use super::interface::Effects;
 use crate::duties::{Duties, SWEEP};
 use crate::heirs::Deed;
 use crate::peers::Way;
@@ -32,13 +32,13 @@
     }
 
     /// The time given by `next_due` has come.
-    pub fn alarm(&mut self, now: Duration, ways: &mut dyn Ways) {
+    pub fn alarm(&mut self, now: Duration, effects: &mut dyn Effects) {
         self.now = now;
         for member in self.peers.to_begin(now) {
-            let link = ways.connect(member);
+            let link = effects.connect(member);
             self.peers.begun(now, member, link);
         }
-        self.ask_for_life(ways);
+        self.ask_for_life(effects);
         if let Some(duties) = self.duties.as_mut().filter(|duties| duties.next_due() <= now) {
             duties.alarm(now, &self.cores);
         }
@@ -49,11 +49,11 @@
         self.do_deeds(deeds);
         if self.beat_at <= now {
             self.beat_at = now + self.plan.beat();
-            self.beat(ways);
+            self.beat(effects);
         }
         if self.look_at <= now {
             self.look_at = now + self.plan.silence / 2;
-            self.look_round(ways);
+            self.look_round(effects);
         }
         if self.compare_at <= now {
             self.compare_at = now + self.plan.compare_every;
@@ -62,29 +62,29 @@
         self.want_chores();
     }
 
-    fn beat(&mut self, ways: &mut dyn Ways) {
+    fn beat(&mut self, effects: &mut dyn Effects) {
         let hears = self.sight.all_heard(self.now).words().to_vec();
         let (caught_up, saved) = (self.caught_up(), self.writes.saved());
         let beat = Peer::Beat { life: self.lives.mine(), hears, caught_up, saved };
         for member in 0..self.plan.members.len() as u16 {
             if let Some(link) = self.peers.to(member) {
-                self.tell(link, Frame::Peer(beat.clone()), ways);
+                self.tell(link, Frame::Peer(beat.clone()), effects);
             }
         }
     }
 
     /// Who is gone, which links are dead, what is left behind.
-    fn look_round(&mut self, ways: &mut dyn Ways) {
+    fn look_round(&mut self, effects: &mut dyn Effects) {
         let now = self.now;
         for member in 0..self.plan.members.len() as u16 {
             let gone = self.sight.gone(now, member);
             if gone && !self.was_gone.has(member) {
                 self.was_gone.set(member);
-                ways.log(&format!("member {} is not heard by a majority", self.name(member)));
+                effects.log(&format!("member {} is not heard by a majority", self.name(member)));
                 self.heirs.ended(now, member, self.sight.life(member));
             } else if !gone && self.was_gone.has(member) {
                 self.was_gone.unset(member);
-                ways.log(&format!("member {} is heard again", self.name(member)));
+                effects.log(&format!("member {} is heard again", self.name(member)));
                 let life = self.sight.life(member);
                 self.heirs.returned(member, life);
                 self.heirs.ended(now, member, life.saturating_sub(1));
@@ -92,7 +92,7 @@
             if let Some(link) = self.peers.to(member)
                 && self.sight.away(now, member) >= self.plan.silence * 2
             {
-                self.close(link, "silent, taken as dead", ways);
+                self.close(link, "silent, taken as dead", effects);
             }
         }
         let slow = self.peers.links.iter().filter(|(_, known)| {
@@ -100,7 +100,7 @@
             known.way != Way::Here && now >= known.since + wait
         });
         for link in slow.map(|(link, _)| *link).collect::<Vec<_>>() {
-            self.close(link, "no greeting in time", ways);
+            self.close(link, "no greeting in time", effects);
         }
         if self.lives.mine() > 0 {
             let live = |member: u16| !self.sight.gone(now, member) && self.sight.hears(now, member);
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -9,7 +9,7 @@
 
 use crate::duties::{Duty, NAMES};
 use crate::lives::start_of;
-use crate::member::{Member, Ways};
+use crate::member::{Effects, Member};
 use crate::peers::PeerLink;
 
 /// Bytes of text in one frame, and dialogues listed, at most.
@@ -147,7 +147,7 @@
         json!({ "ordered": rest })
     }
 
-    pub(crate) fn inquired(&mut self, link: PeerLink, what: &str, ways: &mut dyn Ways) {
+    pub(crate) fn inquired(&mut self, link: PeerLink, what: &str, effects: &mut dyn Effects) {
         let now = self.now();
         let names = &self.plan().members;
         let told = match what.split_once(' ') {
@@ -181,7 +181,7 @@
             }
             let (piece, after) = rest.split_at(cut);
             let more = !after.is_empty();
-            if !ways.say(link, Frame::Peer(Peer::Tell { more, text: piece.into() })) || !more {
+            if !effects.send(link, Frame::Peer(Peer::Tell { more, text: piece.into() })) || !more {
                 return;
             }
             rest = after;
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
-use lotussaddle_fleet::{DutyPlan, Finding, Member, PeerLink, Plan, Save, Stored, Verdict, Ways};
+use lotussaddle_fleet::{DutyPlan, Effects, Finding, Member, PeerLink, Plan, Save, Stored, Verdict};
 use lotussaddle_trunk::{
     Act, Answer, Audit, Frame, HeldLine, Hello, Owner, Peer, Reached, Role, TablesOrder, VERSION, copy_read,
 };
@@ -39,8 +39,8 @@
     Save(Vec<Save>, u64),
 }
 
-impl Ways for Ends {
-    fn say(&mut self, link: PeerLink, frame: Frame) -> bool {
+impl Effects for Ends {
+    fn send(&mut self, link: PeerLink, frame: Frame) -> bool {
         let there = self.open.contains(&link.0);
         if there {
             self.acts.push_back(Done::Say(link.0, frame));
@@ -65,7 +65,7 @@
         self.logs.push(line.into());
     }
 
-    fn keeps(&self) -> bool {
+    fn has_disk(&self) -> bool {
         self.disk.is_some()
     }
 
--- a/crates/serve/src/proxy.rs
+++ b/crates/serve/src/proxy.rs
@@ -6,7 +6,7 @@
 
 use lotussaddle::interface::{DialogueId, ServerId};
 use lotussaddle_edge::{Decisions, Edge, Found, LinkId, Note, Step, Wires};
-use lotussaddle_fleet::{Finding, Member, PeerLink, Verdict, Ways};
+use lotussaddle_fleet::{Effects, Finding, Member, PeerLink, Verdict};
 use lotussaddle_numbers::Tables;
 use lotussaddle_trunk::{Answer, Frame, Message};
 use std::sync::Arc;
@@ -216,14 +216,15 @@
     }
 
     pub fn heard(
-        &mut self, now: Duration, link: LinkId, message: Message, wires: &mut dyn Wires, ways: &mut dyn Ways,
+        &mut self, now: Duration, link: LinkId, message: Message, wires: &mut dyn Wires,
+        effects: &mut dyn Effects,
     ) {
         let core = self.cores.get(&link).filter(|_| self.member.is_some()).cloned();
         match (message.frame, core) {
             (Frame::Audit(audit), Some(server)) => {
                 let (edge, member) = (&self.edge, self.member.as_mut().expect("it was looked for"));
                 let held = |id: &DialogueId| edge.holds(id) == Some(true);
-                member.core_said(now, &server, audit, &held, ways);
+                member.core_said(now, &server, audit, &held, effects);
             }
             (frame, core) => {
                 if let (Frame::Ended { dialogue, .. }, Some(_), Some(member)) =
@@ -245,12 +246,12 @@
         self.settle(now, wires);
     }
 
-    pub fn alarm(&mut self, now: Duration, wires: &mut dyn Wires, ways: &mut dyn Ways) {
+    pub fn alarm(&mut self, now: Duration, wires: &mut dyn Wires, effects: &mut dyn Effects) {
         if self.edge.next_due() <= now {
             self.with_edge(now, wires, |edge, wires| edge.alarm(now, wires));
         }
         if let Some(member) = self.member.as_mut().filter(|member| member.next_due() <= now) {
-            member.alarm(now, ways);
+            member.alarm(now, effects);
         }
         self.tickets.trim();
         self.settle(now, wires);
@@ -285,38 +286,39 @@
     }
 
     pub fn peer_connected(
-        &mut self, now: Duration, link: PeerLink, wires: &mut dyn Wires, ways: &mut dyn Ways,
+        &mut self, now: Duration, link: PeerLink, wires: &mut dyn Wires, effects: &mut dyn Effects,
     ) {
         if let Some(member) = &mut self.member {
-            member.connected(now, link, ways);
+            member.connected(now, link, effects);
         }
         self.settle(now, wires);
     }
 
     pub fn peer_heard(
-        &mut self, now: Duration, link: PeerLink, frame: Frame, wires: &mut dyn Wires, ways: &mut dyn Ways,
+        &mut self, now: Duration, link: PeerLink, frame: Frame, wires: &mut dyn Wires,
+        effects: &mut dyn Effects,
     ) {
         if let Some(member) = &mut self.member {
-            member.heard(now, link, frame, ways);
+            member.heard(now, link, frame, effects);
         }
         self.settle(now, wires);
     }
 
     pub fn peer_lost(
-        &mut self, now: Duration, link: PeerLink, why: &str, wires: &mut dyn Wires, ways: &mut dyn Ways,
+        &mut self, now: Duration, link: PeerLink, why: &str, wires: &mut dyn Wires, effects: &mut dyn Effects,
     ) {
         if let Some(member) = &mut self.member {
-            member.lost(now, link, why, ways);
+            member.lost(now, link, why, effects);
         }
         self.settle(now, wires);
     }
 
-    /// What `Ways::save` was given this number for is on disk, or could not be.
+    /// What `Effects::save` was given this number for is on disk, or could not be.
     pub fn saved(
-        &mut self, now: Duration, number: u64, well: bool, wires: &mut dyn Wires, ways: &mut dyn Ways,
+        &mut self, now: Duration, number: u64, well: bool, wires: &mut dyn Wires, effects: &mut dyn Effects,
     ) {
         if let Some(member) = &mut self.member {
-            member.saved(now, number, well, ways);
+            member.saved(now, number, well, effects);
         }
         self.settle(now, wires);
     }
@@ -334,9 +336,9 @@
     }
 
     /// The end of a turn: what came up in it is sent to peers.
-    pub fn flush(&mut self, now: Duration, wires: &mut dyn Wires, ways: &mut dyn Ways) {
+    pub fn flush(&mut self, now: Duration, wires: &mut dyn Wires, effects: &mut dyn Effects) {
         let Some(member) = &mut self.member else { return };
-        member.flush(now, ways);
+        member.flush(now, effects);
         // What duties have for the edge comes up only here.
         self.settle(now, wires);
     }
@@ -350,10 +352,10 @@
 
     /// One slice of what may wait; `clock` tells how long it takes.
     pub fn work(
-        &mut self, now: Duration, pressed: bool, ways: &mut dyn Ways, clock: &dyn Fn() -> Duration,
+        &mut self, now: Duration, pressed: bool, effects: &mut dyn Effects, clock: &dyn Fn() -> Duration,
     ) -> bool {
         let Some(member) = &mut self.member else { return false };
-        let Some(chore) = member.work(now, pressed, ways) else { return false };
+        let Some(chore) = member.work(now, pressed, effects) else { return false };
         let after = clock();
         member.worked(after, chore, after.saturating_sub(now));
         true
--- a/crates/serve/src/run.rs
+++ b/crates/serve/src/run.rs
@@ -12,7 +12,7 @@
 use lotussaddle::brain::Brain;
 use lotussaddle::interface::{DialogueId, RoutePlan};
 use lotussaddle_edge::{Decisions, Edge, LinkId, Note, Step, Wires};
-use lotussaddle_fleet::{Member, PeerLink, Save, Stored, Ways};
+use lotussaddle_fleet::{Effects, Member, PeerLink, Save, Stored};
 use lotussaddle_links::{Bounds, Gate, Happening, Hub, Token};
 use lotussaddle_numbers::{Tables, Timestamp};
 use lotussaddle_trunk::{Frame, Message};
@@ -129,8 +129,8 @@
     shared: Shared,
 }
 
-impl Ways for PeerSockets {
-    fn say(&mut self, link: PeerLink, frame: Frame) -> bool {
+impl Effects for PeerSockets {
+    fn send(&mut self, link: PeerLink, frame: Frame) -> bool {
         self.hub.as_mut().is_some_and(|hub| hub.say(Token(link.0), frame.into()))
     }
 
@@ -149,7 +149,7 @@
         self.shared.log(Note::Link, &format!("fleet: {line}"));
     }
 
-    fn keeps(&self) -> bool {
+    fn has_disk(&self) -> bool {
         self.shared.records.borrow().is_some()
     }
 
@@ -214,7 +214,7 @@
         *shared.records.borrow_mut() = Some(records);
         (made, stored) = (told, found.member);
     }
-    let mut ways = PeerSockets { hub: None, members: Vec::new(), shared: shared.clone() };
+    let mut effects = PeerSockets { hub: None, members: Vec::new(), shared: shared.clone() };
     let (mut peers, mut peer_gate) = (never(), None);
     let member = match &sheet.fleet {
         None => None,
@@ -222,8 +222,8 @@
             let (hub, happenings) = Hub::new(bounds).context("no thread to begin links of peers")?;
             let gate = Gate::open(&hub, 0, fleet.listen)
                 .with_context(|| format!("cannot listen for peers at {}", fleet.listen))?;
-            (ways.hub, peers) = (Some(hub), happenings);
-            ways.members = fleet.members.iter().map(|(_, address)| *address).collect();
+            (effects.hub, peers) = (Some(hub), happenings);
+            effects.members = fleet.members.iter().map(|(_, address)| *address).collect();
             peer_gate = Some(gate);
             let plan = fleet.plan(&sheet.name, sheet.plan.release);
             Some(Member::new(Duration::ZERO, plan, stored, chance(2)))
@@ -242,7 +242,7 @@
     let _ = std::io::stdout().flush();
     shared.log(Note::Link, &format!("listening at {}", gate.address));
     let start = Instant::now();
-    let mut shell = Shell { proxy, wires, ways, shared, start, rate: clocks.rate, ends_by: None };
+    let mut shell = Shell { proxy, wires, effects, shared, start, rate: clocks.rate, ends_by: None };
     shell.run(&Inputs { happenings, peers, made, read, replies, ends });
     drop(peer_gate);
     Ok(())
@@ -278,7 +278,7 @@
 struct Shell<D> {
     proxy: Proxy<D>,
     wires: Sockets,
-    ways: PeerSockets,
+    effects: PeerSockets,
     shared: Shared,
     start: Instant,
     rate: f64,
@@ -355,15 +355,15 @@
             }
             let now = self.now();
             if self.proxy.next_due() <= now {
-                self.proxy.alarm(now, &mut self.wires, &mut self.ways);
+                self.proxy.alarm(now, &mut self.wires, &mut self.effects);
             }
-            self.proxy.flush(now, &mut self.wires, &mut self.ways);
+            self.proxy.flush(now, &mut self.wires, &mut self.effects);
             if self.proxy.member().is_some() {
                 let (start, rate) = (self.start, self.rate);
                 let clock = move || start.elapsed().mul_f64(rate);
                 let now = self.now();
-                self.proxy.work(now, pressed, &mut self.ways, &clock);
-                self.proxy.flush(now, &mut self.wires, &mut self.ways);
+                self.proxy.work(now, pressed, &mut self.effects, &clock);
+                self.proxy.flush(now, &mut self.wires, &mut self.effects);
             }
             if now >= counts_at {
                 counts_at = now + COUNTS_EVERY;
@@ -406,23 +406,23 @@
             self.shared.log(Note::Link, &line);
         }
         let now = self.now();
-        let (wires, ways) = (&mut self.wires, &mut self.ways);
+        let (wires, effects) = (&mut self.wires, &mut self.effects);
         match order {
             Order::Answer(number) => self.proxy.recorded(now, number, wires),
-            Order::Member(number) => self.proxy.saved(now, number, well, wires, ways),
+            Order::Member(number) => self.proxy.saved(now, number, well, wires, effects),
         }
     }
 
     fn take(&mut self, happening: Happening) {
         let now = self.now();
-        let (proxy, wires, ways) = (&mut self.proxy, &mut self.wires, &mut self.ways);
+        let (proxy, wires, effects) = (&mut self.proxy, &mut self.wires, &mut self.effects);
         match happening {
             Happening::Came(token, _, opened) => {
                 wires.hub.admit(token, opened);
                 proxy.linked(now, LinkId(token.0), wires);
             }
             Happening::Up(token) => proxy.connected(now, LinkId(token.0), wires),
-            Happening::Said(token, message) => proxy.heard(now, LinkId(token.0), message, wires, ways),
+            Happening::Said(token, message) => proxy.heard(now, LinkId(token.0), message, wires, effects),
             Happening::Lost(token, why) => {
                 wires.hub.close(token);
                 proxy.lost(now, LinkId(token.0), &why, wires);
@@ -432,23 +432,23 @@
 
     fn take_peer(&mut self, happening: Happening) {
         let now = self.now();
-        let (proxy, wires, ways) = (&mut self.proxy, &mut self.wires, &mut self.ways);
+        let (proxy, wires, effects) = (&mut self.proxy, &mut self.wires, &mut self.effects);
         match happening {
             Happening::Came(token, _, opened) => {
-                if let Some(hub) = &mut ways.hub {
+                if let Some(hub) = &mut effects.hub {
                     hub.admit(token, opened);
                 }
                 proxy.peer_linked(now, PeerLink(token.0));
             }
-            Happening::Up(token) => proxy.peer_connected(now, PeerLink(token.0), wires, ways),
+            Happening::Up(token) => proxy.peer_connected(now, PeerLink(token.0), wires, effects),
             Happening::Said(token, message) => {
-                proxy.peer_heard(now, PeerLink(token.0), message.frame, wires, ways);
+                proxy.peer_heard(now, PeerLink(token.0), message.frame, wires, effects);
             }
             Happening::Lost(token, why) => {
-                if let Some(hub) = &mut ways.hub {
+                if let Some(hub) = &mut effects.hub {
                     hub.close(token);
                 }
-                proxy.peer_lost(now, PeerLink(token.0), &why, wires, ways);
+                proxy.peer_lost(now, PeerLink(token.0), &why, wires, effects);
             }
         }
     }
