--- a/crates/fleet/src/lives.rs
+++ b/crates/fleet/src/lives.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use crate::sight::Members;
+use crate::membership_view::MemberSet;
 
 /// Not all have answered by then: it is asked again.
 const AGAIN: Duration = Duration::from_millis(500);
@@ -22,7 +22,7 @@
 
 struct Try {
     life: u64,
-    given: Members,
+    given: MemberSet,
     at: Duration,
 }
 
@@ -42,7 +42,7 @@
     /// The highest that is known and was not asked for from here.
     others: u64,
     /// Peers that have said what they know.
-    told: Members,
+    told: MemberSet,
     asking: Option<Try>,
     /// What was given last, by member.
     given: Vec<u64>,
@@ -65,7 +65,7 @@
     /// `asked`: the life that the disk's last process asked for.
     pub fn new(me: u16, members: usize, stored: Option<(u64, u64)>, asked: u64, chance: u64) -> Self {
         let (highest, saved) = stored.unwrap_or_default();
-        let (told, given) = (Members::default(), vec![0; members]);
+        let (told, given) = (MemberSet::default(), vec![0; members]);
         let majority = members / 2 + 1;
         let (own, others) = (vec![asked], highest);
         Self { me, majority, mine: 0, highest, stored, saved, own, others, told, asking: None, given, chance }
@@ -133,7 +133,7 @@
         self.chance =
             self.chance.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         let life = (start_of(self.highest) + 1) << DRAWN | self.chance >> (64 - DRAWN);
-        let mut given = Members::default();
+        let mut given = MemberSet::default();
         given.set(self.me);
         self.asking = Some(Try { life, given, at: now });
         if self.own.len() >= MOST_OWN {
--- a/crates/fleet/src/member/dispatch.rs
+++ b/crates/fleet/src/member/dispatch.rs
@@ -8,8 +8,8 @@
 use super::interface::{Effects, Finding};
 use super::repair::RepairStep;
 use crate::lives::Agreed;
+use crate::membership_view::MemberSet;
 use crate::peers::{Known, PeerLink, Way};
-use crate::sight::Members;
 
 impl Member {
     /// A frame came on a peer link.
@@ -39,7 +39,7 @@
         if known.way != Way::Here {
             return self.close(link, "spoke before it said who it is", effects);
         }
-        self.sight.heard(self.now, member);
+        self.view.heard(self.now, member);
         let place = usize::from(member);
         match peer {
             Peer::Here { .. } => {}
@@ -50,15 +50,15 @@
                 }
             }
             Peer::Beat { life, hears, caught_up, saved } => {
-                self.sight.saved(member, saved);
-                self.sight.beat(member, Members::of(hears), caught_up);
-                if life > 0 && life >= self.sight.life(member) {
+                self.view.saved(member, saved);
+                self.view.beat(member, MemberSet::of(hears), caught_up);
+                if life > 0 && life >= self.view.life(member) {
                     self.peer_lives(member, life, effects);
                 }
             }
             Peer::Copies { life, first, copies } => self.copies_came(member, life, first, &copies, effects),
             Peer::Kept { life, up_to, saved, replaced } if life == self.lives.mine() => {
-                self.sight.saved(member, saved);
+                self.view.saved(member, saved);
                 for Replaced { dialogue, by } in replaced {
                     self.goes(&dialogue);
                     if self.book.replaced(self.now, &dialogue, by) {
@@ -74,7 +74,7 @@
             Peer::Resume { life, have, snapshot } if life == self.lives.mine() => {
                 self.resume_asked(member, have, snapshot);
             }
-            Peer::Piece { life, cursor, next, copies } if life == self.sight.life(member) => {
+            Peer::Piece { life, cursor, next, copies } if life == self.view.life(member) => {
                 self.piece_came(member, cursor, next, &copies, effects);
             }
             Peer::Ask { serial, dialogue, owner } => self.asked(member, serial, dialogue, owner),
@@ -97,7 +97,7 @@
             Peer::Check { act, server } => self.check(member, &act, &server, effects),
             Peer::Publish { act, serial, order } => self.ordered(member, &act, serial, order, effects),
             Peer::Published { serial, why } => {
-                let (now, life) = (self.now, self.sight.life(member));
+                let (now, life) = (self.now, self.view.life(member));
                 if let Some(duties) = &mut self.duties {
                     duties.published(now, member, life, serial, why.as_deref());
                 }
--- a/crates/fleet/src/member/incarnations.rs
+++ b/crates/fleet/src/member/incarnations.rs
@@ -49,7 +49,7 @@
     }
 
     pub(super) fn life_asked(&mut self, link: PeerLink, member: u16, life: u64, effects: &mut dyn Effects) {
-        let (given, highest) = self.lives.asked(member, self.sight.life(member), life);
+        let (given, highest) = self.lives.asked(member, self.view.life(member), life);
         if !given {
             self.tell(link, Frame::Peer(Peer::Life { life, given, highest }), effects);
             return;
@@ -129,8 +129,8 @@
 
     /// A peer is in this life.
     pub(super) fn peer_lives(&mut self, member: u16, life: u64, effects: &mut dyn Effects) {
-        let before = self.sight.life(member);
-        if self.sight.lives(member, life) {
+        let before = self.view.life(member);
+        if self.view.lives(member, life) {
             if before > 0 {
                 self.heirs.ended(self.now, member, before);
             }
--- a/crates/fleet/src/member/links.rs
+++ b/crates/fleet/src/member/links.rs
@@ -38,9 +38,9 @@
     }
 
     pub(super) fn say_here(&mut self, link: PeerLink, member: u16, effects: &mut dyn Effects) {
-        let yours = self.sight.life(member).max(self.lives.given_to(member));
-        let away = (self.sight.life(member) > 0).then(|| self.sight.away(self.now, member));
-        let saved = self.sight.most_saved(member);
+        let yours = self.view.life(member).max(self.lives.given_to(member));
+        let away = (self.view.life(member) > 0).then(|| self.view.away(self.now, member));
+        let saved = self.view.most_saved(member);
         let (group, me, life) = (self.group, self.plan.me, self.lives.mine());
         let here = Peer::Here { group, member: me, life, yours, saved, away };
         self.tell(link, Frame::Peer(here), effects);
@@ -130,7 +130,7 @@
         }
         // A clock here that stood still while the other's went on: what is kept here may be forgotten elsewhere, and would be
         // brought back to life.
-        let mine = self.sight.away(self.now, member);
+        let mine = self.view.away(self.now, member);
         let still = away.filter(|away| *away > mine + mine / 8 + STOOD_STILL && yours == self.lives.mine());
         if self.lives.mine() == 0
             && let Some(away) = away
@@ -156,13 +156,13 @@
             }
             None => {}
         }
-        let new = self.peers.links.contains_key(&link) && !self.sight.hears(self.now, member);
+        let new = self.peers.links.contains_key(&link) && !self.view.hears(self.now, member);
         if new {
             effects.log(&format!("member {} here, in life {}", self.name(member), start_of(life)));
         }
-        self.sight.heard(self.now, member);
+        self.view.heard(self.now, member);
         self.resumed[usize::from(member)] = false;
-        if life >= self.sight.life(member) && life > 0 {
+        if life >= self.view.life(member) && life > 0 {
             self.peer_lives(member, life, effects);
         }
         self.ask_for_life(effects);
--- a/crates/fleet/src/member/mod.rs
+++ b/crates/fleet/src/member/mod.rs
@@ -30,10 +30,10 @@
 use crate::duties::Duties;
 use crate::heirs::Heirs;
 use crate::lives::Lives;
+use crate::membership_view::{MemberSet, MembershipView};
 use crate::peers::Peers;
 use crate::plan::Plan;
 use crate::redial::Redials;
-use crate::sight::{Members, Sight};
 
 use background::{FORGET, LOOK, PIECES, REPAIR};
 use confirmations::Confirmations;
@@ -49,7 +49,7 @@
     plan: Plan,
     group: u64,
     now: Duration,
-    sight: Sight,
+    view: MembershipView,
     lives: Lives,
     peers: Peers,
     book: Book,
@@ -94,7 +94,7 @@
     beat_at: Duration,
     look_at: Duration,
     compare_at: Duration,
-    was_gone: Members,
+    was_gone: MemberSet,
     counts: Counts,
 }
 
@@ -122,7 +122,7 @@
             has_disk: false,
             group: plan.digest(),
             now,
-            sight: Sight::new(now, me, members, plan.silence),
+            view: MembershipView::new(now, me, members, plan.silence),
             lives,
             peers: Peers::new(now, me, members, chance ^ 0x9e37_79b9_7f4a_7c15),
             book,
@@ -158,7 +158,7 @@
             beat_at: now,
             look_at: now,
             compare_at: now + plan.compare_every,
-            was_gone: Members::default(),
+            was_gone: MemberSet::default(),
             counts: Counts::default(),
             plan,
         };
@@ -191,8 +191,8 @@
     }
 
     /// Which peers are heard, and what they have said of themselves.
-    pub fn sight(&self) -> &Sight {
-        &self.sight
+    pub fn view(&self) -> &MembershipView {
+        &self.view
     }
 
     /// Dialogues taken over and kept for their callers; dialogues asked for.
--- a/crates/fleet/src/member/repair.rs
+++ b/crates/fleet/src/member/repair.rs
@@ -71,7 +71,7 @@
                 }
             }
             RepairStep::Prints(range, prints) => {
-                let life = self.sight.life(member);
+                let life = self.view.life(member);
                 let repair = self.book.look(self.now, member, life, range, &prints);
                 self.counts.repaired += (repair.send.len() + repair.want.len() + repair.dropped) as u64;
                 if !repair.want.is_empty() {
--- a/crates/fleet/src/member/search.rs
+++ b/crates/fleet/src/member/search.rs
@@ -54,8 +54,8 @@
             self.book.asked(now, id, owner);
             knows &= self.book.promised(id, owner);
         }
-        let (peers, sight) = (&self.peers, &self.sight);
-        let reached = |member: u16| peers.to(member).is_some() && sight.hears(now, member);
+        let (peers, view) = (&self.peers, &self.view);
+        let reached = |member: u16| peers.to(member).is_some() && view.hears(now, member);
         let begin = Begin { reached: &reached, knows, known, owner, cut_off };
         let todo = self.redials.begin(now, id, begin);
         self.carry_out(todo);
@@ -87,7 +87,7 @@
     }
 
     pub(super) fn asked(&mut self, member: u16, serial: u64, id: DialogueId, owner: Owner) {
-        if owner.member != member || owner.life != self.sight.life(member) {
+        if owner.member != member || owner.life != self.view.life(member) {
             return; // Of another life, or in another's name.
         }
         let todo = self.redials.beaten(&id, owner);
@@ -126,8 +126,8 @@
             let owner = Owner { round: owner.round.max(higher.round + 1), ..owner };
             self.book.asked(self.now, &id, owner);
         }
-        let (peers, sight, now) = (&self.peers, &self.sight, self.now);
-        let reached = |member: u16| peers.to(member).is_some() && sight.hears(now, member);
+        let (peers, view, now) = (&self.peers, &self.view, self.now);
+        let reached = |member: u16| peers.to(member).is_some() && view.hears(now, member);
         let todo = self.redials.answered(now, serial, from, sure, higher, copy.as_ref(), &reached, knows);
         self.carry_out(todo);
     }
--- a/crates/fleet/src/member/streams.rs
+++ b/crates/fleet/src/member/streams.rs
@@ -28,7 +28,7 @@
 impl Member {
     /// Says what is had of a peer's stream, and asks for a snapshot where all before it is not had.
     pub(super) fn resume(&mut self, member: u16, effects: &mut dyn Effects) {
-        let life = self.sight.life(member);
+        let life = self.view.life(member);
         let Some(link) = self.peers.to(member).filter(|_| life > 0 && self.lives.mine() > 0) else { return };
         let incoming = &mut self.incoming[usize::from(member)];
         if incoming.life != life {
--- a/crates/fleet/src/member/timers.rs
+++ b/crates/fleet/src/member/timers.rs
@@ -63,7 +63,7 @@
     }
 
     fn beat(&mut self, effects: &mut dyn Effects) {
-        let hears = self.sight.all_heard(self.now).words().to_vec();
+        let hears = self.view.all_heard(self.now).words().to_vec();
         let (caught_up, saved) = (self.caught_up(), self.writes.saved());
         let beat = Peer::Beat { life: self.lives.mine(), hears, caught_up, saved };
         for member in 0..self.plan.members.len() as u16 {
@@ -77,20 +77,20 @@
     fn look_round(&mut self, effects: &mut dyn Effects) {
         let now = self.now;
         for member in 0..self.plan.members.len() as u16 {
-            let gone = self.sight.gone(now, member);
+            let gone = self.view.gone(now, member);
             if gone && !self.was_gone.has(member) {
                 self.was_gone.set(member);
                 effects.log(&format!("member {} is not heard by a majority", self.name(member)));
-                self.heirs.ended(now, member, self.sight.life(member));
+                self.heirs.ended(now, member, self.view.life(member));
             } else if !gone && self.was_gone.has(member) {
                 self.was_gone.unset(member);
                 effects.log(&format!("member {} is heard again", self.name(member)));
-                let life = self.sight.life(member);
+                let life = self.view.life(member);
                 self.heirs.returned(member, life);
                 self.heirs.ended(now, member, life.saturating_sub(1));
             }
             if let Some(link) = self.peers.to(member)
-                && self.sight.away(now, member) >= self.plan.silence * 2
+                && self.view.away(now, member) >= self.plan.silence * 2
             {
                 self.close(link, "silent, taken as dead", effects);
             }
@@ -103,14 +103,14 @@
             self.close(link, "no greeting in time", effects);
         }
         if self.lives.mine() > 0 {
-            let live = |member: u16| !self.sight.gone(now, member) && self.sight.hears(now, member);
+            let live = |member: u16| !self.view.gone(now, member) && self.view.hears(now, member);
             let (group, plan, me) = (self.book.group(), &self.plan, self.plan.me);
             let is_heir_of = |member: u16| {
                 let print = digest(&[b"estate", plan.members[usize::from(member)].as_bytes()]);
                 group.ranked(print).into_iter().find(|member| live(*member)) == Some(me)
             };
             // One that hears no majority cannot tell who is gone.
-            if self.sight.with_majority(now) {
+            if self.view.with_majority(now) {
                 // Where there are duties one member sweeps for all; else each estate has its own heir.
                 let sweeps = self.duties.as_ref().map(|duties| duties.act(now, SWEEP).is_some());
                 let is_heir_of = |member: u16| sweeps.unwrap_or_else(|| is_heir_of(member));
--- a/crates/fleet/src/sight.rs
+++ b/crates/fleet/src/membership_view.rs
@@ -1,21 +1,24 @@
-//! Who hears whom. A silent member is not known to be dead: what is done about it rests on the majority's word only in when it is
-//! done; that it does no harm rests on numbers that receivers check.
+//! The membership view: who hears whom. A silent member is not known to be dead: what is done about it rests on the majority's word
+//! only in when it is done; that it does no harm rests on numbers that receivers check.
 
 use std::time::Duration;
 
 /// A set of members.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Members(Vec<u64>);
+pub struct MemberSet(Vec<u64>);
 
-impl Members {
+impl MemberSet {
+    /// The set with these bits, as [`MemberSet::words`] gave them.
     pub fn of(words: Vec<u64>) -> Self {
         Self(words)
     }
 
+    /// One bit for each member, lowest first, 64 in a word.
     pub fn words(&self) -> &[u64] {
         &self.0
     }
 
+    /// Adds a member.
     pub fn set(&mut self, member: u16) {
         let (word, bit) = (usize::from(member) / 64, member % 64);
         if self.0.len() <= word {
@@ -24,20 +27,24 @@
         self.0[word] |= 1 << bit;
     }
 
+    /// Removes a member.
     pub fn unset(&mut self, member: u16) {
         if let Some(word) = self.0.get_mut(usize::from(member) / 64) {
             *word &= !(1 << (member % 64));
         }
     }
 
+    /// Whether a member is in the set.
     pub fn has(&self, member: u16) -> bool {
         self.0.get(usize::from(member) / 64).is_some_and(|word| word & (1 << (member % 64)) != 0)
     }
 
+    /// How many members are in the set.
     pub fn len(&self) -> usize {
         self.0.iter().map(|word| word.count_ones() as usize).sum()
     }
 
+    /// Whether no member is in the set.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -47,7 +54,7 @@
     /// When it was heard last; at first, when this began.
     heard: Duration,
     /// Whom it heard, as it said last; none: it has not said.
-    hears: Option<Members>,
+    hears: Option<MemberSet>,
     caught_up: bool,
     /// The highest life of it that is known.
     life: u64,
@@ -55,25 +62,29 @@
     saved: u64,
 }
 
-pub struct Sight {
+/// Which members are heard here, and what each has said of itself.
+pub struct MembershipView {
     me: u16,
     silence: Duration,
     seen: Vec<Seen>,
 }
 
-impl Sight {
+impl MembershipView {
+    /// A view in which all members count as heard `now`; one is silent after `silence`.
     pub fn new(now: Duration, me: u16, members: usize, silence: Duration) -> Self {
         let seen = || Seen { heard: now, hears: None, caught_up: false, life: 0, saved: 0 };
         Self { me, silence, seen: (0..members).map(|_| seen()).collect() }
     }
 
+    /// A frame came from a member.
     pub fn heard(&mut self, now: Duration, member: u16) {
         if let Some(seen) = self.seen.get_mut(usize::from(member)) {
             seen.heard = now;
         }
     }
 
-    pub fn beat(&mut self, member: u16, hears: Members, caught_up: bool) {
+    /// A heartbeat came: whom the member hears, and whether it has caught up.
+    pub fn beat(&mut self, member: u16, hears: MemberSet, caught_up: bool) {
         if let Some(seen) = self.seen.get_mut(usize::from(member)) {
             (seen.hears, seen.caught_up) = (Some(hears), caught_up);
         }
@@ -86,6 +97,7 @@
         }
     }
 
+    /// The most writes that a member's disk is known to have had.
     pub fn most_saved(&self, member: u16) -> u64 {
         self.seen.get(usize::from(member)).map_or(0, |seen| seen.saved)
     }
@@ -98,10 +110,12 @@
         new
     }
 
+    /// The highest life of a member that is known; zero: none.
     pub fn life(&self, member: u16) -> u64 {
         self.seen.get(usize::from(member)).map_or(0, |seen| seen.life)
     }
 
+    /// Whether a member has said that it has caught up.
     pub fn caught_up(&self, member: u16) -> bool {
         self.seen.get(usize::from(member)).is_some_and(|seen| seen.caught_up)
     }
@@ -116,8 +130,9 @@
         member == self.me || self.away(now, member) < self.silence
     }
 
-    pub fn all_heard(&self, now: Duration) -> Members {
-        let mut all = Members::default();
+    /// All members that this one hears, itself included.
+    pub fn all_heard(&self, now: Duration) -> MemberSet {
+        let mut all = MemberSet::default();
         (0..self.seen.len() as u16)
             .filter(|member| self.hears(now, *member))
             .for_each(|member| all.set(member));
@@ -147,5 +162,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/sight.rs"]
+#[path = "../tests/unit/membership_view.rs"]
 mod tests;
--- a/crates/fleet/src/redial.rs
+++ b/crates/fleet/src/redial.rs
@@ -17,7 +17,7 @@
 use lotussaddle_replica::{Copy, Group, Reading, print};
 use lotussaddle_trunk::{Answer, Owner};
 
-use crate::sight::Members;
+use crate::membership_view::MemberSet;
 
 /// A claim that meets a higher one is made anew above it, so often.
 const TRIES: u32 = 3;
@@ -88,10 +88,10 @@
     cut_off: Duration,
     by: Duration,
     /// Asked, and no answer yet.
-    open: Members,
-    asked: Members,
+    open: MemberSet,
+    asked: MemberSet,
     /// Candidates that would know, and have promised.
-    sure: Members,
+    sure: MemberSet,
     candidates: Vec<u16>,
     found: Copy,
     tries: u32,
@@ -181,9 +181,9 @@
             owner: begin.owner,
             cut_off: begin.cut_off,
             by: now + self.within,
-            open: Members::default(),
-            asked: Members::default(),
-            sure: Members::default(),
+            open: MemberSet::default(),
+            asked: MemberSet::default(),
+            sure: MemberSet::default(),
             candidates: self.group.candidates(print(id)).iter().collect(),
             found: begin.known,
             tries: 0,
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -77,15 +77,15 @@
             .map(|(place, name)| {
                 let member = place as u16;
                 let me = member == plan.me;
-                let (life, sight) = (if me { self.life() } else { self.sight().life(member) }, self.sight());
+                let (life, view) = (if me { self.life() } else { self.view().life(member) }, self.view());
                 json!({
                     "name": name,
                     "this": me,
                     "start": start_of(life),
-                    "heard": sight.hears(now, member),
-                    "away_ms": if me { 0 } else { sight.away(now, member).as_millis().min(1 << 40) as u64 },
-                    "gone": sight.gone(now, member),
-                    "caught_up": if me { self.caught_up() } else { sight.caught_up(member) },
+                    "heard": view.hears(now, member),
+                    "away_ms": if me { 0 } else { view.away(now, member).as_millis().min(1 << 40) as u64 },
+                    "gone": view.gone(now, member),
+                    "caught_up": if me { self.caught_up() } else { view.caught_up(member) },
                 })
             })
             .collect();
