--- /dev/null
+++ b/crates/fleet/src/member/saves.rs
@@ -0,0 +1,195 @@
+//! Disk writes and what waits for them: an acknowledgement or a promise is sent only once it is on disk.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use lotussaddle::interface::ServerId;
+use lotussaddle_trunk::{Act, Frame, Peer, Replaced, TablesOrder, copy_bytes};
+
+use super::Member;
+use super::interface::{Effects, Save};
+use crate::peers::PeerLink;
+
+/// What is done once a disk write has succeeded.
+pub(super) enum AfterWrite {
+    /// A message to a member that promises what was written.
+    Say { to: u16, message: Peer },
+    /// A member's writes are kept here, as far as that.
+    Acknowledge { to: u16, life: u64, up_to: u64, replaced: Vec<Replaced> },
+    /// The vote for a peer's incarnation.
+    GrantLife { link: PeerLink, life: u64, highest: u64 },
+    /// An act of the duty `circuits` under a number that was new.
+    Check { from: u16, act: Act, server: ServerId },
+    /// An act of the duty `publish` under a number that was new.
+    Order { from: u16, act: Act, serial: u64, order: TablesOrder },
+}
+
+/// Numbers of disk writes, and what waits for them.
+pub(super) struct DiskWrites {
+    /// The last write that was numbered, and the last that is on disk.
+    issued: u64,
+    saved: u64,
+    /// The last write that the disk took, and the last of which it told what came of it.
+    accepted: u64,
+    reported: u64,
+    waiting: BTreeMap<u64, Vec<AfterWrite>>,
+}
+
+impl DiskWrites {
+    /// `count`: the writes that the disk has had in earlier processes.
+    pub(super) fn new(count: u64) -> Self {
+        Self { issued: count, saved: count, accepted: 0, reported: 0, waiting: BTreeMap::new() }
+    }
+
+    /// The last write that is on disk.
+    pub(super) fn saved(&self) -> u64 {
+        self.saved
+    }
+
+    /// From here on writes are numbered above this.
+    pub(super) fn count_from(&mut self, number: u64) {
+        self.issued = self.issued.max(number);
+    }
+
+    /// Counts a change that is kept in memory alone: a disk that lacks it is told by that.
+    fn count_in_memory(&mut self) {
+        self.issued += 1;
+        self.saved = self.saved.max(self.issued);
+    }
+
+    /// Has it kept on disk; gives the write's number, none where there is no disk to wait for.
+    fn submit(&mut self, mut what: Vec<Save>, effects: &mut dyn Effects) -> Option<u64> {
+        let number = self.issued + 1;
+        what.push(Save::Count(number));
+        if !effects.save(what, number) {
+            self.count_in_memory();
+            return None;
+        }
+        self.issued = number;
+        self.accepted = number;
+        Some(number)
+    }
+
+    /// Whether the disk has yet to tell of this write.
+    pub(super) fn is_pending(&self, number: u64) -> bool {
+        number > self.reported
+    }
+
+    /// The last write of which the disk has yet to tell.
+    fn last_pending(&self) -> Option<u64> {
+        Some(self.accepted).filter(|number| self.is_pending(*number))
+    }
+
+    /// This is done after that write.
+    pub(super) fn wait_for(&mut self, number: u64, after: impl IntoIterator<Item = AfterWrite>) {
+        self.waiting.entry(number).or_default().extend(after);
+    }
+
+    /// The disk tells of a write; gives what waited for it.
+    fn report(&mut self, number: u64, well: bool) -> Vec<AfterWrite> {
+        if well {
+            self.saved = self.saved.max(number);
+        }
+        self.reported = self.reported.max(number);
+        self.waiting.remove(&number).unwrap_or_default()
+    }
+}
+
+impl Member {
+    /// Sends what came up in this turn: acknowledgements, writes, what is to be kept on disk.
+    pub fn flush(&mut self, now: Duration, effects: &mut dyn Effects) {
+        self.now = now;
+        self.settle_duties(effects);
+        let mut after = self.owed_acknowledgements();
+        self.save_changed(effects);
+        let known = std::mem::take(&mut self.known).into_iter();
+        after.extend(known.map(|(to, message)| AfterWrite::Say { to, message }));
+        self.do_after_last_write(after, effects);
+        for (member, peer) in std::mem::take(&mut self.to_say) {
+            if let Some(link) = self.peers.to(member) {
+                self.tell(link, Frame::Peer(peer), effects);
+            }
+        }
+        self.send_streams(effects);
+    }
+
+    /// What peers have sent and is not acknowledged yet.
+    fn owed_acknowledgements(&mut self) -> Vec<AfterWrite> {
+        let mut owed = Vec::new();
+        for (place, incoming) in self.incoming.iter_mut().enumerate() {
+            let replaced = std::mem::take(&mut incoming.replaced);
+            let up_to = if incoming.synced && std::mem::take(&mut incoming.owed) { incoming.have } else { 0 };
+            if up_to > 0 || !replaced.is_empty() {
+                owed.push(AfterWrite::Acknowledge { to: place as u16, life: incoming.life, up_to, replaced });
+            }
+        }
+        owed
+    }
+
+    /// Has the copies that changed in this turn kept on disk.
+    fn save_changed(&mut self, effects: &mut dyn Effects) {
+        let changed = std::mem::take(&mut self.changed);
+        if changed.is_empty() {
+            return;
+        }
+        if !effects.has_disk() {
+            return self.writes.count_in_memory();
+        }
+        let now = self.now;
+        let copies = changed.into_iter().map(|id| {
+            let copy = self.book.get(&id).map(|copy| copy_bytes(&copy.sent(now, &id)));
+            Save::Copy(id, copy)
+        });
+        let copies: Vec<Save> = copies.collect();
+        self.order(copies, effects);
+    }
+
+    /// An acknowledgement says that it is kept: on disk, where there is one, and with all that came before it.
+    fn do_after_last_write(&mut self, after: Vec<AfterWrite>, effects: &mut dyn Effects) {
+        match self.writes.last_pending() {
+            Some(number) => self.writes.wait_for(number, after),
+            None => after.into_iter().for_each(|after| self.is_saved(after, effects)),
+        }
+    }
+
+    /// Has it kept on disk; gives the write's number, none where there is no disk to wait for.
+    pub(super) fn order(&mut self, what: Vec<Save>, effects: &mut dyn Effects) -> Option<u64> {
+        self.writes.submit(what, effects)
+    }
+
+    /// What [`Effects::save`] was given this number for is on disk; or it failed, and nothing more is kept there.
+    pub fn saved(&mut self, now: Duration, number: u64, well: bool, effects: &mut dyn Effects) {
+        self.now = now;
+        let waited = self.writes.report(number, well);
+        self.duties.iter_mut().for_each(|duties| duties.saved(now, number, well));
+        // Not kept: not acknowledged. The owner goes by whoever else has it.
+        for after in waited.into_iter().filter(|_| well) {
+            self.is_saved(after, effects);
+        }
+    }
+
+    fn is_saved(&mut self, after: AfterWrite, effects: &mut dyn Effects) {
+        match after {
+            AfterWrite::Say { to, message } => {
+                if let Some(link) = self.peers.to(to) {
+                    self.tell(link, Frame::Peer(message), effects);
+                }
+            }
+            AfterWrite::Acknowledge { to, life, up_to, replaced } => {
+                if let Some(link) = self.peers.to(to) {
+                    let saved = self.writes.saved();
+                    self.tell(link, Frame::Peer(Peer::Kept { life, up_to, saved, replaced }), effects);
+                }
+            }
+            AfterWrite::GrantLife { link, life, highest } => {
+                if self.peers.links.contains_key(&link) {
+                    self.tell(link, Frame::Peer(Peer::Life { life, given: true, highest }), effects);
+                }
+            }
+            AfterWrite::Check { from, act, server } => self.check(from, &act, &server, effects),
+            AfterWrite::Order { from, act, serial, order } => {
+                self.ordered(from, &act, serial, order, effects)
+            }
+        }
+    }
+}
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -9,7 +9,7 @@
 
 use crate::duties::{Duty, NAMES};
 use crate::lives::start_of;
-use crate::member::{Member, Ways};
+use crate::member::{Effects, Member};
 use crate::peers::PeerLink;
 
 /// Bytes of text in one frame, and dialogues listed, at most.
@@ -77,15 +77,15 @@
             .map(|(place, name)| {
                 let member = place as u16;
                 let me = member == plan.me;
-                let (life, sight) = (if me { self.life() } else { self.sight().life(member) }, self.sight());
+                let (life, view) = (if me { self.life() } else { self.view().life(member) }, self.view());
                 json!({
                     "name": name,
                     "this": me,
                     "start": start_of(life),
-                    "heard": sight.hears(now, member),
-                    "away_ms": if me { 0 } else { sight.away(now, member).as_millis().min(1 << 40) as u64 },
-                    "gone": sight.gone(now, member),
-                    "caught_up": if me { self.caught_up() } else { sight.caught_up(member) },
+                    "heard": view.hears(now, member),
+                    "away_ms": if me { 0 } else { view.away(now, member).as_millis().min(1 << 40) as u64 },
+                    "gone": view.gone(now, member),
+                    "caught_up": if me { self.caught_up() } else { view.caught_up(member) },
                 })
             })
             .collect();
@@ -147,7 +147,7 @@
         json!({ "ordered": rest })
     }
 
-    pub(crate) fn inquired(&mut self, link: PeerLink, what: &str, ways: &mut dyn Ways) {
+    pub(crate) fn inquired(&mut self, link: PeerLink, what: &str, effects: &mut dyn Effects) {
         let now = self.now();
         let names = &self.plan().members;
         let told = match what.split_once(' ') {
@@ -181,7 +181,7 @@
             }
             let (piece, after) = rest.split_at(cut);
             let more = !after.is_empty();
-            if !ways.say(link, Frame::Peer(Peer::Tell { more, text: piece.into() })) || !more {
+            if !effects.send(link, Frame::Peer(Peer::Tell { more, text: piece.into() })) || !more {
                 return;
             }
             rest = after;
