--- a/crates/sheet/src/lib.rs
+++ b/crates/sheet/src/lib.rs
@@ -143,6 +143,11 @@
         Block { sheet: self, nodes: self.document.nodes(), offset: 0, asked: RefCell::default() }
     }
 
+    /// The text as it was read.
+    pub fn source(&self) -> &str {
+        &self.text
+    }
+
     /// Done reading: no mistake, or all of them.
     pub fn finish(self) -> Result<(), Mistakes> {
         let mut all = self.mistakes.into_inner();
