--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,10 +1,11 @@
-//! The command `lotussaddle`: edge proxy, stand-ins, days. Errors go to standard error in one plain message; the
+//! The command `lotussaddle`: edge proxy, stand-ins, days, scale runs. Errors go to standard error in one plain message; the
 //! exit code is 2 for bad usage or input, 1 for a broken rule or a failed check, 0 else.
 
 mod days;
 mod fleets;
 mod numbers;
 mod report;
+mod scale;
 mod stores;
 
 use std::path::PathBuf;
@@ -92,6 +93,11 @@
         #[command(subcommand)]
         what: days::DayCommand,
     },
+    /// Scale runs: what a member costs as the fleet grows.
+    Scale {
+        #[command(subcommand)]
+        what: scale::ScaleCommand,
+    },
 }
 
 #[derive(Clone, Copy, ValueEnum)]
@@ -166,6 +172,7 @@
         What::Numbers { what } => numbers::run(what),
         What::Fleet { what } => fleets::run(what),
         What::Day { what } => days::run(what),
+        What::Scale { what } => scale::run(what),
     }
 }
 
--- a/crates/scale/src/plan.rs
+++ b/crates/scale/src/plan.rs
@@ -15,6 +15,8 @@
 const DAY: Duration = Duration::from_secs(24 * 3600);
 /// Members of a fleet, at most: several times the fleet that is planned for.
 pub const MAX_SIZE: usize = 20_000;
+/// Letters of a plan's name, at most.
+const MAX_NAME: usize = 64;
 /// Sizes of one plan, at most.
 const MAX_SIZES: usize = 32;
 /// Configuration changes or membership changes a day, at most.
@@ -228,7 +230,7 @@
         let duration = root.time("duration", SECOND..=TIME_CAP, None);
         let bounds = root.need("bounds").map_or_else(Bounds::caps, |node| Bounds::from_node(&node));
         let plan = Self {
-            name: root.text("name", None),
+            name: read_name(root),
             text: text.into(),
             mode: read_mode(root),
             sizes: read_sizes(root),
@@ -251,11 +253,38 @@
 
     /// Notes what is right by itself and wrong together.
     fn note_contradictions(&self, root: &Block) {
+        let wrong = |name: &str, what: &str| {
+            if let Some(node) = root.maybe(name) {
+                node.wrong(what);
+            }
+        };
         if self.calls.is_some() && self.mode == Mode::Virtual {
-            root.wrong("calls are carried by real processes: mode sockets only");
+            wrong("calls", "calls are carried by real processes: mode sockets only");
+        }
+        let measures = |quantity| self.measure.contains(&quantity);
+        if measures(Quantity::CallAdded) && self.calls.is_none() {
+            wrong("measure", "call-added is measured on calls, and the plan has none");
+        }
+        if measures(Quantity::Descriptors) && self.mode == Mode::Virtual {
+            wrong("measure", "descriptors are opened over sockets: mode sockets only");
         }
-        if self.calls.is_none() && self.measure.contains(&Quantity::CallAdded) {
-            root.wrong("call-added is measured on calls, and the plan has none");
+        if measures(Quantity::ChangeInForce) && self.changes.are_none() {
+            wrong("measure", "change-in-force is measured on changes, and the plan has none");
+        }
+        if measures(Quantity::DeathKnown) && self.departures.is_empty() && self.turnover.is_none() {
+            wrong("measure", "death-known is measured on departures or turnover, and the plan has neither");
+        }
+        self.note_departures_of_all(root);
+    }
+
+    fn note_departures_of_all(&self, root: &Block) {
+        let Some(smallest) = self.sizes.first() else { return };
+        for (departure, node) in self.departures.iter().zip(root.many("departure")) {
+            if let Scope::Members(count) = departure.scope
+                && count >= *smallest
+            {
+                node.wrong(format!("a departure of {count} members leaves none of size {smallest}"));
+            }
         }
     }
 }
@@ -264,6 +293,17 @@
     root.many(name).iter().map(read).collect()
 }
 
+/// A name that stands in the names of files.
+fn read_name(root: &Block) -> String {
+    let Some(node) = root.need("name") else { return String::new() };
+    let name = node.text(0).unwrap_or_default();
+    let fits = |letter: char| letter.is_ascii_alphanumeric() || letter == '-';
+    if name.len() > MAX_NAME || !name.chars().all(fits) {
+        node.wrong(format!("name wants up to {MAX_NAME} letters, digits and hyphens"));
+    }
+    name
+}
+
 fn read_mode(root: &Block) -> Mode {
     let Some(node) = root.need("mode") else { return Mode::Virtual };
     match node.text(0).as_deref() {
@@ -401,6 +441,10 @@
         Self { pace: PerDay(0.0), bursts: Vec::new() }
     }
 
+    fn are_none(&self) -> bool {
+        self.pace.interval().is_none() && self.bursts.is_empty()
+    }
+
     fn from_node(node: &Node, duration: Duration) -> Self {
         let block = node.block();
         Self {
@@ -428,6 +472,10 @@
         Self { pace: PerDay(0.0), back_after: Duration::ZERO }
     }
 
+    fn is_none(&self) -> bool {
+        self.pace.interval().is_none()
+    }
+
     fn from_node(node: &Node) -> Self {
         let block = node.block();
         Self {
--- a/crates/scale/src/record.rs
+++ b/crates/scale/src/record.rs
@@ -1,5 +1,6 @@
 //! Records: what one run of one size measured, and by what it was made.
 
+use std::collections::BTreeSet;
 use std::fmt;
 
 use hdrhistogram::Histogram;
@@ -163,6 +164,40 @@
     pub observations: Observations,
 }
 
+impl RunRecord {
+    /// The quantities that it has a value of.
+    pub fn measured(&self) -> BTreeSet<Quantity> {
+        let Observations { measurements, distributions } = &self.observations;
+        let of_measurements = measurements.iter().map(|measurement| measurement.quantity);
+        let of_distributions = distributions.iter().map(|distribution| distribution.quantity);
+        of_measurements.chain(of_distributions).collect()
+    }
+}
+
+impl Role {
+    /// The role as records write it.
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::EdgeProxy => "edge-proxy",
+            Self::Leader => "leader",
+            Self::Voter => "voter",
+            Self::ControlMachine => "control-machine",
+        }
+    }
+}
+
+impl Aggregate {
+    /// The aggregate as records write it.
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::Mean => "mean",
+            Self::WorstTenSeconds => "worst-ten-seconds",
+            Self::MaxMember => "max-member",
+            Self::Total => "total",
+        }
+    }
+}
+
 impl Quantity {
     /// All quantities, in the order of reports.
     pub const ALL: [Self; 13] = [
@@ -253,18 +288,3 @@
         })
     }
 }
-
-impl Commit {
-    /// The commit of the working directory, or "unknown".
-    pub fn here() -> Self {
-        Self { hash: "unknown".into(), dirty: false }
-    }
-}
-
-impl Machine {
-    /// The machine that this process runs on.
-    pub fn here() -> Self {
-        let cores = std::thread::available_parallelism().map_or(1, usize::from);
-        Self { cores, memory_bytes: None }
-    }
-}
