--- a/crates/scale/tests/command.rs
+++ b/crates/scale/tests/command.rs
@@ -2,7 +2,6 @@
 
 use std::cell::RefCell;
 use std::path::Path;
-use std::process::{Command, Stdio};
 use std::sync::mpsc::{Receiver, RecvTimeoutError, channel};
 use std::time::Duration;
 
@@ -10,7 +9,6 @@
 use lotussaddle_scale::error::ScaleError;
 use lotussaddle_scale::limits::Needs;
 use lotussaddle_scale::plan::{Bounds, Bytes, ScalePlan};
-use lotussaddle_scale::process_tree::ProcessTree;
 use lotussaddle_scale::record::{Aggregate, Measurement, Observations, Quantity};
 use lotussaddle_scale::record_file::{load_directories, load_record};
 use lotussaddle_scale::runner::{RunContext, Runner};
@@ -161,17 +159,3 @@
     drop(watchdog);
     assert_eq!(told.recv_timeout(Duration::from_secs(20)).err(), Some(RecvTimeoutError::Disconnected));
 }
-
-#[test]
-fn the_processes_that_a_run_starts_count() {
-    // Other tests of this file start none.
-    let before = ProcessTree::here().unwrap();
-    assert!(before.resident_bytes > 1 << 20, "{before:?}");
-    let mut child = Command::new("cat").stdin(Stdio::piped()).stdout(Stdio::null()).spawn().unwrap();
-    let with_child = ProcessTree::here().unwrap();
-    drop(child.stdin.take());
-    child.wait().unwrap();
-    let after = ProcessTree::here().unwrap();
-    assert!(with_child.processes > before.processes, "{before:?}, then {with_child:?}");
-    assert!(after.processes < with_child.processes, "{with_child:?}, then {after:?}");
-}
--- a/crates/scale/tests/fit.rs
+++ b/crates/scale/tests/fit.rs
@@ -374,9 +374,8 @@
         prop_assert!(chosen.law == law || chosen.not_excluded.contains(&law) || law == Law::Constant, "{chosen:?}");
         if chosen.law == law && law != Law::Constant {
             let found = chosen.slope.unwrap();
-            // One draw in 20 is outside of the 95% interval itself.
-            let half_width = (found.high - found.low) / 2.0;
-            prop_assert!((found.value - slope).abs() <= 3.0 * half_width, "{found:?}, not {slope}");
+            // Intervals are held over many draws above; here no single one may be far off.
+            prop_assert!((found.value / slope - 1.0).abs() < 0.25, "{found:?}, not {slope}");
         }
     }
 
