--- a/crates/scale/src/campaign.rs
+++ b/crates/scale/src/campaign.rs
@@ -6,14 +6,16 @@
 use crate::error::ScaleError;
 use crate::limits::{Refusal, SystemLimits};
 use crate::plan::ScalePlan;
+use crate::record::Commit;
 use crate::record_file::{StoredRecord, record_path, save_record};
-use crate::runner::{RunContext, Runner, run};
+use crate::runner::{RunContext, Runner, run_at_commit};
 
 /// A plan that was found to fit its bounds, ready to be run at each of its sizes.
 pub struct Campaign<'a> {
     plan: &'a ScalePlan,
     runner: &'a dyn Runner,
     settings: CampaignSettings,
+    commit: Commit,
 }
 
 /// What is told beside the plan.
@@ -44,14 +46,14 @@
                 return Err(ScaleError::RecordExists { path });
             }
         }
-        Ok(Self { plan, runner, settings })
+        Ok(Self { plan, runner, settings, commit: Commit::here() })
     }
 
     /// Runs one of the plan's sizes and saves its record.
     pub fn run_size(&self, size: usize) -> Result<StoredRecord, ScaleError> {
         let CampaignSettings { seed, out, executable } = &self.settings;
         let context = RunContext { size, seed: *seed, executable: executable.clone() };
-        let record = run(self.plan, &context, self.runner)?;
+        let record = run_at_commit(self.plan, &context, self.runner, self.commit.clone())?;
         let path = save_record(&record, out)?;
         Ok(StoredRecord { path, record })
     }
--- a/crates/scale/src/report.rs
+++ b/crates/scale/src/report.rs
@@ -86,9 +86,10 @@
         let value = figure(point.value);
         writeln!(
             formatter,
-            "  N={}: {value} over {} seeds{spread}, residual {} ({relative})",
+            "  N={}: {value} over {} seed{}{spread}, residual {} ({relative})",
             point.size,
             point.seeds,
+            if point.seeds == 1 { "" } else { "s" },
             figure(residual.residual)
         )?;
     }
--- a/crates/scale/src/runner.rs
+++ b/crates/scale/src/runner.rs
@@ -38,7 +38,13 @@
 
 /// Plays a plan at one size and makes the record of it.
 pub fn run(plan: &ScalePlan, context: &RunContext, runner: &dyn Runner) -> Result<RunRecord, ScaleError> {
-    let commit = Commit::here();
+    run_at_commit(plan, context, runner, Commit::here())
+}
+
+/// As [`run`], where the commit is known: asking git starts a process, which a watched run should not.
+pub fn run_at_commit(
+    plan: &ScalePlan, context: &RunContext, runner: &dyn Runner, commit: Commit,
+) -> Result<RunRecord, ScaleError> {
     let machine = Machine::here();
     let started = Instant::now();
     let observations = runner.run(plan, context)?;
