--- a/crates/cli/benches/through.rs
+++ b/crates/cli/benches/through.rs
@@ -1,7 +1,7 @@
 //! What one edge proxy process adds to a set-up over loopback, how many dialogues a second it carries, and what
 //! memory and threads it takes, beside a bare relay that passes the same frames and decides nothing.
 //! `cargo bench -p lotussaddle-cli --bench through`; with `-- --fleet` what sharing copies costs, by copies/acknowledgements awaited
-//! (d: on disk).
+//! (d: on disk); with `-- --hops DIR` the histograms of one hop that `lotussaddle scale chain` reads.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader};
@@ -347,6 +347,98 @@
     }
 }
 
+/// Rates of one edge proxy at the target: its share of all calls, and that share when each call passes 15 edge proxies.
+const HOP_RATES: [f64; 2] = [85.0, 1280.0];
+const HOP_SECONDS: f64 = 10.0;
+
+/// Set-ups sent straight to core servers, with no edge proxy between: what the network and the core server take.
+fn measure_direct(addresses: &[SocketAddr], rate: f64) -> Histogram<u64> {
+    let (mut hub, happenings) = hub();
+    let links: Vec<Token> = addresses[1..].iter().map(|address| hub.connect(&address.to_string())).collect();
+    greet_when_up(&mut hub, &happenings, links.len());
+    let mut times = Histogram::new_with_bounds(1, 60_000_000, 3).expect("allowed");
+    let begun = Instant::now();
+    for count in 0..(rate * HOP_SECONDS) as u64 {
+        let due = begun + Duration::from_secs_f64(count as f64 / rate);
+        thread::sleep(due.saturating_duration_since(Instant::now()));
+        let dialogue = DialogueId(Arc::from(format!("direct-{count}")));
+        let launch = Launch {
+            dialogue: dialogue.clone(),
+            launch: LaunchNo(0),
+            key: None,
+            product: 0,
+            width: 1.0,
+            time_left: Duration::from_secs(3),
+            number: None,
+            routing: None,
+            owner: None,
+        };
+        let sent = Instant::now();
+        hub.say(links[count as usize % links.len()], Frame::Launch(launch).into());
+        await_stood(&mut hub, &happenings, &dialogue);
+        times.saturating_record((sent.elapsed().as_micros() as u64).max(1));
+    }
+    times
+}
+
+/// Says hello on each link as it comes up, and returns when all are.
+fn greet_when_up(hub: &mut Hub, happenings: &Receiver<Happening>, links: usize) {
+    let mut up = 0;
+    while up < links {
+        match happenings.recv_timeout(Duration::from_secs(3)).expect("links to core servers") {
+            Happening::Up(token) => {
+                hub.say(token, hello(Role::Edge, "direct"));
+                up += 1;
+            }
+            Happening::Lost(..) => panic!("a link to a core server did not come up"),
+            _ => {}
+        }
+    }
+}
+
+fn await_stood(hub: &mut Hub, happenings: &Receiver<Happening>, awaited: &DialogueId) {
+    while let Ok(happening) = happenings.recv_timeout(Duration::from_secs(3)) {
+        match happening {
+            Happening::Said(token, Message { frame: Frame::Ping { nonce }, .. }) => {
+                hub.say(token, Frame::Pong { nonce }.into());
+            }
+            Happening::Said(_, Message { frame: Frame::Stood { dialogue, .. }, .. })
+                if dialogue == *awaited =>
+            {
+                return;
+            }
+            _ => {}
+        }
+    }
+    panic!("a core server did not answer");
+}
+
+/// The list of `[upper bound in microseconds, count]` that `lotussaddle scale chain` reads.
+fn write_hops(folder: &std::path::Path, name: &str, rate: f64, times: &Histogram<u64>) {
+    let buckets: Vec<[u64; 2]> =
+        times.iter_recorded().map(|bucket| [bucket.value_iterated_to(), bucket.count_at_value()]).collect();
+    let path = folder.join(format!("{name}-{rate:.0}.json"));
+    std::fs::write(&path, serde_json::to_string(&buckets).expect("numbers")).expect("written");
+    let at = |quantile: f64| times.value_at_quantile(quantile);
+    println!("{name:<6} {rate:>8.0}/s p50 {} p99 {} most {} us", at(0.5), at(0.99), times.max());
+}
+
+fn measure_hops(
+    list: SocketAddr, addresses: &[SocketAddr], scratch: &std::path::Path, out: &std::path::Path,
+) {
+    std::fs::create_dir_all(out).expect("a folder");
+    for rate in HOP_RATES {
+        write_hops(out, "direct", rate, &measure_direct(addresses, rate));
+        let alone = vec![edge(list, scratch)];
+        for (name, processes) in [("alone", alone), ("fleet", fleet(list, scratch, 2, 1, false))] {
+            thread::sleep(Duration::from_millis(1500));
+            let mut callers = Callers::new(&processes[0].1, LINKS);
+            callers.dial(rate, 1.0, true);
+            write_hops(out, name, rate, &callers.dial(rate, HOP_SECONDS, true).times);
+        }
+    }
+}
+
 fn told(name: &str, rate: f64, load: &Load, busy: f64) {
     let at = |q: f64| load.times.value_at_quantile(q) as f64 / 1000.0;
     println!(
@@ -368,6 +460,10 @@
     }
     let folder = tempfile::tempdir().expect("a folder");
     let (list, addresses) = cores();
+    if let Some(place) = arguments.iter().position(|a| a == "--hops") {
+        let out = arguments.get(place + 1).expect("a folder for the histograms");
+        return measure_hops(list, &addresses, folder.path(), std::path::Path::new(out));
+    }
     println!("dial to stands, ms; busy: processors used by the process");
     println!(
         "{:<6} {:>8} {:>9} {:>8} {:>8} {:>8} {:>8} {:>9} {:>9}",
