--- a/crates/fleet/src/member/dispatch.rs
+++ b/crates/fleet/src/member/dispatch.rs
@@ -51,7 +51,7 @@
             }
             Peer::Beat { life, hears, caught_up, saved } => {
                 self.view.saved(member, saved);
-                self.view.beat(member, MemberSet::of(hears), caught_up);
+                self.view.heartbeat(member, MemberSet::of(hears), caught_up);
                 if life > 0 && life >= self.view.life(member) {
                     self.peer_lives(member, life, effects);
                 }
--- a/crates/fleet/src/member/incarnations.rs
+++ b/crates/fleet/src/member/incarnations.rs
@@ -108,7 +108,7 @@
         }
         // A former life of this member left something behind, perhaps.
         self.heirs.ended(self.now, self.plan.me, life - 1);
-        self.beat_at = self.now;
+        self.heartbeat_at = self.now;
     }
 
     /// This process has no life until it gets a new one: nothing is copied under the old one.
--- a/crates/fleet/src/member/timers.rs
+++ b/crates/fleet/src/member/timers.rs
@@ -28,7 +28,7 @@
             Some(self.look_at),
             Some(self.compare_at),
         ];
-        dues.into_iter().flatten().fold(self.beat_at, Duration::min)
+        dues.into_iter().flatten().fold(self.heartbeat_at, Duration::min)
     }
 
     /// The time given by `next_due` has come.
@@ -47,9 +47,9 @@
         self.unconfirmed();
         let deeds = self.heirs.alarm(now);
         self.do_deeds(deeds);
-        if self.beat_at <= now {
-            self.beat_at = now + self.plan.beat();
-            self.beat(effects);
+        if self.heartbeat_at <= now {
+            self.heartbeat_at = now + self.plan.heartbeat_interval();
+            self.send_heartbeats(effects);
         }
         if self.look_at <= now {
             self.look_at = now + self.plan.silence / 2;
@@ -62,13 +62,13 @@
         self.want_chores();
     }
 
-    fn beat(&mut self, effects: &mut dyn Effects) {
+    fn send_heartbeats(&mut self, effects: &mut dyn Effects) {
         let hears = self.view.all_heard(self.now).words().to_vec();
         let (caught_up, saved) = (self.caught_up(), self.writes.saved());
-        let beat = Peer::Beat { life: self.lives.mine(), hears, caught_up, saved };
+        let heartbeat = Peer::Beat { life: self.lives.mine(), hears, caught_up, saved };
         for member in 0..self.plan.members.len() as u16 {
             if let Some(link) = self.peers.to(member) {
-                self.tell(link, Frame::Peer(beat.clone()), effects);
+                self.tell(link, Frame::Peer(heartbeat.clone()), effects);
             }
         }
     }
--- a/crates/fleet/src/membership_view.rs
+++ b/crates/fleet/src/membership_view.rs
@@ -84,7 +84,7 @@
     }
 
     /// A heartbeat came: whom the member hears, and whether it has caught up.
-    pub fn beat(&mut self, member: u16, hears: MemberSet, caught_up: bool) {
+    pub fn heartbeat(&mut self, member: u16, hears: MemberSet, caught_up: bool) {
         if let Some(seen) = self.seen.get_mut(usize::from(member)) {
             (seen.hears, seen.caught_up) = (Some(hears), caught_up);
         }
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -108,8 +108,8 @@
         self.members.len() / 2 + 1
     }
 
-    /// How often a member says that it is there.
-    pub fn beat(&self) -> Duration {
+    /// How often a member sends a heartbeat.
+    pub fn heartbeat_interval(&self) -> Duration {
         (self.silence / 5).max(MS)
     }
 }
--- a/crates/fleet/tests/unit/membership_view.rs
+++ b/crates/fleet/tests/unit/membership_view.rs
@@ -18,12 +18,12 @@
     assert!(!view.gone(ms(999), 4), "it was never heard, and has had no time to be");
     for member in 1..4 {
         view.heard(ms(1100), member);
-        view.beat(member, all_but(9), true);
+        view.heartbeat(member, all_but(9), true);
     }
     assert!(!view.gone(ms(1100), 4), "this one alone does not hear it");
-    view.beat(1, all_but(4), true);
+    view.heartbeat(1, all_but(4), true);
     assert!(!view.gone(ms(1100), 4));
-    view.beat(2, all_but(4), true);
+    view.heartbeat(2, all_but(4), true);
     assert!(view.gone(ms(1100), 4), "three of five");
     // What those say that are silent themselves does not count.
     assert!(!view.gone(ms(2200), 4));
@@ -31,7 +31,7 @@
     for member in 1..5 {
         view.heard(ms(3000), member);
     }
-    view.beat(3, all_but(4), true);
+    view.heartbeat(3, all_but(4), true);
     assert!(view.gone(ms(3000), 4) && view.hears(ms(3000), 4));
     assert!(!view.gone(ms(9000), 0), "nobody is gone for itself");
 }
