--- a/crates/fleet/src/duties.rs
+++ b/crates/fleet/src/duties.rs
@@ -96,8 +96,8 @@
     }
 }
 
-/// What is to be done in the world, beside what findings say.
-pub(crate) enum ToDo {
+/// What the duties of this member ask to be done.
+pub(crate) enum DutyAction {
     Say(u16, Vec<u8>),
     /// Kept on disk under this number.
     Keep(u64, Vec<u8>),
@@ -114,7 +114,7 @@
     fence: Fence,
     circuits: Circuits,
     publish: Publish,
-    checks: Vec<ToDo>,
+    checks: Vec<DutyAction>,
     /// Since when duties are held here.
     since: BTreeMap<Duty, Duration>,
     events: VecDeque<(Duration, String)>,
@@ -234,7 +234,7 @@
         if let Some(act) = self.act(now, CIRCUITS)
             && let Some((Step::Check(server), mark)) = self.circuits.step(now, cores)
         {
-            self.checks.push(ToDo::Check(act, server));
+            self.checks.push(DutyAction::Check(act, server));
             self.lease.mark(now, CIRCUITS, mark);
         }
     }
@@ -275,17 +275,17 @@
     }
 
     /// What has come of all inputs since it was asked last.
-    pub fn outs(&mut self, now: Duration) -> Vec<ToDo> {
-        let mut todo = std::mem::take(&mut self.checks);
+    pub fn outs(&mut self, now: Duration) -> Vec<DutyAction> {
+        let mut actions = std::mem::take(&mut self.checks);
         for out in self.lease.outs() {
             match out {
                 Out::Say(to, word) => {
                     let word = postcard::to_allocvec(&word).expect("words are plain");
-                    todo.push(ToDo::Say(to, word));
+                    actions.push(DutyAction::Say(to, word));
                 }
                 Out::Keep(number, kept) => {
                     let kept = postcard::to_allocvec(&kept).expect("votes and tables are plain");
-                    todo.push(ToDo::Keep(number, kept));
+                    actions.push(DutyAction::Keep(number, kept));
                 }
                 Out::Began(duty, number, mark) => {
                     self.since.insert(duty, now);
@@ -296,7 +296,7 @@
                     }
                     let line = format!("duty {} is held here, number {}", name_of(duty), number.0);
                     self.note(now, line.clone());
-                    todo.push(ToDo::Log(line));
+                    actions.push(DutyAction::Log(line));
                 }
                 Out::Lost(duty, number, why) => {
                     self.since.remove(&duty);
@@ -308,17 +308,17 @@
                     let line =
                         format!("duty {} is held here no more, number {}: {why}", name_of(duty), number.0);
                     self.note(now, line.clone());
-                    todo.push(ToDo::Log(line));
+                    actions.push(DutyAction::Log(line));
                 }
                 Out::Marked(duty, _) if duty == PUBLISH => self.publish.marked(now),
                 Out::Marked(..) => {}
                 Out::Log(line) => {
                     self.note(now, line.clone());
-                    todo.push(ToDo::Log(format!("duties: {line}")));
+                    actions.push(DutyAction::Log(format!("duties: {line}")));
                 }
             }
         }
-        todo
+        actions
     }
 
     fn note(&mut self, now: Duration, line: String) {
--- a/crates/fleet/src/heirs.rs
+++ b/crates/fleet/src/heirs.rs
@@ -22,8 +22,9 @@
 /// Lines that were left to whoever claimed them, at most; those beyond it are seen when there is room.
 const MOST_LEFT: usize = 65_536;
 
+/// What a takeover asks to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Deed {
+pub enum TakeoverAction {
     /// The core server is asked whether it stands there, for this owner.
     Adopt {
         server: ServerId,
@@ -206,7 +207,7 @@
     /// Looks at a copy: is it this member's to take over? `first`: the first of those who may hold copies that is there.
     pub fn look(
         &mut self, now: Duration, id: &DialogueId, copy: &Copy, first: Option<u16>, life: u64,
-    ) -> Option<Deed> {
+    ) -> Option<TakeoverAction> {
         let Reading::Stands { server, .. } = copy.reading() else { return None };
         let top = copy.owner().filter(|owner| self.is_ended(*owner))?;
         if first != Some(self.me)
@@ -221,7 +222,8 @@
         }
         let owner = Owner { round: top.round + 1, member: self.me, life };
         let server = server.clone();
-        let adopt = Deed::Adopt { server: server.clone(), dialogue: id.clone(), owner, swept: false };
+        let adopt =
+            TakeoverAction::Adopt { server: server.clone(), dialogue: id.clone(), owner, swept: false };
         self.put(id, Orphan { server, owner, stage: Stage::Adopting { at: now, tries: 0 } });
         Some(adopt)
     }
@@ -266,7 +268,7 @@
     pub fn adopted(
         &mut self, now: Duration, id: &DialogueId, server: &ServerId, owner: Owner, launch: Option<LaunchNo>,
         by: Owner,
-    ) -> Vec<Deed> {
+    ) -> Vec<TakeoverAction> {
         let known = self.orphans.get(id).filter(|orphan| orphan.owner == owner && orphan.server == *server);
         let Some(orphan) = known else { return Vec::new() };
         let freeing = match orphan.stage {
@@ -279,28 +281,28 @@
         match launch {
             Some(launch) if freeing => {
                 vec![
-                    Deed::Release { server, dialogue: dialogue.clone(), launch },
-                    Deed::Over { dialogue, owner },
+                    TakeoverAction::Release { server, dialogue: dialogue.clone(), launch },
+                    TakeoverAction::Over { dialogue, owner },
                 ]
             }
             Some(launch) => {
                 let until = now + self.unclaimed;
                 let stage = Stage::Kept { until, launch };
                 self.put(id, Orphan { server: server.clone(), owner, stage });
-                vec![Deed::Own { dialogue, owner, server, launch }]
+                vec![TakeoverAction::Own { dialogue, owner, server, launch }]
             }
             None if by > owner => Vec::new(),
-            None => vec![Deed::Over { dialogue, owner }],
+            None => vec![TakeoverAction::Over { dialogue, owner }],
         }
     }
 
     /// What this member took over is over at its core server.
-    pub fn over(&mut self, id: &DialogueId) -> Vec<Deed> {
+    pub fn over(&mut self, id: &DialogueId) -> Vec<TakeoverAction> {
         match self.orphans.get(id) {
             Some(Orphan { owner, stage: Stage::Kept { .. }, .. }) => {
                 let owner = *owner;
                 self.drop_of(id);
-                vec![Deed::Over { dialogue: id.clone(), owner }]
+                vec![TakeoverAction::Over { dialogue: id.clone(), owner }]
             }
             _ => Vec::new(),
         }
@@ -313,7 +315,7 @@
     /// again.
     pub fn sweep(
         &mut self, now: Duration, is_heir_of: impl Fn(u16) -> bool, cores: &BTreeSet<ServerId>,
-    ) -> Vec<Deed> {
+    ) -> Vec<TakeoverAction> {
         let unclaimed = self.unclaimed;
         let due = |swept: Option<&Swept>| swept.is_none_or(|swept| swept.left && now >= swept.at + unclaimed);
         let mut asked = Vec::new();
@@ -331,7 +333,7 @@
         asked.into_iter().map(|(server, member, life)| self.ask(now, server, member, life)).collect()
     }
 
-    fn ask(&mut self, now: Duration, server: ServerId, member: u16, life: u64) -> Deed {
+    fn ask(&mut self, now: Duration, server: ServerId, member: u16, life: u64) -> TakeoverAction {
         self.serial += 1;
         let swept = Swept { at: now, left: false };
         // Its own life has not ended: what it does not hold of it is nobody's all the same.
@@ -341,23 +343,23 @@
         };
         let question = Question { server: server.clone(), member, life, at: now, gently: false };
         self.questions.insert(self.serial, question);
-        Deed::What { server, serial: self.serial, member, life, after: None }
+        TakeoverAction::What { server, serial: self.serial, member, life, after: None }
     }
 
     /// Asks for lines of this member's own that it does not hold itself.
-    pub fn ask_of_mine(&mut self, now: Duration, server: &ServerId) -> Deed {
+    pub fn ask_of_mine(&mut self, now: Duration, server: &ServerId) -> TakeoverAction {
         self.ask(now, server.clone(), self.me, ANY_LIFE)
     }
 
     /// The duty `circuits` has this member look after its own lines at a core server; none: it is doing so already.
-    pub fn check_mine(&mut self, now: Duration, server: &ServerId) -> Option<Deed> {
+    pub fn check_mine(&mut self, now: Duration, server: &ServerId) -> Option<TakeoverAction> {
         let asked = |question: &Question| question.server == *server && question.member == self.me;
         if self.questions.values().any(asked) {
             return None;
         }
-        let deed = self.ask(now, server.clone(), self.me, ANY_LIFE);
+        let action = self.ask(now, server.clone(), self.me, ANY_LIFE);
         self.questions.get_mut(&self.serial)?.gently = true;
-        Some(deed)
+        Some(action)
     }
 
     /// What was swept is another holder's now: nothing more of it is done here.
@@ -394,16 +396,16 @@
     pub fn holds(
         &mut self, now: Duration, server: &ServerId, serial: u64, lines: &[HeldLine], more: bool, life: u64,
         whose: impl Fn(&HeldLine) -> LineOf,
-    ) -> Vec<Deed> {
+    ) -> Vec<TakeoverAction> {
         let Some(question) = self.questions.get_mut(&serial).filter(|question| question.server == *server)
         else {
             return Vec::new();
         };
         let (member, up_to, gently) = (question.member, question.life, question.gently);
         question.at = now;
-        let mut deeds = Vec::new();
+        let mut actions = Vec::new();
         match lines.last().filter(|_| more) {
-            Some(last) => deeds.push(Deed::What {
+            Some(last) => actions.push(TakeoverAction::What {
                 server: server.clone(),
                 serial,
                 member,
@@ -440,11 +442,11 @@
             let owner = Owner { round: line.owner.round + 1, member: self.me, life };
             let dialogue = line.dialogue.clone();
             let swept = member != self.me;
-            deeds.push(Deed::Adopt { server: server.clone(), dialogue, owner, swept });
+            actions.push(TakeoverAction::Adopt { server: server.clone(), dialogue, owner, swept });
             let stage = Stage::Freeing { at: now, tries: 0, swept };
             self.put(&line.dialogue, Orphan { server: server.clone(), owner, stage });
         }
-        deeds
+        actions
     }
 
     /// A core server was not reached for a question.
@@ -465,12 +467,12 @@
     }
 
     /// The time given by `next_due` has come.
-    pub fn alarm(&mut self, now: Duration) -> Vec<Deed> {
+    pub fn alarm(&mut self, now: Duration) -> Vec<TakeoverAction> {
         let late = self.questions.iter().filter(|(_, question)| question.at + AGAIN * 4 <= now);
         for serial in late.map(|(serial, _)| *serial).collect::<Vec<_>>() {
             self.unasked(serial);
         }
-        let mut deeds = Vec::new();
+        let mut actions = Vec::new();
         while let Some((at, id)) = self.dues.first().cloned()
             && at <= now
         {
@@ -483,14 +485,14 @@
             match &mut orphan.stage {
                 Stage::Kept { launch, .. } => {
                     let (server, owner, launch) = (orphan.server, orphan.owner, *launch);
-                    deeds.push(Deed::Release { server, dialogue: id.clone(), launch });
-                    deeds.push(Deed::Over { dialogue: id, owner });
+                    actions.push(TakeoverAction::Release { server, dialogue: id.clone(), launch });
+                    actions.push(TakeoverAction::Over { dialogue: id, owner });
                 }
                 Stage::Adopting { at, tries } | Stage::Freeing { at, tries, .. } => {
                     (*at, *tries) = (now, *tries + 1);
                     if *tries < TRIES {
                         let (server, owner) = (orphan.server.clone(), orphan.owner);
-                        deeds.push(Deed::Adopt { server, dialogue: id.clone(), owner, swept });
+                        actions.push(TakeoverAction::Adopt { server, dialogue: id.clone(), owner, swept });
                         self.put(&id, orphan);
                     } else {
                         self.look_again = true;
@@ -498,7 +500,7 @@
                 }
             }
         }
-        deeds
+        actions
     }
 }
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -17,11 +17,11 @@
 mod status;
 
 pub use duties::{CIRCUITS, Duty, DutyPlan, NAMES, PUBLISH, SWEEP};
-pub use heirs::{Deed, Heirs};
+pub use heirs::{Heirs, TakeoverAction};
 pub use lives::{Agreed, Lives, start_of};
 pub use member::{Counts, Effects, Finding, Member, Save, Stored};
 pub use membership_view::{MemberSet, MembershipView};
 pub use peers::{PeerLink, Peers};
 pub use plan::Plan;
-pub use redial::{Begin, Redials, Todo, Verdict};
+pub use redial::{Begin, RedialAction, Redials, Verdict};
 pub use status::{copy_text, differ, show};
--- a/crates/fleet/src/member/background.rs
+++ b/crates/fleet/src/member/background.rs
@@ -66,7 +66,7 @@
     fn look_for_heirs(&mut self) {
         let Some(from) = self.look_from.take().filter(|_| self.lives.mine() > 0) else { return };
         let now = self.now;
-        let mut deeds = Vec::new();
+        let mut actions = Vec::new();
         let mut next = None;
         let life = self.lives.mine();
         for (looks, (id, copy)) in self.book.from(from).enumerate() {
@@ -79,9 +79,9 @@
             }
             let live = |member: u16| !self.view.gone(now, member) && self.view.hears(now, member);
             let first = self.book.group().candidates(print(id)).iter().find(|member| live(*member));
-            deeds.extend(self.heirs.look(now, id, copy, first, life));
+            actions.extend(self.heirs.look(now, id, copy, first, life));
         }
         self.look_from = next;
-        self.do_deeds(deeds);
+        self.do_takeover_actions(actions);
     }
 }
--- a/crates/fleet/src/member/core_servers.rs
+++ b/crates/fleet/src/member/core_servers.rs
@@ -10,7 +10,7 @@
 use super::Member;
 use super::interface::{Effects, Finding};
 use crate::duties::SWEEP;
-use crate::heirs::{Deed, LineOf};
+use crate::heirs::{LineOf, TakeoverAction};
 
 /// Core servers whose lines are looked after, at most.
 pub(super) const MOST_CORES: usize = 10_000;
@@ -20,8 +20,8 @@
     pub fn core_up(&mut self, now: Duration, server: &ServerId) {
         self.now = now;
         if self.cores.len() < MOST_CORES && self.cores.insert(server.clone()) && self.lives.mine() > 0 {
-            let deed = self.heirs.ask_of_mine(now, server);
-            self.do_deeds(vec![deed]);
+            let action = self.heirs.ask_of_mine(now, server);
+            self.do_takeover_actions(vec![action]);
         }
     }
 
@@ -60,16 +60,16 @@
                 };
                 let life = self.lives.mine();
                 if life > 0 {
-                    let deeds = self.heirs.holds(now, server, serial, &lines, more, life, whose);
-                    self.do_deeds(deeds);
+                    let actions = self.heirs.holds(now, server, serial, &lines, more, life, whose);
+                    self.do_takeover_actions(actions);
                 }
             }
             Audit::Adopted { dialogue, owner, launch, by } => {
                 let launch = launch.map(LaunchNo);
-                let todo = self.redials.adopted(&dialogue, server, owner, launch, by);
-                self.carry_out(todo);
-                let deeds = self.heirs.adopted(now, &dialogue, server, owner, launch, by);
-                self.do_deeds(deeds);
+                let actions = self.redials.adopted(&dialogue, server, owner, launch, by);
+                self.do_redial_actions(actions);
+                let actions = self.heirs.adopted(now, &dialogue, server, owner, launch, by);
+                self.do_takeover_actions(actions);
             }
             Audit::Moved { dialogue, by, .. } => {
                 self.book.replaced(now, &dialogue, by);
@@ -87,9 +87,9 @@
     /// A standing dialogue has ended at a core server; true: it was one that this member had taken over.
     pub fn core_ended(&mut self, now: Duration, id: &DialogueId) -> bool {
         self.now = now;
-        let deeds = self.heirs.over(id);
-        let mine = !deeds.is_empty();
-        self.do_deeds(deeds);
+        let actions = self.heirs.over(id);
+        let mine = !actions.is_empty();
+        self.do_takeover_actions(actions);
         mine
     }
 
@@ -98,18 +98,18 @@
         self.now = now;
         match frame {
             Frame::Audit(Audit::Adopt { dialogue, .. }) => {
-                let todo = self.redials.unreached(dialogue);
-                self.carry_out(todo); // An heir asks again by itself.
+                let actions = self.redials.unreached(dialogue);
+                self.do_redial_actions(actions); // An heir asks again by itself.
             }
             Frame::Audit(Audit::What { serial, .. }) => self.heirs.unasked(*serial),
             _ => {}
         }
     }
 
-    pub(super) fn do_deeds(&mut self, deeds: Vec<Deed>) {
-        for deed in deeds {
-            match deed {
-                Deed::Adopt { server, dialogue, owner, swept } => {
+    pub(super) fn do_takeover_actions(&mut self, actions: Vec<TakeoverAction>) {
+        for action in actions {
+            match action {
+                TakeoverAction::Adopt { server, dialogue, owner, swept } => {
                     let duties = self.duties.as_ref().filter(|_| swept);
                     let act = duties.and_then(|duties| duties.act(self.now, SWEEP));
                     if duties.is_some() && act.is_none() {
@@ -121,21 +121,21 @@
                     self.findings
                         .push(Finding::ToCore(server, Frame::Audit(Audit::Adopt { dialogue, owner, act })));
                 }
-                Deed::Own { dialogue, owner, server, launch } => {
+                TakeoverAction::Own { dialogue, owner, server, launch } => {
                     self.counts.taken_over += 1;
                     self.book.claim(self.now, &dialogue, owner, &Copy::default());
                     let reached = Reached::Stands { server, launch };
                     self.write(&dialogue, reached, Duration::ZERO, None, self.now, 0);
                 }
-                Deed::Release { server, dialogue, launch } => {
+                TakeoverAction::Release { server, dialogue, launch } => {
                     self.counts.released += 1;
                     self.findings.push(Finding::ToCore(server, Frame::Release { dialogue, launch }));
                 }
-                Deed::Over { dialogue, owner } => {
+                TakeoverAction::Over { dialogue, owner } => {
                     self.book.claim(self.now, &dialogue, owner, &Copy::default());
                     self.write(&dialogue, Reached::Over, Duration::ZERO, None, self.now, 0);
                 }
-                Deed::What { server, serial, member, life, after } => {
+                TakeoverAction::What { server, serial, member, life, after } => {
                     let what = Audit::What { serial, member, life, after };
                     self.findings.push(Finding::ToCore(server, Frame::Audit(what)));
                 }
--- a/crates/fleet/src/member/duty_acts.rs
+++ b/crates/fleet/src/member/duty_acts.rs
@@ -9,7 +9,7 @@
 use super::Member;
 use super::interface::{Effects, Save};
 use super::saves::AfterWrite;
-use crate::duties::{Duties, SWEEP, ToDo};
+use crate::duties::{Duties, DutyAction, SWEEP};
 
 impl Member {
     /// The holder of `circuits` has this member look after its own lines at a core server.
@@ -19,8 +19,8 @@
             return;
         }
         if self.lives.mine() > 0 && self.cores.contains(server) {
-            let deed = self.heirs.check_mine(self.now, server);
-            self.do_deeds(deed.into_iter().collect());
+            let action = self.heirs.check_mine(self.now, server);
+            self.do_takeover_actions(action.into_iter().collect());
         }
     }
 
@@ -62,33 +62,33 @@
             self.heirs.sweeps_no_more();
         }
         loop {
-            let todo = duties.outs(now);
-            if todo.is_empty() {
+            let actions = duties.outs(now);
+            if actions.is_empty() {
                 break;
             }
-            for todo in todo {
-                match todo {
-                    ToDo::Say(to, word) => {
+            for action in actions {
+                match action {
+                    DutyAction::Say(to, word) => {
                         if let Some(link) = self.peers.to(to) {
                             self.tell(link, Frame::Peer(Peer::Duties { word }), effects);
                         }
                     }
-                    ToDo::Keep(number, kept) => match self.order(vec![Save::Duties(kept)], effects) {
+                    DutyAction::Keep(number, kept) => match self.order(vec![Save::Duties(kept)], effects) {
                         Some(order) => duties.ordered(order, number),
                         // Where there is no disk, memory is all that is promised; one that is too far behind promises nothing.
                         None => duties.kept(now, number, !self.has_disk),
                     },
-                    ToDo::Check(act, server) => {
+                    DutyAction::Check(act, server) => {
                         for member in (0..self.plan.members.len() as u16).filter(|member| *member != me) {
                             if let Some(link) = self.peers.to(member) {
                                 let check = Peer::Check { act, server: server.clone() };
                                 self.tell(link, Frame::Peer(check), effects);
                             }
                         }
-                        let deed = self.heirs.check_mine(now, &server);
-                        self.do_deeds(deed.into_iter().collect());
+                        let action = self.heirs.check_mine(now, &server);
+                        self.do_takeover_actions(action.into_iter().collect());
                     }
-                    ToDo::Log(line) => effects.log(&line),
+                    DutyAction::Log(line) => effects.log(&line),
                 }
             }
         }
--- a/crates/fleet/src/member/search.rs
+++ b/crates/fleet/src/member/search.rs
@@ -9,7 +9,7 @@
 
 use super::Member;
 use super::interface::Finding;
-use crate::redial::{Begin, Todo, Verdict};
+use crate::redial::{Begin, RedialAction, Verdict};
 
 /// Questions answered in one turn, at most; whoever gets no answer is not sure.
 pub(super) const MOST_KNOWN: usize = 30_000;
@@ -57,8 +57,8 @@
         let (peers, view) = (&self.peers, &self.view);
         let reached = |member: u16| peers.to(member).is_some() && view.hears(now, member);
         let begin = Begin { reached: &reached, knows, known, owner, cut_off };
-        let todo = self.redials.begin(now, id, begin);
-        self.carry_out(todo);
+        let actions = self.redials.begin(now, id, begin);
+        self.do_redial_actions(actions);
     }
 
     /// Its caller wants no more of what is sought.
@@ -66,22 +66,22 @@
         self.redials.drop_of(id);
     }
 
-    pub(super) fn carry_out(&mut self, todo: Vec<Todo>) {
-        for todo in todo {
-            match todo {
-                Todo::Ask { to, serial, dialogue, owner } => {
+    pub(super) fn do_redial_actions(&mut self, actions: Vec<RedialAction>) {
+        for action in actions {
+            match action {
+                RedialAction::Ask { to, serial, dialogue, owner } => {
                     self.to_say.push((to, Peer::Ask { serial, dialogue, owner }));
                 }
-                Todo::Claim { dialogue, owner, found } => {
+                RedialAction::Claim { dialogue, owner, found } => {
                     self.book.claim(self.now, &dialogue, owner, &found);
                     self.write(&dialogue, Reached::Taken, Duration::ZERO, None, self.now, 0);
                 }
-                Todo::Adopt { server, dialogue, owner } => {
+                RedialAction::Adopt { server, dialogue, owner } => {
                     self.heirs.let_go(self.now, &server); // The answer may be lost.
                     let frame = Frame::Audit(Audit::Adopt { dialogue, owner, act: None });
                     self.findings.push(Finding::ToCore(server, frame));
                 }
-                Todo::Say(id, verdict) => self.confirm(id, verdict),
+                RedialAction::Say(id, verdict) => self.confirm(id, verdict),
             }
         }
     }
@@ -90,8 +90,8 @@
         if owner.member != member || owner.life != self.view.life(member) {
             return; // Of another life, or in another's name.
         }
-        let todo = self.redials.beaten(&id, owner);
-        self.carry_out(todo);
+        let actions = self.redials.beaten(&id, owner);
+        self.do_redial_actions(actions);
         if self.book.is_mine(&id) && self.book.get(&id).and_then(Copy::owner) < Some(owner) {
             // What is out is called off first, so that the answer says how long it is in doubt.
             let waits = self.lets.entry(id.clone()).or_default();
@@ -128,7 +128,7 @@
         }
         let (peers, view, now) = (&self.peers, &self.view, self.now);
         let reached = |member: u16| peers.to(member).is_some() && view.hears(now, member);
-        let todo = self.redials.answered(now, serial, from, sure, higher, copy.as_ref(), &reached, knows);
-        self.carry_out(todo);
+        let actions = self.redials.answered(now, serial, from, sure, higher, copy.as_ref(), &reached, knows);
+        self.do_redial_actions(actions);
     }
 }
--- a/crates/fleet/src/member/timers.rs
+++ b/crates/fleet/src/member/timers.rs
@@ -8,7 +8,7 @@
 use super::Member;
 use super::interface::Effects;
 use crate::duties::{Duties, SWEEP};
-use crate::heirs::Deed;
+use crate::heirs::TakeoverAction;
 use crate::peers::Way;
 
 /// A link that says nothing of use for so long is closed.
@@ -42,11 +42,11 @@
         if let Some(duties) = self.duties.as_mut().filter(|duties| duties.next_due() <= now) {
             duties.alarm(now, &self.cores);
         }
-        let todo = self.redials.alarm(now);
-        self.carry_out(todo);
+        let actions = self.redials.alarm(now);
+        self.do_redial_actions(actions);
         self.unconfirmed();
-        let deeds = self.heirs.alarm(now);
-        self.do_deeds(deeds);
+        let actions = self.heirs.alarm(now);
+        self.do_takeover_actions(actions);
         if self.heartbeat_at <= now {
             self.heartbeat_at = now + self.plan.heartbeat_interval();
             self.send_heartbeats(effects);
@@ -114,16 +114,18 @@
                 // Where there are duties one member sweeps for all; else each estate has its own heir.
                 let sweeps = self.duties.as_ref().map(|duties| duties.act(now, SWEEP).is_some());
                 let is_heir_of = |member: u16| sweeps.unwrap_or_else(|| is_heir_of(member));
-                let deeds = self.heirs.sweep(now, is_heir_of, &self.cores);
-                let asked = deeds.iter().rev().find_map(|deed| match deed {
-                    Deed::What { server, member, .. } if *member != self.plan.me => Some((server, *member)),
+                let actions = self.heirs.sweep(now, is_heir_of, &self.cores);
+                let asked = actions.iter().rev().find_map(|action| match action {
+                    TakeoverAction::What { server, member, .. } if *member != self.plan.me => {
+                        Some((server, *member))
+                    }
                     _ => None,
                 });
                 if let (Some((server, member)), Some(true)) = (asked, sweeps) {
                     let mark = format!("{} at {}", self.name(member), server.0);
                     self.duties.iter_mut().for_each(|duties| duties.mark(now, SWEEP, mark.clone()));
                 }
-                self.do_deeds(deeds);
+                self.do_takeover_actions(actions);
             }
             if std::mem::take(&mut self.heirs.look_again) && self.look_from.is_none() {
                 self.look_from = Some(0);
--- a/crates/fleet/src/redial.rs
+++ b/crates/fleet/src/redial.rs
@@ -42,9 +42,9 @@
     },
 }
 
-/// What is to be done now.
+/// What a search for a dialogue that was dialled before asks to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Todo {
+pub enum RedialAction {
     Ask {
         to: u16,
         serial: u64,
@@ -174,7 +174,7 @@
     }
 
     /// Begins to ask. Where it is known at once that too few can answer, it says so at once.
-    pub fn begin(&mut self, now: Duration, id: &DialogueId, begin: Begin) -> Vec<Todo> {
+    pub fn begin(&mut self, now: Duration, id: &DialogueId, begin: Begin) -> Vec<RedialAction> {
         self.drop_of(id);
         let mut ask = Ask {
             serial: 0,
@@ -194,21 +194,21 @@
         if reached + usize::from(begin.knows) < self.of_holders().min(self.of_candidates()) {
             return vec![self.unsure(id)];
         }
-        let todo = self.send(id, &mut ask, begin.reached, begin.knows);
+        let actions = self.send(id, &mut ask, begin.reached, begin.knows);
         self.dues.insert((ask.by, id.clone()));
         self.asks.insert(id.clone(), ask);
         // Alone it may be enough by itself.
-        if todo.is_empty() { self.decide_if_known(now, id) } else { todo }
+        if actions.is_empty() { self.decide_if_known(now, id) } else { actions }
     }
 
-    fn unsure(&self, id: &DialogueId) -> Todo {
-        Todo::Say(id.clone(), Verdict::Unsure { come_back: self.come_back })
+    fn unsure(&self, id: &DialogueId) -> RedialAction {
+        RedialAction::Say(id.clone(), Verdict::Unsure { come_back: self.come_back })
     }
 
     /// Asks all that can be asked, under the ask's owner.
     fn send(
         &mut self, id: &DialogueId, ask: &mut Ask, reached: &dyn Fn(u16) -> bool, knows: bool,
-    ) -> Vec<Todo> {
+    ) -> Vec<RedialAction> {
         self.serials.remove(&ask.serial);
         self.serial += 1;
         ask.serial = self.serial;
@@ -217,16 +217,21 @@
         if knows {
             ask.sure.set(self.me);
         }
-        let mut todo = Vec::new();
+        let mut actions = Vec::new();
         // Its owner is asked too, candidate or not: it has a launch out, perhaps, and calls it off.
         let former = ask.found.owner().map(|owner| owner.member);
         let also = former.filter(|member| !ask.candidates.contains(member));
         for to in ask.candidates.iter().copied().chain(also).filter(|to| *to != self.me && reached(*to)) {
             ask.open.set(to);
             ask.asked.set(to);
-            todo.push(Todo::Ask { to, serial: ask.serial, dialogue: id.clone(), owner: ask.owner });
+            actions.push(RedialAction::Ask {
+                to,
+                serial: ask.serial,
+                dialogue: id.clone(),
+                owner: ask.owner,
+            });
         }
-        todo
+        actions
     }
 
     /// Who answers a question: the dialogue, and the owner it was asked for.
@@ -240,10 +245,10 @@
     pub fn answered(
         &mut self, now: Duration, serial: u64, from: u16, sure: bool, higher: Option<Owner>,
         copy: Option<&Copy>, reached: &dyn Fn(u16) -> bool, knows: bool,
-    ) -> Vec<Todo> {
+    ) -> Vec<RedialAction> {
         let Some(id) = self.serials.get(&serial).cloned() else { return Vec::new() };
         let Some(mut ask) = self.asks.remove(&id) else { return Vec::new() };
-        let mut todo = Vec::new();
+        let mut actions = Vec::new();
         if matches!(ask.phase, Phase::Asking) && ask.open.has(from) {
             ask.open.unset(from);
             if let Some(copy) = copy {
@@ -257,7 +262,7 @@
                     return vec![self.unsure(&id)];
                 }
                 ask.owner.round = ask.owner.round.max(higher.round + 1);
-                todo = self.send(&id, &mut ask, reached, knows);
+                actions = self.send(&id, &mut ask, reached, knows);
             } else {
                 if sure {
                     ask.sure.set(from);
@@ -271,17 +276,17 @@
                     ask.open.set(owner.member);
                     ask.asked.set(owner.member);
                     let (serial, dialogue) = (ask.serial, id.clone());
-                    todo.push(Todo::Ask { to: owner.member, serial, dialogue, owner: ask.owner });
+                    actions.push(RedialAction::Ask { to: owner.member, serial, dialogue, owner: ask.owner });
                 }
             }
         }
         self.asks.insert(id.clone(), ask);
-        todo.extend(self.decide_if_known(now, &id));
-        todo
+        actions.extend(self.decide_if_known(now, &id));
+        actions
     }
 
     /// Enough is known, or all have answered.
-    fn decide_if_known(&mut self, now: Duration, id: &DialogueId) -> Vec<Todo> {
+    fn decide_if_known(&mut self, now: Duration, id: &DialogueId) -> Vec<RedialAction> {
         let Some(ask) = self.asks.get(id) else { return Vec::new() };
         if matches!(ask.phase, Phase::Adopting) || !ask.open.is_empty() {
             return Vec::new();
@@ -289,12 +294,12 @@
         self.decide(now, id)
     }
 
-    fn decide(&mut self, now: Duration, id: &DialogueId) -> Vec<Todo> {
+    fn decide(&mut self, now: Duration, id: &DialogueId) -> Vec<RedialAction> {
         let Some(mut ask) = self.take(id) else { return Vec::new() };
         if !self.is_enough(id, &ask) {
             return vec![self.unsure(id)];
         }
-        let claim = Todo::Claim { dialogue: id.clone(), owner: ask.owner, found: ask.found.clone() };
+        let claim = RedialAction::Claim { dialogue: id.clone(), owner: ask.owner, found: ask.found.clone() };
         let since = ask.found.launched_since().filter(|bar| *bar > now);
         let verdict = match ask.found.reading() {
             // What a later owner did not go by counts only once nothing may come of its launch any more.
@@ -302,7 +307,8 @@
             Reading::Answered(answer) => Verdict::Answered(answer.clone()),
             Reading::Over => Verdict::Concluded,
             Reading::Stands { server, .. } => {
-                let adopt = Todo::Adopt { server: server.clone(), dialogue: id.clone(), owner: ask.owner };
+                let adopt =
+                    RedialAction::Adopt { server: server.clone(), dialogue: id.clone(), owner: ask.owner };
                 ask.phase = Phase::Adopting;
                 ask.by = now + self.within * 2;
                 self.dues.insert((ask.by, id.clone()));
@@ -316,7 +322,7 @@
             }
             Reading::Open { bar, .. } => Verdict::Free { not_before: bar.max(now) },
         };
-        vec![claim, Todo::Say(id.clone(), verdict)]
+        vec![claim, RedialAction::Say(id.clone(), verdict)]
     }
 
     fn take(&mut self, id: &DialogueId) -> Option<Ask> {
@@ -332,7 +338,7 @@
     }
 
     /// Another claims it: if higher, this claim has lost. Gives what is to be said.
-    pub fn beaten(&mut self, id: &DialogueId, by: Owner) -> Vec<Todo> {
+    pub fn beaten(&mut self, id: &DialogueId, by: Owner) -> Vec<RedialAction> {
         match self.asks.get(id) {
             Some(ask) if ask.owner < by => {
                 self.drop_of(id);
@@ -345,7 +351,7 @@
     /// A core server has answered whether a dialogue stands there: the launch that does, or whose it is now.
     pub fn adopted(
         &mut self, id: &DialogueId, server: &ServerId, owner: Owner, launch: Option<LaunchNo>, by: Owner,
-    ) -> Vec<Todo> {
+    ) -> Vec<RedialAction> {
         let adopting = |ask: &&Ask| matches!(ask.phase, Phase::Adopting) && ask.owner == owner;
         if self.asks.get(id).filter(adopting).is_none() {
             return Vec::new();
@@ -356,30 +362,30 @@
             None if by > owner => return vec![self.unsure(id)],
             None => Verdict::Concluded,
         };
-        vec![Todo::Say(id.clone(), verdict)]
+        vec![RedialAction::Say(id.clone(), verdict)]
     }
 
     /// The core server is not reached.
-    pub fn unreached(&mut self, id: &DialogueId) -> Vec<Todo> {
+    pub fn unreached(&mut self, id: &DialogueId) -> Vec<RedialAction> {
         if self.drop_of(id) { vec![self.unsure(id)] } else { Vec::new() }
     }
 
     /// The time given by `next_due` has come: what is known by now must do.
-    pub fn alarm(&mut self, now: Duration) -> Vec<Todo> {
-        let mut todo = Vec::new();
+    pub fn alarm(&mut self, now: Duration) -> Vec<RedialAction> {
+        let mut actions = Vec::new();
         while let Some((by, id)) = self.dues.first().cloned()
             && by <= now
         {
             match self.asks.get(&id).map(|ask| &ask.phase) {
-                Some(Phase::Asking) => todo.extend(self.decide(now, &id)),
+                Some(Phase::Asking) => actions.extend(self.decide(now, &id)),
                 _ => {
                     self.drop_of(&id);
                     self.dues.remove(&(by, id.clone()));
-                    todo.push(self.unsure(&id));
+                    actions.push(self.unsure(&id));
                 }
             }
         }
-        todo
+        actions
     }
 }
 
--- a/crates/fleet/tests/unit/duties.rs
+++ b/crates/fleet/tests/unit/duties.rs
@@ -74,8 +74,8 @@
             if duties.next_due() <= now {
                 duties.alarm(now, &cores);
             }
-            for todo in duties.outs(now) {
-                if let ToDo::Keep(number, _) = todo {
+            for action in duties.outs(now) {
+                if let DutyAction::Keep(number, _) = action {
                     duties.kept(now, number, true);
                 }
             }
--- a/crates/fleet/tests/unit/heirs.rs
+++ b/crates/fleet/tests/unit/heirs.rs
@@ -30,8 +30,8 @@
 }
 
 /// What is asked of others' lines.
-fn other(deeds: Vec<Deed>) -> Vec<Deed> {
-    deeds.into_iter().filter(|deed| !matches!(deed, Deed::What { member: 2, .. })).collect()
+fn other(actions: Vec<TakeoverAction>) -> Vec<TakeoverAction> {
+    actions.into_iter().filter(|action| !matches!(action, TakeoverAction::What { member: 2, .. })).collect()
 }
 
 fn heirs() -> Heirs {
@@ -47,19 +47,19 @@
     assert_eq!(h.look(ms(0), &id("d"), &copy, Some(1), 9), None, "another's turn");
     assert!(std::mem::take(&mut h.look_again));
     let mine = owner(1, 2, 9);
-    let adopt = Deed::Adopt { server: server("s"), dialogue: id("d"), owner: mine, swept: false };
+    let adopt = TakeoverAction::Adopt { server: server("s"), dialogue: id("d"), owner: mine, swept: false };
     assert_eq!(h.look(ms(0), &id("d"), &copy, Some(2), 9), Some(adopt.clone()));
     assert_eq!(h.look(ms(0), &id("d"), &copy, Some(2), 9), None, "once");
     assert_eq!(h.alarm(ms(500)), [adopt], "asked again");
-    let deeds = h.adopted(ms(600), &id("d"), &server("s"), mine, Some(LaunchNo(1)), mine);
+    let actions = h.adopted(ms(600), &id("d"), &server("s"), mine, Some(LaunchNo(1)), mine);
     assert_eq!(
-        deeds,
-        [Deed::Own { dialogue: id("d"), owner: mine, server: server("s"), launch: LaunchNo(1) }]
+        actions,
+        [TakeoverAction::Own { dialogue: id("d"), owner: mine, server: server("s"), launch: LaunchNo(1) }]
     );
     assert_eq!(h.adopted(ms(601), &id("d"), &server("s"), mine, Some(LaunchNo(1)), mine), []);
     assert_eq!(h.alarm(ms(5599)), []);
-    let release = Deed::Release { server: server("s"), dialogue: id("d"), launch: LaunchNo(1) };
-    assert_eq!(h.alarm(ms(5600)), [release, Deed::Over { dialogue: id("d"), owner: mine }]);
+    let release = TakeoverAction::Release { server: server("s"), dialogue: id("d"), launch: LaunchNo(1) };
+    assert_eq!(h.alarm(ms(5600)), [release, TakeoverAction::Over { dialogue: id("d"), owner: mine }]);
     assert!(h.is_empty() && h.next_due().is_none());
 }
 
@@ -77,11 +77,11 @@
     assert!(h.is_empty());
     assert_eq!(
         begun().adopted(ms(1), &id("d"), &server("s"), mine, None, mine),
-        [Deed::Over { dialogue: id("d"), owner: mine }]
+        [TakeoverAction::Over { dialogue: id("d"), owner: mine }]
     );
     let mut h = begun();
     h.adopted(ms(1), &id("d"), &server("s"), mine, Some(LaunchNo(1)), mine);
-    assert_eq!(h.over(&id("d")), [Deed::Over { dialogue: id("d"), owner: mine }]);
+    assert_eq!(h.over(&id("d")), [TakeoverAction::Over { dialogue: id("d"), owner: mine }]);
     assert!(h.is_empty() && begun().over(&id("d")).is_empty());
     // Its caller came for it: nothing of it is released.
     let mut h = begun();
@@ -102,7 +102,9 @@
     assert_eq!(other(h.sweep(ms(5000), |_| false, &cores)), []);
     let asked = other(h.sweep(ms(5000), |_| true, &cores));
     assert_eq!((asked.len(), h.sweep(ms(5001), |_| true, &cores).len()), (2, 0));
-    let Deed::What { serial, member: 0, life: 7, after: None, .. } = &asked[0] else { panic!("{asked:?}") };
+    let TakeoverAction::What { serial, member: 0, life: 7, after: None, .. } = &asked[0] else {
+        panic!("{asked:?}")
+    };
     let line = |name: &str, owner| HeldLine { dialogue: id(name), launch: LaunchNo(0), owner };
     let lines = [
         line("a", owner(0, 0, 7)),
@@ -111,21 +113,21 @@
         line("d", owner(0, 0, 8)),
         line("kept", owner(0, 0, 7)),
     ];
-    let deeds = h.holds(ms(5010), &server("s"), *serial, &lines, true, 9, |line| match &*line.dialogue.0 {
+    let actions = h.holds(ms(5010), &server("s"), *serial, &lines, true, 9, |line| match &*line.dialogue.0 {
         "kept" => LineOf::Held,
         _ => LineOf::Nobody,
     });
-    let adopt = |name: &str, round| Deed::Adopt {
+    let adopt = |name: &str, round| TakeoverAction::Adopt {
         server: server("s"),
         dialogue: id(name),
         owner: owner(round, 2, 9),
         swept: true,
     };
-    assert!(matches!(&deeds[0], Deed::What { after: Some(after), .. } if *after == id("kept")));
-    assert_eq!(deeds[1..], [adopt("a", 1), adopt("b", 3)]);
+    assert!(matches!(&actions[0], TakeoverAction::What { after: Some(after), .. } if *after == id("kept")));
+    assert_eq!(actions[1..], [adopt("a", 1), adopt("b", 3)]);
     let freed =
         h.adopted(ms(5020), &id("a"), &server("s"), owner(1, 2, 9), Some(LaunchNo(0)), owner(1, 2, 9));
-    assert!(matches!(freed[..], [Deed::Release { .. }, Deed::Over { .. }]));
+    assert!(matches!(freed[..], [TakeoverAction::Release { .. }, TakeoverAction::Over { .. }]));
     assert_eq!(h.holds(ms(5030), &server("s"), *serial, &[], false, 9, |_| LineOf::Nobody), []);
     assert_eq!(
         h.holds(ms(5030), &server("s"), *serial, &lines, false, 9, |_| LineOf::Nobody),
@@ -133,7 +135,7 @@
         "nobody asked"
     );
     // Neither the other one nor those asked for its own lines answer: they are asked again.
-    assert_eq!(h.alarm(ms(7000)).iter().filter(|d| matches!(d, Deed::What { .. })).count(), 0);
+    assert_eq!(h.alarm(ms(7000)).iter().filter(|d| matches!(d, TakeoverAction::What { .. })).count(), 0);
     assert_eq!(other(h.sweep(ms(7001), |_| true, &cores)).len(), 1);
     // One that was only slow is swept no more; in a new life it is, up to the life before.
     h.returned(0, 7);
@@ -147,8 +149,8 @@
 fn a_line_that_was_claimed_is_left_at_first_and_freed_when_nothing_came_of_it() {
     let cores: BTreeSet<ServerId> = [server("s")].into();
     let lines = [HeldLine { dialogue: id("d"), launch: LaunchNo(0), owner: owner(0, 0, 7) }];
-    let serial = |deeds: Vec<Deed>| match other(deeds)[..] {
-        [Deed::What { serial, .. }] => serial,
+    let serial = |actions: Vec<TakeoverAction>| match other(actions)[..] {
+        [TakeoverAction::What { serial, .. }] => serial,
         _ => panic!("not asked"),
     };
     let mut h = heirs();
@@ -161,7 +163,7 @@
     let third = serial(h.sweep(ms(15_000), |_| true, &cores));
     let freed = h.holds(ms(15_010), &server("s"), third, &lines, false, 9, |_| LineOf::Claimed);
     assert!(
-        matches!(&freed[..], [Deed::Adopt { owner, .. }] if *owner == super::Owner { round: 1, member: 2, life: 9 })
+        matches!(&freed[..], [TakeoverAction::Adopt { owner, .. }] if *owner == super::Owner { round: 1, member: 2, life: 9 })
     );
     assert_eq!(other(h.sweep(ms(99_000), |_| true, &cores)), [], "nothing was left");
     // What this member let go is looked for among its own lines.
@@ -170,7 +172,7 @@
     h.let_go(ms(99_000), &server("s"));
     assert_eq!(h.sweep(ms(103_999), |_| true, &cores), []);
     let mine = h.sweep(ms(104_000), |_| true, &cores);
-    assert!(matches!(mine[..], [Deed::What { member: 2, life: ANY_LIFE, .. }]), "{mine:?}");
+    assert!(matches!(mine[..], [TakeoverAction::What { member: 2, life: ANY_LIFE, .. }]), "{mine:?}");
     // Where much is let go, one after the other, the time of the first one counts.
     (200..210).for_each(|second| h.let_go(ms(second * 1000), &server("s")));
     assert_eq!(h.sweep(ms(204_999), |_| true, &cores), []);
--- a/crates/fleet/tests/unit/redial.rs
+++ b/crates/fleet/tests/unit/redial.rs
@@ -40,78 +40,81 @@
 }
 
 /// Launches wait for both copies: two of the candidates must answer.
-fn asks(reached: &dyn Fn(u16) -> bool, known: Copy) -> (Redials, Vec<Todo>) {
+fn asks(reached: &dyn Fn(u16) -> bool, known: Copy) -> (Redials, Vec<RedialAction>) {
     asks_with(2, reached, known)
 }
 
-fn asks_with(awaited: usize, reached: &dyn Fn(u16) -> bool, known: Copy) -> (Redials, Vec<Todo>) {
+fn asks_with(awaited: usize, reached: &dyn Fn(u16) -> bool, known: Copy) -> (Redials, Vec<RedialAction>) {
     let mut redials = Redials::new(4, group(), awaited, ms(60), ms(1000), ms(300));
     let begin = Begin { reached, knows: false, known, owner: owner(1, 4), cut_off: ms(3000) };
-    let todo = redials.begin(ms(0), &id(), begin);
-    (redials, todo)
+    let actions = redials.begin(ms(0), &id(), begin);
+    (redials, actions)
 }
 
 fn all(_: u16) -> bool {
     true
 }
 
-fn asked(todo: &[Todo]) -> Vec<u16> {
-    let to = |todo: &Todo| if let Todo::Ask { to, .. } = todo { Some(*to) } else { None };
-    let mut asked: Vec<u16> = todo.iter().filter_map(to).collect();
+fn asked(actions: &[RedialAction]) -> Vec<u16> {
+    let to = |action: &RedialAction| if let RedialAction::Ask { to, .. } = action { Some(*to) } else { None };
+    let mut asked: Vec<u16> = actions.iter().filter_map(to).collect();
     asked.sort_unstable();
     asked
 }
 
-fn serial(todo: &[Todo]) -> u64 {
-    todo.iter()
-        .find_map(|todo| if let Todo::Ask { serial, .. } = todo { Some(*serial) } else { None })
+fn serial(actions: &[RedialAction]) -> u64 {
+    actions
+        .iter()
+        .find_map(|action| if let RedialAction::Ask { serial, .. } = action { Some(*serial) } else { None })
         .unwrap()
 }
 
-fn said(todo: &[Todo]) -> Option<Verdict> {
-    todo.iter().find_map(|todo| if let Todo::Say(_, verdict) = todo { Some(verdict.clone()) } else { None })
+fn said(actions: &[RedialAction]) -> Option<Verdict> {
+    actions.iter().find_map(|action| {
+        if let RedialAction::Say(_, verdict) = action { Some(verdict.clone()) } else { None }
+    })
 }
 
 const UNSURE: Verdict = Verdict::Unsure { come_back: Duration::from_secs(1) };
 
 #[test]
 fn nobody_knows_it_and_it_is_free_at_once() {
-    let (mut redials, todo) = asks(&all, Copy::default());
-    assert_eq!(asked(&todo), [1, 2, 3]);
-    let n = serial(&todo);
+    let (mut redials, actions) = asks(&all, Copy::default());
+    assert_eq!(asked(&actions), [1, 2, 3]);
+    let n = serial(&actions);
     for from in [1, 2] {
         assert_eq!(redials.answered(ms(1), n, from, true, None, None, &all, false), []);
     }
-    let todo = redials.answered(ms(1), n, 3, true, None, None, &all, false);
-    assert_eq!(said(&todo), Some(Verdict::Free { not_before: ms(1) }));
-    assert!(matches!(todo[0], Todo::Claim { .. }));
+    let actions = redials.answered(ms(1), n, 3, true, None, None, &all, false);
+    assert_eq!(said(&actions), Some(Verdict::Free { not_before: ms(1) }));
+    assert!(matches!(actions[0], RedialAction::Claim { .. }));
     assert!(redials.is_empty() && redials.next_due().is_none());
 }
 
 #[test]
 fn too_few_that_can_answer_are_seen_at_once_or_at_the_end_of_the_time() {
-    let (redials, todo) = asks(&|member| member == 2, Copy::default());
-    assert_eq!((said(&todo), redials.len()), (Some(UNSURE), 0));
+    let (redials, actions) = asks(&|member| member == 2, Copy::default());
+    assert_eq!((said(&actions), redials.len()), (Some(UNSURE), 0));
     // One answers, the second does not know all, the third is silent.
-    let (mut redials, todo) = asks(&all, Copy::default());
-    let n = serial(&todo);
+    let (mut redials, actions) = asks(&all, Copy::default());
+    let n = serial(&actions);
     redials.answered(ms(1), n, 1, true, None, None, &all, false);
     redials.answered(ms(1), n, 2, false, None, None, &all, false);
     assert_eq!((redials.alarm(ms(59)), redials.next_due()), (vec![], Some(ms(60))));
-    assert_eq!(redials.alarm(ms(60)), [Todo::Say(id(), UNSURE)]);
+    assert_eq!(redials.alarm(ms(60)), [RedialAction::Say(id(), UNSURE)]);
     // An answer after that is nobody's.
     assert_eq!(redials.answered(ms(61), n, 3, true, None, None, &all, false), []);
 }
 
 #[test]
 fn enough_have_answered_when_the_time_ends() {
-    let (mut redials, todo) = asks(&all, Copy::default());
-    let n = serial(&todo);
+    let (mut redials, actions) = asks(&all, Copy::default());
+    let n = serial(&actions);
     redials.answered(ms(1), n, 1, true, None, None, &all, false);
     redials.answered(ms(1), n, 1, true, None, None, &all, false);
     assert_eq!(said(&redials.alarm(ms(60))), Some(UNSURE), "one that answers twice counts once");
-    let (mut redials, todo) = asks(&all, Copy::default());
-    let n = serial(&todo);
+    let (mut redials, actions) = asks(&all, Copy::default());
+    let n = serial(&actions);
     redials.answered(ms(1), n, 1, true, None, None, &all, false);
     redials.answered(ms(1), n, 2, true, None, None, &all, false);
     assert_eq!(said(&redials.alarm(ms(60))), Some(Verdict::Free { not_before: ms(60) }));
@@ -127,11 +130,11 @@
         let out = Reached::Out { server: server(), launch: LaunchNo(0) };
         let mut copy = written(owner(0, first), out, 0);
         claimed.iter().for_each(|owner| copy.merge(&Copy::claimed(*owner, ms(60_000))));
-        let (mut redials, todo) = asks_with(1, &without_first, Copy::default());
-        let n = serial(&todo);
+        let (mut redials, actions) = asks_with(1, &without_first, Copy::default());
+        let n = serial(&actions);
         for member in others {
-            let todo = redials.answered(ms(1), n, *member, true, None, Some(&copy), &without_first, false);
-            if let Some(verdict) = said(&todo) {
+            let actions = redials.answered(ms(1), n, *member, true, None, Some(&copy), &without_first, false);
+            if let Some(verdict) = said(&actions) {
                 return Some(verdict);
             }
         }
@@ -146,8 +149,8 @@
 #[test]
 fn what_is_found_is_said() {
     let found = |copy: Copy| {
-        let (mut redials, todo) = asks(&|member| member < 3, Copy::default());
-        let n = serial(&todo);
+        let (mut redials, actions) = asks(&|member| member < 3, Copy::default());
+        let n = serial(&actions);
         redials.answered(ms(1), n, 1, true, None, None, &|member| member < 3, false);
         redials.answered(ms(1), n, 2, true, None, Some(&copy), &|member| member < 3, false)
     };
@@ -169,22 +172,22 @@
 
 #[test]
 fn its_owner_is_asked_once_it_is_known_and_calls_its_launch_off() {
-    let (mut redials, todo) = asks(&all, Copy::default());
-    let n = serial(&todo);
+    let (mut redials, actions) = asks(&all, Copy::default());
+    let n = serial(&actions);
     let out = Reached::Out { server: server(), launch: LaunchNo(0) };
     let copy = written(owner(0, 7), out, 2500);
-    let todo = redials.answered(ms(1), n, 1, true, None, Some(&copy), &all, false);
-    assert_eq!(asked(&todo), [7]);
+    let actions = redials.answered(ms(1), n, 1, true, None, Some(&copy), &all, false);
+    assert_eq!(asked(&actions), [7]);
     redials.answered(ms(1), n, 2, true, None, None, &all, false);
     assert_eq!(redials.answered(ms(1), n, 3, true, None, None, &all, false), [], "its owner may yet say");
     let mut back = copy.clone();
     back.write(owner(0, 7), Reached::Taken, ms(302), ms(60_000));
-    let todo = redials.answered(ms(2), n, 7, true, None, Some(&back), &all, false);
-    assert_eq!(said(&todo), Some(Verdict::Free { not_before: ms(302) }));
+    let actions = redials.answered(ms(2), n, 7, true, None, Some(&back), &all, false);
+    assert_eq!(said(&actions), Some(Verdict::Free { not_before: ms(302) }));
     // One that says nothing leaves its launch to end by itself.
-    let (mut redials, todo) = asks(&all, copy);
-    assert_eq!(asked(&todo), [1, 2, 3, 7]);
-    let n = serial(&todo);
+    let (mut redials, actions) = asks(&all, copy);
+    assert_eq!(asked(&actions), [1, 2, 3, 7]);
+    let n = serial(&actions);
     for from in [1, 2, 3] {
         redials.answered(ms(1), n, from, true, None, None, &all, false);
     }
@@ -193,22 +196,22 @@
 
 #[test]
 fn a_higher_claim_is_gone_over_a_few_times_and_a_lost_one_says_so() {
-    let (mut redials, todo) = asks(&all, Copy::default());
-    let mut n = serial(&todo);
+    let (mut redials, actions) = asks(&all, Copy::default());
+    let mut n = serial(&actions);
     for round in [5, 7] {
-        let todo = redials.answered(ms(1), n, 1, true, Some(owner(round, 8)), None, &all, false);
-        assert_eq!(asked(&todo), [1, 2, 3]);
-        assert!(matches!(&todo[0], Todo::Ask { owner, .. } if owner.round == round + 1));
+        let actions = redials.answered(ms(1), n, 1, true, Some(owner(round, 8)), None, &all, false);
+        assert_eq!(asked(&actions), [1, 2, 3]);
+        assert!(matches!(&actions[0], RedialAction::Ask { owner, .. } if owner.round == round + 1));
         assert_eq!(redials.answered(ms(1), n, 2, true, None, None, &all, false), [], "of the former claim");
-        n = serial(&todo);
+        n = serial(&actions);
     }
     assert_eq!(
         redials.answered(ms(1), n, 1, true, Some(owner(9, 8)), None, &all, false),
-        [Todo::Say(id(), UNSURE)]
+        [RedialAction::Say(id(), UNSURE)]
     );
     let (mut redials, _) = asks(&all, Copy::default());
     assert_eq!(redials.beaten(&id(), owner(0, 9)), []);
-    assert_eq!(redials.beaten(&id(), owner(1, 9)), [Todo::Say(id(), UNSURE)]);
+    assert_eq!(redials.beaten(&id(), owner(1, 9)), [RedialAction::Say(id(), UNSURE)]);
     assert!(redials.is_empty());
 }
 
@@ -216,12 +219,12 @@
 fn what_stands_is_adopted_at_its_core_server_or_is_over() {
     let stands = written(owner(0, 9), Reached::Stands { server: server(), launch: LaunchNo(2) }, 0);
     let adopting = || {
-        let (mut redials, todo) = asks(&|member| member < 3, Copy::default());
-        let n = serial(&todo);
+        let (mut redials, actions) = asks(&|member| member < 3, Copy::default());
+        let n = serial(&actions);
         redials.answered(ms(1), n, 1, true, None, Some(&stands), &|member| member < 3, false);
-        let todo = redials.answered(ms(1), n, 2, true, None, None, &|member| member < 3, false);
-        let adopt = Todo::Adopt { server: server(), dialogue: id(), owner: owner(1, 4) };
-        assert!(todo.contains(&adopt) && said(&todo).is_none());
+        let actions = redials.answered(ms(1), n, 2, true, None, None, &|member| member < 3, false);
+        let adopt = RedialAction::Adopt { server: server(), dialogue: id(), owner: owner(1, 4) };
+        assert!(actions.contains(&adopt) && said(&actions).is_none());
         redials
     };
     let mine = owner(1, 4);
@@ -246,30 +249,30 @@
     let out = Reached::Out { server: server(), launch: LaunchNo(0) };
     let copy = written(owner(0, 1), out, 500);
     let dead = |member: u16| member != 1;
-    let (mut redials, todo) = asks_with(1, &dead, Copy::default());
-    assert_eq!(asked(&todo), [2, 3]);
-    let n = serial(&todo);
+    let (mut redials, actions) = asks_with(1, &dead, Copy::default());
+    assert_eq!(asked(&actions), [2, 3]);
+    let n = serial(&actions);
     redials.answered(ms(1), n, 2, true, None, Some(&copy), &dead, false);
-    let todo = redials.answered(ms(1), n, 3, true, None, None, &dead, false);
-    assert_eq!(said(&todo), Some(Verdict::Free { not_before: ms(500) }));
+    let actions = redials.answered(ms(1), n, 3, true, None, None, &dead, false);
+    assert_eq!(said(&actions), Some(Verdict::Free { not_before: ms(500) }));
     // Nothing is found, and the third may have been the one that acknowledged it.
-    let (mut redials, todo) = asks_with(1, &dead, Copy::default());
-    let n = serial(&todo);
+    let (mut redials, actions) = asks_with(1, &dead, Copy::default());
+    let n = serial(&actions);
     redials.answered(ms(1), n, 2, true, None, None, &dead, false);
-    let todo = redials.answered(ms(1), n, 3, true, None, None, &dead, false);
-    assert_eq!(said(&todo), Some(UNSURE));
+    let actions = redials.answered(ms(1), n, 3, true, None, None, &dead, false);
+    assert_eq!(said(&actions), Some(UNSURE));
     // Nor where its owner is another one, and the dead one holds a copy.
-    let (mut redials, todo) = asks_with(1, &dead, Copy::default());
-    let n = serial(&todo);
+    let (mut redials, actions) = asks_with(1, &dead, Copy::default());
+    let n = serial(&actions);
     let copy = written(owner(0, 0), Reached::Taken, 0);
     redials.answered(ms(1), n, 2, true, None, Some(&copy), &dead, false);
     redials.answered(ms(1), n, 3, true, None, None, &dead, false);
-    let todo = redials.answered(ms(1), n, 0, true, None, Some(&copy), &dead, false);
+    let actions = redials.answered(ms(1), n, 0, true, None, Some(&copy), &dead, false);
     let holders: Vec<u16> = group().holders(print(&id()), 0).collect();
-    assert_eq!(said(&todo) == Some(UNSURE), holders.contains(&1), "{holders:?}");
+    assert_eq!(said(&actions) == Some(UNSURE), holders.contains(&1), "{holders:?}");
     assert_eq!(
         asks_with(1, &|member| member == 2, Copy::default()).1,
-        [Todo::Say(id(), UNSURE)],
+        [RedialAction::Say(id(), UNSURE)],
         "too few at once"
     );
 }
