--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -6,7 +6,6 @@
 //! [`Plan`], then at [`Member`].
 
 mod duties;
-mod heirs;
 mod lives;
 mod member;
 mod membership_view;
@@ -15,9 +14,9 @@
 mod publish;
 mod redial;
 mod status;
+mod takeovers;
 
 pub use duties::{CIRCUITS, Duty, DutyPlan, NAMES, PUBLISH, SWEEP};
-pub use heirs::{Heirs, TakeoverAction};
 pub use lives::{Agreed, Lives, start_of};
 pub use member::{Counts, Effects, Finding, Member, Save, Stored};
 pub use membership_view::{MemberSet, MembershipView};
@@ -25,3 +24,4 @@
 pub use plan::Plan;
 pub use redial::{Begin, RedialAction, Redials, Verdict};
 pub use status::{copy_text, differ, show};
+pub use takeovers::{TakeoverAction, Takeovers};
--- a/crates/fleet/src/member/background.rs
+++ b/crates/fleet/src/member/background.rs
@@ -9,7 +9,7 @@
 use super::batches::FRAME;
 use super::interface::Effects;
 
-/// Copies forgotten, or looked at for heirs, in one slice.
+/// Copies forgotten, or looked at for orphans, in one slice.
 pub(super) const SLICE: usize = 2048;
 pub(super) const FORGET: ChoreId = ChoreId(0);
 pub(super) const LOOK: ChoreId = ChoreId(1);
@@ -37,7 +37,7 @@
                 self.counts.forgotten += gone.len() as u64;
                 self.changed.extend(gone);
             }
-            LOOK => self.look_for_heirs(),
+            LOOK => self.look_for_orphans(),
             PIECES => {
                 if let Some((member, cursor)) = self.wants_pieces.pop_front() {
                     self.send_piece(member, cursor, effects);
@@ -63,7 +63,7 @@
         self.chores.done(now, chore, FRAME, took, more);
     }
 
-    fn look_for_heirs(&mut self) {
+    fn look_for_orphans(&mut self) {
         let Some(from) = self.look_from.take().filter(|_| self.lives.mine() > 0) else { return };
         let now = self.now;
         let mut actions = Vec::new();
@@ -74,12 +74,12 @@
                 next = Some(print(id));
                 break;
             }
-            if !copy.owner().is_some_and(|owner| self.heirs.is_ended(owner)) {
+            if !copy.owner().is_some_and(|owner| self.takeovers.is_ended(owner)) {
                 continue;
             }
             let live = |member: u16| !self.view.gone(now, member) && self.view.hears(now, member);
             let first = self.book.group().candidates(print(id)).iter().find(|member| live(*member));
-            actions.extend(self.heirs.look(now, id, copy, first, life));
+            actions.extend(self.takeovers.look(now, id, copy, first, life));
         }
         self.look_from = next;
         self.do_takeover_actions(actions);
--- a/crates/fleet/src/member/core_servers.rs
+++ b/crates/fleet/src/member/core_servers.rs
@@ -10,7 +10,7 @@
 use super::Member;
 use super::interface::{Effects, Finding};
 use crate::duties::SWEEP;
-use crate::heirs::{LineOf, TakeoverAction};
+use crate::takeovers::{LineOf, TakeoverAction};
 
 /// Core servers whose lines are looked after, at most.
 pub(super) const MOST_CORES: usize = 10_000;
@@ -20,7 +20,7 @@
     pub fn core_up(&mut self, now: Duration, server: &ServerId) {
         self.now = now;
         if self.cores.len() < MOST_CORES && self.cores.insert(server.clone()) && self.lives.mine() > 0 {
-            let action = self.heirs.ask_of_mine(now, server);
+            let action = self.takeovers.ask_of_mine(now, server);
             self.do_takeover_actions(vec![action]);
         }
     }
@@ -28,7 +28,7 @@
     /// The link to a core server has gone.
     pub fn core_down(&mut self, server: &ServerId) {
         if self.cores.remove(server) {
-            self.heirs.forget_server(server);
+            self.takeovers.forget_server(server);
         }
     }
 
@@ -60,7 +60,7 @@
                 };
                 let life = self.lives.mine();
                 if life > 0 {
-                    let actions = self.heirs.holds(now, server, serial, &lines, more, life, whose);
+                    let actions = self.takeovers.holds(now, server, serial, &lines, more, life, whose);
                     self.do_takeover_actions(actions);
                 }
             }
@@ -68,16 +68,16 @@
                 let launch = launch.map(LaunchNo);
                 let actions = self.redials.adopted(&dialogue, server, owner, launch, by);
                 self.do_redial_actions(actions);
-                let actions = self.heirs.adopted(now, &dialogue, server, owner, launch, by);
+                let actions = self.takeovers.adopted(now, &dialogue, server, owner, launch, by);
                 self.do_takeover_actions(actions);
             }
             Audit::Moved { dialogue, by, .. } => {
                 self.book.replaced(now, &dialogue, by);
-                self.heirs.drop_of(&dialogue);
+                self.takeovers.drop_of(&dialogue);
                 self.findings.push(Finding::Replaced(dialogue));
             }
             Audit::Fenced { dialogue, duty, highest } => {
-                self.heirs.drop_of(&dialogue);
+                self.takeovers.drop_of(&dialogue);
                 self.duties.iter_mut().for_each(|duties| duties.refused(now, duty, highest));
             }
             Audit::What { .. } | Audit::Adopt { .. } => {}
@@ -87,7 +87,7 @@
     /// A standing dialogue has ended at a core server; true: it was one that this member had taken over.
     pub fn core_ended(&mut self, now: Duration, id: &DialogueId) -> bool {
         self.now = now;
-        let actions = self.heirs.over(id);
+        let actions = self.takeovers.over(id);
         let mine = !actions.is_empty();
         self.do_takeover_actions(actions);
         mine
@@ -99,9 +99,9 @@
         match frame {
             Frame::Audit(Audit::Adopt { dialogue, .. }) => {
                 let actions = self.redials.unreached(dialogue);
-                self.do_redial_actions(actions); // An heir asks again by itself.
+                self.do_redial_actions(actions); // A successor asks again by itself.
             }
-            Frame::Audit(Audit::What { serial, .. }) => self.heirs.unasked(*serial),
+            Frame::Audit(Audit::What { serial, .. }) => self.takeovers.unasked(*serial),
             _ => {}
         }
     }
@@ -114,10 +114,10 @@
                     let act = duties.and_then(|duties| duties.act(self.now, SWEEP));
                     if duties.is_some() && act.is_none() {
                         // The duty is another's by now.
-                        self.heirs.drop_of(&dialogue);
+                        self.takeovers.drop_of(&dialogue);
                         continue;
                     }
-                    self.heirs.let_go(self.now, &server);
+                    self.takeovers.let_go(self.now, &server);
                     self.findings
                         .push(Finding::ToCore(server, Frame::Audit(Audit::Adopt { dialogue, owner, act })));
                 }
--- a/crates/fleet/src/member/dispatch.rs
+++ b/crates/fleet/src/member/dispatch.rs
@@ -63,7 +63,7 @@
                     self.goes(&dialogue);
                     if self.book.replaced(self.now, &dialogue, by) {
                         self.counts.replaced += 1;
-                        self.heirs.drop_of(&dialogue);
+                        self.takeovers.drop_of(&dialogue);
                         self.changed.insert(dialogue.clone());
                         self.findings.push(Finding::Replaced(dialogue));
                     }
--- a/crates/fleet/src/member/duty_acts.rs
+++ b/crates/fleet/src/member/duty_acts.rs
@@ -19,7 +19,7 @@
             return;
         }
         if self.lives.mine() > 0 && self.cores.contains(server) {
-            let action = self.heirs.check_mine(self.now, server);
+            let action = self.takeovers.check_mine(self.now, server);
             self.do_takeover_actions(action.into_iter().collect());
         }
     }
@@ -59,7 +59,7 @@
         let swept = duties.act(now, SWEEP).is_some();
         if swept != self.sweeps {
             self.sweeps = swept;
-            self.heirs.sweeps_no_more();
+            self.takeovers.sweeps_no_more();
         }
         loop {
             let actions = duties.outs(now);
@@ -85,7 +85,7 @@
                                 self.tell(link, Frame::Peer(check), effects);
                             }
                         }
-                        let action = self.heirs.check_mine(now, &server);
+                        let action = self.takeovers.check_mine(now, &server);
                         self.do_takeover_actions(action.into_iter().collect());
                     }
                     DutyAction::Log(line) => effects.log(&line),
--- a/crates/fleet/src/member/incarnations.rs
+++ b/crates/fleet/src/member/incarnations.rs
@@ -107,7 +107,7 @@
             self.resume(member, effects);
         }
         // A former life of this member left something behind, perhaps.
-        self.heirs.ended(self.now, self.plan.me, life - 1);
+        self.takeovers.ended(self.now, self.plan.me, life - 1);
         self.heartbeat_at = self.now;
     }
 
@@ -132,18 +132,18 @@
         let before = self.view.life(member);
         if self.view.lives(member, life) {
             if before > 0 {
-                self.heirs.ended(self.now, member, before);
+                self.takeovers.ended(self.now, member, before);
             }
             self.resume(member, effects);
         } else if self.incoming[usize::from(member)].life != life {
             self.resume(member, effects);
         }
-        self.heirs.returned(member, life);
+        self.takeovers.returned(member, life);
         if life > 0 {
             // What it left in lives before this one is nobody's.
             let ended = life - 1;
-            if !self.heirs.is_ended(Owner { round: 0, member, life: ended }) {
-                self.heirs.ended(self.now, member, ended);
+            if !self.takeovers.is_ended(Owner { round: 0, member, life: ended }) {
+                self.takeovers.ended(self.now, member, ended);
             }
         }
     }
--- a/crates/fleet/src/member/mod.rs
+++ b/crates/fleet/src/member/mod.rs
@@ -28,12 +28,12 @@
 use lotussaddle_trunk::{Cursor, Owner, Peer};
 
 use crate::duties::Duties;
-use crate::heirs::Heirs;
 use crate::lives::Lives;
 use crate::membership_view::{MemberSet, MembershipView};
 use crate::peers::Peers;
 use crate::plan::Plan;
 use crate::redial::Redials;
+use crate::takeovers::Takeovers;
 
 use background::{FORGET, LOOK, PIECES, REPAIR};
 use confirmations::Confirmations;
@@ -54,7 +54,7 @@
     peers: Peers,
     book: Book,
     redials: Redials,
-    heirs: Heirs,
+    takeovers: Takeovers,
     duties: Option<Duties>,
     table_orders: TableOrders,
     /// The order to the disk that the last number of a duty is kept by.
@@ -134,7 +134,7 @@
                 plan.silence,
                 plan.release,
             ),
-            heirs: Heirs::new(me, plan.unclaimed),
+            takeovers: Takeovers::new(me, plan.unclaimed),
             incoming: (0..members).map(|_| Incoming::default()).collect(),
             resumed: vec![false; members],
             fresh: false,
@@ -197,7 +197,7 @@
 
     /// Dialogues taken over and kept for their callers; dialogues asked for.
     pub fn sizes(&self) -> (usize, usize) {
-        (self.heirs.len(), self.redials.len())
+        (self.takeovers.len(), self.redials.len())
     }
 
     /// Takes what its edge proxy is to be told since the last call.
--- a/crates/fleet/src/member/own_dialogues.rs
+++ b/crates/fleet/src/member/own_dialogues.rs
@@ -94,13 +94,13 @@
             Reached::Stands { server, .. } if part.owner.member == self.plan.me => Some(server),
             _ => None,
         });
-        servers.for_each(|server| self.heirs.let_go(self.now, server));
+        servers.for_each(|server| self.takeovers.let_go(self.now, server));
     }
 
     /// Its edge proxy has let a dialogue go, as [`Finding::LetGo`] asked.
     pub fn let_go(&mut self, now: Duration, id: &DialogueId) {
         self.now = now;
-        self.heirs.drop_of(id);
+        self.takeovers.drop_of(id);
         for (member, serial, owner) in self.lets.remove(id).unwrap_or_default() {
             self.counts.replaced += 1;
             self.answer_asked(member, serial, id, owner);
@@ -109,6 +109,6 @@
 
     /// It is kept for its caller, or being taken over for one: its edge proxy does not hold it yet.
     pub(super) fn is_coming(&self, id: &DialogueId) -> bool {
-        self.heirs.has(id) || self.redials.has(id) || self.confirmations.contains(id)
+        self.takeovers.has(id) || self.redials.has(id) || self.confirmations.contains(id)
     }
 }
--- a/crates/fleet/src/member/search.rs
+++ b/crates/fleet/src/member/search.rs
@@ -25,7 +25,7 @@
             return self.findings.push(Finding::Found(id.clone(), Verdict::Unsure { come_back }));
         }
         self.confirmations.remove(id);
-        if let Some((server, launch)) = self.heirs.claim(id) {
+        if let Some((server, launch)) = self.takeovers.claim(id) {
             return self.confirm(id.clone(), Verdict::Stands { server, launch });
         }
         // What this member owns nobody else has gone on with, or its writes will be refused. What stood is asked for all the same:
@@ -43,7 +43,7 @@
         if let Some(verdict) = verdict {
             return self.confirm(id.clone(), verdict);
         }
-        self.heirs.drop_of(id);
+        self.takeovers.drop_of(id);
         let print = print(id);
         let candidates: Vec<u16> = self.book.group().candidates(print).iter().collect();
         let known = self.book.get(id).cloned().unwrap_or_default();
@@ -77,7 +77,7 @@
                     self.write(&dialogue, Reached::Taken, Duration::ZERO, None, self.now, 0);
                 }
                 RedialAction::Adopt { server, dialogue, owner } => {
-                    self.heirs.let_go(self.now, &server); // The answer may be lost.
+                    self.takeovers.let_go(self.now, &server); // The answer may be lost.
                     let frame = Frame::Audit(Audit::Adopt { dialogue, owner, act: None });
                     self.findings.push(Finding::ToCore(server, frame));
                 }
--- a/crates/fleet/src/member/streams.rs
+++ b/crates/fleet/src/member/streams.rs
@@ -114,15 +114,15 @@
         for (id, _) in news.lost {
             self.counts.replaced += 1;
             self.goes(&id);
-            self.heirs.drop_of(&id);
+            self.takeovers.drop_of(&id);
             self.findings.push(Finding::Replaced(id));
         }
-        if self.heirs.any_ended() {
+        if self.takeovers.any_ended() {
             let left = |id: &DialogueId| {
-                self.book.get(id).and_then(Copy::owner).is_some_and(|o| self.heirs.is_ended(o))
+                self.book.get(id).and_then(Copy::owner).is_some_and(|o| self.takeovers.is_ended(o))
             };
             let look = news.changed.iter().any(left);
-            self.heirs.look_again |= look;
+            self.takeovers.look_again |= look;
         }
         self.changed.extend(news.changed);
         news.replaced
--- a/crates/fleet/src/member/timers.rs
+++ b/crates/fleet/src/member/timers.rs
@@ -8,11 +8,14 @@
 use super::Member;
 use super::interface::Effects;
 use crate::duties::{Duties, SWEEP};
-use crate::heirs::TakeoverAction;
 use crate::peers::Way;
+use crate::takeovers::TakeoverAction;
 
 /// A link that says nothing of use for so long is closed.
-pub(super) const GREET_WITHIN: Duration = Duration::from_secs(2);
+const GREET_WITHIN: Duration = Duration::from_secs(2);
+
+/// Hashed with a member's name to rank its successors; all members must have the same bytes.
+const SUCCESSOR_SEED: &[u8] = b"estate";
 
 impl Member {
     /// When `alarm` is to be called next.
@@ -22,7 +25,7 @@
             self.lives.next_due().map(|at| at.max(self.retired_until)),
             self.redials.next_due(),
             self.confirmations.next_due(),
-            self.heirs.next_due(),
+            self.takeovers.next_due(),
             self.duties.as_ref().map(Duties::next_due),
             self.chores.due(false),
             Some(self.look_at),
@@ -45,7 +48,7 @@
         let actions = self.redials.alarm(now);
         self.do_redial_actions(actions);
         self.unconfirmed();
-        let actions = self.heirs.alarm(now);
+        let actions = self.takeovers.alarm(now);
         self.do_takeover_actions(actions);
         if self.heartbeat_at <= now {
             self.heartbeat_at = now + self.plan.heartbeat_interval();
@@ -81,13 +84,13 @@
             if gone && !self.was_gone.has(member) {
                 self.was_gone.set(member);
                 effects.log(&format!("member {} is not heard by a majority", self.name(member)));
-                self.heirs.ended(now, member, self.view.life(member));
+                self.takeovers.ended(now, member, self.view.life(member));
             } else if !gone && self.was_gone.has(member) {
                 self.was_gone.unset(member);
                 effects.log(&format!("member {} is heard again", self.name(member)));
                 let life = self.view.life(member);
-                self.heirs.returned(member, life);
-                self.heirs.ended(now, member, life.saturating_sub(1));
+                self.takeovers.returned(member, life);
+                self.takeovers.ended(now, member, life.saturating_sub(1));
             }
             if let Some(link) = self.peers.to(member)
                 && self.view.away(now, member) >= self.plan.silence * 2
@@ -105,16 +108,16 @@
         if self.lives.mine() > 0 {
             let live = |member: u16| !self.view.gone(now, member) && self.view.hears(now, member);
             let (group, plan, me) = (self.book.group(), &self.plan, self.plan.me);
-            let is_heir_of = |member: u16| {
-                let print = digest(&[b"estate", plan.members[usize::from(member)].as_bytes()]);
+            let is_successor_of = |member: u16| {
+                let print = digest(&[SUCCESSOR_SEED, plan.members[usize::from(member)].as_bytes()]);
                 group.ranked(print).into_iter().find(|member| live(*member)) == Some(me)
             };
             // One that hears no majority cannot tell who is gone.
             if self.view.with_majority(now) {
-                // Where there are duties one member sweeps for all; else each estate has its own heir.
+                // Where there are duties one member sweeps for all; else each ended incarnation has its own successor.
                 let sweeps = self.duties.as_ref().map(|duties| duties.act(now, SWEEP).is_some());
-                let is_heir_of = |member: u16| sweeps.unwrap_or_else(|| is_heir_of(member));
-                let actions = self.heirs.sweep(now, is_heir_of, &self.cores);
+                let is_successor_of = |member: u16| sweeps.unwrap_or_else(|| is_successor_of(member));
+                let actions = self.takeovers.sweep(now, is_successor_of, &self.cores);
                 let asked = actions.iter().rev().find_map(|action| match action {
                     TakeoverAction::What { server, member, .. } if *member != self.plan.me => {
                         Some((server, *member))
@@ -127,7 +130,7 @@
                 }
                 self.do_takeover_actions(actions);
             }
-            if std::mem::take(&mut self.heirs.look_again) && self.look_from.is_none() {
+            if std::mem::take(&mut self.takeovers.look_again) && self.look_from.is_none() {
                 self.look_from = Some(0);
             }
         }
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -35,7 +35,7 @@
     pub most: usize,
     /// Dialogues asked for at once.
     pub asks: usize,
-    /// Who votes about duties, and for how long one is held; none: nobody has duties, and heirs go by their order.
+    /// Who votes about duties, and for how long one is held; none: nobody has duties, and successors go by their order.
     pub duties: Option<DutyPlan>,
     /// Two members compare what they hold so often.
     pub compare_every: Duration,
--- a/crates/fleet/src/heirs.rs
+++ b/crates/fleet/src/takeovers.rs
@@ -1,8 +1,8 @@
 //! What a member leaves behind when it is gone: its standing dialogues are taken over, each by the next of those who hold copies, and
 //! kept for a while for their callers; what nobody owns any more is released at the core servers.
 //!
-//! Two heirs may think that it is their turn, where what they hear differs. That does no harm: a core server takes the word of the
-//! higher owner, and whoever had it lets go.
+//! Two successors may think that it is their turn, where what they hear differs. That does no harm: a core server takes the word of
+//! the higher owner, and whoever had it lets go.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -94,7 +94,7 @@
 }
 
 /// A member's life that has ended.
-struct Estate {
+struct EndedIncarnation {
     life: u64,
     since: Duration,
     swept: BTreeMap<ServerId, Swept>,
@@ -127,30 +127,31 @@
     gently: bool,
 }
 
-pub struct Heirs {
+/// Dialogues of ended incarnations that this member takes over or releases.
+pub struct Takeovers {
     me: u16,
     unclaimed: Duration,
     orphans: HashMap<DialogueId, Orphan>,
     dues: BTreeSet<(Duration, DialogueId)>,
-    estates: BTreeMap<u16, Estate>,
+    ended_incarnations: BTreeMap<u16, EndedIncarnation>,
     /// Core servers that were asked for this member's own lines.
     mine: BTreeMap<ServerId, Swept>,
     /// Lines that were claimed when they were told, whose they were and since when: a claim that nothing came of binds nobody.
     left: BTreeMap<(ServerId, DialogueId), (Owner, Duration)>,
     questions: BTreeMap<u64, Question>,
     serial: u64,
-    /// Standing dialogues of members gone were seen that are another heir's, or too many at once: look again.
+    /// Standing dialogues of members gone were seen that are another successor's, or too many at once: look again.
     pub look_again: bool,
 }
 
-impl Heirs {
+impl Takeovers {
     pub fn new(me: u16, unclaimed: Duration) -> Self {
         Self {
             me,
             unclaimed,
             orphans: HashMap::new(),
             dues: BTreeSet::new(),
-            estates: BTreeMap::new(),
+            ended_incarnations: BTreeMap::new(),
             mine: BTreeMap::new(),
             left: BTreeMap::new(),
             questions: BTreeMap::new(),
@@ -177,29 +178,32 @@
 
     /// This life of a member, and what came before it, has ended.
     pub fn ended(&mut self, now: Duration, member: u16, life: u64) {
-        let estate =
-            self.estates.entry(member).or_insert(Estate { life, since: now, swept: BTreeMap::new() });
-        if life > estate.life {
-            *estate = Estate { life, since: now, swept: BTreeMap::new() };
+        let ended = self.ended_incarnations.entry(member).or_insert(EndedIncarnation {
+            life,
+            since: now,
+            swept: BTreeMap::new(),
+        });
+        if life > ended.life {
+            *ended = EndedIncarnation { life, since: now, swept: BTreeMap::new() };
         }
         self.look_again = true;
     }
 
     /// A member that was taken as gone is heard in the same life: it was only slow, or cut off.
     pub fn returned(&mut self, member: u16, life: u64) {
-        if self.estates.get(&member).is_some_and(|estate| estate.life >= life) {
-            self.estates.remove(&member);
+        if self.ended_incarnations.get(&member).is_some_and(|ended| ended.life >= life) {
+            self.ended_incarnations.remove(&member);
             self.questions.retain(|_, question| question.member != member);
         }
     }
 
     /// Whether this owner's life has ended.
     pub fn is_ended(&self, owner: Owner) -> bool {
-        self.estates.get(&owner.member).is_some_and(|estate| owner.life <= estate.life)
+        self.ended_incarnations.get(&owner.member).is_some_and(|ended| owner.life <= ended.life)
     }
 
     pub fn any_ended(&self) -> bool {
-        !self.estates.is_empty()
+        !self.ended_incarnations.is_empty()
     }
 
     // Dialogues
@@ -314,17 +318,17 @@
     /// there then was claimed by nobody. Those of this member are asked for too. Where lines were left to a claim they are asked for
     /// again.
     pub fn sweep(
-        &mut self, now: Duration, is_heir_of: impl Fn(u16) -> bool, cores: &BTreeSet<ServerId>,
+        &mut self, now: Duration, is_successor_of: impl Fn(u16) -> bool, cores: &BTreeSet<ServerId>,
     ) -> Vec<TakeoverAction> {
         let unclaimed = self.unclaimed;
         let due = |swept: Option<&Swept>| swept.is_none_or(|swept| swept.left && now >= swept.at + unclaimed);
         let mut asked = Vec::new();
-        for (member, estate) in &mut self.estates {
-            if now < estate.since + unclaimed || !is_heir_of(*member) {
+        for (member, ended) in &mut self.ended_incarnations {
+            if now < ended.since + unclaimed || !is_successor_of(*member) {
                 continue;
             }
-            for server in cores.iter().filter(|server| due(estate.swept.get(*server))) {
-                asked.push((server.clone(), *member, estate.life));
+            for server in cores.iter().filter(|server| due(ended.swept.get(*server))) {
+                asked.push((server.clone(), *member, ended.life));
             }
         }
         asked.extend(
@@ -337,8 +341,8 @@
         self.serial += 1;
         let swept = Swept { at: now, left: false };
         // Its own life has not ended: what it does not hold of it is nobody's all the same.
-        match self.estates.get_mut(&member).filter(|estate| estate.life == life) {
-            Some(estate) => estate.swept.insert(server.clone(), swept),
+        match self.ended_incarnations.get_mut(&member).filter(|ended| ended.life == life) {
+            Some(ended) => ended.swept.insert(server.clone(), swept),
             None => self.mine.insert(server.clone(), swept),
         };
         let question = Question { server: server.clone(), member, life, at: now, gently: false };
@@ -372,7 +376,7 @@
         }
         self.questions.retain(|_, question| question.member == self.me);
         // Whoever holds it next, this one again perhaps, asks anew.
-        self.estates.values_mut().for_each(|estate| estate.swept.clear());
+        self.ended_incarnations.values_mut().for_each(|ended| ended.swept.clear());
     }
 
     /// This member has let a standing dialogue go to whoever claimed it: where nothing comes of that its line is nobody's.
@@ -385,8 +389,8 @@
     }
 
     fn is_left(&mut self, server: &ServerId, member: u16, life: u64) {
-        let estate = self.estates.get_mut(&member).filter(|estate| estate.life == life);
-        let swept = estate.map_or(&mut self.mine, |estate| &mut estate.swept).get_mut(server);
+        let ended = self.ended_incarnations.get_mut(&member).filter(|ended| ended.life == life);
+        let swept = ended.map_or(&mut self.mine, |ended| &mut ended.swept).get_mut(server);
         swept.into_iter().for_each(|swept| swept.left = true);
     }
 
@@ -452,14 +456,15 @@
     /// A core server was not reached for a question.
     pub fn unasked(&mut self, serial: u64) {
         let Some(question) = self.questions.remove(&serial) else { return };
-        let estate = self.estates.get_mut(&question.member).filter(|estate| estate.life == question.life);
-        estate.map_or(&mut self.mine, |estate| &mut estate.swept).remove(&question.server);
+        let ended =
+            self.ended_incarnations.get_mut(&question.member).filter(|ended| ended.life == question.life);
+        ended.map_or(&mut self.mine, |ended| &mut ended.swept).remove(&question.server);
     }
 
     /// A core server is not reached any more, or its process is another one: it is asked anew.
     pub fn forget_server(&mut self, server: &ServerId) {
-        for estate in self.estates.values_mut() {
-            estate.swept.remove(server);
+        for ended in self.ended_incarnations.values_mut() {
+            ended.swept.remove(server);
         }
         self.mine.remove(server);
         self.questions.retain(|_, question| question.server != *server);
@@ -505,5 +510,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/heirs.rs"]
+#[path = "../tests/unit/takeovers.rs"]
 mod tests;
--- a/crates/fleet/tests/unit/heirs.rs
+++ b/crates/fleet/tests/unit/takeovers.rs
@@ -1,4 +1,4 @@
-//! Tests of the module `heirs`, with access to its private items.
+//! Tests of the module `takeovers`, with access to its private items.
 
 use std::sync::Arc;
 
@@ -34,13 +34,13 @@
     actions.into_iter().filter(|action| !matches!(action, TakeoverAction::What { member: 2, .. })).collect()
 }
 
-fn heirs() -> Heirs {
-    Heirs::new(2, ms(5000))
+fn takeovers() -> Takeovers {
+    Takeovers::new(2, ms(5000))
 }
 
 #[test]
 fn the_first_heir_takes_over_what_stood_keeps_it_for_its_caller_and_releases_it() {
-    let mut h = heirs();
+    let mut h = takeovers();
     let copy = standing(owner(0, 0, 7));
     assert_eq!(h.look(ms(0), &id("d"), &copy, Some(2), 9), None, "its owner is there");
     h.ended(ms(0), 0, 7);
@@ -66,7 +66,7 @@
 #[test]
 fn what_is_another_s_by_then_or_over_is_left_alone() {
     let begun = || {
-        let mut h = heirs();
+        let mut h = takeovers();
         h.ended(ms(0), 0, 7);
         h.look(ms(0), &id("d"), &standing(owner(0, 0, 7)), Some(2), 9).unwrap();
         h
@@ -95,7 +95,7 @@
 
 #[test]
 fn lines_that_nobody_claimed_are_freed_by_one_and_the_rest_left() {
-    let mut h = heirs();
+    let mut h = takeovers();
     let cores: BTreeSet<ServerId> = [server("s"), server("t")].into();
     h.ended(ms(0), 0, 7);
     assert_eq!(other(h.sweep(ms(4999), |_| true, &cores)), []);
@@ -153,7 +153,7 @@
         [TakeoverAction::What { serial, .. }] => serial,
         _ => panic!("not asked"),
     };
-    let mut h = heirs();
+    let mut h = takeovers();
     h.ended(ms(0), 0, 7);
     let asked = serial(h.sweep(ms(5000), |_| true, &cores));
     assert_eq!(h.holds(ms(5010), &server("s"), asked, &lines, false, 9, |_| LineOf::Claimed), []);
