--- a/crates/lease/src/chair.rs
+++ b/crates/lease/src/chair.rs
@@ -3,10 +3,11 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use crate::lease::Plan;
+use crate::clock::{long, short};
+use crate::ids::{Duty, Number, TableId, Term};
+use crate::plan::Plan;
 use crate::table::{MOST_MARK, NOBODY, Table, Why};
-use crate::words::{Back, Beat, Duty, Give, Mark, Number, TableId, Term};
-use crate::{long, short};
+use crate::words::{Back, Beat, Give, Mark};
 
 /// Beats whose time of sending is remembered; an answer to an older one counts for nothing.
 const MOST_SENT: usize = 64;
--- /dev/null
+++ b/crates/lease/src/clock.rs
@@ -0,0 +1,13 @@
+//! Margins by which clocks that run at different rates agree on a span.
+
+use std::time::Duration;
+
+/// Two clocks that run at rates up to a twentieth from true still agree by these: what one may count on ...
+pub fn short(span: Duration) -> Duration {
+    span - span / 16
+}
+
+/// ... and what another has to wait.
+pub fn long(span: Duration) -> Duration {
+    span + span / 8
+}
--- a/crates/lease/src/fence.rs
+++ b/crates/lease/src/fence.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::words::{Duty, Number};
+use crate::ids::{Duty, Number};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -6,32 +6,21 @@
 //! Start reading at [`Table`], then at [`Lease`].
 
 mod chair;
+mod chance;
+mod clock;
 mod fence;
+mod ids;
 mod lease;
+mod plan;
 mod table;
 mod voter;
 mod words;
 
+pub use clock::{long, short};
 pub use fence::{Fence, Refused};
-pub use lease::{Lease, Out, Plan, Status};
+pub use ids::{Duty, Number, TableId, Term};
+pub use lease::{Lease, Out, Status};
+pub use plan::Plan;
 pub use table::{NOBODY, Seat, Table, Why};
 pub use voter::Kept;
-pub use words::{Back, Beat, Duty, Give, Mark, Number, TableId, Term, Word};
-
-use std::time::Duration;
-
-/// Two clocks that run at rates up to a twentieth from true still agree by these: what one may count on ...
-pub fn short(span: Duration) -> Duration {
-    span - span / 16
-}
-
-/// ... and what another has to wait.
-pub fn long(span: Duration) -> Duration {
-    span + span / 8
-}
-
-/// The least of a sequence of numbers drawn for tries that would else meet for ever.
-pub(crate) fn draw(chance: &mut u64) -> u64 {
-    *chance = chance.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-    *chance >> 33
-}
+pub use words::{Back, Beat, Give, Mark, Word};
--- a/crates/lease/src/table.rs
+++ b/crates/lease/src/table.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::words::{Duty, Number, TableId};
+use crate::ids::{Duty, Number, TableId};
 
 /// Bytes of a mark at most.
 pub const MOST_MARK: usize = 256;
@@ -30,6 +30,7 @@
     Refused,
 }
 
+/// One duty and its holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Seat {
     pub duty: Duty,
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -5,9 +5,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::long;
+use crate::clock::long;
+use crate::ids::{TableId, Term};
 use crate::table::Table;
-use crate::words::{TableId, Term};
 
 /// On disk before anything that follows from it is said.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
