--- a/crates/fleet/src/member/dispatch.rs
+++ b/crates/fleet/src/member/dispatch.rs
@@ -51,7 +51,7 @@
             }
             Peer::Beat { life, hears, caught_up, saved } => {
                 self.view.saved(member, saved);
-                self.view.beat(member, MemberSet::of(hears), caught_up);
+                self.view.heartbeat(member, MemberSet::of(hears), caught_up);
                 if life > 0 && life >= self.view.life(member) {
                     self.peer_lives(member, life, effects);
                 }
@@ -63,7 +63,7 @@
                     self.goes(&dialogue);
                     if self.book.replaced(self.now, &dialogue, by) {
                         self.counts.replaced += 1;
-                        self.heirs.drop_of(&dialogue);
+                        self.takeovers.drop_of(&dialogue);
                         self.changed.insert(dialogue.clone());
                         self.findings.push(Finding::Replaced(dialogue));
                     }
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -35,7 +35,7 @@
     pub most: usize,
     /// Dialogues asked for at once.
     pub asks: usize,
-    /// Who votes about duties, and for how long one is held; none: nobody has duties, and heirs go by their order.
+    /// Who votes about duties, and for how long one is held; none: nobody has duties, and successors go by their order.
     pub duties: Option<DutyPlan>,
     /// Two members compare what they hold so often.
     pub compare_every: Duration,
@@ -108,8 +108,8 @@
         self.members.len() / 2 + 1
     }
 
-    /// How often a member says that it is there.
-    pub fn beat(&self) -> Duration {
+    /// How often a member sends a heartbeat.
+    pub fn heartbeat_interval(&self) -> Duration {
         (self.silence / 5).max(MS)
     }
 }
--- a/crates/fleet/src/heirs.rs
+++ b/crates/fleet/src/takeovers.rs
@@ -1,8 +1,8 @@
 //! What a member leaves behind when it is gone: its standing dialogues are taken over, each by the next of those who hold copies, and
 //! kept for a while for their callers; what nobody owns any more is released at the core servers.
 //!
-//! Two heirs may think that it is their turn, where what they hear differs. That does no harm: a core server takes the word of the
-//! higher owner, and whoever had it lets go.
+//! Two successors may think that it is their turn, where what they hear differs. That does no harm: a core server takes the word of
+//! the higher owner, and whoever had it lets go.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -22,8 +22,9 @@
 /// Lines that were left to whoever claimed them, at most; those beyond it are seen when there is room.
 const MOST_LEFT: usize = 65_536;
 
+/// What a takeover asks to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Deed {
+pub enum TakeoverAction {
     /// The core server is asked whether it stands there, for this owner.
     Adopt {
         server: ServerId,
@@ -93,7 +94,7 @@
 }
 
 /// A member's life that has ended.
-struct Estate {
+struct EndedIncarnation {
     life: u64,
     since: Duration,
     swept: BTreeMap<ServerId, Swept>,
@@ -126,30 +127,31 @@
     gently: bool,
 }
 
-pub struct Heirs {
+/// Dialogues of ended incarnations that this member takes over or releases.
+pub struct Takeovers {
     me: u16,
     unclaimed: Duration,
     orphans: HashMap<DialogueId, Orphan>,
     dues: BTreeSet<(Duration, DialogueId)>,
-    estates: BTreeMap<u16, Estate>,
+    ended_incarnations: BTreeMap<u16, EndedIncarnation>,
     /// Core servers that were asked for this member's own lines.
     mine: BTreeMap<ServerId, Swept>,
     /// Lines that were claimed when they were told, whose they were and since when: a claim that nothing came of binds nobody.
     left: BTreeMap<(ServerId, DialogueId), (Owner, Duration)>,
     questions: BTreeMap<u64, Question>,
     serial: u64,
-    /// Standing dialogues of members gone were seen that are another heir's, or too many at once: look again.
+    /// Standing dialogues of members gone were seen that are another successor's, or too many at once: look again.
     pub look_again: bool,
 }
 
-impl Heirs {
+impl Takeovers {
     pub fn new(me: u16, unclaimed: Duration) -> Self {
         Self {
             me,
             unclaimed,
             orphans: HashMap::new(),
             dues: BTreeSet::new(),
-            estates: BTreeMap::new(),
+            ended_incarnations: BTreeMap::new(),
             mine: BTreeMap::new(),
             left: BTreeMap::new(),
             questions: BTreeMap::new(),
@@ -176,29 +178,32 @@
 
     /// This life of a member, and what came before it, has ended.
     pub fn ended(&mut self, now: Duration, member: u16, life: u64) {
-        let estate =
-            self.estates.entry(member).or_insert(Estate { life, since: now, swept: BTreeMap::new() });
-        if life > estate.life {
-            *estate = Estate { life, since: now, swept: BTreeMap::new() };
+        let ended = self.ended_incarnations.entry(member).or_insert(EndedIncarnation {
+            life,
+            since: now,
+            swept: BTreeMap::new(),
+        });
+        if life > ended.life {
+            *ended = EndedIncarnation { life, since: now, swept: BTreeMap::new() };
         }
         self.look_again = true;
     }
 
     /// A member that was taken as gone is heard in the same life: it was only slow, or cut off.
     pub fn returned(&mut self, member: u16, life: u64) {
-        if self.estates.get(&member).is_some_and(|estate| estate.life >= life) {
-            self.estates.remove(&member);
+        if self.ended_incarnations.get(&member).is_some_and(|ended| ended.life >= life) {
+            self.ended_incarnations.remove(&member);
             self.questions.retain(|_, question| question.member != member);
         }
     }
 
     /// Whether this owner's life has ended.
     pub fn is_ended(&self, owner: Owner) -> bool {
-        self.estates.get(&owner.member).is_some_and(|estate| owner.life <= estate.life)
+        self.ended_incarnations.get(&owner.member).is_some_and(|ended| owner.life <= ended.life)
     }
 
     pub fn any_ended(&self) -> bool {
-        !self.estates.is_empty()
+        !self.ended_incarnations.is_empty()
     }
 
     // Dialogues
@@ -206,7 +211,7 @@
     /// Looks at a copy: is it this member's to take over? `first`: the first of those who may hold copies that is there.
     pub fn look(
         &mut self, now: Duration, id: &DialogueId, copy: &Copy, first: Option<u16>, life: u64,
-    ) -> Option<Deed> {
+    ) -> Option<TakeoverAction> {
         let Reading::Stands { server, .. } = copy.reading() else { return None };
         let top = copy.owner().filter(|owner| self.is_ended(*owner))?;
         if first != Some(self.me)
@@ -221,7 +226,8 @@
         }
         let owner = Owner { round: top.round + 1, member: self.me, life };
         let server = server.clone();
-        let adopt = Deed::Adopt { server: server.clone(), dialogue: id.clone(), owner, swept: false };
+        let adopt =
+            TakeoverAction::Adopt { server: server.clone(), dialogue: id.clone(), owner, swept: false };
         self.put(id, Orphan { server, owner, stage: Stage::Adopting { at: now, tries: 0 } });
         Some(adopt)
     }
@@ -266,7 +272,7 @@
     pub fn adopted(
         &mut self, now: Duration, id: &DialogueId, server: &ServerId, owner: Owner, launch: Option<LaunchNo>,
         by: Owner,
-    ) -> Vec<Deed> {
+    ) -> Vec<TakeoverAction> {
         let known = self.orphans.get(id).filter(|orphan| orphan.owner == owner && orphan.server == *server);
         let Some(orphan) = known else { return Vec::new() };
         let freeing = match orphan.stage {
@@ -279,28 +285,28 @@
         match launch {
             Some(launch) if freeing => {
                 vec![
-                    Deed::Release { server, dialogue: dialogue.clone(), launch },
-                    Deed::Over { dialogue, owner },
+                    TakeoverAction::Release { server, dialogue: dialogue.clone(), launch },
+                    TakeoverAction::Over { dialogue, owner },
                 ]
             }
             Some(launch) => {
                 let until = now + self.unclaimed;
                 let stage = Stage::Kept { until, launch };
                 self.put(id, Orphan { server: server.clone(), owner, stage });
-                vec![Deed::Own { dialogue, owner, server, launch }]
+                vec![TakeoverAction::Own { dialogue, owner, server, launch }]
             }
             None if by > owner => Vec::new(),
-            None => vec![Deed::Over { dialogue, owner }],
+            None => vec![TakeoverAction::Over { dialogue, owner }],
         }
     }
 
     /// What this member took over is over at its core server.
-    pub fn over(&mut self, id: &DialogueId) -> Vec<Deed> {
+    pub fn over(&mut self, id: &DialogueId) -> Vec<TakeoverAction> {
         match self.orphans.get(id) {
             Some(Orphan { owner, stage: Stage::Kept { .. }, .. }) => {
                 let owner = *owner;
                 self.drop_of(id);
-                vec![Deed::Over { dialogue: id.clone(), owner }]
+                vec![TakeoverAction::Over { dialogue: id.clone(), owner }]
             }
             _ => Vec::new(),
         }
@@ -312,17 +318,17 @@
     /// there then was claimed by nobody. Those of this member are asked for too. Where lines were left to a claim they are asked for
     /// again.
     pub fn sweep(
-        &mut self, now: Duration, is_heir_of: impl Fn(u16) -> bool, cores: &BTreeSet<ServerId>,
-    ) -> Vec<Deed> {
+        &mut self, now: Duration, is_successor_of: impl Fn(u16) -> bool, cores: &BTreeSet<ServerId>,
+    ) -> Vec<TakeoverAction> {
         let unclaimed = self.unclaimed;
         let due = |swept: Option<&Swept>| swept.is_none_or(|swept| swept.left && now >= swept.at + unclaimed);
         let mut asked = Vec::new();
-        for (member, estate) in &mut self.estates {
-            if now < estate.since + unclaimed || !is_heir_of(*member) {
+        for (member, ended) in &mut self.ended_incarnations {
+            if now < ended.since + unclaimed || !is_successor_of(*member) {
                 continue;
             }
-            for server in cores.iter().filter(|server| due(estate.swept.get(*server))) {
-                asked.push((server.clone(), *member, estate.life));
+            for server in cores.iter().filter(|server| due(ended.swept.get(*server))) {
+                asked.push((server.clone(), *member, ended.life));
             }
         }
         asked.extend(
@@ -331,33 +337,33 @@
         asked.into_iter().map(|(server, member, life)| self.ask(now, server, member, life)).collect()
     }
 
-    fn ask(&mut self, now: Duration, server: ServerId, member: u16, life: u64) -> Deed {
+    fn ask(&mut self, now: Duration, server: ServerId, member: u16, life: u64) -> TakeoverAction {
         self.serial += 1;
         let swept = Swept { at: now, left: false };
         // Its own life has not ended: what it does not hold of it is nobody's all the same.
-        match self.estates.get_mut(&member).filter(|estate| estate.life == life) {
-            Some(estate) => estate.swept.insert(server.clone(), swept),
+        match self.ended_incarnations.get_mut(&member).filter(|ended| ended.life == life) {
+            Some(ended) => ended.swept.insert(server.clone(), swept),
             None => self.mine.insert(server.clone(), swept),
         };
         let question = Question { server: server.clone(), member, life, at: now, gently: false };
         self.questions.insert(self.serial, question);
-        Deed::What { server, serial: self.serial, member, life, after: None }
+        TakeoverAction::What { server, serial: self.serial, member, life, after: None }
     }
 
     /// Asks for lines of this member's own that it does not hold itself.
-    pub fn ask_of_mine(&mut self, now: Duration, server: &ServerId) -> Deed {
+    pub fn ask_of_mine(&mut self, now: Duration, server: &ServerId) -> TakeoverAction {
         self.ask(now, server.clone(), self.me, ANY_LIFE)
     }
 
     /// The duty `circuits` has this member look after its own lines at a core server; none: it is doing so already.
-    pub fn check_mine(&mut self, now: Duration, server: &ServerId) -> Option<Deed> {
+    pub fn check_mine(&mut self, now: Duration, server: &ServerId) -> Option<TakeoverAction> {
         let asked = |question: &Question| question.server == *server && question.member == self.me;
         if self.questions.values().any(asked) {
             return None;
         }
-        let deed = self.ask(now, server.clone(), self.me, ANY_LIFE);
+        let action = self.ask(now, server.clone(), self.me, ANY_LIFE);
         self.questions.get_mut(&self.serial)?.gently = true;
-        Some(deed)
+        Some(action)
     }
 
     /// What was swept is another holder's now: nothing more of it is done here.
@@ -370,7 +376,7 @@
         }
         self.questions.retain(|_, question| question.member == self.me);
         // Whoever holds it next, this one again perhaps, asks anew.
-        self.estates.values_mut().for_each(|estate| estate.swept.clear());
+        self.ended_incarnations.values_mut().for_each(|ended| ended.swept.clear());
     }
 
     /// This member has let a standing dialogue go to whoever claimed it: where nothing comes of that its line is nobody's.
@@ -383,8 +389,8 @@
     }
 
     fn is_left(&mut self, server: &ServerId, member: u16, life: u64) {
-        let estate = self.estates.get_mut(&member).filter(|estate| estate.life == life);
-        let swept = estate.map_or(&mut self.mine, |estate| &mut estate.swept).get_mut(server);
+        let ended = self.ended_incarnations.get_mut(&member).filter(|ended| ended.life == life);
+        let swept = ended.map_or(&mut self.mine, |ended| &mut ended.swept).get_mut(server);
         swept.into_iter().for_each(|swept| swept.left = true);
     }
 
@@ -394,16 +400,16 @@
     pub fn holds(
         &mut self, now: Duration, server: &ServerId, serial: u64, lines: &[HeldLine], more: bool, life: u64,
         whose: impl Fn(&HeldLine) -> LineOf,
-    ) -> Vec<Deed> {
+    ) -> Vec<TakeoverAction> {
         let Some(question) = self.questions.get_mut(&serial).filter(|question| question.server == *server)
         else {
             return Vec::new();
         };
         let (member, up_to, gently) = (question.member, question.life, question.gently);
         question.at = now;
-        let mut deeds = Vec::new();
+        let mut actions = Vec::new();
         match lines.last().filter(|_| more) {
-            Some(last) => deeds.push(Deed::What {
+            Some(last) => actions.push(TakeoverAction::What {
                 server: server.clone(),
                 serial,
                 member,
@@ -440,24 +446,25 @@
             let owner = Owner { round: line.owner.round + 1, member: self.me, life };
             let dialogue = line.dialogue.clone();
             let swept = member != self.me;
-            deeds.push(Deed::Adopt { server: server.clone(), dialogue, owner, swept });
+            actions.push(TakeoverAction::Adopt { server: server.clone(), dialogue, owner, swept });
             let stage = Stage::Freeing { at: now, tries: 0, swept };
             self.put(&line.dialogue, Orphan { server: server.clone(), owner, stage });
         }
-        deeds
+        actions
     }
 
     /// A core server was not reached for a question.
     pub fn unasked(&mut self, serial: u64) {
         let Some(question) = self.questions.remove(&serial) else { return };
-        let estate = self.estates.get_mut(&question.member).filter(|estate| estate.life == question.life);
-        estate.map_or(&mut self.mine, |estate| &mut estate.swept).remove(&question.server);
+        let ended =
+            self.ended_incarnations.get_mut(&question.member).filter(|ended| ended.life == question.life);
+        ended.map_or(&mut self.mine, |ended| &mut ended.swept).remove(&question.server);
     }
 
     /// A core server is not reached any more, or its process is another one: it is asked anew.
     pub fn forget_server(&mut self, server: &ServerId) {
-        for estate in self.estates.values_mut() {
-            estate.swept.remove(server);
+        for ended in self.ended_incarnations.values_mut() {
+            ended.swept.remove(server);
         }
         self.mine.remove(server);
         self.questions.retain(|_, question| question.server != *server);
@@ -465,12 +472,12 @@
     }
 
     /// The time given by `next_due` has come.
-    pub fn alarm(&mut self, now: Duration) -> Vec<Deed> {
+    pub fn alarm(&mut self, now: Duration) -> Vec<TakeoverAction> {
         let late = self.questions.iter().filter(|(_, question)| question.at + AGAIN * 4 <= now);
         for serial in late.map(|(serial, _)| *serial).collect::<Vec<_>>() {
             self.unasked(serial);
         }
-        let mut deeds = Vec::new();
+        let mut actions = Vec::new();
         while let Some((at, id)) = self.dues.first().cloned()
             && at <= now
         {
@@ -483,14 +490,14 @@
             match &mut orphan.stage {
                 Stage::Kept { launch, .. } => {
                     let (server, owner, launch) = (orphan.server, orphan.owner, *launch);
-                    deeds.push(Deed::Release { server, dialogue: id.clone(), launch });
-                    deeds.push(Deed::Over { dialogue: id, owner });
+                    actions.push(TakeoverAction::Release { server, dialogue: id.clone(), launch });
+                    actions.push(TakeoverAction::Over { dialogue: id, owner });
                 }
                 Stage::Adopting { at, tries } | Stage::Freeing { at, tries, .. } => {
                     (*at, *tries) = (now, *tries + 1);
                     if *tries < TRIES {
                         let (server, owner) = (orphan.server.clone(), orphan.owner);
-                        deeds.push(Deed::Adopt { server, dialogue: id.clone(), owner, swept });
+                        actions.push(TakeoverAction::Adopt { server, dialogue: id.clone(), owner, swept });
                         self.put(&id, orphan);
                     } else {
                         self.look_again = true;
@@ -498,10 +505,10 @@
                 }
             }
         }
-        deeds
+        actions
     }
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/heirs.rs"]
+#[path = "../tests/unit/takeovers.rs"]
 mod tests;
