--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -349,29 +349,46 @@
 
     /// A launch on this link is over that has stood, or may have, though no answer came: its end is owed to the caller. What
     /// was wanted has been, so nothing is launched again, and the caller hears now that it has failed.
+    ///
+    /// `launch` is the one that is out there. None: the end came of a former launch, which timed out, was called off or
+    /// lost its connection before; whatever is out by now is called off.
     #[expect(clippy::too_many_arguments)]
     pub fn over_unheard(
-        &mut self, now: Duration, link: LinkId, id: &DialogueId, launch: LaunchNo, end: End,
+        &mut self, now: Duration, link: LinkId, id: &DialogueId, launch: Option<LaunchNo>, end: End,
         report: LoadReport, wires: &mut dyn Wires,
     ) {
         self.state.now = now;
         self.time_outs(wires);
-        if let Some(server) = self.server_of(link) {
-            if self.is_out(id, launch, link) {
+        let Some(server) = self.server_of(link) else { return self.settle(wires) };
+        let out = launch.filter(|launch| self.is_out(id, *launch, link));
+        if let Some(launch) = out {
+            let mut hands = Hands { state: &mut self.state, wires };
+            hands.launch_over(id);
+            hands.fail(id);
+            let outcome = if end == End::Cut { Outcome::BrokenOff } else { Outcome::Ended };
+            let end = LaunchEnd { dialogue: id.clone(), launch, server, outcome, closed: true, report };
+            self.brain.ended(now, end, &mut hands);
+        } else {
+            if self.has_former_launch(id) {
                 let mut hands = Hands { state: &mut self.state, wires };
-                hands.launch_over(id);
+                self.brain.left(now, id, &mut hands);
                 hands.fail(id);
-                let outcome = if end == End::Cut { Outcome::BrokenOff } else { Outcome::Ended };
-                let end = LaunchEnd { dialogue: id.clone(), launch, server, outcome, closed: true, report };
-                self.brain.ended(now, end, &mut hands);
-            } else {
-                self.state.counts.strays += 1;
-                self.reported(&server, &report, wires);
             }
+            self.state.counts.strays += 1;
+            self.reported(&server, &report, wires);
         }
         self.settle(wires);
     }
 
+    /// Whether a dialogue that has no answer yet had a launch that is not out any more.
+    pub fn has_former_launch(&self, id: &DialogueId) -> bool {
+        self.state.held.get(id).is_some_and(|held| match held.at {
+            At::Waiting => held.launches > 0,
+            At::Out { .. } => held.launches > 1,
+            _ => false,
+        })
+    }
+
     /// A dialogue that stands, or is being released, at this link's server is over, whichever launch of it that was.
     /// False: none is held there.
     pub fn over(
--- a/crates/platform/src/sessions/lives.rs
+++ b/crates/platform/src/sessions/lives.rs
@@ -25,6 +25,24 @@
 /// A report comes on all connections within so long.
 const COPIES_WITHIN: Duration = Duration::from_millis(60);
 
+/// What a release before the answer says of its launch, where it says that no call stood. None: a call has come to its end,
+/// or was cut, and its answer is lost, or late. A set-up that broke on its way is told in the same words, and cannot be told
+/// from one whose end is owed.
+fn refusal(cause: u8, note: &str) -> Option<Outcome> {
+    match (cause, note) {
+        (cause::FULL, "atb" | "rtb") => Some(Outcome::LinesTaken),
+        (cause::FULL, _) => Some(Outcome::TurnedBack),
+        (cause::BUSY | cause::ERROR, "sub") => Some(Outcome::NumberBusy),
+        (cause::BUSY | cause::ERROR, _) => Some(Outcome::Fault),
+        (cause::MOOT, _) => Some(Outcome::NotSent),
+        _ => None,
+    }
+}
+
+fn end_of(cause: u8) -> End {
+    if cause == cause::NORMAL { End::Released } else { End::Cut }
+}
+
 impl Platform {
     pub(super) fn core_said(
         &mut self, socket: SocketId, link: LinkId, message: &Binary, net: &mut dyn Net,
@@ -88,30 +106,23 @@
         let note = message.text(code::NOTE)?;
         let core = self.desk.cores.get_mut(&socket);
         if let Some(launch) = core.and_then(|core| core.take_open(tag)) {
-            let outcome = match (cause, note) {
-                (cause::FULL, "atb" | "rtb") => Ok(Outcome::LinesTaken),
-                (cause::FULL, _) => Ok(Outcome::TurnedBack),
-                (cause::BUSY | cause::ERROR, "sub") => Ok(Outcome::NumberBusy),
-                (cause::BUSY | cause::ERROR, _) => Ok(Outcome::Fault),
-                (cause::MOOT, _) => Ok(Outcome::NotSent),
-                // A call has come to its end, or was cut: its answer is lost, or late. A set-up that broke on its way is
-                // told in the same words, and cannot be told from one whose end is owed.
-                (cause::NORMAL, _) => Err(End::Released),
-                _ => Err(End::Cut),
-            };
             if let Some(call) = self.desk.calls.get_mut(&tag) {
                 call.core = None;
             }
-            let now = self.desk.now;
+            let (now, id) = (self.desk.now, name(tag));
             let hands = &mut self.desk.hands(net);
-            match outcome {
-                Ok(outcome) => {
-                    self.edge.launch_came_to(now, link, &name(tag), launch, outcome, report, hands)
+            match refusal(cause, note) {
+                Some(outcome) => self.edge.launch_came_to(now, link, &id, launch, outcome, report, hands),
+                None => {
+                    self.edge.over_unheard(now, link, &id, Some(launch), end_of(cause), report, hands);
                 }
-                Err(end) => self.edge.over_unheard(now, link, &name(tag), launch, end, report, hands),
             }
             return Ok(());
         }
+        if refusal(cause, note).is_none() && self.edge.has_former_launch(&name(tag)) {
+            self.former_launch_is_over(socket, link, tag, end_of(cause), report, net);
+            return Ok(());
+        }
         let own = self.desk.calls.get(&tag).and_then(|call| call.core).map(|(_, own)| own);
         let elsewhere = own.is_some_and(|own| own != socket && self.desk.cores.contains_key(&own));
         if let Some(core) = self.desk.cores.get_mut(&socket)
@@ -122,11 +133,22 @@
             core.called_off_is_over(tag);
             return Ok(());
         }
-        let end = if cause == cause::NORMAL { End::Released } else { End::Cut };
-        self.over(link, tag, end, report, net);
+        self.over(link, tag, end_of(cause), report, net);
         Ok(())
     }
 
+    /// The end of a call that stood by a launch which is out no more, while its caller still waits for an answer: the end
+    /// has crossed the give-up, or the answer was lost with its connection.
+    fn former_launch_is_over(
+        &mut self, socket: SocketId, link: LinkId, tag: Tag, end: End, report: LoadReport, net: &mut dyn Net,
+    ) {
+        if let Some(core) = self.desk.cores.get_mut(&socket) {
+            core.called_off_is_over(tag);
+        }
+        let now = self.desk.now;
+        self.edge.over_unheard(now, link, &name(tag), None, end, report, &mut self.desk.hands(net));
+    }
+
     /// What stood there is over; what is not held may be told of yet by a caller.
     pub(super) fn over(&mut self, link: LinkId, tag: Tag, end: End, report: LoadReport, net: &mut dyn Net) {
         let (now, id) = (self.desk.now, name(tag));
--- a/crates/platform/tests/ends.rs
+++ b/crates/platform/tests/ends.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use lotussaddle_platform::codec::{cause, code, kind};
+use lotussaddle_platform::codec::{Tag, cause, code, kind};
 use lotussaddle_platform::{Ending, SocketId};
 use world::{FEED, World, finish};
 
@@ -23,6 +23,28 @@
         );
     }
 
+    /// Lets time go by until this set-up is given up.
+    fn wait_for_give_up(&mut self, core: SocketId, tag: u64) {
+        for _ in 0..3000 {
+            self.wait(1);
+            let heard = self.heard();
+            if heard.iter().any(|(on, kind, said, _)| (*on, *kind, said.0) == (core, kind::FINISH, tag)) {
+                return;
+            }
+        }
+        panic!("it is not given up");
+    }
+
+    /// Its caller has had the one answer that it failed, and nothing of it is launched any more.
+    fn has_failed_once(&mut self, caller: SocketId) {
+        let told = self.told(caller);
+        assert_eq!(told.lines().count(), 1, "{told}");
+        assert!(told.contains("\"FINISH\"") && told.contains("\"rc\":41"), "it has failed: {told}");
+        self.wait(1000);
+        assert_eq!(self.told(caller), "", "nothing after the final answer");
+        assert!(self.heard().is_empty(), "nothing is launched again");
+    }
+
     fn sent_set_ups(&mut self) -> usize {
         self.heard().iter().filter(|(_, kind, ..)| *kind == kind::START).count()
     }
@@ -325,3 +347,88 @@
         w.nothing_is_kept();
     }
 }
+
+/// Seen on the bench beside other work: the end of a call whose answer is held up crosses the give-up of its set-up.
+#[test]
+fn the_end_of_a_call_that_crosses_its_give_up_is_told_at_once_and_nothing_is_launched_again() {
+    for end in [cause::NORMAL, cause::RESET] {
+        let mut w = World::new();
+        let caller = w.caller();
+        w.start(caller, 5, "dest:0");
+        let core = w.set_up();
+        // Another is answered before it: it counts as lost and is called off, with time left for a second launch.
+        w.wait(2);
+        let other = w.caller();
+        w.start(other, 6, "dest:0");
+        let quick = w.set_up();
+        w.wait(10);
+        w.stands(quick, 6);
+        w.ends(quick, 6, cause::NORMAL);
+        assert!(w.told(other).contains("STARTED"));
+        w.wait_for_give_up(core, 5);
+        assert_eq!(w.told(caller), "", "it waits for a second launch");
+        w.ends(core, 5, end);
+        w.has_failed_once(caller);
+        w.nothing_is_kept();
+    }
+}
+
+#[test]
+fn the_end_of_a_call_whose_answer_was_lost_with_its_connection_is_told_by_another_one() {
+    for end in [cause::NORMAL, cause::RESET] {
+        let mut w = World::new();
+        w.wait_connecting(100);
+        let caller = w.caller();
+        w.start(caller, 5, "dest:0");
+        let core = w.set_up();
+        let ip = w.net.at[&core].clone();
+        w.lose(core, false);
+        let other = w.open_to(&ip)[0];
+        w.ends(other, 5, end);
+        w.has_failed_once(caller);
+        w.nothing_is_kept();
+    }
+}
+
+#[test]
+fn the_end_of_a_former_launch_calls_off_the_one_that_is_out() {
+    for end in [cause::NORMAL, cause::RESET] {
+        let mut w = World::new();
+        w.wait_connecting(100);
+        let caller = w.caller();
+        w.start(caller, 5, "dest:0");
+        let first = w.set_up();
+        w.lose(first, false);
+        w.wait(200);
+        let second = w.set_up();
+        let ip = w.net.at[&first].clone();
+        let other = w.open_to(&ip).into_iter().find(|socket| *socket != second).expect("two are kept");
+        w.ends(other, 5, end);
+        let told = w.told(caller);
+        assert!(told.contains("\"FINISH\"") && told.contains("\"rc\":41"), "it has failed: {told}");
+        let heard = w.heard();
+        assert!(matches!(heard[..], [(on, kind::FINISH, Tag(5), _)] if on == second), "{heard:?}");
+        w.stands(second, 5);
+        w.wait(1000);
+        assert_eq!(w.told(caller), "", "nothing after the final answer");
+        assert_eq!(w.sent_set_ups(), 0, "nothing is launched again");
+        w.nothing_is_kept();
+    }
+}
+
+#[test]
+fn an_end_under_an_id_that_was_launched_nowhere_yet_is_passed_over() {
+    let mut w = World::new();
+    let caller = w.caller();
+    w.net.unread.insert(caller);
+    w.start(caller, 1, "dest:0");
+    for core in w.open_to("127.0.1.1") {
+        w.ends(core, 1, cause::NORMAL);
+    }
+    assert_eq!(w.told(caller), "");
+    w.net.unread.clear();
+    w.turn_over();
+    let core = w.set_up();
+    w.stands(core, 1);
+    assert!(w.told(caller).contains("STARTED"));
+}
