--- /dev/null
+++ b/crates/scale/benches/virtual_family.rs
@@ -0,0 +1,72 @@
+//! What a member costs in virtual time, with the heap counted by the allocator: `cargo bench -p lotussaddle-scale --bench
+//! virtual_family -- PLAN [SEED [SIZE...]]`; without sizes those of the plan.
+
+use std::alloc::{GlobalAlloc, Layout, System};
+use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::time::Instant;
+
+use lotussaddle_scale::plan::ScalePlan;
+use lotussaddle_scale::record::Observations;
+use lotussaddle_scale::virtual_run::VirtualRunner;
+use lotussaddle_scale::{RunContext, Runner};
+
+/// Counts the bytes that are allocated and not freed.
+struct CountingAllocator;
+
+static IN_USE: AtomicU64 = AtomicU64::new(0);
+
+// SAFETY: every call goes to the system's allocator as it came.
+unsafe impl GlobalAlloc for CountingAllocator {
+    unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
+        IN_USE.fetch_add(layout.size() as u64, Ordering::Relaxed);
+        unsafe { System.alloc(layout) }
+    }
+
+    unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
+        IN_USE.fetch_sub(layout.size() as u64, Ordering::Relaxed);
+        unsafe { System.dealloc(pointer, layout) }
+    }
+}
+
+#[global_allocator]
+static ALLOCATOR: CountingAllocator = CountingAllocator;
+
+fn heap_in_use() -> u64 {
+    IN_USE.load(Ordering::Relaxed)
+}
+
+fn print(size: usize, observed: &Observations) {
+    for measurement in &observed.measurements {
+        let role = measurement.role.map(|role| format!("{role:?}")).unwrap_or_default();
+        let kind = measurement.kind.as_ref().map(|kind| kind.0.as_str()).unwrap_or_default();
+        let (quantity, aggregate, value) = (measurement.quantity, measurement.aggregate, measurement.value);
+        println!("{size:>6} {quantity:<18} {aggregate:<16?} {role:<10} {kind:<16} {value:>16.6}");
+    }
+    for times in &observed.distributions {
+        let (quantity, count, p50, p99, max) = (times.quantity, times.count, times.p50, times.p99, times.max);
+        println!("{size:>6} {quantity:<18} {count} times, us: p50 {p50}, p99 {p99}, max {max}");
+    }
+}
+
+fn main() {
+    // `cargo test` and `cargo bench` without a plan run benches too, with words of their own.
+    let words: Vec<String> = std::env::args().skip(1).filter(|word| !word.starts_with("--")).collect();
+    let Some(plan) = words.first() else { return };
+    let plan = ScalePlan::load(Path::new(plan)).unwrap_or_else(|mistakes| panic!("{mistakes}"));
+    let seed = words.get(1).map_or(1, |seed| seed.parse().expect("a seed"));
+    let mut sizes: Vec<usize> = words.iter().skip(2).map(|size| size.parse().expect("a size")).collect();
+    if sizes.is_empty() {
+        sizes.clone_from(&plan.sizes);
+    }
+    let runner = VirtualRunner { heap_in_use: Some(heap_in_use), ..VirtualRunner::default() };
+    for size in sizes {
+        let started = Instant::now();
+        let context = RunContext { size, seed, executable: PathBuf::new() };
+        match runner.run(&plan, &context) {
+            Ok(observed) => print(size, &observed),
+            Err(error) => println!("{error}"),
+        }
+        println!("{size:>6} took {:.1} s", started.elapsed().as_secs_f64());
+    }
+}
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -4,10 +4,17 @@
 //! it at one size and returns what it measured, which becomes a [`record::RunRecord`].
 
 pub mod error;
+pub mod hollow;
 pub mod limits;
+pub mod measure;
+pub mod outcomes;
 pub mod plan;
 pub mod record;
 pub mod runner;
+pub mod timeline;
+pub mod traffic;
+pub mod virtual_links;
+pub mod virtual_run;
 
 pub use error::ScaleError;
 pub use runner::{RunContext, Runner, run};
--- /dev/null
+++ b/crates/scale/src/measure.rs
@@ -0,0 +1,365 @@
+//! Counts of frames and bytes by member, second and kind, and what they come to by role.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+use lotussaddle_lease::Word;
+use lotussaddle_trunk::{Frame, Message, Peer};
+use serde::{Deserialize, Serialize};
+
+use crate::record::{Aggregate, Measurement, Quantity, Role};
+
+/// The length of the window that [`Aggregate::WorstTenSeconds`] looks for.
+const WORST_WINDOW: usize = 10;
+
+/// A kind of frame between members, by what it carries.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum FrameKind {
+    /// Who is at the other end of a link.
+    Hello,
+    /// A member is there, and whom it hears.
+    Heartbeat,
+    /// Agreement on the life that a member begins.
+    Life,
+    /// Copies of calls.
+    Copies,
+    /// Copies that are kept.
+    Acknowledgement,
+    /// What a returning member missed.
+    Snapshot,
+    /// Digests, and what they show to differ.
+    Comparison,
+    /// What is known of one call.
+    Question,
+    /// The leader of the lease is there.
+    LeaseHeartbeat,
+    /// An answer to it.
+    LeaseAnswer,
+    /// Elections and all else about the lease.
+    LeaseOther,
+    /// A configuration change.
+    Publish,
+    /// An answer to it.
+    PublishAnswer,
+    /// All else.
+    Other,
+}
+
+impl FrameKind {
+    /// All kinds.
+    pub const ALL: [Self; 14] = [
+        Self::Hello,
+        Self::Heartbeat,
+        Self::Life,
+        Self::Copies,
+        Self::Acknowledgement,
+        Self::Snapshot,
+        Self::Comparison,
+        Self::Question,
+        Self::LeaseHeartbeat,
+        Self::LeaseAnswer,
+        Self::LeaseOther,
+        Self::Publish,
+        Self::PublishAnswer,
+        Self::Other,
+    ];
+
+    /// The kind as records write it.
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::Hello => "hello",
+            Self::Heartbeat => "heartbeat",
+            Self::Life => "life",
+            Self::Copies => "copies",
+            Self::Acknowledgement => "acknowledgement",
+            Self::Snapshot => "snapshot",
+            Self::Comparison => "comparison",
+            Self::Question => "question",
+            Self::LeaseHeartbeat => "lease-heartbeat",
+            Self::LeaseAnswer => "lease-answer",
+            Self::LeaseOther => "lease-other",
+            Self::Publish => "publish",
+            Self::PublishAnswer => "publish-answer",
+            Self::Other => "other",
+        }
+    }
+
+    /// What a frame carries.
+    pub fn of(frame: &Frame) -> Self {
+        match frame {
+            Frame::Hello(_) => Self::Hello,
+            Frame::Peer(peer) => Self::of_peer(peer),
+            _ => Self::Other,
+        }
+    }
+
+    fn of_peer(peer: &Peer) -> Self {
+        match peer {
+            Peer::Here { .. } => Self::Hello,
+            Peer::Beat { .. } => Self::Heartbeat,
+            Peer::NewLife { .. } | Peer::Life { .. } => Self::Life,
+            Peer::Copies { .. } => Self::Copies,
+            Peer::Kept { .. } => Self::Acknowledgement,
+            Peer::Resume { .. } | Peer::Piece { .. } => Self::Snapshot,
+            Peer::Sums { .. } | Peer::Prints { .. } | Peer::Want { .. } => Self::Comparison,
+            Peer::Ask { .. } | Peer::Know { .. } => Self::Question,
+            Peer::Duties { word } => Self::of_word(word),
+            Peer::Publish { .. } | Peer::Wanted { .. } => Self::Publish,
+            Peer::Published { .. } => Self::PublishAnswer,
+            Peer::Inquire { .. } | Peer::Tell { .. } | Peer::Check { .. } | Peer::Fenced { .. } => {
+                Self::Other
+            }
+        }
+    }
+
+    fn of_word(word: &[u8]) -> Self {
+        match postcard::from_bytes(word) {
+            Ok(Word::Beat(_)) => Self::LeaseHeartbeat,
+            Ok(Word::Back(_)) => Self::LeaseAnswer,
+            Ok(_) | Err(_) => Self::LeaseOther,
+        }
+    }
+}
+
+/// The bytes that a message takes on a link.
+pub fn encoded_length(message: &Message, buffer: &mut Vec<u8>) -> usize {
+    buffer.clear();
+    message.encode(buffer);
+    buffer.len()
+}
+
+/// Bytes of this process that lie in memory; zero where the system does not tell.
+pub fn resident_bytes() -> u64 {
+    resident_bytes_of("self")
+}
+
+/// The same of another process.
+pub fn resident_bytes_of(process: &str) -> u64 {
+    let status = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
+    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
+    let kibibytes = line.and_then(|line| line.split_whitespace().next()).and_then(|word| word.parse().ok());
+    kibibytes.unwrap_or(0) * 1024
+}
+
+/// Frames and their bytes.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct FrameCount {
+    pub frames: u64,
+    pub bytes: u64,
+}
+
+impl FrameCount {
+    fn add(&mut self, bytes: usize) {
+        self.frames += 1;
+        self.bytes += bytes as u64;
+    }
+}
+
+/// Which way a frame went, from the member that it is counted for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum Direction {
+    Sent,
+    Received,
+}
+
+impl Direction {
+    const ALL: [Self; 2] = [Self::Sent, Self::Received];
+
+    fn bytes_quantity(self) -> Quantity {
+        match self {
+            Self::Sent => Quantity::BytesSent,
+            Self::Received => Quantity::BytesReceived,
+        }
+    }
+
+    fn frames_quantity(self) -> Quantity {
+        match self {
+            Self::Sent => Quantity::FramesSent,
+            Self::Received => Quantity::FramesReceived,
+        }
+    }
+}
+
+/// What one member sent and received in the measured time.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub struct MemberTraffic {
+    /// By direction, then by kind.
+    by_kind: [[FrameCount; FrameKind::ALL.len()]; 2],
+    /// By direction, then by second.
+    by_second: [Vec<FrameCount>; 2],
+}
+
+impl MemberTraffic {
+    /// Nothing yet, for so many seconds.
+    pub fn new(seconds: usize) -> Self {
+        let by_second = [vec![FrameCount::default(); seconds], vec![FrameCount::default(); seconds]];
+        Self { by_kind: Default::default(), by_second }
+    }
+
+    /// Counts a frame in a second of the measured time; frames of other times are left out.
+    pub fn count(&mut self, second: Option<usize>, direction: Direction, kind: FrameKind, bytes: usize) {
+        let Some(of_second) = second.and_then(|second| self.by_second[direction as usize].get_mut(second))
+        else {
+            return;
+        };
+        of_second.add(bytes);
+        self.by_kind[direction as usize][kind as usize].add(bytes);
+    }
+
+    /// All frames of a kind.
+    pub fn of_kind(&self, direction: Direction, kind: FrameKind) -> FrameCount {
+        self.by_kind[direction as usize][kind as usize]
+    }
+
+    /// All frames.
+    pub fn total(&self, direction: Direction) -> FrameCount {
+        let sum = |sum: FrameCount, count: &FrameCount| FrameCount {
+            frames: sum.frames + count.frames,
+            bytes: sum.bytes + count.bytes,
+        };
+        self.by_kind[direction as usize].iter().fold(FrameCount::default(), sum)
+    }
+}
+
+/// When measuring begins, and for how many seconds it lasts.
+#[derive(Clone, Copy, Debug, Serialize, Deserialize)]
+pub struct MeasuredTime {
+    pub from: Duration,
+    pub seconds: usize,
+}
+
+impl MeasuredTime {
+    /// The measured second that a time falls into.
+    pub fn second_of(&self, at: Duration) -> Option<usize> {
+        let second = at.checked_sub(self.from)?.as_secs() as usize;
+        (second < self.seconds).then_some(second)
+    }
+}
+
+/// The members of each role.
+pub fn roles(traffic: &[MemberTraffic], voters: &[u16]) -> BTreeMap<Role, BTreeSet<usize>> {
+    let leading = |place: &usize| traffic[*place].of_kind(Direction::Sent, FrameKind::LeaseHeartbeat).frames;
+    let leader = (0..traffic.len()).max_by_key(leading).filter(|place| leading(place) > 0);
+    let mut roles = BTreeMap::new();
+    roles.insert(Role::EdgeProxy, (0..traffic.len()).collect());
+    roles.insert(Role::Leader, leader.into_iter().collect());
+    roles.insert(Role::Voter, voters.iter().map(|voter| usize::from(*voter)).collect());
+    roles
+}
+
+/// The measurements that counts of frames and bytes come to.
+pub fn traffic_measurements(
+    traffic: &[MemberTraffic], voters: &[u16], time: MeasuredTime, measured: &BTreeSet<Quantity>,
+) -> Vec<Measurement> {
+    let mut measurements = Vec::new();
+    for (role, places) in roles(traffic, voters) {
+        let members: Vec<&MemberTraffic> = places.into_iter().map(|place| &traffic[place]).collect();
+        if members.is_empty() {
+            continue;
+        }
+        for direction in Direction::ALL {
+            let counted: [(Quantity, FrameValue); 2] = [
+                (direction.bytes_quantity(), |count| count.bytes),
+                (direction.frames_quantity(), |count| count.frames),
+            ];
+            for (quantity, value) in counted.into_iter().filter(|(quantity, _)| measured.contains(quantity)) {
+                let of_role = RoleTraffic { members: &members, direction, seconds: time.seconds, value };
+                let taken = of_role.measurements(quantity);
+                measurements.extend(taken.into_iter().map(|measurement| measurement.of_role(role)));
+            }
+        }
+    }
+    measurements
+}
+
+/// Frames or bytes of a count.
+type FrameValue = fn(&FrameCount) -> u64;
+
+/// One quantity of the members of one role.
+struct RoleTraffic<'a> {
+    members: &'a [&'a MemberTraffic],
+    direction: Direction,
+    seconds: usize,
+    value: FrameValue,
+}
+
+impl RoleTraffic<'_> {
+    fn measurements(&self, quantity: Quantity) -> Vec<Measurement> {
+        let seconds = self.seconds as f64;
+        let totals: Vec<u64> =
+            self.members.iter().map(|member| (self.value)(&member.total(self.direction))).collect();
+        let mean = totals.iter().sum::<u64>() as f64 / totals.len() as f64 / seconds;
+        let most = totals.iter().max().copied().unwrap_or_default() as f64 / seconds;
+        let mut measurements = vec![
+            Measurement::new(quantity, Aggregate::Mean, mean),
+            Measurement::new(quantity, Aggregate::MaxMember, most),
+            Measurement::new(quantity, Aggregate::WorstTenSeconds, self.worst_ten_seconds()),
+        ];
+        for kind in FrameKind::ALL {
+            let counts = self.members.iter().map(|member| member.of_kind(self.direction, kind));
+            let total: u64 = counts.map(|count| (self.value)(&count)).sum();
+            if total > 0 {
+                let mean = total as f64 / self.members.len() as f64 / seconds;
+                measurements.push(Measurement::new(quantity, Aggregate::Mean, mean).of_kind(kind.name()));
+            }
+        }
+        measurements
+    }
+
+    /// The mean a member a second in the ten seconds that have most; in all of them where there are fewer.
+    fn worst_ten_seconds(&self) -> f64 {
+        let of_second = |second: usize| -> u64 {
+            let counts = self.members.iter().map(|member| &member.by_second[self.direction as usize][second]);
+            counts.map(self.value).sum()
+        };
+        let by_second: Vec<u64> = (0..self.seconds).map(of_second).collect();
+        let window = WORST_WINDOW.min(self.seconds).max(1);
+        let worst = by_second.windows(window).map(|window| window.iter().sum::<u64>()).max();
+        worst.unwrap_or_default() as f64 / window as f64 / self.members.len() as f64
+    }
+}
+
+#[cfg(test)]
+mod tests {
+    use super::*;
+
+    const TIME: MeasuredTime = MeasuredTime { from: Duration::from_secs(5), seconds: 20 };
+
+    #[test]
+    fn frames_outside_the_measured_time_are_not_counted() {
+        let mut traffic = MemberTraffic::new(TIME.seconds);
+        for at in [4, 5, 24, 25] {
+            let second = TIME.second_of(Duration::from_secs(at));
+            traffic.count(second, Direction::Sent, FrameKind::Heartbeat, 100);
+        }
+        assert_eq!(traffic.total(Direction::Sent), FrameCount { frames: 2, bytes: 200 });
+        assert_eq!(traffic.total(Direction::Received), FrameCount::default());
+    }
+
+    #[test]
+    fn the_worst_ten_seconds_and_the_member_with_most_are_found() {
+        let mut traffic = vec![MemberTraffic::new(TIME.seconds); 2];
+        for second in 0..TIME.seconds {
+            traffic[0].count(Some(second), Direction::Sent, FrameKind::Heartbeat, 10);
+        }
+        for second in 7..17 {
+            traffic[1].count(Some(second), Direction::Sent, FrameKind::Copies, 100);
+        }
+        let measured = BTreeSet::from([Quantity::BytesSent]);
+        let measurements = traffic_measurements(&traffic, &[0], TIME, &measured);
+        let value = |aggregate: Aggregate, kind: Option<&str>| {
+            let wanted = |known: &&Measurement| {
+                known.role == Some(Role::EdgeProxy)
+                    && known.aggregate == aggregate
+                    && known.kind.as_ref().map(|kind| kind.0.as_str()) == kind
+            };
+            measurements.iter().find(wanted).map(|measurement| measurement.value)
+        };
+        assert_eq!(value(Aggregate::Mean, None), Some(30.0));
+        assert_eq!(value(Aggregate::MaxMember, None), Some(50.0));
+        assert_eq!(value(Aggregate::WorstTenSeconds, None), Some(55.0));
+        assert_eq!(value(Aggregate::Mean, Some("copies")), Some(25.0));
+        assert_eq!(value(Aggregate::Mean, Some("publish")), None);
+    }
+}
--- a/crates/scale/src/runner.rs
+++ b/crates/scale/src/runner.rs
@@ -7,6 +7,7 @@
 use crate::limits::Needs;
 use crate::plan::{Mode, ScalePlan};
 use crate::record::{Commit, Machine, Observations, RECORD_FORMAT, RunRecord};
+use crate::virtual_run::VirtualRunner;
 
 /// What a runner is told of one run, besides the plan.
 #[derive(Clone, Debug)]
@@ -33,7 +34,10 @@
 
 /// The runner of a mode.
 pub fn runner_of(mode: Mode) -> Result<Box<dyn Runner>, ScaleError> {
-    Err(ScaleError::NoRunner(mode))
+    match mode {
+        Mode::Virtual => Ok(Box::new(VirtualRunner::default())),
+        Mode::Sockets => Err(ScaleError::NoRunner(mode)),
+    }
 }
 
 /// Plays a plan at one size and makes the record of it.
