--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -8,6 +8,7 @@
 use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
 use lotussaddle_fleet::{DutyPlan, Finding, Member, PeerLink, Plan, Save, Stored, Ways};
 use lotussaddle_trunk::{Answer, Frame, TablesOrder};
+use rustix::time::{ClockId, clock_gettime};
 
 use crate::traffic::{CallStep, DrawnCalls};
 
@@ -148,12 +149,18 @@
     (link.0 >> shift) as u16
 }
 
+/// Processor time of this thread.
+fn processor_time() -> Duration {
+    let time = clock_gettime(ClockId::ThreadCPUTime);
+    Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
+}
+
 /// One member of the fleet and what it has used.
 pub struct HollowMember {
     member: Member,
     outbox: Outbox,
     calls: Option<DrawnCalls>,
-    /// Real time spent inside the state machine.
+    /// Processor time spent inside the state machine.
     spent: Duration,
 }
 
@@ -172,7 +179,7 @@
         &self.member
     }
 
-    /// Real time spent inside the state machine so far.
+    /// Processor time spent inside the state machine so far.
     pub fn spent(&self) -> Duration {
         self.spent
     }
@@ -205,7 +212,7 @@
 
     /// Takes all inputs, does what is due, and gives what is to be done outside.
     pub fn turn(&mut self, now: Duration, inputs: impl IntoIterator<Item = Input>) -> Vec<Effect> {
-        let started = Instant::now();
+        let started = processor_time();
         for input in inputs {
             self.take(now, input);
         }
@@ -218,7 +225,7 @@
         self.work(now);
         self.member.flush(now, &mut self.outbox);
         self.settle(now);
-        self.spent += started.elapsed();
+        self.spent += processor_time().saturating_sub(started);
         std::mem::take(&mut self.outbox.effects)
     }
 
--- a/crates/scale/src/virtual_run.rs
+++ b/crates/scale/src/virtual_run.rs
@@ -148,11 +148,14 @@
     fn next_turn(&self) -> Option<Duration> {
         let process = self.process.as_ref()?;
         let arrives = self.inbox.peek().map_or(Duration::MAX, |Reverse(arrival)| arrival.at);
-        let earliest = (self.last_turn + TURN_TAKES).max(self.still_until);
-        Some(arrives.min(process.next_due()).max(earliest))
+        Some(arrives.min(process.next_due()).max(self.earliest_turn()))
     }
 
-    /// Real time spent in the state machine, in all processes of this machine.
+    fn earliest_turn(&self) -> Duration {
+        (self.last_turn + TURN_TAKES).max(self.still_until)
+    }
+
+    /// Processor time spent in the state machine, in all processes of this machine.
     fn spent(&self) -> Duration {
         self.spent_before + self.process.as_ref().map_or(Duration::ZERO, HollowMember::spent)
     }
@@ -392,10 +395,17 @@
 
     fn deliver(&mut self, to: usize, at: Duration, link: PeerLink, packet: Packet) {
         self.sequence += 1;
+        let now = self.now;
         let machine = &mut self.machines[to];
-        if machine.process.is_some() {
-            machine.inbox.push(Reverse(Arrival { at, sequence: self.sequence, link, packet }));
-            self.schedule(to);
+        if machine.process.is_none() {
+            return;
+        }
+        machine.inbox.push(Reverse(Arrival { at, sequence: self.sequence, link, packet }));
+        // What is due by itself was queued at the end of the last turn.
+        let wakes_at = at.max(machine.earliest_turn()).max(now);
+        if wakes_at < machine.wakes_at {
+            machine.wakes_at = wakes_at;
+            self.turns.push(Reverse((wakes_at, to)));
         }
     }
 
@@ -500,7 +510,7 @@
         Observations { measurements, distributions: distributions.collect() }
     }
 
-    /// Real time spent inside the state machine a second, without the codec and the links.
+    /// Processor time spent inside the state machine a second, without the codec and the links.
     fn processor(&self, measured: &BTreeSet<Quantity>) -> Vec<Measurement> {
         if !measured.contains(&Quantity::Processor) {
             return Vec::new();
