--- a/crates/scale/benches/virtual_family.rs
+++ b/crates/scale/benches/virtual_family.rs
@@ -1,5 +1,5 @@
 //! What a member costs in virtual time, with the heap counted by the allocator: `cargo bench -p lotussaddle-scale --bench
-//! virtual_family -- PLAN [SEED [SIZE...]]`; without sizes those of the plan.
+//! virtual_family -- PLAN DIRECTORY [SEED [SIZE...]]`; without sizes those of the plan. Records go to the directory.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::path::{Path, PathBuf};
@@ -9,7 +9,7 @@
 use lotussaddle_scale::plan::ScalePlan;
 use lotussaddle_scale::record::Observations;
 use lotussaddle_scale::virtual_run::VirtualRunner;
-use lotussaddle_scale::{RunContext, Runner};
+use lotussaddle_scale::{RunContext, run};
 
 /// Counts the bytes that are allocated and not freed.
 struct CountingAllocator;
@@ -52,10 +52,10 @@
 fn main() {
     // `cargo test` and `cargo bench` without a plan run benches too, with words of their own.
     let words: Vec<String> = std::env::args().skip(1).filter(|word| !word.starts_with("--")).collect();
-    let Some(plan) = words.first() else { return };
+    let [plan, directory, numbers @ ..] = words.as_slice() else { return };
     let plan = ScalePlan::load(Path::new(plan)).unwrap_or_else(|mistakes| panic!("{mistakes}"));
-    let seed = words.get(1).map_or(1, |seed| seed.parse().expect("a seed"));
-    let mut sizes: Vec<usize> = words.iter().skip(2).map(|size| size.parse().expect("a size")).collect();
+    let seed = numbers.first().map_or(1, |seed| seed.parse().expect("a seed"));
+    let mut sizes: Vec<usize> = numbers.iter().skip(1).map(|size| size.parse().expect("a size")).collect();
     if sizes.is_empty() {
         sizes.clone_from(&plan.sizes);
     }
@@ -63,8 +63,13 @@
     for size in sizes {
         let started = Instant::now();
         let context = RunContext { size, seed, executable: PathBuf::new() };
-        match runner.run(&plan, &context) {
-            Ok(observed) => print(size, &observed),
+        match run(&plan, &context, &runner) {
+            Ok(record) => {
+                print(size, &record.observations);
+                let name = format!("{}-size-{size:05}-seed-{seed}.json", plan.name);
+                let text = serde_json::to_vec_pretty(&record).expect("a record is plain");
+                std::fs::write(Path::new(directory).join(name), text).expect("the record is written");
+            }
             Err(error) => println!("{error}"),
         }
         println!("{size:>6} took {:.1} s", started.elapsed().as_secs_f64());
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -5,12 +5,17 @@
 
 pub mod error;
 pub mod hollow;
+pub mod host_protocol;
 pub mod limits;
 pub mod measure;
 pub mod outcomes;
+pub mod peer_sockets;
 pub mod plan;
+pub mod process;
 pub mod record;
 pub mod runner;
+pub mod socket_host;
+pub mod socket_run;
 pub mod timeline;
 pub mod traffic;
 pub mod virtual_links;
--- a/crates/scale/src/runner.rs
+++ b/crates/scale/src/runner.rs
@@ -7,6 +7,7 @@
 use crate::limits::Needs;
 use crate::plan::{Mode, ScalePlan};
 use crate::record::{Commit, Machine, Observations, RECORD_FORMAT, RunRecord};
+use crate::socket_run::SocketRunner;
 use crate::virtual_run::VirtualRunner;
 
 /// What a runner is told of one run, besides the plan.
@@ -36,7 +37,7 @@
 pub fn runner_of(mode: Mode) -> Result<Box<dyn Runner>, ScaleError> {
     match mode {
         Mode::Virtual => Ok(Box::new(VirtualRunner::default())),
-        Mode::Sockets => Err(ScaleError::NoRunner(mode)),
+        Mode::Sockets => Ok(Box::new(SocketRunner::default())),
     }
 }
 
