--- a/crates/scale/src/socket_run.rs
+++ b/crates/scale/src/socket_run.rs
@@ -8,6 +8,7 @@
 use crate::error::ScaleError;
 use crate::hollow;
 use crate::host_protocol::{HostAddresses, HostOrder, HostReport, HostSetup, Sighted, Sighting, monotonic};
+use crate::limits::MEMBERS_A_PROCESS;
 use crate::measure::{MeasuredTime, MemberTraffic, traffic_measurements};
 use crate::outcomes::{OutcomeFigures, Outcomes};
 use crate::plan::ScalePlan;
@@ -16,8 +17,6 @@
 use crate::runner::{RunContext, Runner};
 use crate::timeline::{Event, Timeline};
 
-/// Hollow members that share a process.
-const MEMBERS_A_PROCESS: usize = 64;
 /// Calls a second of one hollow member, as in virtual time.
 const CALL_RATE: f64 = 0.2;
 /// A host that does not answer within this has failed.
@@ -47,7 +46,7 @@
         Self {
             host_arguments: vec!["scale".into(), "host".into()],
             call_rate: CALL_RATE,
-            members_a_process: MEMBERS_A_PROCESS,
+            members_a_process: MEMBERS_A_PROCESS as usize,
         }
     }
 }
--- a/crates/scale/tests/sockets.rs
+++ b/crates/scale/tests/sockets.rs
@@ -14,7 +14,10 @@
 
 const HOST: &str = env!("CARGO_BIN_EXE_lotussaddle-scale-host");
 
-fn plan(events: &str) -> ScalePlan {
+const COUNTS: &str =
+    r#""bytes-sent" "frames-sent" "frames-received" "processor" "resident-memory" "links" "descriptors""#;
+
+fn plan(events: &str, times: &str) -> ScalePlan {
     let text = format!(
         r#"
         name "sockets"
@@ -24,8 +27,7 @@
         duration "5s"
         topology {{ regions 2; zones 4; rack-size 2; services {{ mean-size 4; largest 8; }}; }}
         {events}
-        measure "bytes-sent" "frames-sent" "frames-received" "processor" "resident-memory" "links" "descriptors" \
-                "change-in-force" "death-known"
+        measure {COUNTS} {times}
         bounds {{ memory-mib 1024; processes 8; descriptors 1000; time "60s"; }}
         "#
     );
@@ -56,7 +58,7 @@
 #[test]
 fn members_over_sockets_say_as_much_as_in_virtual_time_and_bring_changes_into_force() {
     let events = r#"changes { a-day 43200; }; departure "members" { count 1; at "2s"; }"#;
-    let observed = run(&plan(events));
+    let observed = run(&plan(events, r#""change-in-force" "death-known""#));
     let heartbeats = mean(&observed, Quantity::FramesSent, Some("heartbeat"));
     // One of eight is gone for three of five seconds.
     assert!((15.0..=35.5).contains(&heartbeats), "{heartbeats}");
@@ -78,7 +80,7 @@
 
 #[test]
 fn a_cut_over_sockets_is_refused_by_name() {
-    let plan = plan(r#"cut { at "1s"; lasts "1s"; regions 1; }"#);
+    let plan = plan(r#"cut { at "1s"; lasts "1s"; regions 1; }"#, "");
     let context = RunContext { size: 8, seed: 1, executable: PathBuf::from(HOST) };
     let error = runner().run(&plan, &context).unwrap_err();
     assert!(error.to_string().contains("cuts between regions"), "{error}");
@@ -87,7 +89,7 @@
 #[test]
 fn a_program_that_is_no_host_fails_the_run() {
     let context = RunContext { size: 8, seed: 1, executable: PathBuf::from("/bin/true") };
-    let error = runner().run(&plan(""), &context).unwrap_err();
+    let error = runner().run(&plan("", ""), &context).unwrap_err();
     assert!(error.to_string().contains("a host of members"), "{error}");
 }
 
