--- a/crates/scale/benches/virtual_family.rs
+++ b/crates/scale/benches/family.rs
@@ -1,15 +1,19 @@
-//! What a member costs in virtual time, with the heap counted by the allocator: `cargo bench -p lotussaddle-scale --bench
-//! virtual_family -- PLAN DIRECTORY [SEED [SIZE...]]`; without sizes those of the plan. Records go to the directory.
+//! What a member costs, with the heap counted by the allocator where the plan is of virtual time: `cargo bench -p lotussaddle-scale
+//! --bench family -- PLAN DIRECTORY [SEED [SIZE...]]`; without sizes those of the plan. Records go to the directory.
 
 use std::alloc::{GlobalAlloc, Layout, System};
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-use lotussaddle_scale::plan::ScalePlan;
+use lotussaddle_scale::plan::{Mode, ScalePlan};
 use lotussaddle_scale::record::Observations;
+use lotussaddle_scale::record_file::save_record;
+use lotussaddle_scale::socket_run::SocketRunner;
 use lotussaddle_scale::virtual_run::VirtualRunner;
-use lotussaddle_scale::{RunContext, run};
+use lotussaddle_scale::{RunContext, Runner, run};
+
+const HOST: &str = env!("CARGO_BIN_EXE_lotussaddle-scale-host");
 
 /// Counts the bytes that are allocated and not freed.
 struct CountingAllocator;
@@ -36,6 +40,16 @@
     IN_USE.load(Ordering::Relaxed)
 }
 
+/// The runner of a mode, with what this program alone has: the counting allocator, and the host of this package.
+fn runner_of(mode: Mode) -> Box<dyn Runner> {
+    match mode {
+        Mode::Virtual => {
+            Box::new(VirtualRunner { heap_in_use: Some(heap_in_use), ..VirtualRunner::default() })
+        }
+        Mode::Sockets => Box::new(SocketRunner { host_arguments: Vec::new(), ..SocketRunner::default() }),
+    }
+}
+
 fn print(size: usize, observed: &Observations) {
     for measurement in &observed.measurements {
         let role = measurement.role.map(|role| format!("{role:?}")).unwrap_or_default();
@@ -59,18 +73,16 @@
     if sizes.is_empty() {
         sizes.clone_from(&plan.sizes);
     }
-    let runner = VirtualRunner { heap_in_use: Some(heap_in_use), ..VirtualRunner::default() };
+    let runner = runner_of(plan.mode);
     for size in sizes {
         let started = Instant::now();
-        let context = RunContext { size, seed, executable: PathBuf::new() };
-        match run(&plan, &context, &runner) {
-            Ok(record) => {
-                print(size, &record.observations);
-                let name = format!("{}-size-{size:05}-seed-{seed}.json", plan.name);
-                let text = serde_json::to_vec_pretty(&record).expect("a record is plain");
-                std::fs::write(Path::new(directory).join(name), text).expect("the record is written");
-            }
-            Err(error) => println!("{error}"),
+        let context = RunContext { size, seed, executable: HOST.into() };
+        let saved = run(&plan, &context, runner.as_ref()).and_then(|record| {
+            print(size, &record.observations);
+            save_record(&record, Path::new(directory))
+        });
+        if let Err(error) = saved {
+            println!("{error}");
         }
         println!("{size:>6} took {:.1} s", started.elapsed().as_secs_f64());
     }
--- a/crates/scale/src/virtual_run.rs
+++ b/crates/scale/src/virtual_run.rs
@@ -25,6 +25,8 @@
 const TURN_TAKES: Duration = Duration::from_micros(50);
 /// A connect that nobody answers is given up after this, as in the product.
 const CONNECT_WITHIN: Duration = Duration::from_millis(500);
+/// Members that start with the fleet are spread over this time.
+const STARTS_WITHIN: Duration = Duration::from_secs(1);
 /// Calls a second of one hollow member: a few, so that copies and acknowledgements flow.
 const CALL_RATE: f64 = 0.2;
 /// After the measured time it is waited so long for changes and deaths that are under way.
@@ -216,7 +218,10 @@
     }
 
     fn play(&mut self) -> Result<(), ScaleError> {
-        (0..self.context.size).for_each(|member| self.start(member));
+        for member in 0..self.context.size {
+            self.start(member);
+            self.hold(member, self.first_turn(member));
+        }
         self.run_until(self.time.from)?;
         let spent_at_start: Vec<Duration> = self.machines.iter().map(Machine::spent).collect();
         for (at, event) in std::mem::take(&mut self.timeline.events) {
@@ -300,6 +305,19 @@
         self.schedule(member);
     }
 
+    /// When a member that starts with the fleet has its first turn, so that not all say at once that they are there.
+    fn first_turn(&self, member: usize) -> Duration {
+        let drawn = mix(self.context.seed ^ (member as u64) << 20);
+        Duration::from_micros(drawn % STARTS_WITHIN.as_micros() as u64)
+    }
+
+    /// A process does nothing until then.
+    fn hold(&mut self, member: usize, until: Duration) {
+        self.machines[member].still_until = until;
+        self.machines[member].wakes_at = Duration::MAX;
+        self.schedule(member);
+    }
+
     /// A machine is gone: what its process had is lost, and nobody is told.
     fn stop(&mut self, member: usize) {
         let machine = &mut self.machines[member];
@@ -449,11 +467,7 @@
                     }
                 }
             }
-            Event::Stall { member, lasts } => {
-                self.machines[member].still_until = self.now + lasts;
-                self.machines[member].wakes_at = Duration::MAX;
-                self.schedule(member);
-            }
+            Event::Stall { member, lasts } => self.hold(member, self.now + lasts),
         }
     }
 
