--- a/crates/scale/src/socket_host.rs
+++ b/crates/scale/src/socket_host.rs
@@ -180,6 +180,10 @@
                     }
                 }
             }
+            // Before the order to finish is obeyed, which comes at the very end of the measured time.
+            if let Some(now) = self.now() {
+                self.look_at_process(now);
+            }
             while let Ok(order) = orders.try_recv() {
                 if let HostOrder::Finish = order {
                     return say(&self.report());
@@ -187,7 +191,6 @@
                 self.obey(order)?;
             }
             let Some(now) = self.now() else { continue };
-            self.look_at_process(now);
             self.take_inputs(now);
             for local in 0..self.members.len() {
                 self.turn(local, now);
--- a/crates/scale/tests/sockets.rs
+++ b/crates/scale/tests/sockets.rs
@@ -78,6 +78,15 @@
     assert_eq!(counted(Quantity::DeathKnown), 7);
 }
 
+/// A run without events ends with its measured time, and what its hosts have used is measured all the same.
+#[test]
+fn a_run_without_events_measures_all_hosts() {
+    let observed = run(&plan("", ""));
+    assert_eq!(mean(&observed, Quantity::Links, None), 7.0);
+    assert!(mean(&observed, Quantity::Descriptors, None) >= 8.0 + 56.0);
+    assert!(mean(&observed, Quantity::Processor, None) > 0.0);
+}
+
 #[test]
 fn a_cut_over_sockets_is_refused_by_name() {
     let plan = plan(r#"cut { at "1s"; lasts "1s"; regions 1; }"#, "");
