--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -30,6 +30,9 @@
         #[arg(long)]
         out: PathBuf,
     },
+    /// A process of hollow members, as a run over sockets starts it; it is told what to do on its standard input.
+    #[command(hide = true)]
+    Host,
     /// Says by which law each quantity grows, from the records of some directories.
     Fit {
         #[arg(required = true)]
@@ -63,6 +66,7 @@
 pub fn run(what: ScaleCommand) -> Result<()> {
     match what {
         ScaleCommand::Run { plan, seed, out } => run_plan(&plan, seed, out),
+        ScaleCommand::Host => lotussaddle_scale::socket_host::run_host(),
         ScaleCommand::Fit { directories, hold_out, at, json } => {
             let at = at.map(|size| size as usize);
             fit(&directories, FitOptions { hold_out, at }, json.as_deref())
