--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
-use lotussaddle_fleet::{DutyPlan, Finding, Member, PeerLink, Plan, Save, Stored, Ways};
+use lotussaddle_fleet::{DutyPlan, Effects, Finding, Member, PeerLink, Plan, Save, Stored};
 use lotussaddle_trunk::{Answer, Frame, TablesOrder};
 use rustix::time::{ClockId, clock_gettime};
 
@@ -94,8 +94,8 @@
     links_begun: u64,
 }
 
-impl Ways for Outbox {
-    fn say(&mut self, link: PeerLink, frame: Frame) -> bool {
+impl Effects for Outbox {
+    fn send(&mut self, link: PeerLink, frame: Frame) -> bool {
         let is_open = self.open.contains(&link);
         if is_open {
             self.effects.push(Effect::Send(link, frame));
@@ -121,7 +121,7 @@
         self.effects.extend(verdict_of(line).map(Effect::Verdict));
     }
 
-    fn keeps(&self) -> bool {
+    fn has_disk(&self) -> bool {
         false
     }
 
