--- a/crates/scale/src/error.rs
+++ b/crates/scale/src/error.rs
@@ -7,7 +7,6 @@
 use crate::chain::MAX_HOPS;
 use crate::family::FEWEST_SIZES;
 use crate::limits::Refusal;
-use crate::plan::Mode;
 
 /// An error of a scale run, a record, a fit or a chain.
 #[derive(Debug, thiserror::Error)]
@@ -15,9 +14,6 @@
     /// The plan has mistakes; each carries its line and column.
     #[error(transparent)]
     Plan(#[from] Mistakes),
-    /// No runner is built for the mode of the plan.
-    #[error("this build has no runner for mode {0}")]
-    NoRunner(Mode),
     /// The plan needs more than its bounds allow; nothing was started.
     #[error("{}", lines(.0))]
     Refused(Vec<Refusal>),
