--- a/crates/cli/tests/rig/mod.rs
+++ b/crates/cli/tests/rig/mod.rs
@@ -241,6 +241,16 @@
         self.next(LONG, |said| said.kind == kind::START && said.tag == tag).expect("a set-up")
     }
 
+    /// Whether this set-up has been given up, by all that has come until now.
+    pub fn is_given_up(&mut self, set_up: &Said) -> bool {
+        while let Ok(said) = self.said.try_recv() {
+            self.heard.push(said);
+            self.taken.push(false);
+        }
+        let gives_up = |said: &&Said| said.kind == kind::FINISH && said.at >= set_up.at;
+        self.heard.iter().filter(gives_up).any(|said| (said.on, said.tag) == (set_up.on, set_up.tag))
+    }
+
     pub fn starts(&self, tag: u64) -> usize {
         self.heard.iter().filter(|said| said.kind == kind::START && said.tag == tag).count()
     }
