--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -380,6 +380,35 @@
         self.settle(wires);
     }
 
+    /// A launch on this link has answered after it was called off: its server had not read that yet. The release time of a
+    /// dialogue that waits for its next launch counts from now on.
+    pub fn stood_after_give_up(
+        &mut self, now: Duration, link: LinkId, id: &DialogueId, wires: &mut dyn Wires,
+    ) {
+        self.state.now = now;
+        self.time_outs(wires);
+        if let Some(server) = self.server_of(link) {
+            self.called_off_again(id, server, wires);
+        }
+        self.settle(wires);
+    }
+
+    fn called_off_again(&mut self, id: &DialogueId, server: ServerId, wires: &mut dyn Wires) {
+        let Some(held) = self.state.held.get(id) else { return };
+        if !matches!(held.at, At::Waiting) || held.launches == 0 {
+            return;
+        }
+        let end = LaunchEnd {
+            dialogue: id.clone(),
+            launch: LaunchNo(held.launches - 1),
+            server,
+            outcome: Outcome::CalledOff,
+            closed: false,
+            report: LoadReport::default(),
+        };
+        self.brain.ended(self.state.now, end, &mut Hands { state: &mut self.state, wires });
+    }
+
     /// Whether a dialogue that has no answer yet had a launch that is not out any more.
     pub fn has_former_launch(&self, id: &DialogueId) -> bool {
         self.state.held.get(id).is_some_and(|held| match held.at {
@@ -815,6 +844,7 @@
                     // It crossed a cancel, or comes twice: unless it is the one that stands, its lines go back.
                     self.state.counts.strays += 1;
                     if !self.is_standing(&dialogue, launch, link) {
+                        self.called_off_again(&dialogue, server.clone(), wires);
                         self.hands(wires).say(link, Frame::Release { dialogue, launch });
                     }
                 }
--- a/crates/platform/src/sessions/lives.rs
+++ b/crates/platform/src/sessions/lives.rs
@@ -81,12 +81,9 @@
         let now = self.desk.now;
         let Some(core) = self.desk.cores.get_mut(&socket) else { return Ok(()) };
         let Some(launch) = core.open.get(&tag).copied().filter(|_| !core.waits(tag)) else {
-            // A second copy, or an answer under an id unheard of, is passed over; one that comes after its launch was
-            // called off is released, unless the call is here again.
-            let here =
-                self.desk.calls.get(&tag).and_then(|call| call.core).is_some_and(|(there, _)| there == link);
-            if core.was_called_off(tag) && !here {
-                self.desk.finish(net, socket, tag);
+            // A second copy, or an answer under an id unheard of, is passed over.
+            if core.was_called_off(tag) {
+                self.stood_after_give_up(socket, link, tag, net);
             }
             return Ok(());
         };
@@ -99,6 +96,19 @@
         Ok(())
     }
 
+    /// An answer that comes after its launch was called off is released, unless the call is at that server again: then the
+    /// server has one call under this id, and tells its end on either connection.
+    fn stood_after_give_up(&mut self, socket: SocketId, link: LinkId, tag: Tag, net: &mut dyn Net) {
+        let server_of_call = self.desk.calls.get(&tag).and_then(|call| call.core).map(|(link, _)| link);
+        if server_of_call != Some(link) {
+            self.desk.finish(net, socket, tag);
+            let now = self.desk.now;
+            self.edge.stood_after_give_up(now, link, &name(tag), &mut self.desk.hands(net));
+        } else if let Some(core) = self.desk.cores.get_mut(&socket) {
+            core.called_off_is_over(tag);
+        }
+    }
+
     pub(super) fn core_finishes(
         &mut self, socket: SocketId, link: LinkId, message: &Binary, report: LoadReport, net: &mut dyn Net,
     ) -> Result<(), &'static str> {
--- a/crates/platform/tests/ends.rs
+++ b/crates/platform/tests/ends.rs
@@ -184,6 +184,83 @@
     }
 }
 
+impl World {
+    /// A call whose first launch was called off at the only server there; returns its connection, and the caller's. Time has
+    /// gone by until just after the give-up.
+    fn call_with_a_launch_given_up(&mut self, tag: u64) -> (SocketId, SocketId) {
+        self.wait_connecting(100);
+        self.feed(2, r#"{"host":"b","dial":"127.0.1.2:1","block":1,"health":"Gone"}"#);
+        let caller = self.caller();
+        self.start(caller, tag, "dest:0");
+        let core = self.set_up();
+        // Another is answered before it: it counts as lost, and is called off.
+        self.wait(2);
+        let other = self.caller();
+        self.start(other, tag + 1, "dest:0");
+        let quick = self.set_up();
+        self.wait(10);
+        self.stands(quick, tag + 1);
+        self.ends(quick, tag + 1, cause::NORMAL);
+        assert!(self.told(other).contains("STARTED"));
+        self.wait_for_give_up(core, tag);
+        (core, caller)
+    }
+}
+
+/// Seen on the bench: the held-up answer of a launch that was called off comes while the call stands at the same server by
+/// another connection, and then the end of that call on the first one.
+#[test]
+fn the_end_of_a_call_is_told_on_the_connection_of_a_former_launch_that_answered_late() {
+    for end in [cause::NORMAL, cause::RESET] {
+        for answer_is_late in [true, false] {
+            let mut w = World::new();
+            let (first, caller) = w.call_with_a_launch_given_up(5);
+            w.wait(250);
+            let second = w.set_up();
+            assert_ne!(first, second);
+            if answer_is_late {
+                w.stands(second, 5);
+                w.stands(first, 5);
+            } else {
+                w.stands(first, 5);
+                w.stands(second, 5);
+            }
+            let told = w.told(caller);
+            assert!(told.contains("STARTED") && told.lines().count() == 1, "{told}");
+            assert!(w.heard().is_empty(), "what stands is not released");
+            w.ends(first, 5, end);
+            assert!(w.told(caller).contains("\"FINISH\""), "the call is over");
+            w.ends(second, 5, end);
+            assert_eq!(w.told(caller), "", "it is told once");
+            w.nothing_is_kept();
+        }
+    }
+}
+
+/// Seen on the bench beside other work: a server that reads late answers a launch that was given up before. Until it reads
+/// that, the launch is out there, and the release time has not begun.
+#[test]
+fn an_answer_that_crosses_its_give_up_begins_the_release_time_anew() {
+    const RELEASE_MS: u64 = 150;
+    for crosses_after_ms in [20, 60, 140] {
+        let mut w = World::new();
+        let (first, caller) = w.call_with_a_launch_given_up(5);
+        w.wait(crosses_after_ms);
+        w.stands(first, 5);
+        let released = w.heard();
+        assert!(matches!(released[..], [(on, kind::FINISH, Tag(5), _)] if on == first), "{released:?}");
+        w.wait(RELEASE_MS - 5);
+        assert_eq!(w.sent_set_ups(), 0, "it may still be out there");
+        w.wait(60);
+        let second = w.set_up();
+        w.stands(second, 5);
+        assert!(w.told(caller).contains("STARTED"));
+        w.ends(second, 5, cause::NORMAL);
+        assert!(w.told(caller).contains("FINISH"));
+        w.nothing_is_kept();
+    }
+}
+
 #[test]
 fn an_answer_under_an_id_whose_set_up_is_not_sent_is_passed_over() {
     let mut w = World::new();
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -403,14 +403,16 @@
             self.take(&end.dialogue);
         } else if !self.dialogues.contains_key(&end.dialogue) {
             out.fail(&end.dialogue); // Called off in the moment it stood: the answer is owed again.
-        } else if let Some(dialogue) = self.dialogues.get_mut(&end.dialogue)
-            && dialogue.at.as_ref() == Some(&end.server)
+        } else if let Some(dialogue) = self.dialogues.get(&end.dialogue)
+            && (dialogue.at.as_ref() == Some(&end.server) || end.outcome == Outcome::CalledOff)
             && dialogue.last_launch() == end.launch
         {
+            self.leave_room(&end.dialogue);
+            let dialogue = self.dialogues.get_mut(&end.dialogue).expect("it was looked up");
             dialogue.at = None;
             dialogue.called_off = false;
             match end.outcome {
-                // What it held may stay taken until the release (rule 5).
+                // What it held may stay taken until the release (rule 5); one called off may still answer first.
                 Outcome::TimedOut | Outcome::BrokenOff | Outcome::CalledOff => {
                     dialogue.not_before = now + self.figures.release;
                     dialogue.shunned = Some(end.server);
@@ -593,9 +595,9 @@
         own.add(dialogue.rank(id), dialogue.lot, dialogue.width);
     }
 
-    /// It does not wait any more.
+    /// It does not wait any more, if it did.
     fn leave_room(&mut self, id: &DialogueId) {
-        let dialogue = &self.dialogues[id];
+        let Some(dialogue) = self.dialogues.get(id) else { return };
         self.room.by_end.remove(&(dialogue.end(), id.clone()));
         self.room.by_rest.remove(&(dialogue.rest(&self.figures), id.clone()));
         if !self.room.barred.remove(&(dialogue.not_before, id.clone())) {
@@ -613,9 +615,7 @@
     }
 
     fn take(&mut self, id: &DialogueId) -> Option<Dialogue> {
-        if self.dialogues.get(id)?.at.is_none() {
-            self.leave_room(id);
-        }
+        self.leave_room(id);
         let dialogue = self.dialogues.remove(id)?;
         self.by_answer.remove(&(dialogue.answer_by, id.clone()));
         Some(dialogue)
