--- a/crates/platform/src/sessions/lives.rs
+++ b/crates/platform/src/sessions/lives.rs
@@ -96,17 +96,20 @@
         Ok(())
     }
 
-    /// An answer that comes after its launch was called off is released, unless the call is at that server again: then the
-    /// server has one call under this id, and tells its end on either connection.
+    /// An answer that comes after its launch was called off is released, unless the call is at that server again: the server
+    /// has one call under this id.
     fn stood_after_give_up(&mut self, socket: SocketId, link: LinkId, tag: Tag, net: &mut dyn Net) {
-        let server_of_call = self.desk.calls.get(&tag).and_then(|call| call.core).map(|(link, _)| link);
-        if server_of_call != Some(link) {
-            self.desk.finish(net, socket, tag);
-            let now = self.desk.now;
-            self.edge.stood_after_give_up(now, link, &name(tag), &mut self.desk.hands(net));
-        } else if let Some(core) = self.desk.cores.get_mut(&socket) {
-            core.called_off_is_over(tag);
+        if self.server_of_call(tag) == Some(link) {
+            return;
         }
+        self.desk.finish(net, socket, tag);
+        let now = self.desk.now;
+        self.edge.stood_after_give_up(now, link, &name(tag), &mut self.desk.hands(net));
+    }
+
+    /// The server at which the call is set up, or stands.
+    fn server_of_call(&self, tag: Tag) -> Option<LinkId> {
+        self.desk.calls.get(&tag)?.core.map(|(link, _)| link)
     }
 
     pub(super) fn core_finishes(
@@ -133,11 +136,13 @@
             self.former_launch_is_over(socket, link, tag, end_of(cause), report, net);
             return Ok(());
         }
-        let own = self.desk.calls.get(&tag).and_then(|call| call.core).map(|(_, own)| own);
-        let elsewhere = own.is_some_and(|own| own != socket && self.desk.cores.contains_key(&own));
+        // A server that has answered a later launch has one call under this id, and may tell its end where an earlier launch
+        // was called off; a refusal there is of that earlier launch.
+        let refused = refusal(cause, note).is_some();
+        let of_another = self.server_of_call(tag).is_some_and(|server| server != link || refused);
         if let Some(core) = self.desk.cores.get_mut(&socket)
             && core.was_called_off(tag)
-            && elsewhere
+            && of_another
         {
             // The end of a set-up that was called off here has crossed that; the call stands by another one.
             core.called_off_is_over(tag);
