--- /dev/null
+++ b/crates/edge/src/edge/connections.rs
@@ -0,0 +1,224 @@
+//! Links: how they come up, how long they may be silent, and what ends with them.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use lotussaddle::interface::{DialogueId, Listed, LoadReport, Outcome, ServerId};
+use lotussaddle_trunk::{End, Frame, Hello, Role};
+
+use super::Edge;
+use crate::held::At;
+use crate::links::{Far, Kind, Link};
+use crate::{Decisions, LinkId, Note, Wires};
+
+/// Between tries to reach the list.
+const LIST_AGAIN: Duration = Duration::from_millis(200);
+
+impl<D: Decisions> Edge<D> {
+    /// Says something to a core server that is no matter of this edge proxy's own; false: there is no link to it.
+    pub fn pass_on(&mut self, now: Duration, server: &ServerId, frame: Frame, wires: &mut dyn Wires) -> bool {
+        self.state.now = now;
+        let link = self.state.servers.get(server).and_then(|far| far.link);
+        let link = link.filter(|link| self.state.links.get(link).is_some_and(|known| known.greeted));
+        if let Some(link) = link {
+            self.hands(wires).say(link, frame);
+        }
+        self.settle(wires);
+        link.is_some()
+    }
+
+    /// The server at the other end of a link that is up, where that is one.
+    pub fn core_at(&self, link: LinkId) -> Option<ServerId> {
+        self.server_of(link).filter(|_| self.state.links.get(&link).is_some_and(|known| known.greeted))
+    }
+
+    /// Core servers to which a link is up.
+    pub fn cores_up(&self) -> impl Iterator<Item = &ServerId> {
+        let up = |far: &Far| far.link.and_then(|link| self.state.links.get(&link)).is_some_and(|l| l.greeted);
+        self.state.servers.iter().filter(move |(_, far)| up(far)).map(|(id, _)| id)
+    }
+
+    /// A link has come in.
+    pub fn linked(&mut self, now: Duration, link: LinkId, wires: &mut dyn Wires) {
+        self.state.now = now;
+        if self.state.callers >= self.state.limits.links {
+            self.state.counts.links_closed += 1;
+            wires.close(link, "too many links");
+            return;
+        }
+        self.state.callers += 1;
+        self.state.links.insert(link, Link::new(Kind::Fresh, now));
+        self.state.fresh.push_back(link);
+        if self.state.fresh.len() > self.state.limits.fresh
+            && let Some(oldest) = self.state.fresh.front().copied()
+        {
+            self.drop_link(oldest, "too many links that say no hello", wires);
+        }
+    }
+
+    /// A link that was begun from here is up.
+    pub fn connected(&mut self, now: Duration, link: LinkId, wires: &mut dyn Wires) {
+        self.state.now = now;
+        if self.state.links.contains_key(&link) {
+            let hello = Hello::new(Role::Edge, self.name.clone());
+            self.hands(wires).say(link, Frame::Hello(hello));
+        }
+        self.settle(wires);
+    }
+
+    /// The shell vouches for a link that came in or was begun: it is up, whoever is there needs no hello, and it lasts
+    /// until the shell says that it is lost. So it is where dialogues belong to no connection.
+    pub fn admitted(&mut self, now: Duration, link: LinkId, wires: &mut dyn Wires) {
+        self.state.now = now;
+        if let Some(known) = self.state.links.get_mut(&link) {
+            (known.greeted, known.vouched) = (true, true);
+            if matches!(known.kind, Kind::Fresh) {
+                known.kind = Kind::Caller(Arc::from("callers"));
+                self.state.fresh.retain(|fresh| *fresh != link);
+            }
+            self.send_queued(link, wires);
+        }
+        self.settle(wires);
+    }
+
+    pub(super) fn server_of(&self, link: LinkId) -> Option<ServerId> {
+        match &self.state.links.get(&link)?.kind {
+            Kind::Core(server) => Some(server.clone()),
+            _ => None,
+        }
+    }
+
+    /// A link has gone, or did not come up.
+    pub fn lost(&mut self, now: Duration, link: LinkId, why: &str, wires: &mut dyn Wires) {
+        self.state.now = now;
+        self.forget_link(link, why, wires);
+        self.settle(wires);
+    }
+
+    /// What waited for this link to come up goes.
+    pub(super) fn send_queued(&mut self, link: LinkId, wires: &mut dyn Wires) {
+        let Some(server) = self.server_of(link) else { return };
+        let far = self.state.servers.get_mut(&server).filter(|far| far.link == Some(link));
+        let queued = far.map(|far| std::mem::take(&mut far.queued)).unwrap_or_default();
+        for id in queued {
+            if !self.hands(wires).send_launch(&id, link) {
+                self.unreached(&id, &server, wires);
+            }
+        }
+    }
+
+    pub(super) fn unreached(&mut self, id: &DialogueId, server: &ServerId, wires: &mut dyn Wires) {
+        let at = self.state.held.get(id).map(|held| &held.at);
+        if let Some(&At::Out { launch, .. }) = at {
+            let mut hands = self.hands(wires);
+            hands.launch_over(id);
+            hands.back(id, false);
+            hands.end(id, launch, server, Outcome::Unreachable);
+        }
+    }
+
+    pub(super) fn sweep(&mut self, wires: &mut dyn Wires) {
+        let (now, limits) = (self.state.now, self.state.limits.clone());
+        let mut doomed: Vec<(LinkId, &str)> = Vec::new();
+        let mut silent = Vec::new();
+        for (id, link) in &mut self.state.links {
+            let within =
+                if matches!(link.kind, Kind::Fresh) { limits.hello_within } else { limits.connect_within };
+            // The link to a former life of a server, or to one that is gone, ends with the last dialogue there.
+            let left = |server| {
+                let far: Option<&Far> = self.state.servers.get(server);
+                far.is_none_or(|far| far.link != Some(*id) || far.listed == Listed::Gone)
+            };
+            if matches!(&link.kind, Kind::Core(server) if link.here.is_empty() && left(server)) {
+                doomed.push((*id, "nobody is there any more"));
+            } else if link.vouched {
+            } else if !link.greeted && now >= link.since + within {
+                doomed.push((*id, "no hello in time"));
+            } else if link.greeted && now >= link.heard + limits.dead_after {
+                doomed.push((*id, "silent, taken as dead"));
+            } else if link.greeted && !link.asked && now >= link.heard + limits.ask_after {
+                link.asked = true;
+                silent.push(*id);
+            }
+        }
+        for link in silent {
+            self.hands(wires).say(link, Frame::Ping { nonce: now.as_micros() as u64 });
+        }
+        for (link, why) in doomed {
+            self.drop_link(link, why, wires);
+        }
+    }
+
+    /// Ends a link from this side.
+    pub(super) fn drop_link(&mut self, link: LinkId, why: &str, wires: &mut dyn Wires) {
+        if self.state.links.contains_key(&link) {
+            wires.close(link, why);
+            self.forget_link(link, why, wires);
+        }
+    }
+
+    /// What was on a link that is gone, ends.
+    fn forget_link(&mut self, link: LinkId, why: &str, wires: &mut dyn Wires) {
+        let Some(mut known) = self.state.links.remove(&link) else { return };
+        self.state.counts.links_closed += 1;
+        match &known.kind {
+            Kind::Fresh | Kind::Caller(_) => {
+                self.state.callers -= 1;
+                self.state.fresh.retain(|fresh| *fresh != link);
+                let name = if let Kind::Caller(name) = &known.kind { name } else { "that said no hello" };
+                let open = known.here.len();
+                wires.log(Note::Link, &format!("caller {name} gone with {open} dialogues: {why}"));
+                for id in std::mem::take(&mut known.here) {
+                    self.hung_up(&id, wires);
+                    self.hand_over_ends(wires);
+                }
+            }
+            Kind::List => {
+                wires.log(Note::Link, &format!("list gone: {why}"));
+                self.list_at = Some(self.state.now + LIST_AGAIN);
+            }
+            Kind::Core(server) => {
+                let server = server.clone();
+                let there = known.here.len();
+                wires.log(Note::Link, &format!("link to {} gone with {there} dialogues: {why}", server.0));
+                let far = self.state.servers.get_mut(&server).filter(|far| far.link == Some(link));
+                let queued = far.map(|far| {
+                    far.link = None;
+                    std::mem::take(&mut far.queued)
+                });
+                for id in queued.unwrap_or_default() {
+                    self.unreached(&id, &server, wires);
+                }
+                for id in std::mem::take(&mut known.here) {
+                    self.cut_off(&id, &server, wires);
+                    self.hand_over_ends(wires);
+                }
+                if self.state.servers.get(&server).is_some_and(|far| {
+                    far.listed == Listed::Gone && far.link.is_none() && far.queued.is_empty()
+                }) {
+                    self.state.servers.remove(&server);
+                }
+            }
+        }
+    }
+
+    /// The link that this dialogue was on is gone.
+    fn cut_off(&mut self, id: &DialogueId, server: &ServerId, wires: &mut dyn Wires) {
+        let at = self.state.held.get(id).map(|held| held.at.clone());
+        match at {
+            Some(At::Out { launch, .. }) => {
+                let mut hands = self.hands(wires);
+                hands.launch_over(id);
+                hands.back(id, true);
+                hands.end(id, launch, server, Outcome::BrokenOff);
+            }
+            Some(At::Standing { launch, link, .. }) => {
+                self.stood_until_now(id, launch, server, link, End::Cut, LoadReport::default(), wires);
+            }
+            Some(At::Releasing { launch, link, .. }) => {
+                self.stood_until_now(id, launch, server, link, End::Released, LoadReport::default(), wires);
+            }
+            _ => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/edge/src/edge/takeover.rs
@@ -0,0 +1,172 @@
+//! Dialogues that another edge proxy, or a former life of this one, has dealt with before.
+
+use std::time::Duration;
+
+use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
+use lotussaddle_trunk::{Dial, End, Frame, NotTaken};
+
+use super::{Edge, SOUGHT};
+use crate::hands::Hands;
+use crate::held::{At, Held, Unsaid};
+use crate::{Decisions, Found, LinkId, Wires};
+
+impl<D: Decisions> Edge<D> {
+    /// What `Wires::seek` came to.
+    pub fn found(&mut self, now: Duration, id: &DialogueId, found: Found, wires: &mut dyn Wires) {
+        self.state.now = now;
+        self.time_outs(wires);
+        let at = self.state.held.get(id).map(|held| held.at.clone());
+        let Some(At::Sought(dial)) = at else { return self.settle(wires) };
+        let held = self.state.held.get_mut(id).expect("it was looked up");
+        let (caller, cut_off) = (held.link, held.cut_off);
+        self.state.dues.unset(cut_off, id, SOUGHT);
+        match found {
+            Found::Free { not_before } if not_before > now => {
+                held.at = At::Barred(dial, not_before);
+                self.state.dues.set(not_before.min(cut_off), id, SOUGHT);
+            }
+            Found::Free { .. } => {
+                held.at = At::Waiting;
+                self.decide(&dial, wires);
+            }
+            Found::Answered(frame) => {
+                self.state.counts.recognised += 1;
+                let mut hands = self.hands(wires);
+                hands.conclude(id);
+                hands.say(caller, frame);
+            }
+            Found::Stands { server, launch } => match self.hands(wires).link_to(&server) {
+                Some(link) => {
+                    self.state.counts.recognised += 1;
+                    let held = self.state.held.get_mut(id).expect("it was looked up");
+                    held.at = At::Standing { server: server.clone(), launch, link };
+                    held.extra = Box::default();
+                    if let Some(known) = self.state.links.get_mut(&link) {
+                        known.here.insert(id.clone());
+                    }
+                    self.hands(wires).say(caller, Frame::Stands { dialogue: id.clone(), server });
+                }
+                None => self.decline_sought(id, None, wires),
+            },
+            Found::Concluded => {
+                let mut hands = self.hands(wires);
+                hands.conclude(id);
+                hands.state.counts.declined += 1;
+                let why = NotTaken::Concluded;
+                hands.say(caller, Frame::Declined { dialogue: id.clone(), why, come_back: None });
+            }
+            Found::Unsure { come_back } => self.decline_sought(id, come_back, wires),
+        }
+        self.settle(wires);
+    }
+
+    /// What came of a dialogue dialled before cannot be told: it was never taken here.
+    pub(super) fn decline_sought(
+        &mut self, id: &DialogueId, come_back: Option<Duration>, wires: &mut dyn Wires,
+    ) {
+        let mut hands = self.hands(wires);
+        if let Some(held) = hands.drop_held(id) {
+            hands.state.counts.unsure += 1;
+            let frame = Frame::Declined { dialogue: id.clone(), why: NotTaken::Unsure, come_back };
+            hands.say(held.link, frame);
+        }
+    }
+
+    /// Another edge proxy has this dialogue now: nothing more of it is sent here, and what is out is called off. Mostly its caller has
+    /// dialled it again there; one that still waits here hears that it may ask again what came of it.
+    pub fn replaced(&mut self, now: Duration, id: &DialogueId, wires: &mut dyn Wires) {
+        self.state.now = now;
+        self.time_outs(wires);
+        let at = self.state.held.get(id).map(|held| held.at.clone());
+        let unsaid = self.state.pending.drop_of(id);
+        let mut waits = match unsaid {
+            Some(Unsaid::Answer { link, .. }) => Some(link),
+            _ => None,
+        };
+        match at {
+            None => {}
+            Some(at @ (At::Standing { link, .. } | At::Releasing { link, .. })) => {
+                if let At::Releasing { launch, until, .. } = at {
+                    self.state.dues.unset(until, id, launch);
+                }
+                if let Some(known) = self.state.links.get_mut(&link) {
+                    known.here.remove(id);
+                }
+                self.state.counts.replaced += 1;
+                let told = waits.is_none();
+                let mut hands = self.hands(wires);
+                if let (Some(held), true, At::Standing { .. }) = (hands.drop_held(id), told, &at) {
+                    hands.say(held.link, Frame::Over { dialogue: id.clone(), end: End::Cut });
+                }
+            }
+            Some(at) => {
+                if matches!(at, At::Waiting | At::Out { .. }) {
+                    let mut hands = Hands { state: &mut self.state, wires };
+                    self.brain.left(now, id, &mut hands);
+                }
+                if let (At::Asking, Some(numbers)) = (&at, &mut self.numbers) {
+                    numbers.forget(id);
+                }
+                self.state.counts.replaced += 1;
+                self.forget_sought(id, &at);
+                waits = self.hands(wires).conclude(id).map(|(link, _)| link);
+            }
+        }
+        if let Some(link) = waits {
+            self.state.counts.unsure += 1;
+            let frame = Frame::Declined { dialogue: id.clone(), why: NotTaken::Unsure, come_back: None };
+            self.hands(wires).say(link, frame);
+        }
+        // It is not concluded as far as its caller is concerned, who may yet dial it here again.
+        self.state.concluded.remove(id);
+        self.settle(wires);
+    }
+
+    pub(super) fn forget_sought(&mut self, id: &DialogueId, at: &At) {
+        let Some(held) = self.state.held.get(id) else { return };
+        match at {
+            At::Sought(_) => self.state.dues.unset(held.cut_off, id, SOUGHT),
+            At::Barred(_, until) => self.state.dues.unset((*until).min(held.cut_off), id, SOUGHT),
+            _ => {}
+        }
+    }
+
+    /// A dialogue stands at that server already, placed by a former life of this edge proxy: no answer is owed for
+    /// it. False: it is not taken, since the server is not known here or too much is held.
+    pub fn stands_there(
+        &mut self, now: Duration, link: LinkId, dial: &Dial, server: &ServerId, wires: &mut dyn Wires,
+    ) -> bool {
+        self.state.now = now;
+        self.time_outs(wires);
+        let id = &dial.dialogue;
+        let taken = if self.state.held.contains_key(id) {
+            true
+        } else if self.state.held.len() < self.state.limits.dialogues
+            && let Some(there) = self.hands(wires).link_to(server)
+        {
+            let at = At::Standing { server: server.clone(), launch: LaunchNo(0), link: there };
+            let held = Held {
+                link,
+                cut_off: now,
+                at,
+                launches: 1,
+                product: dial.product,
+                width: dial.width,
+                key: dial.key.clone(),
+                number: None,
+                extra: Box::default(),
+            };
+            self.state.held.insert(id.clone(), held);
+            for link in [link, there] {
+                if let Some(known) = self.state.links.get_mut(&link) {
+                    known.here.insert(id.clone());
+                }
+            }
+            true
+        } else {
+            false
+        };
+        self.settle(wires);
+        taken
+    }
+}
--- /dev/null
+++ b/crates/edge/src/edge/timers.rs
@@ -0,0 +1,96 @@
+//! Deadlines: when the next one is due, launches that time out, and what a stall left behind.
+
+use std::time::Duration;
+
+use lotussaddle::interface::{DialogueId, LaunchNo, LoadReport, Outcome, TimerId};
+use lotussaddle_trunk::End;
+
+use super::Edge;
+use crate::hands::Hands;
+use crate::held::At;
+use crate::links::{Kind, Link};
+use crate::{Decisions, Wires};
+
+/// How often links are looked at for silence.
+const SWEEP: Duration = Duration::from_millis(250);
+
+impl<D: Decisions> Edge<D> {
+    /// When `alarm` is to be called next.
+    pub fn next_due(&self) -> Duration {
+        let numbers = self.numbers.as_ref().and_then(|numbers| numbers.next_due());
+        let pending = self.state.pending.first();
+        let dues = [self.state.alarm, self.state.dues.first(), self.list_at, pending, numbers];
+        dues.into_iter().flatten().fold(self.sweep_at, Duration::min)
+    }
+
+    /// What `Wires::record` gave this number is remembered.
+    pub fn recorded(&mut self, now: Duration, number: u64, wires: &mut dyn Wires) {
+        self.state.now = now;
+        // After a stall, what timed out meanwhile has timed out, and is not sent any more.
+        self.time_outs(wires);
+        if let Some((id, unsaid)) = self.state.pending.take(number) {
+            self.hands(wires).go_on(id, unsaid, true);
+        }
+        self.settle(wires);
+    }
+
+    /// The time given by `next_due` has come.
+    pub fn alarm(&mut self, now: Duration, wires: &mut dyn Wires) {
+        self.state.now = now;
+        self.time_outs(wires);
+        self.numbers_due(wires);
+        while let Some((id, unsaid)) = self.state.pending.overdue(now) {
+            self.hands(wires).go_on(id, unsaid, false);
+            self.hand_over_ends(wires);
+        }
+        if self.state.alarm.is_some_and(|at| at <= now) {
+            self.state.alarm = None;
+            let mut hands = Hands { state: &mut self.state, wires };
+            self.brain.alarm(now, TimerId(0), &mut hands);
+        }
+        if self.list_at.is_some_and(|at| at <= now) {
+            self.list_at = None;
+            let link = wires.connect(&self.list);
+            self.state.links.insert(link, Link::new(Kind::List, now));
+        }
+        if self.sweep_at <= now {
+            self.sweep_at = now + SWEEP;
+            self.sweep(wires);
+            let gone =
+                self.numbers.as_mut().map(|numbers| numbers.generations.take_gone()).unwrap_or_default();
+            if !gone.is_empty() {
+                wires.let_go(gone);
+            }
+        }
+        self.settle(wires);
+    }
+
+    pub(super) fn time_outs(&mut self, wires: &mut dyn Wires) {
+        while let Some((id, launch)) = self.state.dues.pop(self.state.now) {
+            self.timed_out(&id, launch, wires);
+            self.hand_over_ends(wires);
+        }
+    }
+
+    fn timed_out(&mut self, id: &DialogueId, launch: LaunchNo, wires: &mut dyn Wires) {
+        let Some(held) = self.state.held.get(id) else { return };
+        match held.at.clone() {
+            At::Out { server, launch: out, .. } if out == launch => {
+                let mut hands = self.hands(wires);
+                hands.call_off(id, launch);
+                hands.end(id, launch, &server, Outcome::TimedOut);
+            }
+            At::Sought(_) => self.decline_sought(id, None, wires),
+            At::Barred(dial, _) => {
+                if let Some(held) = self.state.held.get_mut(id) {
+                    held.at = At::Waiting;
+                }
+                self.decide(&dial, wires);
+            }
+            At::Releasing { server, launch: out, link, .. } if out == launch => {
+                self.stood_until_now(id, launch, &server, link, End::Released, LoadReport::default(), wires);
+            }
+            _ => {}
+        }
+    }
+}
