--- a/crates/edge/src/edge/connections.rs
+++ b/crates/edge/src/edge/connections.rs
@@ -1,5 +1,6 @@
 //! Links: how they come up, how long they may be silent, and what ends with them.
 
+use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -12,7 +13,7 @@
 use crate::{Decisions, LinkId, Note, Wires};
 
 /// Between tries to reach the list.
-const LIST_AGAIN: Duration = Duration::from_millis(200);
+const LIST_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 impl<D: Decisions> Edge<D> {
     /// Says something to a core server that is no matter of this edge proxy's own; false: there is no link to it.
@@ -110,10 +111,7 @@
     pub(super) fn unreached(&mut self, id: &DialogueId, server: &ServerId, wires: &mut dyn Wires) {
         let at = self.state.held.get(id).map(|held| &held.at);
         if let Some(&At::Out { launch, .. }) = at {
-            let mut hands = self.hands(wires);
-            hands.launch_over(id);
-            hands.back(id, false);
-            hands.end(id, launch, server, Outcome::Unreachable);
+            self.hands(wires).launch_unreachable(id, launch, server);
         }
     }
 
@@ -161,45 +159,51 @@
     fn forget_link(&mut self, link: LinkId, why: &str, wires: &mut dyn Wires) {
         let Some(mut known) = self.state.links.remove(&link) else { return };
         self.state.counts.links_closed += 1;
-        match &known.kind {
-            Kind::Fresh | Kind::Caller(_) => {
-                self.state.callers -= 1;
-                self.state.fresh.retain(|fresh| *fresh != link);
-                let name = if let Kind::Caller(name) = &known.kind { name } else { "that said no hello" };
-                let open = known.here.len();
-                wires.log(Note::Link, &format!("caller {name} gone with {open} dialogues: {why}"));
-                for id in std::mem::take(&mut known.here) {
-                    self.hung_up(&id, wires);
-                    self.hand_over_ends(wires);
-                }
-            }
+        let dialogues = std::mem::take(&mut known.here);
+        match known.kind {
+            Kind::Fresh => self.forget_caller_link(link, "that said no hello", dialogues, why, wires),
+            Kind::Caller(name) => self.forget_caller_link(link, &name, dialogues, why, wires),
             Kind::List => {
                 wires.log(Note::Link, &format!("list gone: {why}"));
-                self.list_at = Some(self.state.now + LIST_AGAIN);
-            }
-            Kind::Core(server) => {
-                let server = server.clone();
-                let there = known.here.len();
-                wires.log(Note::Link, &format!("link to {} gone with {there} dialogues: {why}", server.0));
-                let far = self.state.servers.get_mut(&server).filter(|far| far.link == Some(link));
-                let queued = far.map(|far| {
-                    far.link = None;
-                    std::mem::take(&mut far.queued)
-                });
-                for id in queued.unwrap_or_default() {
-                    self.unreached(&id, &server, wires);
-                }
-                for id in std::mem::take(&mut known.here) {
-                    self.cut_off(&id, &server, wires);
-                    self.hand_over_ends(wires);
-                }
-                if self.state.servers.get(&server).is_some_and(|far| {
-                    far.listed == Listed::Gone && far.link.is_none() && far.queued.is_empty()
-                }) {
-                    self.state.servers.remove(&server);
-                }
+                self.list_at = Some(self.state.now + LIST_RETRY_INTERVAL);
             }
+            Kind::Core(server) => self.forget_core_link(link, &server, dialogues, why, wires),
+        }
+    }
+
+    fn forget_caller_link(
+        &mut self, link: LinkId, name: &str, dialogues: BTreeSet<DialogueId>, why: &str,
+        wires: &mut dyn Wires,
+    ) {
+        self.state.callers -= 1;
+        self.state.fresh.retain(|fresh| *fresh != link);
+        let open = dialogues.len();
+        wires.log(Note::Link, &format!("caller {name} gone with {open} dialogues: {why}"));
+        for id in dialogues {
+            self.hung_up(&id, wires);
+            self.hand_over_ends(wires);
+        }
+    }
+
+    fn forget_core_link(
+        &mut self, link: LinkId, server: &ServerId, dialogues: BTreeSet<DialogueId>, why: &str,
+        wires: &mut dyn Wires,
+    ) {
+        let there = dialogues.len();
+        wires.log(Note::Link, &format!("link to {} gone with {there} dialogues: {why}", server.0));
+        let far = self.state.servers.get_mut(server).filter(|far| far.link == Some(link));
+        let queued = far.map(|far| {
+            far.link = None;
+            std::mem::take(&mut far.queued)
+        });
+        for id in queued.unwrap_or_default() {
+            self.unreached(&id, server, wires);
+        }
+        for id in dialogues {
+            self.cut_off(&id, server, wires);
+            self.hand_over_ends(wires);
         }
+        self.remove_server_if_gone(server);
     }
 
     /// The link that this dialogue was on is gone.
--- a/crates/edge/src/edge/core_frames.rs
+++ b/crates/edge/src/edge/core_frames.rs
@@ -13,33 +13,10 @@
     pub(super) fn core_said(
         &mut self, link: LinkId, server: &ServerId, frame: Frame, extra: Vec<Extra>, wires: &mut dyn Wires,
     ) -> bool {
-        let now = self.state.now;
         match frame {
             Frame::Report { report } => self.reported(server, &report, wires),
             Frame::Stood { dialogue, launch, report } => {
-                if self.is_out(&dialogue, launch, link) {
-                    let mut hands = Hands { state: &mut self.state, wires };
-                    hands.launch_over(&dialogue);
-                    hands.state.counts.stood += 1;
-                    if let Some(held) = hands.state.held.get_mut(&dialogue) {
-                        held.at = At::Standing { server: server.clone(), launch, link };
-                        held.extra = Box::default(); // No launch will carry it any more.
-                        let caller = (held.link, held.cut_off);
-                        if let Some(known) = hands.state.links.get_mut(&link) {
-                            known.here.insert(dialogue.clone());
-                        }
-                        let stands = Frame::Stands { dialogue: dialogue.clone(), server: server.clone() };
-                        hands.answer(caller, &dialogue, launch, Message { frame: stands, extra });
-                    }
-                    self.brain.stands(now, &dialogue, launch, server, &mut hands);
-                } else {
-                    // It crossed a cancel, or comes twice: unless it is the one that stands, its lines go back.
-                    self.state.counts.strays += 1;
-                    if !self.is_standing(&dialogue, launch, link) {
-                        self.called_off_again(&dialogue, server.clone(), wires);
-                        self.hands(wires).say(link, Frame::Release { dialogue, launch });
-                    }
-                }
+                self.launch_stood(link, server, dialogue, launch, extra, wires);
                 self.reported(server, &report, wires);
             }
             Frame::TurnedBack { dialogue, launch, cause, report } => {
@@ -55,17 +32,10 @@
                 self.launch_ended(link, server, &dialogue, launch, Outcome::BrokenOff, report, wires);
             }
             Frame::Ended { dialogue, launch, end, report } => {
-                let at = self.state.held.get(&dialogue).map(|held| held.at.clone());
-                match at {
-                    Some(
-                        At::Standing { launch: out, link: over, .. }
-                        | At::Releasing { launch: out, link: over, .. },
-                    ) if (out, over) == (launch, link) => {
-                        self.stood_until_now(&dialogue, launch, server, link, end, report, wires);
-                    }
-                    _ => {
-                        self.launch_ended(link, server, &dialogue, launch, Outcome::BrokenOff, report, wires)
-                    }
+                if self.is_standing_or_releasing(&dialogue, launch, link) {
+                    self.stood_until_now(&dialogue, launch, server, link, end, report, wires);
+                } else {
+                    self.launch_ended(link, server, &dialogue, launch, Outcome::BrokenOff, report, wires);
                 }
             }
             _ => return false,
@@ -73,6 +43,30 @@
         true
     }
 
+    /// A server says that a launch stands.
+    fn launch_stood(
+        &mut self, link: LinkId, server: &ServerId, dialogue: DialogueId, launch: LaunchNo,
+        extra: Vec<Extra>, wires: &mut dyn Wires,
+    ) {
+        if !self.is_out(&dialogue, launch, link) {
+            // It crossed a cancel, or comes twice: unless it is the one that stands, its lines go back.
+            self.state.counts.strays += 1;
+            if !self.is_standing(&dialogue, launch, link) {
+                self.called_off_again(&dialogue, server.clone(), wires);
+                self.hands(wires).say(link, Frame::Release { dialogue, launch });
+            }
+            return;
+        }
+        let mut hands = Hands { state: &mut self.state, wires };
+        hands.launch_over(&dialogue);
+        hands.state.counts.stood += 1;
+        if let Some(caller) = hands.mark_standing(&dialogue, server, launch, link) {
+            let stands = Frame::Stands { dialogue: dialogue.clone(), server: server.clone() };
+            hands.answer(caller, &dialogue, launch, Message { frame: stands, extra });
+        }
+        self.brain.stands(hands.state.now, &dialogue, launch, server, &mut hands);
+    }
+
     pub(super) fn reported(&mut self, server: &ServerId, report: &LoadReport, wires: &mut dyn Wires) {
         if *report != LoadReport::default() {
             let mut hands = Hands { state: &mut self.state, wires };
@@ -85,6 +79,15 @@
         matches!(at, Some(At::Out { launch: out, link: over, .. }) if (*out, *over) == (launch, Some(link)))
     }
 
+    fn is_standing_or_releasing(&self, id: &DialogueId, launch: LaunchNo, link: LinkId) -> bool {
+        match self.state.held.get(id).map(|held| &held.at) {
+            Some(
+                At::Standing { launch: out, link: over, .. } | At::Releasing { launch: out, link: over, .. },
+            ) => (*out, *over) == (launch, link),
+            _ => false,
+        }
+    }
+
     fn is_standing(&self, id: &DialogueId, launch: LaunchNo, link: LinkId) -> bool {
         let at = self.state.held.get(id).map(|held| &held.at);
         matches!(at, Some(At::Standing { launch: out, link: over, .. }) if (*out, *over) == (launch, link))
--- a/crates/edge/src/edge/dialling.rs
+++ b/crates/edge/src/edge/dialling.rs
@@ -12,69 +12,38 @@
 use crate::{Decisions, LinkId, Step, Wires};
 
 /// More lines than this no dialogue takes.
-const WIDEST: f64 = 10_000.0;
+const MAX_WIDTH: f64 = 10_000.0;
+
+/// What becomes of a dial.
+enum Admission {
+    /// It is held already, and will have its answer.
+    Repeated,
+    Declined(NotTaken),
+    /// It is held from now on; `seeks`: what is known of it elsewhere is sought first.
+    Taken {
+        seeks: bool,
+    },
+}
 
 impl<D: Decisions> Edge<D> {
     pub(super) fn dialled(&mut self, link: LinkId, dial: Dial, extra: Vec<Extra>, wires: &mut dyn Wires) {
         let id = dial.dialogue.clone();
-        let mut seeks = false;
-        let why = if let Some(held) = self.state.held.get(&id) {
-            if held.link == link && !matches!(held.at, At::Releasing { .. }) {
-                self.state.counts.repeats += 1; // It is in already, and will have its answer.
-                return;
-            }
-            match self.take_over(&id, link) {
-                None => return,
-                why => why,
-            }
-        } else if self.state.concluded.contains(&id) && !dial.repeat {
-            Some(NotTaken::Concluded)
-        } else if self.state.held.len() >= self.state.limits.dialogues {
-            Some(NotTaken::Full)
-        } else {
-            let known = usize::from(dial.product) < self.products
-                && dial.tenant.is_none_or(|t| usize::from(t) < self.tenants)
-                && (dial.width > 0.0 && dial.width <= WIDEST)
-                && !dial.time_left.is_zero();
-            let ready =
-                dial.dialled.is_none() || self.numbers.as_ref().is_none_or(|numbers| numbers.is_ready());
-            if !known {
-                Some(NotTaken::Unknown)
-            } else if !ready {
-                Some(NotTaken::NotReady)
-            } else {
-                seeks = dial.repeat && wires.seek(&id, self.state.now + dial.time_left);
-                (self.state.concluded.contains(&id) && !seeks).then_some(NotTaken::Concluded)
+        let seeks = match self.admission(link, &dial, wires) {
+            Admission::Repeated => return,
+            Admission::Declined(why) => {
+                self.state.counts.declined += 1;
+                return self.hands(wires).say(link, Frame::Declined { dialogue: id, why, come_back: None });
             }
+            Admission::Taken { seeks } => seeks,
         };
-        if let Some(why) = why {
-            self.state.counts.declined += 1;
-            return self.hands(wires).say(link, Frame::Declined { dialogue: id, why, come_back: None });
-        }
         self.state.counts.taken += 1;
-        let now = self.state.now;
-        let known = self.state.links.get_mut(&link).zip(dial.sent_at);
-        let delay = known.map_or(Duration::ZERO, |(known, sent_at)| known.delay.of(now, sent_at));
-        // A dial that was long on its way has lost that time; one that lost all of it is answered at once.
-        let time_left = dial.time_left.saturating_sub(delay);
-        let held = Held {
-            link,
-            cut_off: now + time_left,
-            at: At::Waiting,
-            launches: 0,
-            product: dial.product,
-            width: dial.width,
-            key: dial.key.clone(),
-            number: None,
-            extra: extra.into(),
-        };
+        let cut_off = self.cut_off_of(link, &dial);
+        let held = Held::of_dial(&dial, link, cut_off, At::Waiting, extra);
         self.state.held.insert(id.clone(), held);
-        if let Some(known) = self.state.links.get_mut(&link) {
-            known.here.insert(id.clone());
-        }
+        self.hands(wires).add_to_link(link, &id);
         if seeks {
             self.state.counts.sought += 1;
-            self.state.dues.set(now + time_left, &id, SOUGHT);
+            self.state.dues.set(cut_off, &id, SOUGHT);
             if let Some(held) = self.state.held.get_mut(&id) {
                 held.at = At::Sought(Box::new(dial));
             }
@@ -84,6 +53,53 @@
         self.decide(&dial, wires);
     }
 
+    /// Whether a dial is taken. Where it may have been dialled before elsewhere, it is asked after on the way.
+    fn admission(&mut self, link: LinkId, dial: &Dial, wires: &mut dyn Wires) -> Admission {
+        let id = &dial.dialogue;
+        if let Some(held) = self.state.held.get(id) {
+            if held.link == link && !matches!(held.at, At::Releasing { .. }) {
+                self.state.counts.repeats += 1; // It is in already, and will have its answer.
+                return Admission::Repeated;
+            }
+            return self.take_over(id, link).map_or(Admission::Repeated, Admission::Declined);
+        }
+        let concluded = self.state.concluded.contains(id);
+        if concluded && !dial.repeat {
+            return Admission::Declined(NotTaken::Concluded);
+        }
+        if self.state.held.len() >= self.state.limits.dialogues {
+            return Admission::Declined(NotTaken::Full);
+        }
+        if !self.can_be_read(dial) {
+            return Admission::Declined(NotTaken::Unknown);
+        }
+        if dial.dialled.is_some() && self.numbers.as_ref().is_some_and(|numbers| !numbers.is_ready()) {
+            return Admission::Declined(NotTaken::NotReady);
+        }
+        let seeks = dial.repeat && wires.seek(id, self.state.now + dial.time_left);
+        if concluded && !seeks {
+            return Admission::Declined(NotTaken::Concluded);
+        }
+        Admission::Taken { seeks }
+    }
+
+    /// Whether product, tenant, width and time left are such as can be.
+    fn can_be_read(&self, dial: &Dial) -> bool {
+        usize::from(dial.product) < self.products
+            && dial.tenant.is_none_or(|tenant| usize::from(tenant) < self.tenants)
+            && (dial.width > 0.0 && dial.width <= MAX_WIDTH)
+            && !dial.time_left.is_zero()
+    }
+
+    /// When the caller gives this dial up. One that was long on its way has lost that time; one that lost all of it is
+    /// answered at once.
+    fn cut_off_of(&mut self, link: LinkId, dial: &Dial) -> Duration {
+        let now = self.state.now;
+        let known = self.state.links.get_mut(&link).zip(dial.sent_at);
+        let delay = known.map_or(Duration::ZERO, |(known, sent_at)| known.delay.of(now, sent_at));
+        now + dial.time_left.saturating_sub(delay)
+    }
+
     /// From now on it is for the module to decide, once its number is analysed.
     pub(super) fn decide(&mut self, dial: &Dial, wires: &mut dyn Wires) {
         let now = self.state.now;
@@ -128,14 +144,11 @@
         }
         held.link = link;
         self.state.counts.repeats += 1;
-        for (link, is_here) in [(before, false), (link, true)] {
-            if let Some(known) = self.state.links.get_mut(&link) {
-                if is_here {
-                    known.here.insert(id.clone());
-                } else {
-                    known.here.remove(id);
-                }
-            }
+        if let Some(known) = self.state.links.get_mut(&before) {
+            known.here.remove(id);
+        }
+        if let Some(known) = self.state.links.get_mut(&link) {
+            known.here.insert(id.clone());
         }
         None
     }
--- a/crates/edge/src/edge/number_analysis.rs
+++ b/crates/edge/src/edge/number_analysis.rs
@@ -80,6 +80,14 @@
         }
     }
 
+    /// Has generations taken apart that nobody needs any more.
+    pub(super) fn let_go_of_tables(&mut self, wires: &mut dyn Wires) {
+        let gone = self.numbers.as_mut().map(|numbers| numbers.generations.take_gone()).unwrap_or_default();
+        if !gone.is_empty() {
+            wires.let_go(gone);
+        }
+    }
+
     /// What is due of tables and look-ups, and what came of look-ups meanwhile.
     pub(super) fn numbers_due(&mut self, wires: &mut dyn Wires) {
         let Some(numbers) = &mut self.numbers else { return };
@@ -90,9 +98,13 @@
             self.analysed(found, wires);
             self.hand_over_ends(wires);
         }
-        if said.is_empty() {
-            return;
+        if !said.is_empty() {
+            self.tell_of_tables(said, wires);
         }
+    }
+
+    /// Tells the list, where its link is up, and the shell what came of orders about tables.
+    fn tell_of_tables(&mut self, said: Vec<Frame>, wires: &mut dyn Wires) {
         let list = self.state.links.iter().find(|(_, link)| matches!(link.kind, Kind::List) && link.greeted);
         let list = list.map(|(id, _)| *id);
         for said in said {
--- a/crates/edge/src/edge/server_list.rs
+++ b/crates/edge/src/edge/server_list.rs
@@ -8,70 +8,78 @@
 use super::Edge;
 use crate::hands::Hands;
 use crate::links::Far;
-use crate::{Decisions, Note, Wires};
+use crate::{Decisions, LinkId, Note, Wires};
 
 /// Core servers known at once; beyond it a new one of the list is left out, and the log says so.
-const MOST_SERVERS: usize = 10_000;
+const MAX_SERVERS: usize = 10_000;
 
 impl<D: Decisions> Edge<D> {
+    /// A list has come, whole or with the entries that changed.
     pub(super) fn listed(&mut self, whole: bool, entries: Vec<Entry>, wires: &mut dyn Wires) {
-        let now = self.state.now;
         if whole {
             self.state.servers.values_mut().for_each(|far| far.listed = Listed::Gone);
         }
-        let mut told = Vec::new();
-        let mut renewed = Vec::new();
+        let (known, replaced_links) = self.take_in(entries, wires);
+        for entry in &known {
+            if entry.listed == Listed::Active {
+                self.hands(wires).link_to(&entry.server);
+            }
+        }
+        let mut hands = Hands { state: &mut self.state, wires };
+        self.brain.listed(hands.state.now, whole, &known, &mut hands);
+        self.return_queued_of_inactive(wires);
+        self.remove_gone(replaced_links, wires);
+    }
+
+    /// Takes the entries in, up to the bound; gives what the module is to know of them, and the links to former lives.
+    fn take_in(&mut self, entries: Vec<Entry>, wires: &mut dyn Wires) -> (Vec<ListEntry>, Vec<LinkId>) {
+        let mut known = Vec::new();
+        let mut replaced_links = Vec::new();
         let mut left_out = 0;
         for entry in entries {
-            let since = if entry.age.is_zero() {
-                Duration::ZERO
-            } else {
-                now.saturating_sub(entry.age).max(Duration::from_micros(1))
-            };
-            let full = self.state.servers.len() >= MOST_SERVERS;
-            let known = self.state.servers.get_mut(&entry.server);
-            let far = match known {
-                Some(far) => {
-                    if far.life != entry.life || far.address != entry.address {
-                        // Another process answers there; what is out on the old link ends with that.
-                        renewed.extend(far.link.take());
-                        if far.life != entry.life {
-                            far.since = since;
-                        }
-                        (far.address, far.life) = (entry.address.clone(), entry.life);
-                    }
-                    far.listed = entry.listed;
-                    far
-                }
-                None if full => {
-                    left_out += 1;
-                    continue;
-                }
-                None => self.state.servers.entry(entry.server.clone()).or_insert(Far {
-                    address: entry.address.clone(),
-                    listed: entry.listed,
-                    life: entry.life,
-                    since,
-                    link: None,
-                    queued: Vec::new(),
-                }),
-            };
-            let (number, listed, since) = (entry.number, far.listed, far.since);
-            told.push(ListEntry { server: entry.server, number, listed, since });
+            if !self.state.servers.contains_key(&entry.server) && self.state.servers.len() >= MAX_SERVERS {
+                left_out += 1;
+                continue;
+            }
+            let (entry, replaced_link) = self.take_in_entry(entry);
+            known.push(entry);
+            replaced_links.extend(replaced_link);
         }
         if left_out > 0 {
             let line =
-                format!("{left_out} servers of the list are left out: {MOST_SERVERS} are known already");
+                format!("{left_out} servers of the list are left out: {MAX_SERVERS} are known already");
             wires.log(Note::Mode, &line);
         }
-        for entry in &told {
-            if entry.listed == Listed::Active {
-                self.hands(wires).link_to(&entry.server);
+        (known, replaced_links)
+    }
+
+    /// Takes one entry in; gives the link to a former life of that server, where there is one.
+    fn take_in_entry(&mut self, entry: Entry) -> (ListEntry, Option<LinkId>) {
+        let since = since_of(self.state.now, entry.age);
+        let mut replaced_link = None;
+        let far = self.state.servers.entry(entry.server.clone()).or_insert_with(|| Far {
+            address: entry.address.clone(),
+            listed: entry.listed,
+            life: entry.life,
+            since,
+            link: None,
+            queued: Vec::new(),
+        });
+        if far.life != entry.life || far.address != entry.address {
+            // Another process answers there; what is out on the old link ends with that.
+            replaced_link = far.link.take();
+            if far.life != entry.life {
+                far.since = since;
             }
+            (far.address, far.life) = (entry.address.clone(), entry.life);
         }
-        let mut hands = Hands { state: &mut self.state, wires };
-        self.brain.listed(now, whole, &told, &mut hands);
-        // What waits for the link of a server that drains is not sent there when the link is up.
+        far.listed = entry.listed;
+        let (number, listed, since) = (entry.number, far.listed, far.since);
+        (ListEntry { server: entry.server, number, listed, since }, replaced_link)
+    }
+
+    /// What waits for the link of a server that drains is not sent there when the link is up.
+    fn return_queued_of_inactive(&mut self, wires: &mut dyn Wires) {
         let leaving = self.state.servers.iter_mut().filter(|(_, far)| far.listed != Listed::Active);
         let stranded: Vec<_> = leaving
             .flat_map(|(id, far)| std::mem::take(&mut far.queued).into_iter().map(|d| (d, id.clone())))
@@ -79,18 +87,36 @@
         for (dialogue, server) in stranded {
             self.unreached(&dialogue, &server, wires);
         }
+    }
+
+    /// Ends links on which nothing is left of those to former lives and to servers that are gone, and forgets the latter.
+    fn remove_gone(&mut self, mut unused_links: Vec<LinkId>, wires: &mut dyn Wires) {
         let gone = self.state.servers.iter().filter(|(_, far)| far.listed == Listed::Gone);
         let gone: Vec<ServerId> = gone.map(|(id, _)| id.clone()).collect();
-        renewed.extend(gone.iter().filter_map(|id| self.state.servers.get(id)?.link));
-        for link in renewed {
+        unused_links.extend(gone.iter().filter_map(|id| self.state.servers.get(id)?.link));
+        for link in unused_links {
             if self.state.links.get(&link).is_some_and(|known| known.here.is_empty()) {
                 self.drop_link(link, "its server is gone from the list", wires);
             }
         }
         for id in gone {
-            if self.state.servers.get(&id).is_some_and(|far| far.link.is_none() && far.queued.is_empty()) {
-                self.state.servers.remove(&id);
-            }
+            self.remove_server_if_gone(&id);
         }
     }
+
+    /// Forgets a server that is gone from the list, once no link to it is left and nothing waits for one.
+    pub(super) fn remove_server_if_gone(&mut self, id: &ServerId) {
+        let unused = |far: &Far| far.listed == Listed::Gone && far.link.is_none() && far.queued.is_empty();
+        if self.state.servers.get(id).is_some_and(unused) {
+            self.state.servers.remove(id);
+        }
+    }
+}
+
+/// The start of a server of that age, on this clock. Zero stands for an age that is not known, so no other age gives it.
+fn since_of(now: Duration, age: Duration) -> Duration {
+    if age.is_zero() {
+        return Duration::ZERO;
+    }
+    now.saturating_sub(age).max(Duration::from_micros(1))
 }
--- a/crates/edge/src/edge/takeover.rs
+++ b/crates/edge/src/edge/takeover.rs
@@ -35,19 +35,7 @@
                 hands.conclude(id);
                 hands.say(caller, frame);
             }
-            Found::Stands { server, launch } => match self.hands(wires).link_to(&server) {
-                Some(link) => {
-                    self.state.counts.recognised += 1;
-                    let held = self.state.held.get_mut(id).expect("it was looked up");
-                    held.at = At::Standing { server: server.clone(), launch, link };
-                    held.extra = Box::default();
-                    if let Some(known) = self.state.links.get_mut(&link) {
-                        known.here.insert(id.clone());
-                    }
-                    self.hands(wires).say(caller, Frame::Stands { dialogue: id.clone(), server });
-                }
-                None => self.decline_sought(id, None, wires),
-            },
+            Found::Stands { server, launch } => self.resume_standing(id, caller, server, launch, wires),
             Found::Concluded => {
                 let mut hands = self.hands(wires);
                 hands.conclude(id);
@@ -60,6 +48,19 @@
         self.settle(wires);
     }
 
+    /// It stands at that server, and goes on here; where the server cannot be reached, it is not taken.
+    fn resume_standing(
+        &mut self, id: &DialogueId, caller: LinkId, server: ServerId, launch: LaunchNo, wires: &mut dyn Wires,
+    ) {
+        let Some(link) = self.hands(wires).link_to(&server) else {
+            return self.decline_sought(id, None, wires);
+        };
+        self.state.counts.recognised += 1;
+        let mut hands = self.hands(wires);
+        hands.mark_standing(id, &server, launch, link);
+        hands.say(caller, Frame::Stands { dialogue: id.clone(), server });
+    }
+
     /// What came of a dialogue dialled before cannot be told: it was never taken here.
     pub(super) fn decline_sought(
         &mut self, id: &DialogueId, come_back: Option<Duration>, wires: &mut dyn Wires,
@@ -85,32 +86,10 @@
         };
         match at {
             None => {}
-            Some(at @ (At::Standing { link, .. } | At::Releasing { link, .. })) => {
-                if let At::Releasing { launch, until, .. } = at {
-                    self.state.dues.unset(until, id, launch);
-                }
-                if let Some(known) = self.state.links.get_mut(&link) {
-                    known.here.remove(id);
-                }
-                self.state.counts.replaced += 1;
-                let told = waits.is_none();
-                let mut hands = self.hands(wires);
-                if let (Some(held), true, At::Standing { .. }) = (hands.drop_held(id), told, &at) {
-                    hands.say(held.link, Frame::Over { dialogue: id.clone(), end: End::Cut });
-                }
-            }
-            Some(at) => {
-                if matches!(at, At::Waiting | At::Out { .. }) {
-                    let mut hands = Hands { state: &mut self.state, wires };
-                    self.brain.left(now, id, &mut hands);
-                }
-                if let (At::Asking, Some(numbers)) = (&at, &mut self.numbers) {
-                    numbers.forget(id);
-                }
-                self.state.counts.replaced += 1;
-                self.forget_sought(id, &at);
-                waits = self.hands(wires).conclude(id).map(|(link, _)| link);
+            Some(at @ (At::Standing { .. } | At::Releasing { .. })) => {
+                self.drop_replaced_standing(id, &at, waits.is_none(), wires);
             }
+            Some(at) => waits = self.drop_replaced_unanswered(id, &at, wires),
         }
         if let Some(link) = waits {
             self.state.counts.unsure += 1;
@@ -122,6 +101,40 @@
         self.settle(wires);
     }
 
+    /// Lets go of one that stood; `told`: its caller has heard so, and hears now that it is cut.
+    fn drop_replaced_standing(&mut self, id: &DialogueId, at: &At, told: bool, wires: &mut dyn Wires) {
+        if let At::Releasing { launch, until, .. } = at {
+            self.state.dues.unset(*until, id, *launch);
+        }
+        if let At::Standing { link, .. } | At::Releasing { link, .. } = at
+            && let Some(known) = self.state.links.get_mut(link)
+        {
+            known.here.remove(id);
+        }
+        self.state.counts.replaced += 1;
+        let mut hands = self.hands(wires);
+        if let (Some(held), true, At::Standing { .. }) = (hands.drop_held(id), told, at) {
+            hands.say(held.link, Frame::Over { dialogue: id.clone(), end: End::Cut });
+        }
+    }
+
+    /// Lets go of one that had no answer; gives its caller's link.
+    fn drop_replaced_unanswered(
+        &mut self, id: &DialogueId, at: &At, wires: &mut dyn Wires,
+    ) -> Option<LinkId> {
+        if matches!(at, At::Waiting | At::Out { .. }) {
+            let mut hands = Hands { state: &mut self.state, wires };
+            self.brain.left(hands.state.now, id, &mut hands);
+        }
+        if let (At::Asking, Some(numbers)) = (at, &mut self.numbers) {
+            numbers.forget(id);
+        }
+        self.state.counts.replaced += 1;
+        self.forget_sought(id, at);
+        self.hands(wires).conclude(id).map(|(link, _)| link)
+    }
+
+    /// A dialogue that was dialled before is sought no longer, nor barred: its deadline goes.
     pub(super) fn forget_sought(&mut self, id: &DialogueId, at: &At) {
         let Some(held) = self.state.held.get(id) else { return };
         match at {
@@ -145,23 +158,12 @@
             && let Some(there) = self.hands(wires).link_to(server)
         {
             let at = At::Standing { server: server.clone(), launch: LaunchNo(0), link: there };
-            let held = Held {
-                link,
-                cut_off: now,
-                at,
-                launches: 1,
-                product: dial.product,
-                width: dial.width,
-                key: dial.key.clone(),
-                number: None,
-                extra: Box::default(),
-            };
+            let mut held = Held::of_dial(dial, link, now, at, Vec::new());
+            held.launches = 1;
             self.state.held.insert(id.clone(), held);
-            for link in [link, there] {
-                if let Some(known) = self.state.links.get_mut(&link) {
-                    known.here.insert(id.clone());
-                }
-            }
+            let mut hands = self.hands(wires);
+            hands.add_to_link(link, id);
+            hands.add_to_link(there, id);
             true
         } else {
             false
--- a/crates/edge/src/edge/timers.rs
+++ b/crates/edge/src/edge/timers.rs
@@ -12,7 +12,7 @@
 use crate::{Decisions, Wires};
 
 /// How often links are looked at for silence.
-const SWEEP: Duration = Duration::from_millis(250);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
 impl<D: Decisions> Edge<D> {
     /// When `alarm` is to be called next.
@@ -54,13 +54,9 @@
             self.state.links.insert(link, Link::new(Kind::List, now));
         }
         if self.sweep_at <= now {
-            self.sweep_at = now + SWEEP;
+            self.sweep_at = now + SWEEP_INTERVAL;
             self.sweep(wires);
-            let gone =
-                self.numbers.as_mut().map(|numbers| numbers.generations.take_gone()).unwrap_or_default();
-            if !gone.is_empty() {
-                wires.let_go(gone);
-            }
+            self.let_go_of_tables(wires);
         }
         self.settle(wires);
     }
--- a/crates/edge/src/hands.rs
+++ b/crates/edge/src/hands.rs
@@ -90,9 +90,7 @@
                     _ => None,
                 });
                 if let Some(server) = server {
-                    self.launch_over(&id);
-                    self.back(&id, false);
-                    self.end(&id, launch, &server, Outcome::Unreachable);
+                    self.launch_unreachable(&id, launch, &server);
                 }
             }
             Unsaid::Launch(launch) => {
@@ -182,9 +180,7 @@
             }),
         };
         if !sent {
-            self.launch_over(dialogue);
-            self.back(dialogue, false);
-            self.end(dialogue, launch, &server, Outcome::Unreachable);
+            self.launch_unreachable(dialogue, launch, &server);
         }
     }
 
@@ -209,9 +205,7 @@
         }
         *over = Some(link);
         self.state.counts.launches += 1;
-        if let Some(link) = self.state.links.get_mut(&link) {
-            link.here.insert(id.clone());
-        }
+        self.add_to_link(link, id);
         true
     }
 
@@ -226,6 +220,32 @@
         far.link
     }
 
+    /// A dialogue comes or goes over this link from now on.
+    pub fn add_to_link(&mut self, link: LinkId, id: &DialogueId) {
+        if let Some(known) = self.state.links.get_mut(&link) {
+            known.here.insert(id.clone());
+        }
+    }
+
+    /// A held dialogue stands at that server from now on; gives its caller's link, and when that gives up.
+    pub fn mark_standing(
+        &mut self, id: &DialogueId, server: &ServerId, launch: LaunchNo, link: LinkId,
+    ) -> Option<(LinkId, Duration)> {
+        let held = self.state.held.get_mut(id)?;
+        held.at = At::Standing { server: server.clone(), launch, link };
+        held.extra = Box::default(); // No launch will carry it any more.
+        let caller = (held.link, held.cut_off);
+        self.add_to_link(link, id);
+        Some(caller)
+    }
+
+    /// A launch that was never sent ends, as one whose server cannot be reached.
+    pub fn launch_unreachable(&mut self, id: &DialogueId, launch: LaunchNo, server: &ServerId) {
+        self.launch_over(id);
+        self.back(id, false);
+        self.end(id, launch, server, Outcome::Unreachable);
+    }
+
     pub fn end(&mut self, dialogue: &DialogueId, launch: LaunchNo, server: &ServerId, outcome: Outcome) {
         self.state.ends.push_back(LaunchEnd {
             dialogue: dialogue.clone(),
--- a/crates/edge/src/held.rs
+++ b/crates/edge/src/held.rs
@@ -148,6 +148,23 @@
     pub extra: Box<[Extra]>,
 }
 
+impl Held {
+    /// A dialogue as it was dialled, with no launch yet.
+    pub fn of_dial(dial: &Dial, link: LinkId, cut_off: Duration, at: At, extra: Vec<Extra>) -> Self {
+        Self {
+            link,
+            cut_off,
+            at,
+            launches: 0,
+            product: dial.product,
+            width: dial.width,
+            key: dial.key.clone(),
+            number: None,
+            extra: extra.into(),
+        }
+    }
+}
+
 /// Dialogues that have had their answer, so that a repeat of their dial is not taken for a new one.
 #[derive(Default)]
 pub struct Concluded {
