--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -19,13 +19,14 @@
 use lotussaddle::interface::{DialogueId, LaunchNo, RoutePlan};
 
 use crate::hands::{Hands, State};
-use crate::held::{At, Concluded, Counts, Dues, Limits, Pending};
+use crate::held::{Concluded, Counts, Deadlines, Limits, Pending, Stage};
 use crate::numbers::Numbers;
 use crate::{Decisions, LinkId, Wires};
 
 /// Stands for a launch where a dialogue that was dialled before waits to be decided on.
-const SOUGHT: LaunchNo = LaunchNo(u32::MAX);
+const NO_LAUNCH: LaunchNo = LaunchNo(u32::MAX);
 
+/// One edge proxy. Inputs are method calls with the time since the start, effects are calls on [`Wires`].
 pub struct Edge<D = Brain> {
     name: Arc<str>,
     list: Arc<str>,
@@ -59,7 +60,7 @@
             fresh: VecDeque::new(),
             callers: 0,
             servers: BTreeMap::new(),
-            dues: Dues::default(),
+            deadlines: Deadlines::default(),
             concluded: Concluded::default(),
             counts: Counts::default(),
             alarm: None,
@@ -91,10 +92,12 @@
         self.brain.rest_until(until);
     }
 
+    /// The number analysis, where there is one.
     pub fn numbers(&mut self) -> Option<&mut Numbers> {
         self.numbers.as_deref_mut()
     }
 
+    /// What has happened since the start.
     pub fn counts(&self) -> &Counts {
         &self.state.counts
     }
@@ -107,17 +110,18 @@
     /// When the launch of a dialogue ends by itself, where one is out.
     pub fn time_out_of(&self, id: &DialogueId) -> Option<Duration> {
         let held = self.state.held.get(id)?;
-        if let At::Out { until, .. } = held.at { Some(until) } else { None }
+        if let Stage::Out { until, .. } = held.at { Some(until) } else { None }
     }
 
+    /// The decisions that it owns, for reading.
     pub fn decisions(&self) -> &D {
         &self.brain
     }
 
     /// What is kept of dialogues beside what is held: on links, in their queues, and answers not yet given.
     pub fn traces(&self) -> usize {
-        let here: usize = self.state.links.values().map(|link| link.here.len()).sum();
-        let queued: usize = self.state.servers.values().map(|far| far.queued.len()).sum();
+        let here: usize = self.state.links.values().map(|link| link.dialogues.len()).sum();
+        let queued: usize = self.state.servers.values().map(|core| core.queued.len()).sum();
         here + queued + self.state.pending.len() + self.state.ends.len()
     }
 
@@ -128,12 +132,12 @@
 
     /// Dialogues that came or went over this link and are still held.
     pub fn held_on(&self, link: LinkId) -> usize {
-        self.state.links.get(&link).map_or(0, |known| known.here.len())
+        self.state.links.get(&link).map_or(0, |known| known.dialogues.len())
     }
 
     /// Whether this dialogue is held, and whether it stands.
     pub fn holds(&self, id: &DialogueId) -> Option<bool> {
-        let stands = |at: &At| matches!(at, At::Standing { .. } | At::Releasing { .. });
+        let stands = |at: &Stage| matches!(at, Stage::Standing { .. } | Stage::Releasing { .. });
         self.state.held.get(id).map(|held| stands(&held.at))
     }
 
@@ -150,6 +154,7 @@
         }
     }
 
+    /// Ends every input: the module hears of all ends, and links that could not be written to are closed.
     fn settle(&mut self, wires: &mut dyn Wires) {
         loop {
             self.hand_over_ends(wires);
--- a/crates/edge/src/edge/connections.rs
+++ b/crates/edge/src/edge/connections.rs
@@ -8,8 +8,8 @@
 use lotussaddle_trunk::{End, Frame, Hello, Role};
 
 use super::Edge;
-use crate::held::At;
-use crate::links::{Far, Kind, Link};
+use crate::held::Stage;
+use crate::links::{CoreServer, Link, Peer};
 use crate::{Decisions, LinkId, Note, Wires};
 
 /// Between tries to reach the list.
@@ -19,7 +19,7 @@
     /// Says something to a core server that is no matter of this edge proxy's own; false: there is no link to it.
     pub fn pass_on(&mut self, now: Duration, server: &ServerId, frame: Frame, wires: &mut dyn Wires) -> bool {
         self.state.now = now;
-        let link = self.state.servers.get(server).and_then(|far| far.link);
+        let link = self.state.servers.get(server).and_then(|core| core.link);
         let link = link.filter(|link| self.state.links.get(link).is_some_and(|known| known.greeted));
         if let Some(link) = link {
             self.hands(wires).say(link, frame);
@@ -35,8 +35,10 @@
 
     /// Core servers to which a link is up.
     pub fn cores_up(&self) -> impl Iterator<Item = &ServerId> {
-        let up = |far: &Far| far.link.and_then(|link| self.state.links.get(&link)).is_some_and(|l| l.greeted);
-        self.state.servers.iter().filter(move |(_, far)| up(far)).map(|(id, _)| id)
+        let up = |core: &CoreServer| {
+            core.link.and_then(|link| self.state.links.get(&link)).is_some_and(|l| l.greeted)
+        };
+        self.state.servers.iter().filter(move |(_, core)| up(core)).map(|(id, _)| id)
     }
 
     /// A link has come in.
@@ -48,7 +50,7 @@
             return;
         }
         self.state.callers += 1;
-        self.state.links.insert(link, Link::new(Kind::Fresh, now));
+        self.state.links.insert(link, Link::new(Peer::Fresh, now));
         self.state.fresh.push_back(link);
         if self.state.fresh.len() > self.state.limits.fresh
             && let Some(oldest) = self.state.fresh.front().copied()
@@ -73,8 +75,8 @@
         self.state.now = now;
         if let Some(known) = self.state.links.get_mut(&link) {
             (known.greeted, known.vouched) = (true, true);
-            if matches!(known.kind, Kind::Fresh) {
-                known.kind = Kind::Caller(Arc::from("callers"));
+            if matches!(known.kind, Peer::Fresh) {
+                known.kind = Peer::Caller(Arc::from("callers"));
                 self.state.fresh.retain(|fresh| *fresh != link);
             }
             self.send_queued(link, wires);
@@ -84,7 +86,7 @@
 
     pub(super) fn server_of(&self, link: LinkId) -> Option<ServerId> {
         match &self.state.links.get(&link)?.kind {
-            Kind::Core(server) => Some(server.clone()),
+            Peer::Core(server) => Some(server.clone()),
             _ => None,
         }
     }
@@ -99,41 +101,41 @@
     /// What waited for this link to come up goes.
     pub(super) fn send_queued(&mut self, link: LinkId, wires: &mut dyn Wires) {
         let Some(server) = self.server_of(link) else { return };
-        let far = self.state.servers.get_mut(&server).filter(|far| far.link == Some(link));
-        let queued = far.map(|far| std::mem::take(&mut far.queued)).unwrap_or_default();
+        let core = self.state.servers.get_mut(&server).filter(|core| core.link == Some(link));
+        let queued = core.map(|core| std::mem::take(&mut core.queued)).unwrap_or_default();
         for id in queued {
             if !self.hands(wires).send_launch(&id, link) {
-                self.unreached(&id, &server, wires);
+                self.server_unreachable(&id, &server, wires);
             }
         }
     }
 
-    pub(super) fn unreached(&mut self, id: &DialogueId, server: &ServerId, wires: &mut dyn Wires) {
+    pub(super) fn server_unreachable(&mut self, id: &DialogueId, server: &ServerId, wires: &mut dyn Wires) {
         let at = self.state.held.get(id).map(|held| &held.at);
-        if let Some(&At::Out { launch, .. }) = at {
+        if let Some(&Stage::Out { launch, .. }) = at {
             self.hands(wires).launch_unreachable(id, launch, server);
         }
     }
 
     pub(super) fn sweep(&mut self, wires: &mut dyn Wires) {
         let (now, limits) = (self.state.now, self.state.limits.clone());
-        let mut doomed: Vec<(LinkId, &str)> = Vec::new();
+        let mut closing: Vec<(LinkId, &str)> = Vec::new();
         let mut silent = Vec::new();
         for (id, link) in &mut self.state.links {
             let within =
-                if matches!(link.kind, Kind::Fresh) { limits.hello_within } else { limits.connect_within };
+                if matches!(link.kind, Peer::Fresh) { limits.hello_within } else { limits.connect_within };
             // The link to a former life of a server, or to one that is gone, ends with the last dialogue there.
             let left = |server| {
-                let far: Option<&Far> = self.state.servers.get(server);
-                far.is_none_or(|far| far.link != Some(*id) || far.listed == Listed::Gone)
+                let core: Option<&CoreServer> = self.state.servers.get(server);
+                core.is_none_or(|core| core.link != Some(*id) || core.listed == Listed::Gone)
             };
-            if matches!(&link.kind, Kind::Core(server) if link.here.is_empty() && left(server)) {
-                doomed.push((*id, "nobody is there any more"));
+            if matches!(&link.kind, Peer::Core(server) if link.dialogues.is_empty() && left(server)) {
+                closing.push((*id, "nobody is there any more"));
             } else if link.vouched {
             } else if !link.greeted && now >= link.since + within {
-                doomed.push((*id, "no hello in time"));
+                closing.push((*id, "no hello in time"));
             } else if link.greeted && now >= link.heard + limits.dead_after {
-                doomed.push((*id, "silent, taken as dead"));
+                closing.push((*id, "silent, taken as dead"));
             } else if link.greeted && !link.asked && now >= link.heard + limits.ask_after {
                 link.asked = true;
                 silent.push(*id);
@@ -142,7 +144,7 @@
         for link in silent {
             self.hands(wires).say(link, Frame::Ping { nonce: now.as_micros() as u64 });
         }
-        for (link, why) in doomed {
+        for (link, why) in closing {
             self.drop_link(link, why, wires);
         }
     }
@@ -159,15 +161,15 @@
     fn forget_link(&mut self, link: LinkId, why: &str, wires: &mut dyn Wires) {
         let Some(mut known) = self.state.links.remove(&link) else { return };
         self.state.counts.links_closed += 1;
-        let dialogues = std::mem::take(&mut known.here);
+        let dialogues = std::mem::take(&mut known.dialogues);
         match known.kind {
-            Kind::Fresh => self.forget_caller_link(link, "that said no hello", dialogues, why, wires),
-            Kind::Caller(name) => self.forget_caller_link(link, &name, dialogues, why, wires),
-            Kind::List => {
+            Peer::Fresh => self.forget_caller_link(link, "that said no hello", dialogues, why, wires),
+            Peer::Caller(name) => self.forget_caller_link(link, &name, dialogues, why, wires),
+            Peer::List => {
                 wires.log(Note::Link, &format!("list gone: {why}"));
                 self.list_at = Some(self.state.now + LIST_RETRY_INTERVAL);
             }
-            Kind::Core(server) => self.forget_core_link(link, &server, dialogues, why, wires),
+            Peer::Core(server) => self.forget_core_link(link, &server, dialogues, why, wires),
         }
     }
 
@@ -191,13 +193,13 @@
     ) {
         let there = dialogues.len();
         wires.log(Note::Link, &format!("link to {} gone with {there} dialogues: {why}", server.0));
-        let far = self.state.servers.get_mut(server).filter(|far| far.link == Some(link));
-        let queued = far.map(|far| {
-            far.link = None;
-            std::mem::take(&mut far.queued)
+        let core = self.state.servers.get_mut(server).filter(|core| core.link == Some(link));
+        let queued = core.map(|core| {
+            core.link = None;
+            std::mem::take(&mut core.queued)
         });
         for id in queued.unwrap_or_default() {
-            self.unreached(&id, server, wires);
+            self.server_unreachable(&id, server, wires);
         }
         for id in dialogues {
             self.cut_off(&id, server, wires);
@@ -210,17 +212,17 @@
     fn cut_off(&mut self, id: &DialogueId, server: &ServerId, wires: &mut dyn Wires) {
         let at = self.state.held.get(id).map(|held| held.at.clone());
         match at {
-            Some(At::Out { launch, .. }) => {
+            Some(Stage::Out { launch, .. }) => {
                 let mut hands = self.hands(wires);
                 hands.launch_over(id);
                 hands.back(id, true);
                 hands.end(id, launch, server, Outcome::BrokenOff);
             }
-            Some(At::Standing { launch, link, .. }) => {
-                self.stood_until_now(id, launch, server, link, End::Cut, LoadReport::default(), wires);
+            Some(Stage::Standing { launch, link, .. }) => {
+                self.standing_ended(id, launch, server, link, End::Cut, LoadReport::default(), wires);
             }
-            Some(At::Releasing { launch, link, .. }) => {
-                self.stood_until_now(id, launch, server, link, End::Released, LoadReport::default(), wires);
+            Some(Stage::Releasing { launch, link, .. }) => {
+                self.standing_ended(id, launch, server, link, End::Released, LoadReport::default(), wires);
             }
             _ => {}
         }
--- a/crates/edge/src/edge/core_frames.rs
+++ b/crates/edge/src/edge/core_frames.rs
@@ -5,12 +5,12 @@
 
 use super::Edge;
 use crate::hands::Hands;
-use crate::held::At;
+use crate::held::Stage;
 use crate::{Decisions, LinkId, Wires};
 
 impl<D: Decisions> Edge<D> {
     /// False: a frame that a core server does not send.
-    pub(super) fn core_said(
+    pub(super) fn core_frame(
         &mut self, link: LinkId, server: &ServerId, frame: Frame, extra: Vec<Extra>, wires: &mut dyn Wires,
     ) -> bool {
         match frame {
@@ -33,7 +33,7 @@
             }
             Frame::Ended { dialogue, launch, end, report } => {
                 if self.is_standing_or_releasing(&dialogue, launch, link) {
-                    self.stood_until_now(&dialogue, launch, server, link, end, report, wires);
+                    self.standing_ended(&dialogue, launch, server, link, end, report, wires);
                 } else {
                     self.launch_ended(link, server, &dialogue, launch, Outcome::BrokenOff, report, wires);
                 }
@@ -76,13 +76,14 @@
 
     pub(super) fn is_out(&self, id: &DialogueId, launch: LaunchNo, link: LinkId) -> bool {
         let at = self.state.held.get(id).map(|held| &held.at);
-        matches!(at, Some(At::Out { launch: out, link: over, .. }) if (*out, *over) == (launch, Some(link)))
+        matches!(at, Some(Stage::Out { launch: out, link: over, .. }) if (*out, *over) == (launch, Some(link)))
     }
 
     fn is_standing_or_releasing(&self, id: &DialogueId, launch: LaunchNo, link: LinkId) -> bool {
         match self.state.held.get(id).map(|held| &held.at) {
             Some(
-                At::Standing { launch: out, link: over, .. } | At::Releasing { launch: out, link: over, .. },
+                Stage::Standing { launch: out, link: over, .. }
+                | Stage::Releasing { launch: out, link: over, .. },
             ) => (*out, *over) == (launch, link),
             _ => false,
         }
@@ -90,6 +91,6 @@
 
     fn is_standing(&self, id: &DialogueId, launch: LaunchNo, link: LinkId) -> bool {
         let at = self.state.held.get(id).map(|held| &held.at);
-        matches!(at, Some(At::Standing { launch: out, link: over, .. }) if (*out, *over) == (launch, link))
+        matches!(at, Some(Stage::Standing { launch: out, link: over, .. }) if (*out, *over) == (launch, link))
     }
 }
--- a/crates/edge/src/edge/dialling.rs
+++ b/crates/edge/src/edge/dialling.rs
@@ -5,10 +5,10 @@
 use lotussaddle::interface::{Arrival, DialogueId, ProductId, TenantId};
 use lotussaddle_trunk::{Dial, Extra, Frame, NotTaken};
 
-use super::{Edge, SOUGHT};
+use super::{Edge, NO_LAUNCH};
 use crate::hands::Hands;
-use crate::held::{At, Held};
-use crate::links::{Kind, Link};
+use crate::held::{Held, Stage};
+use crate::links::{Link, Peer};
 use crate::{Decisions, LinkId, Step, Wires};
 
 /// More lines than this no dialogue takes.
@@ -38,14 +38,14 @@
         };
         self.state.counts.taken += 1;
         let cut_off = self.cut_off_of(link, &dial);
-        let held = Held::of_dial(&dial, link, cut_off, At::Waiting, extra);
+        let held = Held::of_dial(&dial, link, cut_off, Stage::Waiting, extra);
         self.state.held.insert(id.clone(), held);
         self.hands(wires).add_to_link(link, &id);
         if seeks {
             self.state.counts.sought += 1;
-            self.state.dues.set(cut_off, &id, SOUGHT);
+            self.state.deadlines.set(cut_off, &id, NO_LAUNCH);
             if let Some(held) = self.state.held.get_mut(&id) {
-                held.at = At::Sought(Box::new(dial));
+                held.at = Stage::Sought(Box::new(dial));
             }
             return;
         }
@@ -57,7 +57,7 @@
     fn admission(&mut self, link: LinkId, dial: &Dial, wires: &mut dyn Wires) -> Admission {
         let id = &dial.dialogue;
         if let Some(held) = self.state.held.get(id) {
-            if held.link == link && !matches!(held.at, At::Releasing { .. }) {
+            if held.link == link && !matches!(held.at, Stage::Releasing { .. }) {
                 self.state.counts.repeats += 1; // It is in already, and will have its answer.
                 return Admission::Repeated;
             }
@@ -130,7 +130,7 @@
     /// probably dead, and the answer goes to the new one.
     fn take_over(&mut self, id: &DialogueId, link: LinkId) -> Option<NotTaken> {
         let name = |link: &Link| match &link.kind {
-            Kind::Caller(name) => Some(name.clone()),
+            Peer::Caller(name) => Some(name.clone()),
             _ => None,
         };
         let held = self.state.held.get_mut(id)?;
@@ -139,16 +139,16 @@
         if !same {
             return Some(NotTaken::NotYours);
         }
-        if matches!(held.at, At::Standing { .. } | At::Releasing { .. }) {
+        if matches!(held.at, Stage::Standing { .. } | Stage::Releasing { .. }) {
             return Some(NotTaken::Concluded);
         }
         held.link = link;
         self.state.counts.repeats += 1;
         if let Some(known) = self.state.links.get_mut(&before) {
-            known.here.remove(id);
+            known.dialogues.remove(id);
         }
         if let Some(known) = self.state.links.get_mut(&link) {
-            known.here.insert(id.clone());
+            known.dialogues.insert(id.clone());
         }
         None
     }
@@ -158,31 +158,37 @@
         let now = self.state.now;
         let Some(held) = self.state.held.get_mut(id) else { return };
         match held.at.clone() {
-            At::Standing { server, launch, link } => {
+            Stage::Standing { server, launch, link } => {
                 let until = now + self.state.limits.release_within;
-                held.at = At::Releasing { server, launch, link, until };
-                self.state.dues.set(until, id, launch);
+                held.at = Stage::Releasing { server, launch, link, until };
+                self.state.deadlines.set(until, id, launch);
                 self.hands(wires).say(link, Frame::Release { dialogue: id.clone(), launch });
             }
-            At::Releasing { .. } => {}
-            at @ (At::Sought(_) | At::Barred(..)) => {
+            Stage::Releasing { .. } => {}
+            at => {
                 self.state.counts.left += 1;
-                self.forget_sought(id, &at);
-                self.hands(wires).conclude(id);
+                self.drop_unanswered(id, &at, wires);
             }
-            At::Asking => {
-                self.state.counts.left += 1;
+        }
+    }
+
+    /// Lets go of a dialogue that has no answer yet, and withdraws it from whoever works on it; gives its caller's link.
+    pub(super) fn drop_unanswered(
+        &mut self, id: &DialogueId, at: &Stage, wires: &mut dyn Wires,
+    ) -> Option<LinkId> {
+        match at {
+            Stage::Sought(_) | Stage::Barred(..) => self.clear_sought_deadline(id, at),
+            Stage::Asking => {
                 if let Some(numbers) = &mut self.numbers {
                     numbers.forget(id);
                 }
-                self.hands(wires).conclude(id);
             }
-            At::Waiting | At::Out { .. } => {
-                self.state.counts.left += 1;
+            Stage::Waiting | Stage::Out { .. } => {
                 let mut hands = Hands { state: &mut self.state, wires };
-                self.brain.left(now, id, &mut hands);
-                hands.conclude(id);
+                self.brain.left(hands.state.now, id, &mut hands);
             }
+            Stage::Standing { .. } | Stage::Releasing { .. } => return None,
         }
+        self.hands(wires).conclude(id).map(|(link, _)| link)
     }
 }
--- a/crates/edge/src/edge/frames.rs
+++ b/crates/edge/src/edge/frames.rs
@@ -5,14 +5,15 @@
 use lotussaddle_trunk::{Frame, Hello, Message, Role, VERSION};
 
 use super::Edge;
-use crate::links::Kind;
+use crate::links::Peer;
 use crate::{Decisions, LinkId, Wires};
 
 impl<D: Decisions> Edge<D> {
+    /// A message has come in on a link.
     pub fn heard(&mut self, now: Duration, link: LinkId, message: Message, wires: &mut dyn Wires) {
         self.state.now = now;
         // After a stall, what timed out meanwhile has timed out, though its answer lies in the queue.
-        self.time_outs(wires);
+        self.expire_deadlines(wires);
         self.numbers_due(wires);
         let Some(known) = self.state.links.get_mut(&link) else { return };
         (known.heard, known.asked) = (now, false);
@@ -22,8 +23,8 @@
             (_, _, Frame::Bye { why }) => self.drop_link(link, &format!("said good-bye: {why}"), wires),
             (_, false, Frame::Hello(hello)) => self.greeted(link, hello, wires),
             (_, false, _) => self.drop_link(link, "spoke before it said hello", wires),
-            (Kind::Caller(_), true, Frame::Dial(dial)) => self.dialled(link, dial, message.extra, wires),
-            (Kind::Caller(_), true, Frame::HangUp { dialogue }) => {
+            (Peer::Caller(_), true, Frame::Dial(dial)) => self.dialled(link, dial, message.extra, wires),
+            (Peer::Caller(_), true, Frame::HangUp { dialogue }) => {
                 if self.state.pending.answer_link(&dialogue).is_some_and(|answers| *answers == link) {
                     self.state.pending.drop_of(&dialogue);
                 }
@@ -31,14 +32,14 @@
                     self.hung_up(&dialogue, wires);
                 }
             }
-            (Kind::Core(server), true, frame) => {
+            (Peer::Core(server), true, frame) => {
                 let server = server.clone();
-                if !self.core_said(link, &server, frame, message.extra, wires) {
+                if !self.core_frame(link, &server, frame, message.extra, wires) {
                     self.drop_link(link, "said what is not a core server's to say", wires);
                 }
             }
-            (Kind::List, true, Frame::List { whole, entries }) => self.listed(whole, entries, wires),
-            (Kind::List, true, Frame::Tables { serial, order }) => self.ordered(link, serial, order, wires),
+            (Peer::List, true, Frame::List { whole, entries }) => self.listed(whole, entries, wires),
+            (Peer::List, true, Frame::Tables { serial, order }) => self.ordered(link, serial, order, wires),
             _ => self.drop_link(link, "said what is not its to say", wires),
         }
         self.settle(wires);
@@ -48,14 +49,14 @@
         let known = self.state.links.get_mut(&link).expect("it was looked up");
         let wrong = match (&known.kind, hello.role) {
             _ if hello.version != VERSION => Some(format!("speaks version {}, not {VERSION}", hello.version)),
-            (Kind::Fresh, Role::Caller) => {
-                known.kind = Kind::Caller(hello.name.clone());
+            (Peer::Fresh, Role::Caller) => {
+                known.kind = Peer::Caller(hello.name.clone());
                 None
             }
-            (Kind::Core(server), Role::Core) if server.0 != hello.name => {
+            (Peer::Core(server), Role::Core) if server.0 != hello.name => {
                 Some(format!("is {}, not {}", hello.name, server.0))
             }
-            (Kind::Core(_), Role::Core) | (Kind::List, Role::List) => None,
+            (Peer::Core(_), Role::Core) | (Peer::List, Role::List) => None,
             (_, role) => Some(format!("is a {role:?}")),
         };
         if let Some(wrong) = wrong {
@@ -66,13 +67,13 @@
             known.delay.of(self.state.now, sent_at);
         }
         match &known.kind {
-            Kind::Caller(_) => {
+            Peer::Caller(_) => {
                 self.state.fresh.retain(|fresh| *fresh != link);
                 let hello = Hello::new(Role::Edge, self.name.clone());
                 self.hands(wires).say(link, Frame::Hello(hello));
             }
-            Kind::Core(_) => self.send_queued(link, wires),
-            Kind::List | Kind::Fresh => {}
+            Peer::Core(_) => self.send_queued(link, wires),
+            Peer::List | Peer::Fresh => {}
         }
     }
 }
--- a/crates/edge/src/edge/launch_ends.rs
+++ b/crates/edge/src/edge/launch_ends.rs
@@ -7,7 +7,7 @@
 
 use super::Edge;
 use crate::hands::Hands;
-use crate::held::At;
+use crate::held::Stage;
 use crate::{Decisions, LinkId, Step, Wires};
 
 impl<D: Decisions> Edge<D> {
@@ -18,7 +18,7 @@
         report: LoadReport, wires: &mut dyn Wires,
     ) {
         self.state.now = now;
-        self.time_outs(wires);
+        self.expire_deadlines(wires);
         if let Some(server) = self.server_of(link) {
             self.launch_ended(link, &server, id, launch, outcome, report, wires);
         }
@@ -36,7 +36,7 @@
         report: LoadReport, wires: &mut dyn Wires,
     ) {
         self.state.now = now;
-        self.time_outs(wires);
+        self.expire_deadlines(wires);
         let Some(server) = self.server_of(link) else { return self.settle(wires) };
         let out = launch.filter(|launch| self.is_out(id, *launch, link));
         if let Some(launch) = out {
@@ -64,7 +64,7 @@
         &mut self, now: Duration, link: LinkId, id: &DialogueId, wires: &mut dyn Wires,
     ) {
         self.state.now = now;
-        self.time_outs(wires);
+        self.expire_deadlines(wires);
         if let Some(server) = self.server_of(link) {
             self.called_off_again(id, server, wires);
         }
@@ -73,7 +73,7 @@
 
     pub(super) fn called_off_again(&mut self, id: &DialogueId, server: ServerId, wires: &mut dyn Wires) {
         let Some(held) = self.state.held.get(id) else { return };
-        if !matches!(held.at, At::Waiting) || held.launches == 0 {
+        if !matches!(held.at, Stage::Waiting) || held.launches == 0 {
             return;
         }
         let end = LaunchEnd {
@@ -90,8 +90,8 @@
     /// Whether a dialogue that has no answer yet had a launch that is not out any more.
     pub fn has_former_launch(&self, id: &DialogueId) -> bool {
         self.state.held.get(id).is_some_and(|held| match held.at {
-            At::Waiting => held.launches > 0,
-            At::Out { .. } => held.launches > 1,
+            Stage::Waiting => held.launches > 0,
+            Stage::Out { .. } => held.launches > 1,
             _ => false,
         })
     }
@@ -103,18 +103,16 @@
         wires: &mut dyn Wires,
     ) -> bool {
         self.state.now = now;
-        self.time_outs(wires);
+        self.expire_deadlines(wires);
         let at = self.state.held.get(id).map(|held| &held.at);
         let launch = match at {
-            Some(At::Standing { launch, link: over, .. } | At::Releasing { launch, link: over, .. })
-                if *over == link =>
-            {
-                *launch
-            }
+            Some(
+                Stage::Standing { launch, link: over, .. } | Stage::Releasing { launch, link: over, .. },
+            ) if *over == link => *launch,
             _ => return false,
         };
         if let Some(server) = self.server_of(link) {
-            self.stood_until_now(id, launch, &server, link, end, report, wires);
+            self.standing_ended(id, launch, &server, link, end, report, wires);
         }
         self.settle(wires);
         true
@@ -145,23 +143,23 @@
 
     /// A dialogue that stood is over, by its caller's release or without.
     #[expect(clippy::too_many_arguments)]
-    pub(super) fn stood_until_now(
+    pub(super) fn standing_ended(
         &mut self, id: &DialogueId, launch: LaunchNo, server: &ServerId, link: LinkId, end: End,
         report: LoadReport, wires: &mut dyn Wires,
     ) {
         let mut hands = Hands { state: &mut self.state, wires };
         if let Some(known) = hands.state.links.get_mut(&link) {
-            known.here.remove(id);
+            known.dialogues.remove(id);
         }
         let at = hands.state.held.get(id).map(|held| held.at.clone());
         match at {
-            Some(At::Releasing { until, .. }) => {
-                hands.state.dues.unset(until, id, launch);
+            Some(Stage::Releasing { until, .. }) => {
+                hands.state.deadlines.unset(until, id, launch);
                 hands.conclude(id);
                 hands.wires.record(id, Step::Over);
             }
-            Some(At::Standing { .. }) if end == End::Cut => hands.cut(id),
-            Some(At::Standing { .. }) => {
+            Some(Stage::Standing { .. }) if end == End::Cut => hands.cut(id),
+            Some(Stage::Standing { .. }) => {
                 if let Some((caller, _)) = hands.conclude(id) {
                     hands.wires.record(id, Step::Over);
                     hands.flush(id);
--- a/crates/edge/src/edge/number_analysis.rs
+++ b/crates/edge/src/edge/number_analysis.rs
@@ -9,8 +9,8 @@
 
 use super::Edge;
 use crate::hands::Hands;
-use crate::held::At;
-use crate::links::Kind;
+use crate::held::Stage;
+use crate::links::Peer;
 use crate::numbers::Analysed;
 use crate::{Decisions, LinkId, Note, Wires};
 
@@ -21,7 +21,7 @@
         if let Some(numbers) = &mut self.numbers {
             numbers.replied(now, server, datagram, wires);
         }
-        self.time_outs(wires);
+        self.expire_deadlines(wires);
         self.numbers_due(wires);
         self.settle(wires);
     }
@@ -74,7 +74,7 @@
             None => {
                 self.state.counts.looked_up += 1;
                 if let Some(held) = self.state.held.get_mut(&id) {
-                    held.at = At::Asking;
+                    held.at = Stage::Asking;
                 }
             }
         }
@@ -105,7 +105,7 @@
 
     /// Tells the list, where its link is up, and the shell what came of orders about tables.
     fn tell_of_tables(&mut self, said: Vec<Frame>, wires: &mut dyn Wires) {
-        let list = self.state.links.iter().find(|(_, link)| matches!(link.kind, Kind::List) && link.greeted);
+        let list = self.state.links.iter().find(|(_, link)| matches!(link.kind, Peer::List) && link.greeted);
         let list = list.map(|(id, _)| *id);
         for said in said {
             if let Frame::Tabled { serial, in_force, name, why } = &said {
@@ -124,7 +124,7 @@
 
     fn analysed(&mut self, (mut arrival, found): Analysed, wires: &mut dyn Wires) {
         let Some(held) = self.state.held.get_mut(&arrival.id) else { return };
-        held.at = At::Waiting;
+        held.at = Stage::Waiting;
         match found {
             Ok(route) => {
                 held.product = route.product;
--- a/crates/edge/src/edge/server_list.rs
+++ b/crates/edge/src/edge/server_list.rs
@@ -7,7 +7,7 @@
 
 use super::Edge;
 use crate::hands::Hands;
-use crate::links::Far;
+use crate::links::CoreServer;
 use crate::{Decisions, LinkId, Note, Wires};
 
 /// Core servers known at once; beyond it a new one of the list is left out, and the log says so.
@@ -17,7 +17,7 @@
     /// A list has come, whole or with the entries that changed.
     pub(super) fn listed(&mut self, whole: bool, entries: Vec<Entry>, wires: &mut dyn Wires) {
         if whole {
-            self.state.servers.values_mut().for_each(|far| far.listed = Listed::Gone);
+            self.state.servers.values_mut().for_each(|core| core.listed = Listed::Gone);
         }
         let (known, replaced_links) = self.take_in(entries, wires);
         for entry in &known {
@@ -57,7 +57,7 @@
     fn take_in_entry(&mut self, entry: Entry) -> (ListEntry, Option<LinkId>) {
         let since = since_of(self.state.now, entry.age);
         let mut replaced_link = None;
-        let far = self.state.servers.entry(entry.server.clone()).or_insert_with(|| Far {
+        let core = self.state.servers.entry(entry.server.clone()).or_insert_with(|| CoreServer {
             address: entry.address.clone(),
             listed: entry.listed,
             life: entry.life,
@@ -65,37 +65,37 @@
             link: None,
             queued: Vec::new(),
         });
-        if far.life != entry.life || far.address != entry.address {
+        if core.life != entry.life || core.address != entry.address {
             // Another process answers there; what is out on the old link ends with that.
-            replaced_link = far.link.take();
-            if far.life != entry.life {
-                far.since = since;
+            replaced_link = core.link.take();
+            if core.life != entry.life {
+                core.since = since;
             }
-            (far.address, far.life) = (entry.address.clone(), entry.life);
+            (core.address, core.life) = (entry.address.clone(), entry.life);
         }
-        far.listed = entry.listed;
-        let (number, listed, since) = (entry.number, far.listed, far.since);
+        core.listed = entry.listed;
+        let (number, listed, since) = (entry.number, core.listed, core.since);
         (ListEntry { server: entry.server, number, listed, since }, replaced_link)
     }
 
     /// What waits for the link of a server that drains is not sent there when the link is up.
     fn return_queued_of_inactive(&mut self, wires: &mut dyn Wires) {
-        let leaving = self.state.servers.iter_mut().filter(|(_, far)| far.listed != Listed::Active);
-        let stranded: Vec<_> = leaving
-            .flat_map(|(id, far)| std::mem::take(&mut far.queued).into_iter().map(|d| (d, id.clone())))
+        let leaving = self.state.servers.iter_mut().filter(|(_, core)| core.listed != Listed::Active);
+        let returned: Vec<_> = leaving
+            .flat_map(|(id, core)| std::mem::take(&mut core.queued).into_iter().map(|d| (d, id.clone())))
             .collect();
-        for (dialogue, server) in stranded {
-            self.unreached(&dialogue, &server, wires);
+        for (dialogue, server) in returned {
+            self.server_unreachable(&dialogue, &server, wires);
         }
     }
 
     /// Ends links on which nothing is left of those to former lives and to servers that are gone, and forgets the latter.
     fn remove_gone(&mut self, mut unused_links: Vec<LinkId>, wires: &mut dyn Wires) {
-        let gone = self.state.servers.iter().filter(|(_, far)| far.listed == Listed::Gone);
+        let gone = self.state.servers.iter().filter(|(_, core)| core.listed == Listed::Gone);
         let gone: Vec<ServerId> = gone.map(|(id, _)| id.clone()).collect();
         unused_links.extend(gone.iter().filter_map(|id| self.state.servers.get(id)?.link));
         for link in unused_links {
-            if self.state.links.get(&link).is_some_and(|known| known.here.is_empty()) {
+            if self.state.links.get(&link).is_some_and(|known| known.dialogues.is_empty()) {
                 self.drop_link(link, "its server is gone from the list", wires);
             }
         }
@@ -106,14 +106,16 @@
 
     /// Forgets a server that is gone from the list, once no link to it is left and nothing waits for one.
     pub(super) fn remove_server_if_gone(&mut self, id: &ServerId) {
-        let unused = |far: &Far| far.listed == Listed::Gone && far.link.is_none() && far.queued.is_empty();
+        let unused =
+            |core: &CoreServer| core.listed == Listed::Gone && core.link.is_none() && core.queued.is_empty();
         if self.state.servers.get(id).is_some_and(unused) {
             self.state.servers.remove(id);
         }
     }
 }
 
-/// The start of a server of that age, on this clock. Zero stands for an age that is not known, so no other age gives it.
+/// The start of a server of that age, on this clock. Zero means long ago and stays zero; no other
+/// age gives it.
 fn since_of(now: Duration, age: Duration) -> Duration {
     if age.is_zero() {
         return Duration::ZERO;
--- a/crates/edge/src/edge/takeover.rs
+++ b/crates/edge/src/edge/takeover.rs
@@ -5,28 +5,27 @@
 use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
 use lotussaddle_trunk::{Dial, End, Frame, NotTaken};
 
-use super::{Edge, SOUGHT};
-use crate::hands::Hands;
-use crate::held::{At, Held, Unsaid};
+use super::{Edge, NO_LAUNCH};
+use crate::held::{Deferred, Held, Stage};
 use crate::{Decisions, Found, LinkId, Wires};
 
 impl<D: Decisions> Edge<D> {
     /// What `Wires::seek` came to.
     pub fn found(&mut self, now: Duration, id: &DialogueId, found: Found, wires: &mut dyn Wires) {
         self.state.now = now;
-        self.time_outs(wires);
+        self.expire_deadlines(wires);
         let at = self.state.held.get(id).map(|held| held.at.clone());
-        let Some(At::Sought(dial)) = at else { return self.settle(wires) };
+        let Some(Stage::Sought(dial)) = at else { return self.settle(wires) };
         let held = self.state.held.get_mut(id).expect("it was looked up");
         let (caller, cut_off) = (held.link, held.cut_off);
-        self.state.dues.unset(cut_off, id, SOUGHT);
+        self.state.deadlines.unset(cut_off, id, NO_LAUNCH);
         match found {
             Found::Free { not_before } if not_before > now => {
-                held.at = At::Barred(dial, not_before);
-                self.state.dues.set(not_before.min(cut_off), id, SOUGHT);
+                held.at = Stage::Barred(dial, not_before);
+                self.state.deadlines.set(not_before.min(cut_off), id, NO_LAUNCH);
             }
             Found::Free { .. } => {
-                held.at = At::Waiting;
+                held.at = Stage::Waiting;
                 self.decide(&dial, wires);
             }
             Found::Answered(frame) => {
@@ -77,19 +76,22 @@
     /// dialled it again there; one that still waits here hears that it may ask again what came of it.
     pub fn replaced(&mut self, now: Duration, id: &DialogueId, wires: &mut dyn Wires) {
         self.state.now = now;
-        self.time_outs(wires);
+        self.expire_deadlines(wires);
         let at = self.state.held.get(id).map(|held| held.at.clone());
-        let unsaid = self.state.pending.drop_of(id);
-        let mut waits = match unsaid {
-            Some(Unsaid::Answer { link, .. }) => Some(link),
+        let deferred = self.state.pending.drop_of(id);
+        let mut waits = match deferred {
+            Some(Deferred::Answer { link, .. }) => Some(link),
             _ => None,
         };
         match at {
             None => {}
-            Some(at @ (At::Standing { .. } | At::Releasing { .. })) => {
+            Some(at @ (Stage::Standing { .. } | Stage::Releasing { .. })) => {
                 self.drop_replaced_standing(id, &at, waits.is_none(), wires);
             }
-            Some(at) => waits = self.drop_replaced_unanswered(id, &at, wires),
+            Some(at) => {
+                self.state.counts.replaced += 1;
+                waits = self.drop_unanswered(id, &at, wires);
+            }
         }
         if let Some(link) = waits {
             self.state.counts.unsure += 1;
@@ -102,44 +104,28 @@
     }
 
     /// Lets go of one that stood; `told`: its caller has heard so, and hears now that it is cut.
-    fn drop_replaced_standing(&mut self, id: &DialogueId, at: &At, told: bool, wires: &mut dyn Wires) {
-        if let At::Releasing { launch, until, .. } = at {
-            self.state.dues.unset(*until, id, *launch);
+    fn drop_replaced_standing(&mut self, id: &DialogueId, at: &Stage, told: bool, wires: &mut dyn Wires) {
+        if let Stage::Releasing { launch, until, .. } = at {
+            self.state.deadlines.unset(*until, id, *launch);
         }
-        if let At::Standing { link, .. } | At::Releasing { link, .. } = at
+        if let Stage::Standing { link, .. } | Stage::Releasing { link, .. } = at
             && let Some(known) = self.state.links.get_mut(link)
         {
-            known.here.remove(id);
+            known.dialogues.remove(id);
         }
         self.state.counts.replaced += 1;
         let mut hands = self.hands(wires);
-        if let (Some(held), true, At::Standing { .. }) = (hands.drop_held(id), told, at) {
+        if let (Some(held), true, Stage::Standing { .. }) = (hands.drop_held(id), told, at) {
             hands.say(held.link, Frame::Over { dialogue: id.clone(), end: End::Cut });
         }
     }
 
-    /// Lets go of one that had no answer; gives its caller's link.
-    fn drop_replaced_unanswered(
-        &mut self, id: &DialogueId, at: &At, wires: &mut dyn Wires,
-    ) -> Option<LinkId> {
-        if matches!(at, At::Waiting | At::Out { .. }) {
-            let mut hands = Hands { state: &mut self.state, wires };
-            self.brain.left(hands.state.now, id, &mut hands);
-        }
-        if let (At::Asking, Some(numbers)) = (at, &mut self.numbers) {
-            numbers.forget(id);
-        }
-        self.state.counts.replaced += 1;
-        self.forget_sought(id, at);
-        self.hands(wires).conclude(id).map(|(link, _)| link)
-    }
-
     /// A dialogue that was dialled before is sought no longer, nor barred: its deadline goes.
-    pub(super) fn forget_sought(&mut self, id: &DialogueId, at: &At) {
+    pub(super) fn clear_sought_deadline(&mut self, id: &DialogueId, at: &Stage) {
         let Some(held) = self.state.held.get(id) else { return };
         match at {
-            At::Sought(_) => self.state.dues.unset(held.cut_off, id, SOUGHT),
-            At::Barred(_, until) => self.state.dues.unset((*until).min(held.cut_off), id, SOUGHT),
+            Stage::Sought(_) => self.state.deadlines.unset(held.cut_off, id, NO_LAUNCH),
+            Stage::Barred(_, until) => self.state.deadlines.unset((*until).min(held.cut_off), id, NO_LAUNCH),
             _ => {}
         }
     }
@@ -150,14 +136,14 @@
         &mut self, now: Duration, link: LinkId, dial: &Dial, server: &ServerId, wires: &mut dyn Wires,
     ) -> bool {
         self.state.now = now;
-        self.time_outs(wires);
+        self.expire_deadlines(wires);
         let id = &dial.dialogue;
         let taken = if self.state.held.contains_key(id) {
             true
         } else if self.state.held.len() < self.state.limits.dialogues
             && let Some(there) = self.hands(wires).link_to(server)
         {
-            let at = At::Standing { server: server.clone(), launch: LaunchNo(0), link: there };
+            let at = Stage::Standing { server: server.clone(), launch: LaunchNo(0), link: there };
             let mut held = Held::of_dial(dial, link, now, at, Vec::new());
             held.launches = 1;
             self.state.held.insert(id.clone(), held);
--- a/crates/edge/src/edge/timers.rs
+++ b/crates/edge/src/edge/timers.rs
@@ -7,8 +7,8 @@
 
 use super::Edge;
 use crate::hands::Hands;
-use crate::held::At;
-use crate::links::{Kind, Link};
+use crate::held::Stage;
+use crate::links::{Link, Peer};
 use crate::{Decisions, Wires};
 
 /// How often links are looked at for silence.
@@ -19,7 +19,7 @@
     pub fn next_due(&self) -> Duration {
         let numbers = self.numbers.as_ref().and_then(|numbers| numbers.next_due());
         let pending = self.state.pending.first();
-        let dues = [self.state.alarm, self.state.dues.first(), self.list_at, pending, numbers];
+        let dues = [self.state.alarm, self.state.deadlines.first(), self.list_at, pending, numbers];
         dues.into_iter().flatten().fold(self.sweep_at, Duration::min)
     }
 
@@ -27,9 +27,9 @@
     pub fn recorded(&mut self, now: Duration, number: u64, wires: &mut dyn Wires) {
         self.state.now = now;
         // After a stall, what timed out meanwhile has timed out, and is not sent any more.
-        self.time_outs(wires);
-        if let Some((id, unsaid)) = self.state.pending.take(number) {
-            self.hands(wires).go_on(id, unsaid, true);
+        self.expire_deadlines(wires);
+        if let Some((id, deferred)) = self.state.pending.take(number) {
+            self.hands(wires).go_on(id, deferred, true);
         }
         self.settle(wires);
     }
@@ -37,10 +37,10 @@
     /// The time given by `next_due` has come.
     pub fn alarm(&mut self, now: Duration, wires: &mut dyn Wires) {
         self.state.now = now;
-        self.time_outs(wires);
+        self.expire_deadlines(wires);
         self.numbers_due(wires);
-        while let Some((id, unsaid)) = self.state.pending.overdue(now) {
-            self.hands(wires).go_on(id, unsaid, false);
+        while let Some((id, deferred)) = self.state.pending.overdue(now) {
+            self.hands(wires).go_on(id, deferred, false);
             self.hand_over_ends(wires);
         }
         if self.state.alarm.is_some_and(|at| at <= now) {
@@ -51,7 +51,7 @@
         if self.list_at.is_some_and(|at| at <= now) {
             self.list_at = None;
             let link = wires.connect(&self.list);
-            self.state.links.insert(link, Link::new(Kind::List, now));
+            self.state.links.insert(link, Link::new(Peer::List, now));
         }
         if self.sweep_at <= now {
             self.sweep_at = now + SWEEP_INTERVAL;
@@ -61,8 +61,9 @@
         self.settle(wires);
     }
 
-    pub(super) fn time_outs(&mut self, wires: &mut dyn Wires) {
-        while let Some((id, launch)) = self.state.dues.pop(self.state.now) {
+    /// Ends every launch, search and release whose deadline has passed.
+    pub(super) fn expire_deadlines(&mut self, wires: &mut dyn Wires) {
+        while let Some((id, launch)) = self.state.deadlines.pop(self.state.now) {
             self.timed_out(&id, launch, wires);
             self.hand_over_ends(wires);
         }
@@ -71,20 +72,20 @@
     fn timed_out(&mut self, id: &DialogueId, launch: LaunchNo, wires: &mut dyn Wires) {
         let Some(held) = self.state.held.get(id) else { return };
         match held.at.clone() {
-            At::Out { server, launch: out, .. } if out == launch => {
+            Stage::Out { server, launch: out, .. } if out == launch => {
                 let mut hands = self.hands(wires);
                 hands.call_off(id, launch);
                 hands.end(id, launch, &server, Outcome::TimedOut);
             }
-            At::Sought(_) => self.decline_sought(id, None, wires),
-            At::Barred(dial, _) => {
+            Stage::Sought(_) => self.decline_sought(id, None, wires),
+            Stage::Barred(dial, _) => {
                 if let Some(held) = self.state.held.get_mut(id) {
-                    held.at = At::Waiting;
+                    held.at = Stage::Waiting;
                 }
                 self.decide(&dial, wires);
             }
-            At::Releasing { server, launch: out, link, .. } if out == launch => {
-                self.stood_until_now(id, launch, &server, link, End::Released, LoadReport::default(), wires);
+            Stage::Releasing { server, launch: out, link, .. } if out == launch => {
+                self.standing_ended(id, launch, &server, link, End::Released, LoadReport::default(), wires);
             }
             _ => {}
         }
--- a/crates/edge/src/hands.rs
+++ b/crates/edge/src/hands.rs
@@ -6,8 +6,8 @@
 use lotussaddle::interface::*;
 use lotussaddle_trunk::{End, Frame, Launch, Message};
 
-use crate::held::{At, Concluded, Counts, Dues, Held, Limits, Pending, Unsaid};
-use crate::links::{Far, Kind, Link};
+use crate::held::{Concluded, Counts, Deadlines, Deferred, Held, Limits, Pending, Stage};
+use crate::links::{CoreServer, Link, Peer};
 use crate::{LinkId, Note, Step, Wires};
 
 /// All that an edge proxy holds beside the decisions.
@@ -18,8 +18,8 @@
     pub links: BTreeMap<LinkId, Link>,
     pub fresh: VecDeque<LinkId>,
     pub callers: usize,
-    pub servers: BTreeMap<ServerId, Far>,
-    pub dues: Dues,
+    pub servers: BTreeMap<ServerId, CoreServer>,
+    pub deadlines: Deadlines,
     pub concluded: Concluded,
     pub counts: Counts,
     /// When the module wants its alarm.
@@ -59,7 +59,7 @@
             // After a stall there may be no time to wait for it.
             Some(number) if self.state.now < cut_off => {
                 let by = cut_off.min(self.state.now + self.state.limits.record_within);
-                self.state.pending.add(by, number, dialogue, Unsaid::Answer { link, message });
+                self.state.pending.add(by, number, dialogue, Deferred::Answer { link, message });
             }
             _ => {
                 self.state.counts.unrecorded += u64::from(!self.state.limits.record_within.is_zero());
@@ -70,30 +70,30 @@
 
     /// A dialogue may be over before its caller is told that it stands: then it is told that first.
     pub fn flush(&mut self, id: &DialogueId) {
-        if let Some(Unsaid::Answer { link, message }) = self.state.pending.drop_of(id) {
+        if let Some(Deferred::Answer { link, message }) = self.state.pending.drop_of(id) {
             self.state.counts.unrecorded += 1;
             self.tell(link, message);
         }
     }
 
     /// What waited for its record is recorded, or waits no longer: `kept` tells which.
-    pub fn go_on(&mut self, id: DialogueId, unsaid: Unsaid, kept: bool) {
-        match unsaid {
-            Unsaid::Answer { link, message } => {
+    pub fn go_on(&mut self, id: DialogueId, deferred: Deferred, kept: bool) {
+        match deferred {
+            Deferred::Answer { link, message } => {
                 self.state.counts.unrecorded += u64::from(!kept);
                 self.tell(link, message);
             }
-            Unsaid::Launch(launch) if !kept && self.state.limits.launch_strictly => {
+            Deferred::Launch(launch) if !kept && self.state.limits.launch_strictly => {
                 self.state.counts.withheld += 1;
                 let server = self.state.held.get(&id).and_then(|held| match &held.at {
-                    At::Out { server, launch: out, .. } if *out == launch => Some(server.clone()),
+                    Stage::Out { server, launch: out, .. } if *out == launch => Some(server.clone()),
                     _ => None,
                 });
                 if let Some(server) = server {
                     self.launch_unreachable(&id, launch, &server);
                 }
             }
-            Unsaid::Launch(launch) => {
+            Deferred::Launch(launch) => {
                 self.state.counts.launched_unrecorded += u64::from(!kept);
                 self.go(&id, launch);
             }
@@ -109,7 +109,7 @@
     pub fn drop_held(&mut self, id: &DialogueId) -> Option<Held> {
         let held = self.state.held.remove(id)?;
         if let Some(link) = self.state.links.get_mut(&held.link) {
-            link.here.remove(id);
+            link.dialogues.remove(id);
         }
         Some(held)
     }
@@ -117,7 +117,7 @@
     /// Its caller's link, and when that gives up. Where the module may call nothing off, a launch may still be out:
     /// it ends here, or its line stayed busy and the module counted it for ever.
     pub fn conclude(&mut self, id: &DialogueId) -> Option<(LinkId, Duration)> {
-        if let At::Out { launch, .. } = self.state.held.get(id)?.at
+        if let Stage::Out { launch, .. } = self.state.held.get(id)?.at
             && let Some(server) = self.call_off(id, launch)
         {
             self.end(id, launch, &server, Outcome::CalledOff);
@@ -130,15 +130,16 @@
     /// The launch is over as far as this edge proxy is concerned.
     pub fn launch_over(&mut self, id: &DialogueId) {
         let Some(held) = self.state.held.get_mut(id) else { return };
-        let At::Out { server, launch, until, link } = std::mem::replace(&mut held.at, At::Waiting) else {
+        let Stage::Out { server, launch, until, link } = std::mem::replace(&mut held.at, Stage::Waiting)
+        else {
             return;
         };
-        self.state.dues.unset(until, id, launch);
+        self.state.deadlines.unset(until, id, launch);
         self.state.pending.drop_of(id); // If it waited for its record, it is not sent.
         match link {
-            Some(link) => self.state.links.get_mut(&link).map(|link| link.here.remove(id)),
-            None => self.state.servers.get_mut(&server).map(|far| {
-                far.queued.retain(|queued| queued != id);
+            Some(link) => self.state.links.get_mut(&link).map(|link| link.dialogues.remove(id)),
+            None => self.state.servers.get_mut(&server).map(|core| {
+                core.queued.retain(|queued| queued != id);
                 true
             }),
         };
@@ -147,7 +148,7 @@
     /// Calls a launch off where it is out; gives the server.
     pub fn call_off(&mut self, id: &DialogueId, launch: LaunchNo) -> Option<ServerId> {
         let held = self.state.held.get(id)?;
-        let At::Out { server, launch: out, link, .. } = &held.at else { return None };
+        let Stage::Out { server, launch: out, link, .. } = &held.at else { return None };
         if *out != launch {
             return None;
         }
@@ -163,7 +164,7 @@
     /// Sends a launch, or has it wait for its link to come up.
     fn go(&mut self, dialogue: &DialogueId, launch: LaunchNo) {
         let server = match self.state.held.get(dialogue).map(|held| &held.at) {
-            Some(At::Out { server, launch: out, link: None, .. }) if *out == launch => server.clone(),
+            Some(Stage::Out { server, launch: out, link: None, .. }) if *out == launch => server.clone(),
             _ => return,
         };
         let link = self.link_to(&server);
@@ -171,10 +172,10 @@
         let limit = self.state.limits.queued;
         let sent = match up {
             Some(link) => self.send_launch(dialogue, link),
-            None => self.state.servers.get_mut(&server).is_some_and(|far| {
-                let room = far.queued.len() < limit;
+            None => self.state.servers.get_mut(&server).is_some_and(|core| {
+                let room = core.queued.len() < limit;
                 if room {
-                    far.queued.push(dialogue.clone());
+                    core.queued.push(dialogue.clone());
                 }
                 room
             }),
@@ -188,7 +189,7 @@
     pub fn send_launch(&mut self, id: &DialogueId, link: LinkId) -> bool {
         let now = self.state.now;
         let Some(held) = self.state.held.get_mut(id) else { return true };
-        let At::Out { launch, until, link: over, .. } = &mut held.at else { return true };
+        let Stage::Out { launch, until, link: over, .. } = &mut held.at else { return true };
         let frame = Frame::Launch(Launch {
             dialogue: id.clone(),
             launch: *launch,
@@ -211,19 +212,19 @@
 
     /// The link for new launches to a server; begun where there is none.
     pub fn link_to(&mut self, id: &ServerId) -> Option<LinkId> {
-        let far = self.state.servers.get_mut(id)?;
-        if far.link.is_none() {
-            let link = self.wires.connect(&far.address);
-            far.link = Some(link);
-            self.state.links.insert(link, Link::new(Kind::Core(id.clone()), self.state.now));
+        let core = self.state.servers.get_mut(id)?;
+        if core.link.is_none() {
+            let link = self.wires.connect(&core.address);
+            core.link = Some(link);
+            self.state.links.insert(link, Link::new(Peer::Core(id.clone()), self.state.now));
         }
-        far.link
+        core.link
     }
 
     /// A dialogue comes or goes over this link from now on.
     pub fn add_to_link(&mut self, link: LinkId, id: &DialogueId) {
         if let Some(known) = self.state.links.get_mut(&link) {
-            known.here.insert(id.clone());
+            known.dialogues.insert(id.clone());
         }
     }
 
@@ -232,7 +233,7 @@
         &mut self, id: &DialogueId, server: &ServerId, launch: LaunchNo, link: LinkId,
     ) -> Option<(LinkId, Duration)> {
         let held = self.state.held.get_mut(id)?;
-        held.at = At::Standing { server: server.clone(), launch, link };
+        held.at = Stage::Standing { server: server.clone(), launch, link };
         held.extra = Box::default(); // No launch will carry it any more.
         let caller = (held.link, held.cut_off);
         self.add_to_link(link, id);
@@ -273,19 +274,19 @@
         let until = self.state.now + time_out;
         let Some(held) = self.state.held.get_mut(dialogue) else { return };
         // Rule 2 is the module's to keep; whoever decides otherwise is not helped to break it.
-        if held.at != At::Waiting {
+        if held.at != Stage::Waiting {
             let line = format!("a launch of {} is not sent: it is {:?}", dialogue.0, held.at);
             return self.wires.log(Note::Mode, &line);
         }
         let launch = LaunchNo(held.launches);
         held.launches += 1;
-        held.at = At::Out { server: server.clone(), launch, until, link: None };
-        self.state.dues.set(until, dialogue, launch);
+        held.at = Stage::Out { server: server.clone(), launch, until, link: None };
+        self.state.deadlines.set(until, dialogue, launch);
         let within = self.state.limits.launch_within;
         match self.wires.record(dialogue, Step::Launch { server, launch, until }) {
             Some(number) if !within.is_zero() => {
                 let by = until.min(self.state.now + within);
-                self.state.pending.add(by, number, dialogue, Unsaid::Launch(launch));
+                self.state.pending.add(by, number, dialogue, Deferred::Launch(launch));
             }
             _ => self.go(dialogue, launch),
         }
--- a/crates/edge/src/held.rs
+++ b/crates/edge/src/held.rs
@@ -100,7 +100,7 @@
 
 /// Where a dialogue is.
 #[derive(Clone, Debug, PartialEq)]
-pub enum At {
+pub enum Stage {
     /// It was dialled before, and what is known of it elsewhere is sought; the module does not know of it yet.
     Sought(Box<Dial>),
     /// Nor before this time: a launch of it may be out elsewhere.
@@ -137,7 +137,7 @@
     pub link: LinkId,
     /// When the caller gives this try up.
     pub cut_off: Duration,
-    pub at: At,
+    pub at: Stage,
     pub launches: u32,
     pub product: u16,
     pub width: f64,
@@ -150,7 +150,7 @@
 
 impl Held {
     /// A dialogue as it was dialled, with no launch yet.
-    pub fn of_dial(dial: &Dial, link: LinkId, cut_off: Duration, at: At, extra: Vec<Extra>) -> Self {
+    pub fn of_dial(dial: &Dial, link: LinkId, cut_off: Duration, at: Stage, extra: Vec<Extra>) -> Self {
         Self {
             link,
             cut_off,
@@ -200,7 +200,7 @@
 }
 
 /// What waits until it is recorded.
-pub enum Unsaid {
+pub enum Deferred {
     Answer { link: LinkId, message: Message },
     Launch(LaunchNo),
 }
@@ -208,36 +208,36 @@
 /// Answers and launches that wait until they are recorded, one a dialogue.
 #[derive(Default)]
 pub struct Pending {
-    by_number: BTreeMap<u64, (Duration, DialogueId, Unsaid)>,
+    by_number: BTreeMap<u64, (Duration, DialogueId, Deferred)>,
     by_dialogue: HashMap<DialogueId, u64>,
     dues: BTreeSet<(Duration, u64)>,
 }
 
 impl Pending {
-    pub fn add(&mut self, by: Duration, number: u64, dialogue: &DialogueId, unsaid: Unsaid) {
+    pub fn add(&mut self, by: Duration, number: u64, dialogue: &DialogueId, deferred: Deferred) {
         self.by_dialogue.insert(dialogue.clone(), number);
-        self.by_number.insert(number, (by, dialogue.clone(), unsaid));
+        self.by_number.insert(number, (by, dialogue.clone(), deferred));
         self.dues.insert((by, number));
     }
 
-    pub fn take(&mut self, number: u64) -> Option<(DialogueId, Unsaid)> {
-        let (by, dialogue, unsaid) = self.by_number.remove(&number)?;
+    pub fn take(&mut self, number: u64) -> Option<(DialogueId, Deferred)> {
+        let (by, dialogue, deferred) = self.by_number.remove(&number)?;
         self.dues.remove(&(by, number));
         self.by_dialogue.remove(&dialogue);
-        Some((dialogue, unsaid))
+        Some((dialogue, deferred))
     }
 
     /// The caller's link of an answer of this dialogue that waits.
     pub fn answer_link(&mut self, id: &DialogueId) -> Option<&mut LinkId> {
         match self.by_number.get_mut(self.by_dialogue.get(id)?) {
-            Some((_, _, Unsaid::Answer { link, .. })) => Some(link),
+            Some((_, _, Deferred::Answer { link, .. })) => Some(link),
             _ => None,
         }
     }
 
-    pub fn drop_of(&mut self, id: &DialogueId) -> Option<Unsaid> {
+    pub fn drop_of(&mut self, id: &DialogueId) -> Option<Deferred> {
         let number = self.by_dialogue.get(id).copied()?;
-        self.take(number).map(|(_, unsaid)| unsaid)
+        self.take(number).map(|(_, deferred)| deferred)
     }
 
     pub fn len(&self) -> usize {
@@ -250,7 +250,7 @@
     }
 
     /// One that has waited long enough.
-    pub fn overdue(&mut self, now: Duration) -> Option<(DialogueId, Unsaid)> {
+    pub fn overdue(&mut self, now: Duration) -> Option<(DialogueId, Deferred)> {
         let (by, number) = self.dues.first().copied()?;
         if by <= now { self.take(number) } else { None }
     }
@@ -258,9 +258,9 @@
 
 /// Ends of time, earliest first; what is no longer meant is passed over when it comes up.
 #[derive(Default)]
-pub struct Dues(BTreeSet<(Duration, DialogueId, LaunchNo)>);
+pub struct Deadlines(BTreeSet<(Duration, DialogueId, LaunchNo)>);
 
-impl Dues {
+impl Deadlines {
     pub fn set(&mut self, at: Duration, id: &DialogueId, launch: LaunchNo) {
         self.0.insert((at, id.clone(), launch));
     }
--- a/crates/edge/src/links.rs
+++ b/crates/edge/src/links.rs
@@ -8,7 +8,7 @@
 
 use crate::LinkId;
 
-pub enum Kind {
+pub enum Peer {
     /// Accepted, and has not said hello.
     Fresh,
     Caller(Arc<str>),
@@ -17,7 +17,7 @@
 }
 
 pub struct Link {
-    pub kind: Kind,
+    pub kind: Peer,
     /// It is up and the other side has said hello.
     pub greeted: bool,
     /// The shell vouches for it: no hello, no pings, never swept for silence.
@@ -28,11 +28,11 @@
     pub asked: bool,
     pub delay: Delay,
     /// Dialogues that came or went over it and are still held.
-    pub here: BTreeSet<DialogueId>,
+    pub dialogues: BTreeSet<DialogueId>,
 }
 
 impl Link {
-    pub fn new(kind: Kind, now: Duration) -> Self {
+    pub fn new(kind: Peer, now: Duration) -> Self {
         Self {
             kind,
             greeted: false,
@@ -41,7 +41,7 @@
             heard: now,
             asked: false,
             delay: Delay::default(),
-            here: BTreeSet::new(),
+            dialogues: BTreeSet::new(),
         }
     }
 }
@@ -70,7 +70,7 @@
 }
 
 /// A core server as the list names it.
-pub struct Far {
+pub struct CoreServer {
     pub address: Arc<str>,
     pub listed: Listed,
     /// Which life of it is known, and since when that runs on this clock: it is told as an age, which wavers
