--- /dev/null
+++ b/crates/edge/src/edge/dialling.rs
@@ -0,0 +1,194 @@
+//! Callers: which of their dials are taken, and what becomes of a dialogue that they leave.
+
+use std::time::Duration;
+
+use lotussaddle::interface::{Arrival, DialogueId, ProductId, TenantId};
+use lotussaddle_trunk::{Dial, Extra, Frame, NotTaken};
+
+use super::{Edge, NO_LAUNCH};
+use crate::hands::Hands;
+use crate::held::{Held, Stage};
+use crate::links::{Link, Peer};
+use crate::{Decisions, LinkId, Step, Wires};
+
+/// More lines than this no dialogue takes.
+const MAX_WIDTH: f64 = 10_000.0;
+
+/// What becomes of a dial.
+enum Admission {
+    /// It is held already, and will have its answer.
+    Repeated,
+    Declined(NotTaken),
+    /// It is held from now on; `seeks`: what is known of it elsewhere is sought first.
+    Taken {
+        seeks: bool,
+    },
+}
+
+impl<D: Decisions> Edge<D> {
+    pub(super) fn dialled(&mut self, link: LinkId, dial: Dial, extra: Vec<Extra>, wires: &mut dyn Wires) {
+        let id = dial.dialogue.clone();
+        let seeks = match self.admission(link, &dial, wires) {
+            Admission::Repeated => return,
+            Admission::Declined(why) => {
+                self.state.counts.declined += 1;
+                return self.hands(wires).say(link, Frame::Declined { dialogue: id, why, come_back: None });
+            }
+            Admission::Taken { seeks } => seeks,
+        };
+        self.state.counts.taken += 1;
+        let cut_off = self.cut_off_of(link, &dial);
+        let held = Held::of_dial(&dial, link, cut_off, Stage::Waiting, extra);
+        self.state.held.insert(id.clone(), held);
+        self.hands(wires).add_to_link(link, &id);
+        if seeks {
+            self.state.counts.sought += 1;
+            self.state.deadlines.set(cut_off, &id, NO_LAUNCH);
+            if let Some(held) = self.state.held.get_mut(&id) {
+                held.at = Stage::Sought(Box::new(dial));
+            }
+            return;
+        }
+        wires.record(&id, Step::Taken);
+        self.decide(&dial, wires);
+    }
+
+    /// Whether a dial is taken. Where it may have been dialled before elsewhere, it is asked after on the way.
+    fn admission(&mut self, link: LinkId, dial: &Dial, wires: &mut dyn Wires) -> Admission {
+        let id = &dial.dialogue;
+        if let Some(held) = self.state.held.get(id) {
+            if held.link == link && !matches!(held.at, Stage::Releasing { .. }) {
+                self.state.counts.repeats += 1; // It is in already, and will have its answer.
+                return Admission::Repeated;
+            }
+            return self.take_over(id, link).map_or(Admission::Repeated, Admission::Declined);
+        }
+        let concluded = self.state.concluded.contains(id);
+        if concluded && !dial.repeat {
+            return Admission::Declined(NotTaken::Concluded);
+        }
+        if self.state.held.len() >= self.state.limits.dialogues {
+            return Admission::Declined(NotTaken::Full);
+        }
+        if !self.can_be_read(dial) {
+            return Admission::Declined(NotTaken::Unknown);
+        }
+        if dial.dialled.is_some() && self.numbers.as_ref().is_some_and(|numbers| !numbers.is_ready()) {
+            return Admission::Declined(NotTaken::NotReady);
+        }
+        let seeks = dial.repeat && wires.seek(id, self.state.now + dial.time_left);
+        if concluded && !seeks {
+            return Admission::Declined(NotTaken::Concluded);
+        }
+        Admission::Taken { seeks }
+    }
+
+    /// Whether product, tenant, width and time left are such as can be.
+    fn can_be_read(&self, dial: &Dial) -> bool {
+        usize::from(dial.product) < self.products
+            && dial.tenant.is_none_or(|tenant| usize::from(tenant) < self.tenants)
+            && (dial.width > 0.0 && dial.width <= MAX_WIDTH)
+            && !dial.time_left.is_zero()
+    }
+
+    /// When the caller gives this dial up. One that was long on its way has lost that time; one that lost all of it is
+    /// answered at once.
+    fn cut_off_of(&mut self, link: LinkId, dial: &Dial) -> Duration {
+        let now = self.state.now;
+        let known = self.state.links.get_mut(&link).zip(dial.sent_at);
+        let delay = known.map_or(Duration::ZERO, |(known, sent_at)| known.delay.of(now, sent_at));
+        now + dial.time_left.saturating_sub(delay)
+    }
+
+    /// From now on it is for the module to decide, once its number is analysed.
+    pub(super) fn decide(&mut self, dial: &Dial, wires: &mut dyn Wires) {
+        let now = self.state.now;
+        let id = dial.dialogue.clone();
+        let Some(cut_off) = self.state.held.get(&id).map(|held| held.cut_off) else { return };
+        let product =
+            self.numbers.as_ref().map_or(dial.product.into(), |n| n.module_product(dial.product, None));
+        let arrival = Arrival {
+            id,
+            product: ProductId(product),
+            tenant: dial.tenant.map(|t| TenantId(t.into())),
+            first_choice: dial.first_choice,
+            width: dial.width,
+            dialled_at: now,
+            cut_off: cut_off.saturating_sub(self.state.limits.record_within).max(now),
+            again: dial.again,
+            came_back: dial.came_back,
+            key: dial.key.clone(),
+        };
+        if self.numbers.is_some() && dial.dialled.is_some() {
+            return self.analyse(dial, arrival, wires);
+        }
+        let mut hands = Hands { state: &mut self.state, wires };
+        self.brain.arrived(now, arrival, &mut hands);
+    }
+
+    /// A dialogue that is held is dialled on another link: where it is the same caller's, its former link is
+    /// probably dead, and the answer goes to the new one.
+    fn take_over(&mut self, id: &DialogueId, link: LinkId) -> Option<NotTaken> {
+        let name = |link: &Link| match &link.kind {
+            Peer::Caller(name) => Some(name.clone()),
+            _ => None,
+        };
+        let held = self.state.held.get_mut(id)?;
+        let before = held.link;
+        let same = self.state.links.get(&before).and_then(name) == self.state.links.get(&link).and_then(name);
+        if !same {
+            return Some(NotTaken::NotYours);
+        }
+        if matches!(held.at, Stage::Standing { .. } | Stage::Releasing { .. }) {
+            return Some(NotTaken::Concluded);
+        }
+        held.link = link;
+        self.state.counts.repeats += 1;
+        if let Some(known) = self.state.links.get_mut(&before) {
+            known.dialogues.remove(id);
+        }
+        if let Some(known) = self.state.links.get_mut(&link) {
+            known.dialogues.insert(id.clone());
+        }
+        None
+    }
+
+    /// The caller wants no more of this dialogue.
+    pub(super) fn hung_up(&mut self, id: &DialogueId, wires: &mut dyn Wires) {
+        let now = self.state.now;
+        let Some(held) = self.state.held.get_mut(id) else { return };
+        match held.at.clone() {
+            Stage::Standing { server, launch, link } => {
+                let until = now + self.state.limits.release_within;
+                held.at = Stage::Releasing { server, launch, link, until };
+                self.state.deadlines.set(until, id, launch);
+                self.hands(wires).say(link, Frame::Release { dialogue: id.clone(), launch });
+            }
+            Stage::Releasing { .. } => {}
+            at => {
+                self.state.counts.left += 1;
+                self.drop_unanswered(id, &at, wires);
+            }
+        }
+    }
+
+    /// Lets go of a dialogue that has no answer yet, and withdraws it from whoever works on it; gives its caller's link.
+    pub(super) fn drop_unanswered(
+        &mut self, id: &DialogueId, at: &Stage, wires: &mut dyn Wires,
+    ) -> Option<LinkId> {
+        match at {
+            Stage::Sought(_) | Stage::Barred(..) => self.clear_sought_deadline(id, at),
+            Stage::Asking => {
+                if let Some(numbers) = &mut self.numbers {
+                    numbers.forget(id);
+                }
+            }
+            Stage::Waiting | Stage::Out { .. } => {
+                let mut hands = Hands { state: &mut self.state, wires };
+                self.brain.left(hands.state.now, id, &mut hands);
+            }
+            Stage::Standing { .. } | Stage::Releasing { .. } => return None,
+        }
+        self.hands(wires).conclude(id).map(|(link, _)| link)
+    }
+}
