--- /dev/null
+++ b/crates/membership/src/allowance.rs
@@ -0,0 +1,36 @@
+//! A token bucket for bytes.
+
+use std::time::Duration;
+
+/// An allowance of bytes: a rate, and a burst that may be spent at once.
+pub(crate) struct Allowance {
+    bytes_per_second: f64,
+    burst: f64,
+    available: f64,
+    refilled_at: Duration,
+}
+
+impl Allowance {
+    /// A full allowance.
+    pub(crate) fn new(now: Duration, bytes_per_second: u32, burst: u32) -> Self {
+        let burst = f64::from(burst);
+        Self { bytes_per_second: f64::from(bytes_per_second), burst, available: burst, refilled_at: now }
+    }
+
+    /// Takes this many bytes, unless there are fewer.
+    pub(crate) fn take(&mut self, now: Duration, bytes: usize) -> bool {
+        self.refill(now);
+        let wanted = bytes as f64;
+        if wanted > self.available {
+            return false;
+        }
+        self.available -= wanted;
+        true
+    }
+
+    fn refill(&mut self, now: Duration) {
+        let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.available = (self.available + passed * self.bytes_per_second).min(self.burst);
+        self.refilled_at = self.refilled_at.max(now);
+    }
+}
--- /dev/null
+++ b/crates/membership/src/hearing.rs
@@ -0,0 +1,120 @@
+//! Which neighbours are heard: reports after a silence, taken back after a hold-down that grows with each flap, and none by a process
+//! that was itself stalled.
+
+use std::time::Duration;
+
+use crate::timing::Timing;
+
+struct Neighbour {
+    last_heard: Duration,
+    /// Since when a reported neighbour has been heard again.
+    answering_since: Option<Duration>,
+    last_report: Option<Duration>,
+    hold_down: Duration,
+}
+
+/// The neighbours by position in the overlay, and which of them are reported as not heard.
+pub(crate) struct Hearing {
+    timing: Timing,
+    neighbours: Vec<Neighbour>,
+    unheard: u16,
+    last_activity: Duration,
+    listening_until: Duration,
+}
+
+impl Hearing {
+    /// All neighbours count as heard `now`.
+    pub(crate) fn new(now: Duration, neighbours: usize, timing: Timing) -> Self {
+        let neighbour = || Neighbour {
+            last_heard: now,
+            answering_since: None,
+            last_report: None,
+            hold_down: timing.first_hold_down(),
+        };
+        Self {
+            timing,
+            neighbours: (0..neighbours).map(|_| neighbour()).collect(),
+            unheard: 0,
+            last_activity: now,
+            listening_until: now,
+        }
+    }
+
+    /// One bit for each neighbour that is reported as not heard.
+    pub(crate) fn unheard(&self) -> u16 {
+        self.unheard
+    }
+
+    /// Whether a neighbour is not reported.
+    pub(crate) fn hears(&self, position: usize) -> bool {
+        self.unheard & bit(position) == 0
+    }
+
+    /// The process runs at this time. After a gap in which it stood still, it listens before it reports anybody.
+    pub(crate) fn active(&mut self, now: Duration) {
+        if now.saturating_sub(self.last_activity) >= self.timing.stall() {
+            self.listening_until = now + self.timing.listening();
+        }
+        self.last_activity = self.last_activity.max(now);
+    }
+
+    /// A frame of a neighbour came.
+    pub(crate) fn heard(&mut self, now: Duration, position: usize) {
+        let neighbour = &mut self.neighbours[position];
+        let was_silent = now.saturating_sub(neighbour.last_heard) >= self.timing.silence;
+        if was_silent || neighbour.answering_since.is_none() {
+            neighbour.answering_since = Some(now);
+        }
+        neighbour.last_heard = neighbour.last_heard.max(now);
+    }
+
+    /// A neighbour has a new incarnation: its flaps are forgotten.
+    pub(crate) fn restarted(&mut self, position: usize) {
+        let neighbour = &mut self.neighbours[position];
+        neighbour.hold_down = self.timing.first_hold_down();
+        neighbour.last_report = None;
+    }
+
+    /// Makes the reports that are due and takes back those whose hold-down is over; true: the bits have changed.
+    pub(crate) fn review(&mut self, now: Duration) -> bool {
+        let before = self.unheard;
+        for position in 0..self.neighbours.len() {
+            let is_silent = now.saturating_sub(self.neighbours[position].last_heard) >= self.timing.silence;
+            match (self.hears(position), is_silent) {
+                (true, true) => self.report(now, position),
+                (false, false) => self.take_back(now, position),
+                (true, false) | (false, true) => {}
+            }
+        }
+        self.unheard != before
+    }
+
+    fn report(&mut self, now: Duration, position: usize) {
+        if now < self.listening_until {
+            return;
+        }
+        let neighbour = &mut self.neighbours[position];
+        let first = self.timing.first_hold_down();
+        neighbour.hold_down = match neighbour.last_report {
+            Some(last) if now.saturating_sub(last) < self.timing.flap_memory() => {
+                (neighbour.hold_down * 2).min(self.timing.longest_hold_down())
+            }
+            _ => first,
+        };
+        neighbour.last_report = Some(now);
+        neighbour.answering_since = None;
+        self.unheard |= bit(position);
+    }
+
+    fn take_back(&mut self, now: Duration, position: usize) {
+        let neighbour = &self.neighbours[position];
+        let answered = neighbour.answering_since.map_or(Duration::ZERO, |since| now.saturating_sub(since));
+        if neighbour.answering_since.is_some() && answered >= neighbour.hold_down {
+            self.unheard &= !bit(position);
+        }
+    }
+}
+
+fn bit(position: usize) -> u16 {
+    1 << position
+}
--- /dev/null
+++ b/crates/membership/src/lib.rs
@@ -0,0 +1,31 @@
+//! The membership of a fleet of edge proxies, without I/O: who is gone, and whether this member has a majority.
+//!
+//! Members exchange heartbeats with at most ten neighbours in a fixed overlay ([`Overlay`]). Each says in a [`Register`] which
+//! neighbours it does not hear; registers are flooded over the overlay and repaired by digests. A member whose every path to the
+//! majority is broken is gone. The design is in `docs/design/membership.md`.
+
+mod allowance;
+mod check;
+mod codec;
+mod hearing;
+mod member_set;
+mod membership;
+mod message;
+mod overlay;
+mod random;
+mod register;
+mod register_table;
+mod repair;
+mod spreading;
+mod timing;
+mod view;
+
+pub use codec::MOST_MESSAGE_BYTES;
+pub use membership::Membership;
+pub use message::{MOST_BUCKETS, MOST_REGISTERS, MOST_REQUESTED_BUCKETS, Message, MessageError};
+pub use overlay::{MOST_MEMBERS, MOST_NEIGHBOURS, Overlay, OverlayError};
+pub use register::{MemberRegister, Register};
+pub use timing::Timing;
+
+/// The place of a member in the agreed list.
+pub type MemberIndex = u16;
--- /dev/null
+++ b/crates/membership/src/membership.rs
@@ -0,0 +1,283 @@
+//! The membership state machine: it is told the time and what comes from neighbours, and says what is to be sent to them.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use crate::MemberIndex;
+use crate::check;
+use crate::hearing::Hearing;
+use crate::message::{Message, MessageError};
+use crate::overlay::Overlay;
+use crate::random::mix;
+use crate::register::{MemberRegister, Register};
+use crate::register_table::{Merge, RegisterTable};
+use crate::repair::Repair;
+use crate::spreading::Spreading;
+use crate::timing::Timing;
+use crate::view::View;
+
+/// What a member says of itself, apart from whom it hears.
+#[derive(Clone, Copy, Debug, Default)]
+struct OwnState {
+    incarnation: u64,
+    caught_up: bool,
+}
+
+/// How a register came, which decides whether it is passed on.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Origin {
+    Flood,
+    Repair,
+}
+
+/// The membership of one fleet as one of its members sees it. A verdict is a suspicion, never a proof of death.
+pub struct Membership {
+    me: MemberIndex,
+    overlay: Arc<Overlay>,
+    timing: Timing,
+    own: OwnState,
+    table: RegisterTable,
+    hearing: Hearing,
+    spreading: Spreading,
+    repair: Repair,
+    view: View,
+    /// Reports have changed since the last search.
+    search_is_due: bool,
+    next_heartbeat: Duration,
+    next_round: Duration,
+}
+
+impl Membership {
+    /// The membership of `me`, which is a member of the overlay, at its start. All neighbours count as heard `now`, nobody is gone.
+    ///
+    /// # Panics
+    /// If `me` is beyond the list or the silence is too short to be divided into rounds.
+    pub fn new(now: Duration, me: MemberIndex, overlay: Arc<Overlay>, timing: Timing) -> Self {
+        assert!(usize::from(me) < overlay.members(), "member {me} is not in the list");
+        assert!(!timing.round().is_zero(), "the silence is too short");
+        let neighbours = overlay.neighbours(me).len();
+        Self {
+            me,
+            timing,
+            own: OwnState::default(),
+            table: RegisterTable::new(now, overlay.members()),
+            hearing: Hearing::new(now, neighbours, timing),
+            spreading: Spreading::new(now, me, &overlay),
+            repair: Repair::new(now, neighbours, timing.silence),
+            view: View::new(overlay.members()),
+            search_is_due: true,
+            next_heartbeat: now + phase(me, timing.heartbeat()),
+            next_round: now,
+            overlay,
+        }
+    }
+
+    /// The incarnation of this member, more than zero, and whether it has caught up. An incarnation before the present one is
+    /// ignored.
+    pub fn set_self(&mut self, now: Duration, incarnation: u64, caught_up: bool) {
+        if incarnation < self.own.incarnation {
+            return;
+        }
+        self.own = OwnState { incarnation, caught_up };
+        self.refresh_own_register(now);
+    }
+
+    /// Any frame of a neighbour came; one that is no neighbour is ignored.
+    pub fn heard(&mut self, now: Duration, neighbour: MemberIndex) {
+        self.hearing.active(now);
+        if let Some(position) = self.overlay.position(self.me, neighbour) {
+            self.hearing.heard(now, position);
+        }
+    }
+
+    /// A message of a neighbour came. Gives the members whose incarnation or `caught_up` is new here. A message that is refused
+    /// changes nothing.
+    pub fn received(
+        &mut self, now: Duration, from: MemberIndex, message: &Message,
+    ) -> Result<Vec<MemberIndex>, MessageError> {
+        let position = self.overlay.position(self.me, from).ok_or(MessageError::NotANeighbour(from))?;
+        check::message(&self.overlay, message)?;
+        self.hearing.active(now);
+        self.hearing.heard(now, position);
+        Ok(self.apply(now, position, message))
+    }
+
+    /// What is to be sent at this time, and to whom. To be called at [`Membership::next_due`], and sooner after a message.
+    pub fn tick(&mut self, now: Duration) -> Vec<(MemberIndex, Message)> {
+        self.hearing.active(now);
+        let mut messages = Vec::new();
+        if now >= self.next_heartbeat {
+            self.next_heartbeat = now + self.timing.heartbeat();
+            self.review_hearing(now);
+            messages.extend(self.heartbeats());
+        }
+        if now >= self.next_round && self.has_work() {
+            self.next_round = now + self.timing.round();
+            self.search_if_due(now);
+            messages.extend(self.spreading.round(now, &self.table));
+            messages.extend(self.repair.round(now, &self.table));
+        }
+        let neighbours = self.overlay.neighbours(self.me);
+        messages.into_iter().map(|(position, message)| (neighbours[position], message)).collect()
+    }
+
+    /// When [`Membership::tick`] is due. After a tick this is later than the time of the tick.
+    pub fn next_due(&self) -> Duration {
+        if self.has_work() { self.next_heartbeat.min(self.next_round) } else { self.next_heartbeat }
+    }
+
+    /// Whether a member is held gone; never this one, and nobody without a majority.
+    pub fn is_gone(&self, member: MemberIndex) -> bool {
+        self.view.is_gone(member)
+    }
+
+    /// How many members are held gone.
+    pub fn gone_count(&self) -> usize {
+        self.view.gone_count()
+    }
+
+    /// Whether more than half of all members are joined to this one.
+    pub fn has_majority(&self) -> bool {
+        self.view.has_majority()
+    }
+
+    /// Grows with each change of who is gone and of whether this member has a majority.
+    pub fn view_version(&self) -> u64 {
+        self.view.version()
+    }
+
+    /// Whether a neighbour is not reported as unheard; false for one that is no neighbour.
+    pub fn hears(&self, neighbour: MemberIndex) -> bool {
+        self.overlay.position(self.me, neighbour).is_some_and(|position| self.hearing.hears(position))
+    }
+
+    /// The latest register of a member that is known here. One of this member with a later incarnation than it was given means that
+    /// another process has taken its name.
+    pub fn register(&self, member: MemberIndex) -> Option<&Register> {
+        let is_member = usize::from(member) < self.overlay.members();
+        is_member.then(|| self.table.get(member)).filter(|register| register.is_known())
+    }
+
+    /// The digest of all registers that are known here.
+    pub fn digest(&self) -> u64 {
+        self.table.digest()
+    }
+
+    /// The overlay of the fleet.
+    pub fn overlay(&self) -> &Overlay {
+        &self.overlay
+    }
+
+    fn apply(&mut self, now: Duration, position: usize, message: &Message) -> Vec<MemberIndex> {
+        match message {
+            Message::Heartbeat { digest } => {
+                self.repair.compared(now, position, *digest == self.table.digest());
+                Vec::new()
+            }
+            Message::Registers(registers) => self.merge_all(now, position, registers, Origin::Flood),
+            Message::BucketDigests(digests) => {
+                self.repair.digests_came(now, position, digests, &self.table.bucket_digests());
+                Vec::new()
+            }
+            Message::BucketRequest(buckets) => {
+                self.repair.requested(position, buckets);
+                Vec::new()
+            }
+            Message::Bucket { bucket, registers } => {
+                self.repair.answered(position, *bucket);
+                self.merge_all(now, position, registers, Origin::Repair)
+            }
+        }
+    }
+
+    fn merge_all(
+        &mut self, now: Duration, position: usize, registers: &[MemberRegister], origin: Origin,
+    ) -> Vec<MemberIndex> {
+        let changed = registers.iter().filter(|entry| self.merge(now, position, entry, origin));
+        let changed = changed.map(|entry| entry.member).collect();
+        self.refresh_own_register(now);
+        changed
+    }
+
+    /// Merges a register; true: the incarnation or `caught_up` of its member is new.
+    fn merge(&mut self, now: Duration, position: usize, entry: &MemberRegister, origin: Origin) -> bool {
+        let MemberRegister { member, register } = *entry;
+        match self.table.merge(now, member, register) {
+            Merge::Older => false,
+            Merge::Equal => {
+                self.spreading.known_by(position, member);
+                false
+            }
+            Merge::Replaced(before) => {
+                self.spreading.known_by(position, member);
+                if origin == Origin::Flood || before.is_known() {
+                    self.spreading.pass_on(member, position);
+                }
+                self.replaced(member, &before, &register)
+            }
+        }
+    }
+
+    fn replaced(&mut self, member: MemberIndex, before: &Register, register: &Register) -> bool {
+        self.search_is_due |= before.unheard != register.unheard;
+        let is_restarted = before.incarnation != register.incarnation;
+        if let Some(position) = self.overlay.position(self.me, member).filter(|_| is_restarted) {
+            self.hearing.restarted(position);
+        }
+        is_restarted || before.caught_up != register.caught_up
+    }
+
+    fn review_hearing(&mut self, now: Duration) {
+        if self.hearing.review(now) {
+            self.search_is_due = true;
+            self.refresh_own_register(now);
+        }
+    }
+
+    /// Says anew what this member says of itself, if the table has something else.
+    fn refresh_own_register(&mut self, now: Duration) {
+        let known = *self.table.get(self.me);
+        let OwnState { incarnation, caught_up } = self.own;
+        let is_superseded = known.incarnation > incarnation;
+        let unheard = self.hearing.unheard();
+        let is_said =
+            known.incarnation == incarnation && known.unheard == unheard && known.caught_up == caught_up;
+        if incarnation == 0 || is_superseded || is_said {
+            return;
+        }
+        let is_first = known.incarnation < incarnation;
+        let sequence = if is_first { 1 } else { known.sequence.saturating_add(1) };
+        self.table.merge(now, self.me, Register { incarnation, sequence, unheard, caught_up });
+        self.spreading.own_changed();
+    }
+
+    fn heartbeats(&self) -> Vec<(usize, Message)> {
+        let digest = self.table.digest();
+        let neighbours = self.overlay.neighbours(self.me).len();
+        (0..neighbours).map(|position| (position, Message::Heartbeat { digest })).collect()
+    }
+
+    fn has_work(&self) -> bool {
+        self.search_is_due || self.spreading.has_work() || self.repair.has_work()
+    }
+
+    fn search_if_due(&mut self, now: Duration) {
+        if !self.search_is_due {
+            return;
+        }
+        self.search_is_due = false;
+        let Self { me, overlay, table, hearing, view, spreading, timing, .. } = self;
+        let own = hearing.unheard();
+        let unheard = |member| if member == *me { own } else { table.get(member).unheard };
+        view.search(overlay, *me, unheard);
+        let recent = || table.replaced_within(now, timing.recent());
+        spreading.choose_relays(overlay, unheard, recent);
+    }
+}
+
+/// A share of the period, so that members that start at once do not send at once.
+fn phase(me: MemberIndex, period: Duration) -> Duration {
+    const STEPS: u64 = 1024;
+    let step = mix(u64::from(me)) % STEPS;
+    period.mul_f64(step as f64 / STEPS as f64)
+}
--- /dev/null
+++ b/crates/membership/src/register.rs
@@ -0,0 +1,53 @@
+//! A register: the latest word of a member on itself.
+
+use crate::MemberIndex;
+use crate::random::mix;
+
+/// What a member says of itself. The later of two registers of one member stays, so merging is a join: lost, doubled, late and
+/// reordered messages do no harm, and the word of a former incarnation never wins.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Register {
+    /// The incarnation of the member; zero: none is known.
+    pub incarnation: u64,
+    /// Counts the registers of one incarnation.
+    pub sequence: u32,
+    /// One bit for each neighbour, in the order of the overlay: set when the member does not hear it.
+    pub unheard: u16,
+    /// Whether the member has caught up.
+    pub caught_up: bool,
+}
+
+impl Register {
+    /// Whether this register replaces `other`. The content decides between equal numbers, so that all members choose alike.
+    pub fn is_later_than(&self, other: &Self) -> bool {
+        self.rank() > other.rank()
+    }
+
+    /// Whether a register is known at all.
+    pub fn is_known(&self) -> bool {
+        self.incarnation > 0
+    }
+
+    fn rank(&self) -> (u64, u32, u16, bool) {
+        (self.incarnation, self.sequence, self.unheard, self.caught_up)
+    }
+
+    /// The digest of this register as that of `member`; zero when none is known.
+    pub(crate) fn digest(&self, member: MemberIndex) -> u64 {
+        if !self.is_known() {
+            return 0;
+        }
+        let content =
+            u64::from(self.sequence) << 32 | u64::from(self.unheard) << 16 | u64::from(self.caught_up);
+        mix(mix(mix(u64::from(member)) ^ self.incarnation) ^ content)
+    }
+}
+
+/// A register and whose it is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MemberRegister {
+    /// Whose register it is.
+    pub member: MemberIndex,
+    /// The register.
+    pub register: Register,
+}
--- /dev/null
+++ b/crates/membership/src/repair.rs
@@ -0,0 +1,172 @@
+//! Repair: where the digest in a neighbour's heartbeats differs for the silence, bucket digests are sent, and the other side asks for
+//! buckets that differ. Its allowance of bytes is its own, so that a flood and a repair do not starve each other.
+
+use std::time::Duration;
+
+use crate::allowance::Allowance;
+use crate::message::{MOST_REQUESTED_BUCKETS, Message};
+use crate::register_table::RegisterTable;
+
+const BYTES_PER_SECOND: u32 = 1_500;
+const BURST_BYTES: u32 = 7_500;
+
+/// A request without an answer is forgotten after this many silences.
+const REQUEST_SILENCES: u32 = 2;
+
+struct Request {
+    bucket: u16,
+    made_at: Duration,
+}
+
+/// The repair with one neighbour.
+#[derive(Default)]
+struct Exchange {
+    differs_since: Option<Duration>,
+    digests_sent_at: Option<Duration>,
+    digests_are_due: bool,
+    /// Buckets that this neighbour was asked for, or is to be.
+    requests: Vec<Request>,
+    request_is_due: bool,
+    /// Buckets that this neighbour has asked for.
+    to_serve: Vec<u16>,
+}
+
+/// The repair with all neighbours, by position.
+pub(crate) struct Repair {
+    silence: Duration,
+    exchanges: Vec<Exchange>,
+    /// The neighbour that is served first in the next round.
+    first: usize,
+    /// Where the search for buckets that differ starts.
+    next_bucket: usize,
+    allowance: Allowance,
+}
+
+impl Repair {
+    /// No neighbour is known to differ.
+    pub(crate) fn new(now: Duration, neighbours: usize, silence: Duration) -> Self {
+        Self {
+            silence,
+            exchanges: (0..neighbours).map(|_| Exchange::default()).collect(),
+            first: 0,
+            next_bucket: 0,
+            allowance: Allowance::new(now, BYTES_PER_SECOND, BURST_BYTES),
+        }
+    }
+
+    /// A heartbeat told whether the digests are equal.
+    pub(crate) fn compared(&mut self, now: Duration, position: usize, is_equal: bool) {
+        let exchange = &mut self.exchanges[position];
+        if is_equal {
+            exchange.differs_since = None;
+            exchange.digests_are_due = false;
+            return;
+        }
+        let since = *exchange.differs_since.get_or_insert(now);
+        let is_lasting = now.saturating_sub(since) >= self.silence;
+        let last_sent = exchange.digests_sent_at;
+        let may_send = last_sent.is_none_or(|sent_at| now.saturating_sub(sent_at) >= self.silence);
+        exchange.digests_are_due |= is_lasting && may_send;
+    }
+
+    /// Bucket digests came: buckets that differ are asked for, few of one neighbour and none of two at once.
+    pub(crate) fn digests_came(&mut self, now: Duration, position: usize, theirs: &[u32], ours: &[u32]) {
+        self.forget_old_requests(now);
+        let buckets = ours.len();
+        let start = self.next_bucket;
+        for bucket in (0..buckets).map(|step| (start + step) % buckets) {
+            if self.exchanges[position].requests.len() >= MOST_REQUESTED_BUCKETS {
+                return;
+            }
+            let is_empty = theirs[bucket] == 0;
+            if is_empty || theirs[bucket] == ours[bucket] || self.is_requested(bucket as u16) {
+                continue;
+            }
+            let exchange = &mut self.exchanges[position];
+            exchange.requests.push(Request { bucket: bucket as u16, made_at: now });
+            exchange.request_is_due = true;
+            self.next_bucket = (bucket + 1) % buckets;
+        }
+    }
+
+    /// A neighbour asks for buckets.
+    pub(crate) fn requested(&mut self, position: usize, buckets: &[u16]) {
+        let to_serve = &mut self.exchanges[position].to_serve;
+        for bucket in buckets {
+            if to_serve.len() < MOST_REQUESTED_BUCKETS && !to_serve.contains(bucket) {
+                to_serve.push(*bucket);
+            }
+        }
+    }
+
+    /// A neighbour has answered.
+    pub(crate) fn answered(&mut self, position: usize, bucket: u16) {
+        self.exchanges[position].requests.retain(|request| request.bucket != bucket);
+    }
+
+    /// Whether anything is to be sent.
+    pub(crate) fn has_work(&self) -> bool {
+        self.exchanges.iter().any(Exchange::has_work)
+    }
+
+    /// The messages of a round, by position: one for each neighbour in turn, as far as the allowance goes.
+    pub(crate) fn round(&mut self, now: Duration, table: &RegisterTable) -> Vec<(usize, Message)> {
+        let neighbours = self.exchanges.len();
+        let mut messages = Vec::new();
+        for turn in 0..neighbours {
+            let position = (self.first + turn) % neighbours;
+            let Some(message) = self.exchanges[position].next_message(table) else { continue };
+            if !self.allowance.take(now, message.encode().len()) {
+                self.first = position;
+                return messages;
+            }
+            self.exchanges[position].sent(now, &message);
+            messages.push((position, message));
+        }
+        messages
+    }
+
+    fn is_requested(&self, bucket: u16) -> bool {
+        self.exchanges.iter().flat_map(|exchange| &exchange.requests).any(|request| request.bucket == bucket)
+    }
+
+    fn forget_old_requests(&mut self, now: Duration) {
+        let longest = self.silence * REQUEST_SILENCES;
+        for exchange in &mut self.exchanges {
+            exchange.requests.retain(|request| now.saturating_sub(request.made_at) < longest);
+        }
+    }
+}
+
+impl Exchange {
+    fn has_work(&self) -> bool {
+        self.request_is_due || !self.to_serve.is_empty() || self.digests_are_due
+    }
+
+    /// Requests are the smallest and come first, then answers, then digests.
+    fn next_message(&self, table: &RegisterTable) -> Option<Message> {
+        if self.request_is_due {
+            return Some(Message::BucketRequest(
+                self.requests.iter().map(|request| request.bucket).collect(),
+            ));
+        }
+        if let Some(bucket) = self.to_serve.first() {
+            return Some(Message::Bucket { bucket: *bucket, registers: table.bucket(*bucket) });
+        }
+        self.digests_are_due.then(|| Message::BucketDigests(table.bucket_digests()))
+    }
+
+    fn sent(&mut self, now: Duration, message: &Message) {
+        match message {
+            Message::BucketRequest(_) => self.request_is_due = false,
+            Message::Bucket { .. } => {
+                self.to_serve.remove(0);
+            }
+            Message::BucketDigests(_) => {
+                self.digests_are_due = false;
+                self.digests_sent_at = Some(now);
+            }
+            Message::Heartbeat { .. } | Message::Registers(_) => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/membership/src/spreading.rs
@@ -0,0 +1,159 @@
+//! Flooding: the own register goes to all neighbours, those of others to a few, at most once a round and under an allowance of bytes.
+
+use std::time::Duration;
+
+use crate::MemberIndex;
+use crate::allowance::Allowance;
+use crate::member_set::MemberSet;
+use crate::message::{MOST_REGISTERS, Message};
+use crate::overlay::Overlay;
+use crate::register_table::RegisterTable;
+
+/// How many of the neighbours that a member hears it passes registers on to.
+const RELAYS: usize = 4;
+
+const BYTES_PER_SECOND: u32 = 4_500;
+const BURST_BYTES: u32 = 24_000;
+
+/// What is still to be told, and to whom.
+pub(crate) struct Spreading {
+    me: MemberIndex,
+    /// For each neighbour, the members whose registers it is to be told.
+    pending: Vec<MemberSet>,
+    /// For each neighbour, where the next message starts in the list, so that each register has its turn.
+    cursors: Vec<MemberIndex>,
+    /// One bit for each neighbour that others' registers are passed on to.
+    relays: u16,
+    /// The neighbour that is served first in the next round.
+    first: usize,
+    allowance: Allowance,
+}
+
+impl Spreading {
+    /// Nothing is to be told.
+    pub(crate) fn new(now: Duration, me: MemberIndex, overlay: &Overlay) -> Self {
+        let neighbours = overlay.neighbours(me).len();
+        Self {
+            me,
+            pending: vec![MemberSet::empty(overlay.members()); neighbours],
+            cursors: vec![me; neighbours],
+            relays: relays(overlay, me, |_| 0),
+            first: 0,
+            allowance: Allowance::new(now, BYTES_PER_SECOND, BURST_BYTES),
+        }
+    }
+
+    /// The own register is new.
+    pub(crate) fn own_changed(&mut self) {
+        for position in 0..self.pending.len() {
+            self.pending[position].insert(self.me);
+            self.cursors[position] = self.me;
+        }
+    }
+
+    /// A neighbour told a register that is to be passed on.
+    pub(crate) fn pass_on(&mut self, member: MemberIndex, from: usize) {
+        for position in 0..self.pending.len() {
+            if position != from && self.is_relay(position) {
+                self.pending[position].insert(member);
+            }
+        }
+    }
+
+    /// A neighbour has the register of this member that the table has.
+    pub(crate) fn known_by(&mut self, position: usize, member: MemberIndex) {
+        self.pending[position].remove(member);
+    }
+
+    /// Chooses the relays anew; one that takes the place of another is told what was recent.
+    pub(crate) fn choose_relays(
+        &mut self, overlay: &Overlay, unheard: impl Fn(MemberIndex) -> u16,
+        recent: impl FnOnce() -> Vec<MemberIndex>,
+    ) {
+        let chosen = relays(overlay, self.me, unheard);
+        let added = chosen & !self.relays;
+        let removed = self.relays & !chosen;
+        self.relays = chosen;
+        let recent = if added == 0 { Vec::new() } else { recent() };
+        for position in 0..self.pending.len() {
+            if removed >> position & 1 == 1 {
+                self.keep_only_own(position);
+            }
+            if added >> position & 1 == 1 {
+                recent.iter().for_each(|member| {
+                    self.pending[position].insert(*member);
+                });
+            }
+        }
+    }
+
+    /// Whether anything is to be told.
+    pub(crate) fn has_work(&self) -> bool {
+        self.pending.iter().any(|pending| !pending.is_empty())
+    }
+
+    /// The messages of a round, by position: one for each neighbour as far as the allowance goes.
+    pub(crate) fn round(&mut self, now: Duration, table: &RegisterTable) -> Vec<(usize, Message)> {
+        let neighbours = self.pending.len();
+        let mut messages = Vec::new();
+        for turn in 0..neighbours {
+            let position = (self.first + turn) % neighbours;
+            if self.pending[position].is_empty() {
+                continue;
+            }
+            let Some(message) = self.next_message(now, position, table) else {
+                self.first = position;
+                return messages;
+            };
+            messages.push((position, message));
+        }
+        messages
+    }
+
+    fn next_message(&mut self, now: Duration, position: usize, table: &RegisterTable) -> Option<Message> {
+        let cursor = self.cursors[position];
+        let mut members = self.pending[position].take_from(cursor, MOST_REGISTERS);
+        let last = *members.last()?;
+        members.sort_unstable();
+        let message = Message::Registers(members.iter().map(|member| table.entry(*member)).collect());
+        if !self.allowance.take(now, message.encode().len()) {
+            return None;
+        }
+        members.iter().for_each(|member| self.pending[position].remove(*member));
+        self.cursors[position] = last.saturating_add(1);
+        Some(message)
+    }
+
+    fn keep_only_own(&mut self, position: usize) {
+        let had_own = self.pending[position].contains(self.me);
+        self.pending[position].clear();
+        if had_own {
+            self.pending[position].insert(self.me);
+        }
+    }
+
+    fn is_relay(&self, position: usize) -> bool {
+        self.relays >> position & 1 == 1
+    }
+}
+
+/// One bit for each neighbour that `me` passes registers on to: the first few that it hears, and those of whose first few it is one.
+/// Both ends of an edge work this out alike.
+fn relays(overlay: &Overlay, me: MemberIndex, unheard: impl Fn(MemberIndex) -> u16) -> u16 {
+    let chosen_here = first_heard(overlay, me, &unheard);
+    let edges = overlay.neighbours(me).iter().zip(overlay.mirrored(me)).enumerate();
+    edges.fold(chosen_here, |bits, (position, (neighbour, mirrored))| {
+        let is_chosen_there = first_heard(overlay, *neighbour, &unheard) >> mirrored & 1;
+        bits | is_chosen_there << position
+    })
+}
+
+/// One bit for each of the first few neighbours of a member to which the edge is not broken.
+fn first_heard(overlay: &Overlay, member: MemberIndex, unheard: &impl Fn(MemberIndex) -> u16) -> u16 {
+    let reported = unheard(member);
+    let edges = overlay.neighbours(member).iter().zip(overlay.mirrored(member)).enumerate();
+    let whole = edges.filter(|(position, (neighbour, mirrored))| {
+        reported >> position & 1 == 0 && unheard(**neighbour) >> **mirrored & 1 == 0
+    });
+    whole.take(RELAYS).fold(0, |bits, (position, _)| bits | 1 << position)
+}
--- /dev/null
+++ b/crates/membership/src/timing.rs
@@ -0,0 +1,60 @@
+//! The periods of the protocol, all worked out from the silence after which a member is reported.
+
+use std::time::Duration;
+
+const HEARTBEATS_IN_SILENCE: u32 = 5;
+const ROUNDS_IN_HEARTBEAT: u32 = 4;
+const HOLD_DOWN_HEARTBEATS: u32 = 2;
+const LISTENING_HEARTBEATS: u32 = 2;
+const LONGEST_HOLD_DOWN_SILENCES: u32 = 8;
+const FLAP_MEMORY_SILENCES: u32 = 64;
+const RECENT_SILENCES: u32 = 2;
+
+/// The periods of the protocol.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Timing {
+    /// How long a neighbour is not heard before it is reported; more than zero.
+    pub silence: Duration,
+}
+
+impl Timing {
+    /// How often a heartbeat is sent to each neighbour.
+    pub fn heartbeat(&self) -> Duration {
+        self.silence / HEARTBEATS_IN_SILENCE
+    }
+
+    /// The shortest time between two rounds of flooding, repair and search.
+    pub(crate) fn round(&self) -> Duration {
+        self.heartbeat() / ROUNDS_IN_HEARTBEAT
+    }
+
+    /// How long a neighbour has to be heard again before the first report on it is taken back.
+    pub(crate) fn first_hold_down(&self) -> Duration {
+        self.heartbeat() * HOLD_DOWN_HEARTBEATS
+    }
+
+    /// The bound on the hold-down of a neighbour that flaps.
+    pub(crate) fn longest_hold_down(&self) -> Duration {
+        self.silence * LONGEST_HOLD_DOWN_SILENCES
+    }
+
+    /// After this time without a report, flaps of a neighbour are forgotten.
+    pub(crate) fn flap_memory(&self) -> Duration {
+        self.silence * FLAP_MEMORY_SILENCES
+    }
+
+    /// A gap of the own clock from which the process counts as stalled.
+    pub(crate) fn stall(&self) -> Duration {
+        self.silence / 2
+    }
+
+    /// How long a process that was stalled listens before it reports anybody.
+    pub(crate) fn listening(&self) -> Duration {
+        self.heartbeat() * LISTENING_HEARTBEATS
+    }
+
+    /// Registers replaced within this time are told to a neighbour that takes the place of another.
+    pub(crate) fn recent(&self) -> Duration {
+        self.silence * RECENT_SILENCES
+    }
+}
