--- a/crates/membership/src/hearing.rs
+++ b/crates/membership/src/hearing.rs
@@ -9,10 +9,25 @@
     last_heard: Duration,
     /// Since when a reported neighbour has been heard again.
     answering_since: Option<Duration>,
-    last_report: Option<Duration>,
+    last_flap: Option<Duration>,
     hold_down: Duration,
 }
 
+impl Neighbour {
+    /// The hold-down doubles with each flap; the first, and the first for a long time, has the shortest.
+    fn count_flap(&mut self, now: Duration, timing: &Timing) {
+        let is_remembered =
+            self.last_flap.is_some_and(|last| now.saturating_sub(last) < timing.flap_memory());
+        self.hold_down = if is_remembered {
+            (self.hold_down * 2).min(timing.longest_hold_down())
+        } else {
+            timing.first_hold_down()
+        };
+        self.last_flap = Some(now);
+        self.answering_since = None;
+    }
+}
+
 /// The neighbours by position in the overlay, and which of them are reported as not heard.
 pub(crate) struct Hearing {
     timing: Timing,
@@ -28,7 +43,7 @@
         let neighbour = || Neighbour {
             last_heard: now,
             answering_since: None,
-            last_report: None,
+            last_flap: None,
             hold_down: timing.first_hold_down(),
         };
         Self {
@@ -72,44 +87,43 @@
     pub(crate) fn restarted(&mut self, position: usize) {
         let neighbour = &mut self.neighbours[position];
         neighbour.hold_down = self.timing.first_hold_down();
-        neighbour.last_report = None;
+        neighbour.last_flap = None;
     }
 
     /// Makes the reports that are due and takes back those whose hold-down is over; true: the bits have changed.
     pub(crate) fn review(&mut self, now: Duration) -> bool {
         let before = self.unheard;
+        let is_listening = now < self.listening_until;
         for position in 0..self.neighbours.len() {
             let is_silent = now.saturating_sub(self.neighbours[position].last_heard) >= self.timing.silence;
             match (self.hears(position), is_silent) {
-                (true, true) => self.report(now, position),
-                (false, false) => self.take_back(now, position),
-                (true, false) | (false, true) => {}
+                (false, false) => self.take_back(position),
+                (true, true) if !is_listening => self.report(now, position),
+                (false, true) if !is_listening => self.fell_silent_again(now, position),
+                _ => {}
             }
         }
         self.unheard != before
     }
 
     fn report(&mut self, now: Duration, position: usize) {
-        if now < self.listening_until {
-            return;
-        }
-        let neighbour = &mut self.neighbours[position];
-        let first = self.timing.first_hold_down();
-        neighbour.hold_down = match neighbour.last_report {
-            Some(last) if now.saturating_sub(last) < self.timing.flap_memory() => {
-                (neighbour.hold_down * 2).min(self.timing.longest_hold_down())
-            }
-            _ => first,
-        };
-        neighbour.last_report = Some(now);
-        neighbour.answering_since = None;
+        self.neighbours[position].count_flap(now, &self.timing);
         self.unheard |= bit(position);
     }
 
-    fn take_back(&mut self, now: Duration, position: usize) {
+    /// A reported neighbour that answered and stopped has flapped too, although the report was not taken back.
+    fn fell_silent_again(&mut self, now: Duration, position: usize) {
+        let neighbour = &mut self.neighbours[position];
+        if neighbour.answering_since.is_some() {
+            neighbour.count_flap(now, &self.timing);
+        }
+    }
+
+    /// The hold-down counts from frame to frame: the time since the last one proves nothing.
+    fn take_back(&mut self, position: usize) {
         let neighbour = &self.neighbours[position];
-        let answered = neighbour.answering_since.map_or(Duration::ZERO, |since| now.saturating_sub(since));
-        if neighbour.answering_since.is_some() && answered >= neighbour.hold_down {
+        let Some(since) = neighbour.answering_since else { return };
+        if neighbour.last_heard.saturating_sub(since) >= neighbour.hold_down {
             self.unheard &= !bit(position);
         }
     }
@@ -118,3 +132,7 @@
 fn bit(position: usize) -> u16 {
     1 << position
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/hearing.rs"]
+mod tests;
--- /dev/null
+++ b/crates/membership/tests/bad_messages.rs
@@ -0,0 +1,209 @@
+//! Messages that are lost, doubled, late, out of order, of a former incarnation or not valid.
+
+mod support;
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use lotussaddle_membership::{MemberRegister, Membership, Message, MessageError, Overlay, Register, Timing};
+use support::SILENCE;
+use support::random::TestRandom;
+use support::simulation::Simulation;
+
+const SEED: u64 = 37;
+
+fn spoil(fleet: &mut Simulation) {
+    fleet.network.loss_percent = 5;
+    fleet.network.doubled_percent = 10;
+    fleet.network.late_percent = 10;
+    fleet.network.latest = Duration::from_millis(600);
+}
+
+fn calm(fleet: &mut Simulation) {
+    fleet.network.loss_percent = 0;
+    fleet.network.doubled_percent = 0;
+    fleet.network.late_percent = 0;
+}
+
+#[test]
+fn with_lost_doubled_and_late_messages_nobody_that_is_up_is_held_gone() {
+    for members in [8, 32, 128] {
+        let mut fleet = Simulation::settled(members, SEED);
+        let dead = members / 2;
+        spoil(&mut fleet);
+        fleet.run_checked(SILENCE * 20, |fleet| assert!(fleet.only_gone(&[]), "{members}"));
+        fleet.kill(dead);
+        fleet.run_checked(SILENCE * 20, |fleet| assert!(fleet.only_gone(&[dead]), "{members}"));
+        assert!(fleet.views_are_right(), "{members}");
+        fleet.start(dead);
+        fleet.run_checked(SILENCE * 20, |fleet| assert!(fleet.only_gone(&[dead]), "{members}"));
+        assert!(fleet.views_are_right(), "{members}");
+    }
+}
+
+#[test]
+fn registers_are_equal_within_eight_silences_of_quiet() {
+    for members in [8, 32, 128] {
+        let mut fleet = Simulation::empty(members, SEED);
+        spoil(&mut fleet);
+        fleet.network.loss_percent = 40;
+        (0..members).for_each(|member| fleet.start(member));
+        for round in 0..10 {
+            fleet.start(round * 7 % members);
+            fleet.run_for(SILENCE / 2);
+        }
+        calm(&mut fleet);
+        fleet.run_for(SILENCE * 8);
+        assert!(fleet.registers_are_equal(), "{members}");
+    }
+}
+
+#[test]
+fn one_change_that_floods_lose_altogether_is_repaired() {
+    for members in [8, 32, 200] {
+        let mut fleet = Simulation::settled(members, SEED);
+        fleet.network.cut_off.insert(members / 2);
+        fleet.start(members / 2);
+        fleet.run_for(SILENCE / 2);
+        fleet.network.cut_off.clear();
+        let equal = fleet.run_until(SILENCE * 8, Simulation::registers_are_equal);
+        assert!(equal.is_some(), "{members}");
+        let incarnation = fleet.incarnation(members / 2);
+        let register = fleet.membership(0).register((members / 2) as u16).expect("it is known");
+        assert_eq!(register.incarnation, incarnation, "{members}");
+    }
+}
+
+#[test]
+fn the_word_of_a_former_incarnation_never_counts() {
+    let mut fleet = Simulation::settled(32, SEED);
+    let member = 9;
+    let former = *fleet.membership(member).register(member as u16).expect("its own");
+    let lying = Register { sequence: 1_000_000, unheard: 0b11, caught_up: false, ..former };
+    fleet.kill(member);
+    fleet.run_for(SILENCE * 2);
+    fleet.start(member);
+    fleet.run_for(SILENCE * 2);
+    let neighbours = fleet.overlay.neighbours(member as u16).to_vec();
+    let message = Message::Registers(vec![MemberRegister { member: member as u16, register: lying }]);
+    for neighbour in neighbours.iter().map(|neighbour| usize::from(*neighbour)) {
+        fleet.inject(neighbour, member, &message);
+        fleet.inject(member, neighbour, &message);
+    }
+    fleet.run_checked(SILENCE * 3, |fleet| {
+        assert!(fleet.views_are_right());
+        for observer in 0..fleet.members() {
+            let register = fleet.membership(observer).register(member as u16).expect("it is known");
+            assert_eq!(register.incarnation, fleet.incarnation(member));
+            assert!(register.caught_up);
+        }
+    });
+}
+
+#[test]
+fn a_member_that_hears_its_own_present_word_changed_says_it_anew() {
+    let mut fleet = Simulation::settled(32, SEED);
+    let member = 9;
+    let own = *fleet.membership(member).register(member as u16).expect("its own");
+    let lying = Register { sequence: own.sequence + 5, unheard: 0b11, caught_up: false, ..own };
+    let neighbour = usize::from(fleet.overlay.neighbours(member as u16)[0]);
+    fleet.inject(neighbour, member, &Message::Registers(vec![MemberRegister { member: 9, register: lying }]));
+    fleet.run_for(SILENCE * 2);
+    for observer in 0..fleet.members() {
+        let register = fleet.membership(observer).register(9).expect("it is known");
+        assert_eq!((register.unheard, register.caught_up), (0, true));
+        assert!(register.sequence > lying.sequence);
+    }
+}
+
+#[test]
+fn a_message_of_a_former_start_that_comes_late_changes_nothing() {
+    let overlay = Arc::new(Overlay::new(8, 1).expect("an overlay"));
+    let timing = Timing { silence: SILENCE };
+    let mut observer = Membership::new(Duration::ZERO, 0, overlay, timing);
+    let register = |incarnation, sequence, caught_up| {
+        let register = Register { incarnation, sequence, unheard: 0, caught_up };
+        Message::Registers(vec![MemberRegister { member: 3, register }])
+    };
+    let now = Duration::from_millis(10);
+    assert_eq!(observer.received(now, 3, &register(7, 4, false)), Ok(vec![3]));
+    assert_eq!(observer.received(now, 3, &register(7, 4, false)), Ok(vec![]), "it is doubled");
+    assert_eq!(observer.received(now, 2, &register(7, 3, true)), Ok(vec![]), "it is late");
+    assert_eq!(observer.received(now, 2, &register(6, 9, true)), Ok(vec![]), "it is of a former start");
+    assert_eq!(observer.received(now, 2, &register(7, 5, true)), Ok(vec![3]));
+    assert_eq!(observer.register(3).map(|register| register.sequence), Some(5));
+    assert_eq!(observer.received(now, 2, &register(8, 1, true)), Ok(vec![3]));
+}
+
+#[test]
+fn messages_that_do_not_fit_the_fleet_are_refused_and_change_nothing() {
+    let overlay = Arc::new(Overlay::new(100, 1).expect("an overlay"));
+    let neighbour = overlay.neighbours(0)[0];
+    let stranger = (1..100).find(|member| !overlay.neighbours(0).contains(member)).expect("a stranger");
+    let timing = Timing { silence: SILENCE };
+    let mut observer = Membership::new(Duration::ZERO, 0, Arc::clone(&overlay), timing);
+    let entry = |member, unheard, incarnation| MemberRegister {
+        member,
+        register: Register { incarnation, sequence: 1, unheard, caught_up: true },
+    };
+    let good = entry(3, 0, 1);
+    let cases = [
+        (stranger, Message::Heartbeat { digest: 0 }, MessageError::NotANeighbour(stranger)),
+        (0, Message::Heartbeat { digest: 0 }, MessageError::NotANeighbour(0)),
+        (neighbour, Message::Registers(vec![good, entry(100, 0, 1)]), MessageError::UnknownMember(100)),
+        (neighbour, Message::Registers(vec![good, entry(4, 1 << 10, 1)]), MessageError::BadRegister(4)),
+        (neighbour, Message::Registers(vec![good, entry(4, 0, 0)]), MessageError::BadRegister(4)),
+        (neighbour, Message::BucketDigests(vec![1]), MessageError::WrongBucketCount(1)),
+        (neighbour, Message::BucketDigests(vec![1; 3]), MessageError::WrongBucketCount(3)),
+        (neighbour, Message::BucketRequest(vec![0, 2]), MessageError::WrongBucket(2)),
+        (neighbour, Message::Bucket { bucket: 2, registers: vec![] }, MessageError::WrongBucket(2)),
+        (neighbour, Message::Bucket { bucket: 1, registers: vec![good] }, MessageError::WrongBucket(1)),
+    ];
+    for (from, message, error) in cases {
+        assert_eq!(observer.received(SILENCE, from, &message), Err(error), "{message:?}");
+        assert!(!error.to_string().is_empty());
+        assert!(observer.register(3).is_none(), "{message:?} was half applied");
+    }
+    assert_eq!(observer.received(SILENCE, neighbour, &Message::Registers(vec![good])), Ok(vec![3]));
+}
+
+#[test]
+fn drawn_messages_neither_panic_nor_stop_the_clock() {
+    let overlay = Arc::new(Overlay::new(200, 1).expect("an overlay"));
+    let neighbours = overlay.neighbours(0).to_vec();
+    let mut observer = Membership::new(Duration::ZERO, 0, overlay, Timing { silence: SILENCE });
+    observer.set_self(Duration::ZERO, 5, true);
+    let mut random = TestRandom::new(SEED);
+    let mut applied = 0;
+    for step in 0..200_000u64 {
+        let now = Duration::from_millis(step);
+        let tag = random.below(6) as u8;
+        let length = random.below(12);
+        let mut bytes = vec![tag];
+        bytes.extend((0..length).map(|_| random.below(64) as u8));
+        let from = neighbours[random.below(neighbours.len() as u64) as usize];
+        if let Ok(message) = Message::decode(&bytes) {
+            applied += usize::from(observer.received(now, from, &message).is_ok());
+        }
+        if observer.next_due() <= now {
+            observer.tick(now);
+            assert!(observer.next_due() > now);
+        }
+    }
+    assert!(applied > 1_000, "{applied} messages were applied");
+}
+
+#[test]
+fn a_later_incarnation_of_this_name_is_kept_and_not_overwritten() {
+    let overlay = Arc::new(Overlay::new(8, 1).expect("an overlay"));
+    let mut member = Membership::new(Duration::ZERO, 0, overlay, Timing { silence: SILENCE });
+    member.set_self(Duration::ZERO, 5, true);
+    let register = Register { incarnation: 9, sequence: 1, unheard: 0, caught_up: false };
+    let other = Message::Registers(vec![MemberRegister { member: 0, register }]);
+    assert_eq!(member.received(Duration::ZERO, 1, &other), Ok(vec![0]));
+    member.set_self(Duration::ZERO, 5, false);
+    member.set_self(Duration::ZERO, 4, false);
+    assert_eq!(member.register(0), Some(&register));
+    member.set_self(Duration::ZERO, 10, false);
+    assert_eq!(member.register(0).map(|register| register.incarnation), Some(10));
+}
