--- /dev/null
+++ b/crates/membership/tests/memory.rs
@@ -0,0 +1,81 @@
+//! Heap of one member, counted by the allocator. One test, so that no other thread's allocations are counted.
+
+use std::alloc::{GlobalAlloc, Layout, System};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::time::Duration;
+
+use lotussaddle_membership::{MemberIndex, MemberRegister, Membership, Message, Overlay, Register, Timing};
+
+const MEMBERS: usize = 4_100;
+const MOST_BYTES_OF_A_MEMBER: usize = 200_000;
+const MOST_BYTES_OF_THE_OVERLAY: usize = 200_000;
+const ME: MemberIndex = 17;
+
+static IN_USE: AtomicUsize = AtomicUsize::new(0);
+static MOST_IN_USE: AtomicUsize = AtomicUsize::new(0);
+
+struct Counting;
+
+// SAFETY: all calls go to the system's allocator unchanged; only sizes are counted.
+unsafe impl GlobalAlloc for Counting {
+    unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
+        let in_use = IN_USE.fetch_add(layout.size(), Ordering::Relaxed) + layout.size();
+        MOST_IN_USE.fetch_max(in_use, Ordering::Relaxed);
+        // SAFETY: the caller keeps to the rules of `alloc`.
+        unsafe { System.alloc(layout) }
+    }
+
+    unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
+        IN_USE.fetch_sub(layout.size(), Ordering::Relaxed);
+        // SAFETY: the caller keeps to the rules of `dealloc`.
+        unsafe { System.dealloc(pointer, layout) }
+    }
+}
+
+#[global_allocator]
+static ALLOCATOR: Counting = Counting;
+
+fn in_use() -> usize {
+    IN_USE.load(Ordering::Relaxed)
+}
+
+/// A neighbour tells registers of all members, whole buckets of digests that differ, and asks for buckets.
+fn fill(member: &mut Membership, now: Duration, incarnation: u64) {
+    let from = member.overlay().neighbours(ME)[0];
+    for start in (0..MEMBERS).step_by(50) {
+        let members = (start..(start + 50).min(MEMBERS)).map(|index| index as MemberIndex);
+        let register = Register { incarnation, sequence: 1, unheard: 0, caught_up: true };
+        let entries = members.map(|member| MemberRegister { member, register }).collect();
+        member.received(now, from, &Message::Registers(entries)).expect("it is valid");
+    }
+    for neighbour in member.overlay().neighbours(ME).to_vec() {
+        let digests = Message::BucketDigests(vec![7; MEMBERS.div_ceil(64)]);
+        member.received(now, neighbour, &digests).expect("it is valid");
+        member.received(now, neighbour, &Message::BucketRequest(vec![1, 2])).expect("it is valid");
+        member.received(now, neighbour, &Message::Heartbeat { digest: 0 }).expect("it is valid");
+    }
+}
+
+#[test]
+fn a_member_of_4100_keeps_within_its_bound() {
+    let before = in_use();
+    let overlay = Arc::new(Overlay::new(MEMBERS, 1).expect("an overlay"));
+    let of_overlay = in_use() - before;
+    let before = in_use();
+    MOST_IN_USE.store(before, Ordering::Relaxed);
+    let mut member = Membership::new(Duration::ZERO, ME, overlay, Timing { silence: Duration::from_secs(1) });
+    member.set_self(Duration::ZERO, 1 << 24, true);
+    for round in 0..100u64 {
+        let now = Duration::from_millis(round * 200);
+        fill(&mut member, now, (round + 2) << 24);
+        drop(member.tick(now));
+    }
+    let at_rest = in_use() - before;
+    let most = MOST_IN_USE.load(Ordering::Relaxed) - before;
+    println!("{at_rest} bytes of a member, {most} at most, and {of_overlay} of the overlay");
+    assert!(member.register(4_000).is_some());
+    assert!(at_rest > 50_000, "the allocator did not count");
+    assert!(most < MOST_BYTES_OF_A_MEMBER, "a member had {most} bytes");
+    assert!(of_overlay < MOST_BYTES_OF_THE_OVERLAY, "the overlay has {of_overlay} bytes");
+}
