--- a/crates/day/src/plan.rs
+++ b/crates/day/src/plan.rs
@@ -265,6 +265,7 @@
                 strictly: fleet.figures.strictly,
                 stores: fleet.stores,
                 line_within_s: self.line_within(fleet).as_secs_f64(),
+                members: self.edges,
             }),
         }
     }
--- a/crates/day/src/virt.rs
+++ b/crates/day/src/virt.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use anyhow::Result;
+use anyhow::{Result, bail};
 use lotussaddle::brain::Brain;
 use lotussaddle::interface::{DialogueId, RoutePlan};
 use lotussaddle_edge::{Decisions, Edge, Limits, LinkId, Note, Step, Wires};
@@ -26,6 +26,9 @@
 /// How long an answer waits for its record at most.
 pub const RECORD_WITHIN: Duration = Duration::from_millis(20);
 
+/// A day whose clock does not move for so many steps would never end.
+const MOST_STEPS_AT_ONE_TIME: usize = 100_000;
+
 /// What an edge proxy is brought while it stands still.
 enum Input {
     Linked(u64),
@@ -423,8 +426,14 @@
     day: &Day, play: &Play, decisions: impl Fn(RoutePlan, u64) -> D,
 ) -> Result<Played> {
     let mut driver = Driver::new(day, play.clone(), decisions);
+    let mut steps_at_this_time = 0;
     while !driver.world.is_over() {
+        let before = driver.now;
         driver.step();
+        steps_at_this_time = if driver.now > before { 0 } else { steps_at_this_time + 1 };
+        if steps_at_this_time > MOST_STEPS_AT_ONE_TIME {
+            bail!("the day stands still at {:?}: something is always due", driver.now);
+        }
     }
     Ok(driver.finish())
 }
--- a/crates/day/tests/fleet_days.rs
+++ b/crates/day/tests/fleet_days.rs
@@ -88,6 +88,41 @@
     day
 }
 
+/// Up to a quarter of the members, drawn.
+fn any_part(rng: &mut Pcg64Mcg, members: usize) -> Who {
+    let count = rng.random_range(1..=members / 4);
+    Who::These((0..count).map(|_| rng.random_range(0..members)).collect())
+}
+
+/// The same fault for other members; faults of core servers stay as they are.
+fn at(who: Who, kind: Kind) -> Kind {
+    match kind {
+        Kind::Kill { .. } => Kind::Kill { who },
+        Kind::Stall { each, every, .. } => Kind::Stall { who, each, every },
+        Kind::Rift { rift, .. } => Kind::Rift { rift, who },
+        Kind::Store { disk, .. } => Kind::Store { disk, who },
+        Kind::FullDisk { .. } => Kind::FullDisk { who },
+        Kind::Clock { rate, wall, .. } => Kind::Clock { who, rate, wall },
+        other => other,
+    }
+}
+
+/// A short day of a fleet so large that a member has not all others as neighbours, with faults of up to a quarter of it over each
+/// other; every other seed has duties.
+fn drawn_large(members: usize, seed: u64) -> Day {
+    let mut rng = Pcg64Mcg::seed_from_u64(seed ^ (members as u64) << 32);
+    let mut day = if seed.is_multiple_of(2) { with_duties(seed) } else { drawn(seed) };
+    (day.edges, day.lasts) = (members, MS * 5000);
+    day.plan.proxies = members as u32;
+    day.troubles.clear();
+    for _ in 0..rng.random_range(2..5) {
+        let kind = any_trouble(&mut rng, members);
+        let kind = at(any_part(&mut rng, members), kind);
+        day.troubles.push(trouble(rng.random_range(500..3000), rng.random_range(200..2000), kind));
+    }
+    day
+}
+
 /// What is wrong with a day that was played; none: nothing.
 fn wrong(played: &Played) -> Option<String> {
     let breaks = played.verdict.breaks.iter().map(|found| {
@@ -171,6 +206,48 @@
     play_all(seeds(40), with_duties);
 }
 
+#[test]
+fn faults_over_each_other_in_fleets_of_12_24_and_48_break_no_rule() {
+    play_all(seeds(16), |seed| drawn_large(12, seed));
+    play_all(seeds(4), |seed| drawn_large(24, seed));
+    play_all(seeds(1), |seed| drawn_large(48, seed));
+}
+
+/// A third of the members are cut off from the others, and later killed all at once: those on the side of the majority are not held
+/// gone, and the others are.
+#[test]
+fn of_a_large_fleet_that_is_cut_in_two_the_smaller_part_is_held_gone() {
+    for members in [12, 24] {
+        let part: Vec<usize> = (0..members / 3).collect();
+        for kind in [Kind::Rift { rift: Rift::Cut, who: these(&part) }, Kind::Kill { who: these(&part) }] {
+            let mut day = calm();
+            (day.edges, day.lasts) = (members, MS * 6000);
+            day.plan.proxies = members as u32;
+            day.troubles = vec![trouble(2500, 2000, kind)];
+            let played = play(&day).unwrap();
+            kept(&played, &format!("{members} members, a third struck"));
+            let gone = held_gone(&played);
+            let at_rest = (members / 3..members).flat_map(|by| part.iter().map(move |of| (by, *of)));
+            let missing: Vec<(usize, usize)> = at_rest.filter(|pair| !gone.contains(pair)).collect();
+            assert!(missing.is_empty(), "{members}: not held gone: {missing:?}");
+            let wrong: Vec<_> =
+                gone.iter().filter(|(by, of)| part.contains(by) || !part.contains(of)).collect();
+            assert!(wrong.is_empty(), "{members}: held gone without a majority, or alive: {wrong:?}");
+        }
+    }
+}
+
+/// Who holds whom gone at some time, as members logged it.
+fn held_gone(played: &Played) -> std::collections::BTreeSet<(usize, usize)> {
+    let place = |name: &str| name.strip_prefix("edge-").and_then(|place| place.parse().ok());
+    let pair = |line: &String| {
+        let (by, said) = line.split_once(" fleet: member ")?;
+        let of = said.strip_suffix(" is not heard by a majority")?;
+        place(by.split_whitespace().last()?).zip(place(of))
+    };
+    played.logs.iter().filter_map(pair).collect()
+}
+
 /// Two of five are killed for good, whichever they are, and with them the only copies of what stood at either: those lines are
 /// freed by whoever holds the duty, and by nobody else.
 #[test]
@@ -273,6 +350,9 @@
         kept(&play(&drawn(seed)).unwrap(), &format!("seed {seed}"));
     }
     kept(&play(&with_duties(41_078)).unwrap(), "seed 41078 with duties");
+    for seed in [17, 23] {
+        kept(&play(&drawn_large(12, seed)).unwrap(), &format!("seed {seed} with 12 members"));
+    }
 }
 
 #[test]
@@ -300,7 +380,12 @@
 fn one_seed() {
     let seed = std::env::var("LOTUSSADDLE_SEED").unwrap().parse().unwrap();
     let about = std::env::var("LOTUSSADDLE_ABOUT").unwrap_or_default();
-    let day = if std::env::var("LOTUSSADDLE_DUTIES").is_ok() { with_duties(seed) } else { drawn(seed) };
+    let members = std::env::var("LOTUSSADDLE_MEMBERS").ok().and_then(|members| members.parse().ok());
+    let day = match members {
+        Some(members) => drawn_large(members, seed),
+        None if std::env::var("LOTUSSADDLE_DUTIES").is_ok() => with_duties(seed),
+        None => drawn(seed),
+    };
     let played = play(&day).unwrap();
     println!("{:?}", wrong(&played));
     for line in &played.lines {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -6,6 +6,7 @@
 //! [`Plan`], then at [`Member`].
 
 mod duties;
+mod link_liveness;
 mod lives;
 mod member;
 mod membership_view;
@@ -19,7 +20,7 @@
 pub use duties::{CIRCUITS, Duty, DutyPlan, NAMES, PUBLISH, SWEEP};
 pub use lives::{Agreed, Lives, start_of};
 pub use member::{Counts, Effects, Finding, Member, Save, Stored};
-pub use membership_view::{MemberSet, MembershipView};
+pub use membership_view::{MemberSet, MembershipMessage, MembershipView};
 pub use peers::{PeerLink, Peers};
 pub use plan::Plan;
 pub use redial::{Begin, RedialAction, Redials, Verdict};
--- a/crates/fleet/src/lives.rs
+++ b/crates/fleet/src/lives.rs
@@ -101,6 +101,11 @@
         self.witnessed(highest)
     }
 
+    /// Whether a peer has said what it knows of this member's lives.
+    pub fn has_told(&self, peer: u16) -> bool {
+        self.told.has(peer)
+    }
+
     /// This life of this member is known of elsewhere. True: it is a later one than this process's, which has none any more.
     pub fn witnessed(&mut self, life: u64) -> bool {
         self.is_known(life);
--- a/crates/fleet/src/member/background.rs
+++ b/crates/fleet/src/member/background.rs
@@ -77,7 +77,7 @@
             if !copy.owner().is_some_and(|owner| self.takeovers.is_ended(owner)) {
                 continue;
             }
-            let live = |member: u16| !self.view.gone(now, member) && self.view.hears(now, member);
+            let live = |member: u16| !self.view.gone(member);
             let first = self.book.group().candidates(print(id)).iter().find(|member| live(*member));
             actions.extend(self.takeovers.look(now, id, copy, first, life));
         }
--- a/crates/fleet/src/member/dispatch.rs
+++ b/crates/fleet/src/member/dispatch.rs
@@ -8,14 +8,15 @@
 use super::interface::{Effects, Finding};
 use super::repair::RepairStep;
 use crate::lives::Agreed;
-use crate::membership_view::MemberSet;
 use crate::peers::{Known, PeerLink, Way};
 
 impl Member {
     /// A frame came on a peer link.
     pub fn heard(&mut self, now: Duration, link: PeerLink, frame: Frame, effects: &mut dyn Effects) {
         self.now = now;
-        let Some(known) = self.peers.links.get(&link).cloned() else { return };
+        let Some(known) = self.peers.links.get_mut(&link) else { return };
+        known.liveness.received();
+        let known = known.clone();
         match frame {
             Frame::Ping { nonce } => drop(self.tell(link, Frame::Pong { nonce }, effects)),
             Frame::Pong { .. } => {}
@@ -46,16 +47,11 @@
             Peer::NewLife { life } => self.life_asked(link, member, life, effects),
             Peer::Life { life, given, highest } => {
                 if let Agreed::New { life, fresh } = self.lives.answered(member, life, given, highest) {
-                    self.begin_life(life, fresh, effects);
-                }
-            }
-            Peer::Beat { life, hears, caught_up, saved } => {
-                self.view.saved(member, saved);
-                self.view.heartbeat(member, MemberSet::of(hears), caught_up);
-                if life > 0 && life >= self.view.life(member) {
-                    self.peer_lives(member, life, effects);
+                    self.begin_life(life, fresh && self.has_neighbour_told(), effects);
                 }
             }
+            Peer::Membership { message } => self.membership_came(link, member, &message, effects),
+            Peer::DiskCount { saved } => self.view.saved(member, saved),
             Peer::Copies { life, first, copies } => self.copies_came(member, life, first, &copies, effects),
             Peer::Kept { life, up_to, saved, replaced } if life == self.lives.mine() => {
                 self.view.saved(member, saved);
@@ -116,4 +112,16 @@
         }
         debug_assert!(place < self.incoming.len());
     }
+
+    fn membership_came(&mut self, link: PeerLink, from: u16, message: &[u8], effects: &mut dyn Effects) {
+        match self.view.received(self.now, from, message) {
+            Ok(changed) => {
+                let me = self.plan.me;
+                for member in changed.into_iter().filter(|member| *member != me) {
+                    self.register_tells_life(member, effects);
+                }
+            }
+            Err(error) => self.close(link, &format!("said what is wrong about membership: {error}"), effects),
+        }
+    }
 }
--- a/crates/fleet/src/member/duty_acts.rs
+++ b/crates/fleet/src/member/duty_acts.rs
@@ -93,7 +93,8 @@
             }
         }
         let heard = || -> Vec<(u16, u64)> {
-            let all = (0..self.plan.members.len() as u16).filter(|member| self.view.hears(now, *member));
+            let all =
+                (0..self.plan.members.len() as u16).filter(|member| *member == me || self.reaches(*member));
             let life = |member: u16| if member == me { self.lives.mine() } else { self.view.life(member) };
             all.map(|member| (member, life(member))).filter(|(_, life)| *life > 0).collect()
         };
--- a/crates/fleet/src/member/incarnations.rs
+++ b/crates/fleet/src/member/incarnations.rs
@@ -38,6 +38,9 @@
         if self.plan.members.len() == 1 && self.lives.mine() == 0 {
             return; // Nobody is there to agree, nor to keep copies.
         }
+        if !self.has_neighbour_majority_told() && self.now < self.neighbours_tell_by {
+            return;
+        }
         if let Some(life) = self.lives.ask(self.now) {
             self.order(vec![Save::Asked(life)], effects);
             for member in 0..self.plan.members.len() as u16 {
@@ -48,6 +51,22 @@
         }
     }
 
+    fn neighbours_that_told(&self) -> usize {
+        self.view.neighbours().iter().filter(|neighbour| self.lives.has_told(**neighbour)).count()
+    }
+
+    /// Of this member and its neighbours more than half have said what they know of its former life. Neighbours alone hear regularly
+    /// how many writes its disk has had.
+    fn has_neighbour_majority_told(&self) -> bool {
+        let group = self.view.neighbours().len() + 1;
+        self.neighbours_that_told() + 1 > group / 2
+    }
+
+    /// A neighbour has said what it knows of this member's former life: without one nobody can tell whether its disk is old.
+    pub(super) fn has_neighbour_told(&self) -> bool {
+        self.neighbours_that_told() > 0
+    }
+
     pub(super) fn life_asked(&mut self, link: PeerLink, member: u16, life: u64, effects: &mut dyn Effects) {
         let (given, highest) = self.lives.asked(member, self.view.life(member), life);
         if !given {
@@ -108,7 +127,7 @@
         }
         // A former life of this member left something behind, perhaps.
         self.takeovers.ended(self.now, self.plan.me, life - 1);
-        self.heartbeat_at = self.now;
+        self.view.set_self(self.now, life, self.caught_up());
     }
 
     /// This process has no life until it gets a new one: nothing is copied under the old one.
@@ -127,6 +146,14 @@
         }
     }
 
+    /// A member's register may tell a later life of it than was known.
+    pub(super) fn register_tells_life(&mut self, member: u16, effects: &mut dyn Effects) {
+        let life = self.view.registered_life(member);
+        if life > self.view.life(member) {
+            self.peer_lives(member, life, effects);
+        }
+    }
+
     /// A peer is in this life.
     pub(super) fn peer_lives(&mut self, member: u16, life: u64, effects: &mut dyn Effects) {
         let before = self.view.life(member);
@@ -138,7 +165,10 @@
         } else if self.incoming[usize::from(member)].life != life {
             self.resume(member, effects);
         }
-        self.takeovers.returned(member, life);
+        // One that is held gone stays so until the view has it back.
+        if !self.was_gone.has(member) {
+            self.takeovers.returned(member, life);
+        }
         if life > 0 {
             // What it left in lives before this one is nobody's.
             let ended = life - 1;
--- a/crates/fleet/src/member/links.rs
+++ b/crates/fleet/src/member/links.rs
@@ -7,12 +7,20 @@
 
 use super::Member;
 use super::interface::Effects;
+use super::search::is_reached;
+use crate::link_liveness::LinkCheck;
 use crate::lives::start_of;
 use crate::peers::{Known, PeerLink, Way};
 
 /// Clocks may differ by so much over an absence before one is taken to have stood still, in parts of it, and in itself.
 pub(super) const STOOD_STILL: Duration = Duration::from_secs(5);
 
+/// A link over which nothing comes regularly is taken as dead when nothing has followed what was sent for so long, and two silences.
+const ANSWER_WITHIN: Duration = Duration::from_secs(2);
+
+/// The number of a ping; who answers is told by the link.
+const PROBE: u64 = 0;
+
 impl Member {
     /// A link has come in where peers come in.
     pub fn linked(&mut self, now: Duration, link: PeerLink) {
@@ -39,15 +47,23 @@
 
     pub(super) fn say_here(&mut self, link: PeerLink, member: u16, effects: &mut dyn Effects) {
         let yours = self.view.life(member).max(self.lives.given_to(member));
-        let away = (self.view.life(member) > 0).then(|| self.view.away(self.now, member));
+        // Only neighbours send regularly, so that only what they tell is how long it was away.
+        let was_heard = self.view.life(member) > 0 && self.view.is_neighbour(member);
+        let away = was_heard.then(|| self.view.away(self.now, member));
         let saved = self.view.most_saved(member);
         let (group, me, life) = (self.group, self.plan.me, self.lives.mine());
+        if let Some(known) = self.peers.links.get_mut(&link) {
+            known.told_life = Some(life);
+        }
         let here = Peer::Here { group, member: me, life, yours, saved, away };
         self.tell(link, Frame::Peer(here), effects);
     }
 
     /// Closes a link that cannot take what is said: what was to be said is not lost in silence.
     pub(super) fn tell(&mut self, link: PeerLink, frame: Frame, effects: &mut dyn Effects) -> bool {
+        if let Some(known) = self.peers.links.get_mut(&link) {
+            known.liveness.sent(self.now, &frame);
+        }
         let said = effects.send(link, frame);
         if !said {
             self.close(link, "its queue is full", effects);
@@ -62,6 +78,47 @@
         }
     }
 
+    /// Asks whether the link to a member that is no neighbour is still there: a new one from the same member says that it may not be.
+    fn probe_link_to(&mut self, member: u16, effects: &mut dyn Effects) {
+        if self.view.is_neighbour(member) {
+            return; // Heartbeats tell.
+        }
+        if let Some(link) = self.peers.to(member) {
+            self.tell(link, Frame::Ping { nonce: PROBE }, effects);
+        }
+    }
+
+    /// Closes links that are dead, and asks over those that may be.
+    pub(super) fn review_links(&mut self, effects: &mut dyn Effects) {
+        for member in 0..self.plan.members.len() as u16 {
+            let Some(link) = self.peers.to(member) else { continue };
+            match self.check_link(link, member) {
+                LinkCheck::Idle => {}
+                LinkCheck::Ping => drop(self.tell(link, Frame::Ping { nonce: PROBE }, effects)),
+                LinkCheck::Dead => {
+                    self.close(link, "silent, taken as dead", effects);
+                    // The other side may hold it for alive, and would not begin another.
+                    self.peers.knock_again(member);
+                }
+            }
+        }
+    }
+
+    fn check_link(&self, link: PeerLink, member: u16) -> LinkCheck {
+        let silence = self.plan.silence;
+        if self.view.is_neighbour(member) {
+            let is_dead = self.view.away(self.now, member) >= silence * 2;
+            return if is_dead { LinkCheck::Dead } else { LinkCheck::Idle };
+        }
+        let Some(known) = self.peers.links.get(&link) else { return LinkCheck::Idle };
+        known.liveness.check(self.now, silence / 2, (silence * 2).max(ANSWER_WITHIN))
+    }
+
+    /// Whether what is said to a member now reaches it, as far as is known: there is a link, and it is heard.
+    pub(super) fn reaches(&self, member: u16) -> bool {
+        is_reached(&self.peers, &self.view, self.now, member)
+    }
+
     /// A link has gone, or did not come up.
     pub fn lost(&mut self, now: Duration, link: PeerLink, why: &str, effects: &mut dyn Effects) {
         self.now = now;
@@ -149,7 +206,10 @@
             known.way = Way::Here;
         }
         match self.peers.seated(link, member) {
-            Some(closed) if closed == link => return self.close(link, "there is a link already", effects),
+            Some(closed) if closed == link => {
+                self.probe_link_to(member, effects);
+                return self.close(link, "there is a link already", effects);
+            }
             Some(before) => {
                 effects.close(before, "another link of the same member");
                 self.peers.lost(self.now, before);
@@ -165,6 +225,11 @@
         if life >= self.view.life(member) && life > 0 {
             self.peer_lives(member, life, effects);
         }
+        // A life that began between the greeting and now was told only on links that were up.
+        let told_life = self.peers.links.get(&link).map(|known| known.told_life);
+        if told_life.is_some_and(|told| told != Some(self.lives.mine())) {
+            self.say_here(link, member, effects);
+        }
         self.ask_for_life(effects);
         self.resume(member, effects);
     }
--- a/crates/fleet/src/member/search.rs
+++ b/crates/fleet/src/member/search.rs
@@ -9,11 +9,18 @@
 
 use super::Member;
 use super::interface::Finding;
+use crate::membership_view::MembershipView;
+use crate::peers::Peers;
 use crate::redial::{Begin, RedialAction, Verdict};
 
 /// Questions answered in one turn, at most; whoever gets no answer is not sure.
 pub(super) const MOST_KNOWN: usize = 30_000;
 
+/// Whether what is said to a member now reaches it, as far as is known: there is a link, and it is heard.
+pub(super) fn is_reached(peers: &Peers, view: &MembershipView, now: Duration, member: u16) -> bool {
+    peers.to(member).is_some() && view.hears(now, member)
+}
+
 impl Member {
     /// A dialogue is dialled that was dialled before: what is known of it? Told by [`Finding::Found`].
     pub fn seek(&mut self, now: Duration, id: &DialogueId, cut_off: Duration) {
@@ -55,7 +62,7 @@
             knows &= self.book.promised(id, owner);
         }
         let (peers, view) = (&self.peers, &self.view);
-        let reached = |member: u16| peers.to(member).is_some() && view.hears(now, member);
+        let reached = |member: u16| is_reached(peers, view, now, member);
         let begin = Begin { reached: &reached, knows, known, owner, cut_off };
         let actions = self.redials.begin(now, id, begin);
         self.do_redial_actions(actions);
@@ -127,7 +134,7 @@
             self.book.asked(self.now, &id, owner);
         }
         let (peers, view, now) = (&self.peers, &self.view, self.now);
-        let reached = |member: u16| peers.to(member).is_some() && view.hears(now, member);
+        let reached = |member: u16| is_reached(peers, view, now, member);
         let actions = self.redials.answered(now, serial, from, sure, higher, copy.as_ref(), &reached, knows);
         self.do_redial_actions(actions);
     }
--- a/crates/fleet/src/member/timers.rs
+++ b/crates/fleet/src/member/timers.rs
@@ -8,7 +8,8 @@
 use super::Member;
 use super::interface::Effects;
 use crate::duties::{Duties, SWEEP};
-use crate::peers::Way;
+use crate::membership_view::MembershipMessage;
+use crate::peers::{PeerLink, Way};
 use crate::takeovers::TakeoverAction;
 
 /// A link that says nothing of use for so long is closed.
@@ -31,7 +32,7 @@
             Some(self.look_at),
             Some(self.compare_at),
         ];
-        dues.into_iter().flatten().fold(self.heartbeat_at, Duration::min)
+        dues.into_iter().flatten().fold(self.view.next_due(), Duration::min)
     }
 
     /// The time given by `next_due` has come.
@@ -50,9 +51,8 @@
         self.unconfirmed();
         let actions = self.takeovers.alarm(now);
         self.do_takeover_actions(actions);
-        if self.heartbeat_at <= now {
-            self.heartbeat_at = now + self.plan.heartbeat_interval();
-            self.send_heartbeats(effects);
+        if self.view.next_due() <= now {
+            self.send_membership(effects);
         }
         if self.look_at <= now {
             self.look_at = now + self.plan.silence / 2;
@@ -65,22 +65,31 @@
         self.want_chores();
     }
 
-    fn send_heartbeats(&mut self, effects: &mut dyn Effects) {
-        let hears = self.view.all_heard(self.now).words().to_vec();
-        let (caught_up, saved) = (self.caught_up(), self.writes.saved());
-        let heartbeat = Peer::Beat { life: self.lives.mine(), hears, caught_up, saved };
-        for member in 0..self.plan.members.len() as u16 {
-            if let Some(link) = self.peers.to(member) {
-                self.tell(link, Frame::Peer(heartbeat.clone()), effects);
+    fn send_membership(&mut self, effects: &mut dyn Effects) {
+        self.view.set_self(self.now, self.lives.mine(), self.caught_up());
+        for MembershipMessage { to, is_heartbeat, bytes } in self.view.tick(self.now) {
+            let Some(link) = self.peers.to(to) else { continue };
+            self.tell(link, Frame::Peer(Peer::Membership { message: bytes }), effects);
+            if is_heartbeat {
+                self.tell_disk_count(link, effects);
             }
         }
     }
 
+    /// Tells a neighbour how many writes the disk has had, where that is news to it.
+    fn tell_disk_count(&mut self, link: PeerLink, effects: &mut dyn Effects) {
+        let saved = self.writes.saved();
+        let Some(known) = self.peers.links.get_mut(&link) else { return };
+        if known.told_saved.replace(saved) != Some(saved) {
+            self.tell(link, Frame::Peer(Peer::DiskCount { saved }), effects);
+        }
+    }
+
     /// Who is gone, which links are dead, what is left behind.
     fn look_round(&mut self, effects: &mut dyn Effects) {
         let now = self.now;
         for member in 0..self.plan.members.len() as u16 {
-            let gone = self.view.gone(now, member);
+            let gone = self.view.gone(member);
             if gone && !self.was_gone.has(member) {
                 self.was_gone.set(member);
                 effects.log(&format!("member {} is not heard by a majority", self.name(member)));
@@ -92,12 +101,8 @@
                 self.takeovers.returned(member, life);
                 self.takeovers.ended(now, member, life.saturating_sub(1));
             }
-            if let Some(link) = self.peers.to(member)
-                && self.view.away(now, member) >= self.plan.silence * 2
-            {
-                self.close(link, "silent, taken as dead", effects);
-            }
         }
+        self.review_links(effects);
         let slow = self.peers.links.iter().filter(|(_, known)| {
             let wait = if known.way == Way::Operator { GREET_WITHIN * 15 } else { GREET_WITHIN };
             known.way != Way::Here && now >= known.since + wait
@@ -106,14 +111,14 @@
             self.close(link, "no greeting in time", effects);
         }
         if self.lives.mine() > 0 {
-            let live = |member: u16| !self.view.gone(now, member) && self.view.hears(now, member);
+            let live = |member: u16| !self.view.gone(member);
             let (group, plan, me) = (self.book.group(), &self.plan, self.plan.me);
             let is_successor_of = |member: u16| {
                 let print = digest(&[SUCCESSOR_SEED, plan.members[usize::from(member)].as_bytes()]);
                 group.ranked(print).into_iter().find(|member| live(*member)) == Some(me)
             };
             // One that hears no majority cannot tell who is gone.
-            if self.view.with_majority(now) {
+            if self.view.with_majority() {
                 // Where there are duties one member sweeps for all; else each ended incarnation has its own successor.
                 let sweeps = self.duties.as_ref().map(|duties| duties.act(now, SWEEP).is_some());
                 let is_successor_of = |member: u16| sweeps.unwrap_or_else(|| is_successor_of(member));
--- a/crates/fleet/src/peers.rs
+++ b/crates/fleet/src/peers.rs
@@ -4,6 +4,8 @@
 
 use std::time::Duration;
 
+use crate::link_liveness::LinkLiveness;
+
 /// A link, named by the shell and never named again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PeerLink(pub u64);
@@ -31,6 +33,26 @@
     /// It has said hello.
     pub greeted: bool,
     pub begun_here: bool,
+    pub liveness: LinkLiveness,
+    /// The life that this member has told there last.
+    pub told_life: Option<u64>,
+    /// The count of writes on disk that it has told there last.
+    pub told_saved: Option<u64>,
+}
+
+impl Known {
+    fn new(now: Duration, way: Way, member: Option<u16>) -> Self {
+        Self {
+            way,
+            member,
+            since: now,
+            greeted: false,
+            begun_here: way == Way::Begun,
+            liveness: LinkLiveness::default(),
+            told_life: None,
+            told_saved: None,
+        }
+    }
 }
 
 struct Seat {
@@ -77,17 +99,12 @@
     pub fn begun(&mut self, now: Duration, member: u16, link: PeerLink) {
         let seat = &mut self.seats[usize::from(member)];
         (seat.link, seat.knock) = (Some(link), false);
-        let known =
-            Known { way: Way::Begun, member: Some(member), since: now, greeted: false, begun_here: true };
-        self.links.insert(link, known);
+        self.links.insert(link, Known::new(now, Way::Begun, Some(member)));
     }
 
     /// A link has come in.
     pub fn came(&mut self, now: Duration, link: PeerLink) {
-        self.links.insert(
-            link,
-            Known { way: Way::Fresh, member: None, since: now, greeted: false, begun_here: false },
-        );
+        self.links.insert(link, Known::new(now, Way::Fresh, None));
     }
 
     /// The other side of a link is this member. Of two links the one that was begun by the first of the pair stays, else the newer:
@@ -107,6 +124,13 @@
         before
     }
 
+    /// A link to a member is begun from here once, where the other side begins them otherwise.
+    pub fn knock_again(&mut self, member: u16) {
+        if let Some(seat) = self.seats.get_mut(usize::from(member)) {
+            seat.knock = member < self.me;
+        }
+    }
+
     /// A link has gone; the member at its other end, if that was its link.
     pub fn lost(&mut self, now: Duration, link: PeerLink) -> Option<u16> {
         let known = self.links.remove(&link)?;
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -1,11 +1,16 @@
 //! What a member is told at its start, and what follows from it.
 
+use std::sync::Arc;
 use std::time::Duration;
 
+use lotussaddle_membership::Overlay;
 use lotussaddle_replica::{Group, Ranks, digest};
 
 use crate::duties::DutyPlan;
 
+/// Of the overlay and the messages over it: members that know others are refused.
+const MEMBERSHIP_VERSION: &[u8] = b"overlay-1";
+
 const MS: Duration = Duration::from_millis(1);
 
 /// Figures of a group. All members must have the same ones; [`Plan::digest`] tells.
@@ -90,7 +95,7 @@
         });
         let figures: Vec<u64> = figures.into_iter().chain(duties).collect();
         let figures: Vec<u8> = figures.iter().flat_map(|figure| figure.to_le_bytes()).collect();
-        digest(&[names.as_bytes(), &figures])
+        digest(&[names.as_bytes(), &figures, MEMBERSHIP_VERSION])
     }
 
     /// How many holders have a write that anyone was told of, at the fewest: launches and answers may wait for different numbers, and
@@ -108,9 +113,14 @@
         self.members.len() / 2 + 1
     }
 
-    /// How often a member sends a heartbeat.
-    pub fn heartbeat_interval(&self) -> Duration {
-        (self.silence / 5).max(MS)
+    /// Which members are neighbours: the same for all that have the same list.
+    ///
+    /// # Panics
+    /// If there are no members, or more than [`lotussaddle_membership::MOST_MEMBERS`].
+    pub fn overlay(&self) -> Arc<Overlay> {
+        let seed = digest(&[self.members.join("\n").as_bytes()]);
+        let overlay = Overlay::new(self.members.len(), seed);
+        Arc::new(overlay.expect("a fleet of a size that the overlay has room for"))
     }
 }
 
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -84,7 +84,8 @@
                     "start": start_of(life),
                     "heard": view.hears(now, member),
                     "away_ms": if me { 0 } else { view.away(now, member).as_millis().min(1 << 40) as u64 },
-                    "gone": view.gone(now, member),
+                    "gone": view.gone(member),
+                    "neighbour": view.is_neighbour(member),
                     "caught_up": if me { self.caught_up() } else { view.caught_up(member) },
                 })
             })
--- /dev/null
+++ b/crates/fleet/tests/unit/link_liveness.rs
@@ -0,0 +1,40 @@
+//! Tests of the module `link_liveness`, with access to its private items.
+
+use super::*;
+
+fn ms(time: u64) -> Duration {
+    Duration::from_millis(time)
+}
+
+fn check(liveness: &LinkLiveness, now: u64) -> LinkCheck {
+    liveness.check(ms(now), ms(500), ms(2000))
+}
+
+const PING: Frame = Frame::Ping { nonce: 1 };
+const PONG: Frame = Frame::Pong { nonce: 1 };
+
+#[test]
+fn a_link_over_which_nothing_is_sent_is_left_alone() {
+    let mut liveness = LinkLiveness::default();
+    assert_eq!(check(&liveness, 1_000_000), LinkCheck::Idle);
+    liveness.sent(ms(0), &PONG);
+    assert_eq!(check(&liveness, 1_000_000), LinkCheck::Idle, "the answer to a ping wants none");
+}
+
+#[test]
+fn what_is_not_answered_is_followed_by_one_ping_and_then_the_link_is_dead() {
+    let mut liveness = LinkLiveness::default();
+    let frame = Frame::Bye { why: "x".into() };
+    liveness.sent(ms(100), &frame);
+    liveness.sent(ms(590), &frame);
+    assert_eq!(check(&liveness, 599), LinkCheck::Idle);
+    assert_eq!(check(&liveness, 600), LinkCheck::Ping, "counted from the first frame without an answer");
+    assert_eq!(check(&liveness, 9000), LinkCheck::Ping, "never given up before it was asked");
+    liveness.sent(ms(600), &PING);
+    assert_eq!(check(&liveness, 2099), LinkCheck::Idle, "asked once");
+    assert_eq!(check(&liveness, 2100), LinkCheck::Dead);
+    liveness.received();
+    assert_eq!(check(&liveness, 9000), LinkCheck::Idle);
+    liveness.sent(ms(9000), &frame);
+    assert_eq!(check(&liveness, 9500), LinkCheck::Ping, "and so each time");
+}
--- a/crates/fleet/tests/unit/membership_view.rs
+++ b/crates/fleet/tests/unit/membership_view.rs
@@ -1,56 +1,196 @@
 //! Tests of the module `membership_view`, with access to its private items.
 
+use std::collections::BTreeSet;
+
 use super::*;
 
+const SILENCE: u64 = 1000;
+const STEP: u64 = 10;
+
 fn ms(time: u64) -> Duration {
     Duration::from_millis(time)
 }
 
-fn all_but(but: u16) -> MemberSet {
-    let mut all = MemberSet::default();
-    (0..5).filter(|member| *member != but).for_each(|member| all.set(member));
-    all
+/// Views of one fleet, whose messages arrive at once.
+struct Fleet {
+    now: u64,
+    views: Vec<MembershipView>,
+    dead: BTreeSet<u16>,
+    /// From the first to the second nothing passes.
+    cut: BTreeSet<(u16, u16)>,
+}
+
+impl Fleet {
+    fn new(members: usize) -> Self {
+        let overlay = Arc::new(Overlay::new(members, 7).unwrap());
+        let view = |me: usize| {
+            let mut view = MembershipView::new(ms(0), me as u16, overlay.clone(), ms(SILENCE));
+            view.set_self(ms(0), 1, true);
+            view
+        };
+        Self { now: 0, views: (0..members).map(view).collect(), dead: BTreeSet::new(), cut: BTreeSet::new() }
+    }
+
+    fn run(&mut self, lasts: u64) {
+        for _ in 0..lasts / STEP {
+            self.now += STEP;
+            for me in 0..self.views.len() as u16 {
+                self.tick(me);
+            }
+        }
+    }
+
+    fn tick(&mut self, me: u16) {
+        let now = ms(self.now);
+        if self.dead.contains(&me) || self.views[usize::from(me)].next_due() > now {
+            return;
+        }
+        for message in self.views[usize::from(me)].tick(now) {
+            if !self.cut.contains(&(me, message.to)) && !self.dead.contains(&message.to) {
+                self.views[usize::from(message.to)].received(now, me, &message.bytes).unwrap();
+            }
+        }
+    }
+
+    /// Nothing passes between these and the others.
+    fn cut_off(&mut self, part: &[u16]) {
+        let all = 0..self.views.len() as u16;
+        for (from, to) in all.clone().flat_map(|from| all.clone().map(move |to| (from, to))) {
+            if part.contains(&from) != part.contains(&to) {
+                self.cut.insert((from, to));
+            }
+        }
+    }
+
+    fn gone_for(&self, me: u16) -> Vec<u16> {
+        (0..self.views.len() as u16).filter(|member| self.views[usize::from(me)].gone(*member)).collect()
+    }
+
+    fn alive(&self) -> impl Iterator<Item = u16> + '_ {
+        (0..self.views.len() as u16).filter(|member| !self.dead.contains(member))
+    }
+}
+
+#[test]
+fn a_member_that_dies_is_gone_for_all_after_the_silence_and_within_two() {
+    for members in [3, 5, 11, 12, 24, 48] {
+        let mut fleet = Fleet::new(members);
+        fleet.run(3000);
+        assert!(fleet.alive().all(|me| fleet.gone_for(me).is_empty()), "{members}: nobody is");
+        fleet.dead.insert(1);
+        // What was heard last came up to a heartbeat before.
+        fleet.run(SILENCE - SILENCE / 5);
+        assert!(fleet.alive().all(|me| fleet.gone_for(me).is_empty()), "{members}: not before the silence");
+        fleet.run(SILENCE + SILENCE / 5);
+        assert!(fleet.alive().all(|me| fleet.gone_for(me) == [1]), "{members}: by then it is");
+        fleet.dead.clear();
+        let now = ms(fleet.now);
+        fleet.views[1] =
+            MembershipView::new(now, 1, Arc::new(Overlay::new(members, 7).unwrap()), ms(SILENCE));
+        fleet.views[1].set_self(now, 2, false);
+        fleet.run(2 * SILENCE);
+        assert!(fleet.alive().all(|me| fleet.gone_for(me).is_empty()), "{members}: it is back");
+        let told = |me: u16| fleet.views[usize::from(me)].registered_life(1);
+        assert!(fleet.alive().all(|me| told(me) == 2), "{members}: in its second life");
+        assert!(!fleet.views[0].caught_up(1) && fleet.views[0].caught_up(2));
+    }
+}
+
+#[test]
+fn one_that_a_single_neighbour_hears_is_not_gone_and_one_that_none_hears_is() {
+    for members in [5, 12, 24] {
+        let mut fleet = Fleet::new(members);
+        fleet.run(2000);
+        let neighbours = fleet.views[2].neighbours().to_vec();
+        let (kept, others) = neighbours.split_first().unwrap();
+        // One way is enough: an edge is whole when both hear each other.
+        fleet.cut = others.iter().map(|other| (2, *other)).collect();
+        fleet.run(3 * SILENCE);
+        assert!(fleet.alive().all(|me| fleet.gone_for(me).is_empty()), "{members}: a path is left");
+        assert!(others.iter().all(|other| !fleet.views[usize::from(*other)].hears(ms(fleet.now), 2)));
+        fleet.cut.insert((2, *kept));
+        fleet.run(2 * SILENCE);
+        assert!(fleet.alive().filter(|me| *me != 2).all(|me| fleet.gone_for(me) == [2]), "{members}");
+        assert!(fleet.gone_for(2).is_empty(), "nobody is gone for one without a majority");
+        assert!(!fleet.views[2].with_majority(), "it is told by those that do not hear it");
+    }
+}
+
+#[test]
+fn a_part_without_a_majority_knows_it_and_holds_nobody_gone() {
+    let mut fleet = Fleet::new(24);
+    fleet.run(2000);
+    let part: Vec<u16> = (0..8).collect();
+    fleet.cut_off(&part);
+    fleet.run(3 * SILENCE);
+    for me in 0..8 {
+        assert!(!fleet.views[me].with_majority() && fleet.gone_for(me as u16).is_empty(), "{me}");
+    }
+    for me in 8..24 {
+        assert!(fleet.views[me].with_majority() && fleet.gone_for(me as u16) == part, "{me}");
+    }
+    fleet.cut.clear();
+    fleet.run(3 * SILENCE);
+    assert!(
+        fleet.alive().all(|me| fleet.gone_for(me).is_empty() && fleet.views[usize::from(me)].with_majority())
+    );
+}
+
+#[test]
+fn of_two_and_of_an_even_split_nobody_is_gone() {
+    let mut two = Fleet::new(2);
+    two.run(1000);
+    two.dead.insert(1);
+    two.run(5000);
+    assert!(two.gone_for(0).is_empty() && !two.views[0].with_majority());
+    let mut even = Fleet::new(12);
+    even.run(1000);
+    even.cut_off(&[0, 1, 2, 3, 4, 5]);
+    even.run(5000);
+    assert!((0..12).all(|me| even.gone_for(me).is_empty() && !even.views[usize::from(me)].with_majority()));
+    let mut one = Fleet::new(1);
+    one.run(5000);
+    assert!(one.views[0].with_majority());
 }
 
 #[test]
-fn a_member_is_gone_when_a_majority_says_so_and_not_before() {
-    let mut view = MembershipView::new(ms(0), 0, 5, ms(1000));
-    assert!(!view.gone(ms(999), 4), "it was never heard, and has had no time to be");
-    for member in 1..4 {
-        view.heard(ms(1100), member);
-        view.heartbeat(member, all_but(9), true);
-    }
-    assert!(!view.gone(ms(1100), 4), "this one alone does not hear it");
-    view.heartbeat(1, all_but(4), true);
-    assert!(!view.gone(ms(1100), 4));
-    view.heartbeat(2, all_but(4), true);
-    assert!(view.gone(ms(1100), 4), "three of five");
-    // What those say that are silent themselves does not count.
-    assert!(!view.gone(ms(2200), 4));
-    // One that is heard here is gone all the same, if a majority of others does not hear it.
-    for member in 1..5 {
-        view.heard(ms(3000), member);
-    }
-    view.heartbeat(3, all_but(4), true);
-    assert!(view.gone(ms(3000), 4) && view.hears(ms(3000), 4));
-    assert!(!view.gone(ms(9000), 0), "nobody is gone for itself");
+fn whoever_stood_still_holds_nobody_gone_for_it() {
+    let mut fleet = Fleet::new(12);
+    fleet.run(2000);
+    fleet.dead.insert(3);
+    fleet.run(5 * SILENCE);
+    fleet.dead.remove(&3);
+    let version = |fleet: &Fleet| (0..12).map(|me| fleet.gone_for(me)).collect::<Vec<_>>();
+    assert_eq!(version(&fleet)[4], [3]);
+    for _ in 0..300 {
+        fleet.run(STEP);
+        assert!(fleet.gone_for(3).is_empty(), "at {}", fleet.now);
+        assert!((0..12).filter(|me| *me != 3).all(|me| fleet.gone_for(me).iter().all(|gone| *gone == 3)));
+    }
+    assert!(version(&fleet).iter().all(Vec::is_empty));
 }
 
 #[test]
-fn of_two_nobody_is_ever_gone_and_a_cut_off_member_has_no_majority() {
-    let view = MembershipView::new(ms(0), 0, 2, ms(1000));
-    assert!(!view.gone(ms(5000), 1) && !view.with_majority(ms(5000)));
-    assert!(MembershipView::new(ms(0), 0, 1, ms(1000)).with_majority(ms(5000)));
-    let mut many = MembershipView::new(ms(0), 0, 300, ms(1000));
-    (1..150).for_each(|member| many.heard(ms(5000), member));
-    assert!(!many.with_majority(ms(5000)));
-    many.heard(ms(5000), 299);
-    assert!(many.with_majority(ms(5000)) && many.all_heard(ms(5000)).has(299));
+fn what_is_no_message_of_a_neighbour_is_refused_and_changes_nothing() {
+    let mut fleet = Fleet::new(24);
+    fleet.run(2000);
+    let now = ms(fleet.now);
+    let stranger = (1..24).find(|member| !fleet.views[0].is_neighbour(*member)).unwrap();
+    let neighbour = fleet.views[0].neighbours()[0];
+    let heartbeat = Message::Heartbeat { digest: 1 }.encode();
+    let view = &mut fleet.views[0];
+    assert_eq!(view.received(now, stranger, &heartbeat), Err(MessageError::NotANeighbour(stranger)));
+    assert!(view.received(now, neighbour, &[]).is_err() && view.received(now, neighbour, &[99]).is_err());
+    assert!(
+        view.received(now, neighbour, &[2; 5000]).is_err() && view.received(now, 999, &heartbeat).is_err()
+    );
+    assert_eq!(view.received(now, neighbour, &heartbeat), Ok(Vec::new()));
 }
 
 #[test]
 fn lives_only_go_up() {
-    let mut view = MembershipView::new(ms(0), 0, 3, ms(1000));
+    let overlay = Arc::new(Overlay::new(3, 7).unwrap());
+    let mut view = MembershipView::new(ms(0), 0, overlay, ms(1000));
     assert!(view.lives(1, 4) && !view.lives(1, 4) && !view.lives(1, 3) && view.lives(1, 5));
     assert_eq!((view.life(1), view.life(2), view.life(9)), (5, 0, 0));
 }
--- a/crates/judge/src/fleet.rs
+++ b/crates/judge/src/fleet.rs
@@ -25,6 +25,18 @@
     pub stores: bool,
     /// A line whose owner is gone is somebody's, or free, after so many seconds.
     pub line_within_s: f64,
+    /// How many members there are, `edge-0` and so on; zero in records of before: no more than ten.
+    #[serde(default)]
+    pub members: usize,
+}
+
+impl FleetBrief {
+    /// The edge proxy of each place in the list of members, which is in the order of names: `edge-10` comes before `edge-2`.
+    fn edges_by_place(&self) -> Vec<usize> {
+        let mut edges: Vec<usize> = (0..self.members).collect();
+        edges.sort_by_key(|edge| format!("edge-{edge}"));
+        edges
+    }
 }
 
 /// What came of dialogues that were dialled again.
@@ -121,6 +133,7 @@
 pub struct Fleet {
     brief: Brief,
     fleet: FleetBrief,
+    edges_by_place: Vec<usize>,
     now: Mark,
     dialogues: HashMap<DialogueId, Dialogue>,
     held: HashMap<(String, DialogueId), Held>,
@@ -128,7 +141,7 @@
     streams: HashMap<(usize, String), Stream>,
     /// Members that have acknowledged a write, by edge proxy, dialogue and what was written.
     kept: HashMap<(usize, DialogueId, Wrote), HashSet<u64>>,
-    /// Edge proxies that know a write, its owner among them.
+    /// Edge proxies that know a write, its owner among them, by the owner's place.
     knows: HashMap<DialogueId, HashMap<(usize, Wrote), HashSet<usize>>>,
     lives: HashMap<usize, u32>,
     /// Edge proxies whose disks lack something.
@@ -150,6 +163,7 @@
         let fleet = brief.fleet.clone()?;
         Some(Self {
             brief: brief.clone(),
+            edges_by_place: fleet.edges_by_place(),
             fleet,
             now: Mark { line: 1, at: Duration::ZERO },
             dialogues: HashMap::new(),
@@ -239,8 +253,9 @@
     fn learns(&mut self, edge: usize, copies: &[CopySent]) {
         for copy in copies {
             let known = self.knows.entry(copy.dialogue.clone()).or_default();
-            for (owner, wrote) in wrote(copy) {
-                known.entry((owner, wrote)).or_default().extend([edge, owner]);
+            for (place, wrote) in wrote(copy) {
+                let owner = self.edges_by_place.get(place).copied().unwrap_or(place);
+                known.entry((place, wrote)).or_default().extend([edge, owner]);
             }
         }
     }
@@ -582,7 +597,7 @@
     far.strip_prefix("edge-").and_then(|n| n.parse().ok()).unwrap_or(u64::MAX)
 }
 
-/// The launch of whoever wrote last and the answers that a copy brings, and whose they are.
+/// The launch of whoever wrote last and the answers that a copy brings, and at which place whoever wrote them stands.
 fn wrote(copy: &CopySent) -> Vec<(usize, Wrote)> {
     let mut all = Vec::new();
     let last = copy.parts.iter().max_by_key(|part| part.owner);
--- a/crates/judge/tests/doctored_fleet.rs
+++ b/crates/judge/tests/doctored_fleet.rs
@@ -16,7 +16,7 @@
 
 fn brief(strictly: bool) -> Brief {
     let (before_launch, before_answer, stores, line_within_s) = (1, 1, true, 3.0);
-    let fleet = FleetBrief { before_launch, before_answer, strictly, stores, line_within_s };
+    let fleet = FleetBrief { before_launch, before_answer, strictly, stores, line_within_s, members: 0 };
     Brief { fleet: Some(fleet), ..common::brief() }
 }
 
--- a/crates/scale/src/measure.rs
+++ b/crates/scale/src/measure.rs
@@ -97,7 +97,7 @@
     fn of_peer(peer: &Peer) -> Self {
         match peer {
             Peer::Here { .. } => Self::Hello,
-            Peer::Beat { .. } => Self::Heartbeat,
+            Peer::Membership { .. } | Peer::DiskCount { .. } => Self::Heartbeat,
             Peer::NewLife { .. } | Peer::Life { .. } => Self::Life,
             Peer::Copies { .. } => Self::Copies,
             Peer::Kept { .. } => Self::Acknowledgement,
--- a/crates/trunk/src/member.rs
+++ b/crates/trunk/src/member.rs
@@ -88,6 +88,9 @@
     pub answer: Answer,
 }
 
+/// The longest message of the membership protocol that a frame carries.
+pub const MAX_MEMBERSHIP_MESSAGE: usize = 2048;
+
 /// What members say to each other, after hello as [`crate::Role::Edge`] both ways.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "peer", rename_all = "snake_case")]
@@ -115,13 +118,13 @@
         /// The highest one known of the asker.
         highest: u64,
     },
-    /// It is there, and hears these members (a bit each).
-    Beat {
-        life: u64,
-        hears: Vec<u64>,
-        /// It knows what it must know of dialogues dialled before.
-        caught_up: bool,
-        /// Writes that its disk has had: a disk that has had fewer later on is an older copy.
+    /// A message of the membership protocol, in the bytes of the package that decides it; only between overlay neighbours.
+    Membership {
+        /// At most [`MAX_MEMBERSHIP_MESSAGE`] bytes.
+        message: Vec<u8>,
+    },
+    /// Writes that the sender's disk has had: a disk that has had fewer later on is an older copy. Only between overlay neighbours.
+    DiskCount {
         saved: u64,
     },
     /// Writes of the sender, consecutive from this number of its stream to the other side; 0: outside the stream.
@@ -134,7 +137,7 @@
     Kept {
         life: u64,
         up_to: u64,
-        /// As in a beat, this one counted.
+        /// As in [`Peer::DiskCount`], this one counted.
         saved: u64,
         replaced: Vec<Replaced>,
     },
--- a/crates/trunk/src/member_codec.rs
+++ b/crates/trunk/src/member_codec.rs
@@ -9,7 +9,7 @@
 const HERE: u8 = PEER;
 const NEW_LIFE: u8 = PEER + 1;
 const LIFE_GIVEN: u8 = PEER + 2;
-const BEAT: u8 = PEER + 3;
+// PEER + 3 was a heartbeat with a bit for each member.
 const COPIES: u8 = PEER + 4;
 const KEPT: u8 = PEER + 5;
 const RESUME: u8 = PEER + 6;
@@ -27,6 +27,8 @@
 const PUBLISH: u8 = PEER + 18;
 const PUBLISHED: u8 = PEER + 19;
 const WANTED: u8 = PEER + 20;
+const MEMBERSHIP: u8 = PEER + 21;
+const DISK_COUNT: u8 = PEER + 22;
 const WHAT: u8 = AUDIT;
 const HOLDS: u8 = AUDIT + 1;
 const ADOPT: u8 = AUDIT + 2;
@@ -39,7 +41,6 @@
         HERE => "here",
         NEW_LIFE => "new_life",
         LIFE_GIVEN => "life",
-        BEAT => "beat",
         COPIES => "copies",
         KEPT => "kept",
         RESUME => "resume",
@@ -57,6 +58,8 @@
         PUBLISH => "publish",
         PUBLISHED => "published",
         WANTED => "wanted",
+        MEMBERSHIP => "membership",
+        DISK_COUNT => "disk_count",
         WHAT => "what",
         HOLDS => "holds",
         ADOPT => "adopt",
@@ -269,10 +272,14 @@
             to.whole(LIFE, *life).whole(FLAGS, (*given).into()).whole(HIGHEST, *highest);
             LIFE_GIVEN
         }
-        Peer::Beat { life, hears, caught_up, saved } => {
-            to.whole(LIFE, *life).whole(FLAGS, (*caught_up).into()).whole(SAVED, *saved);
-            put_words(to, WORDS, hears.iter().copied());
-            BEAT
+        Peer::Membership { message } => {
+            debug_assert!(message.len() <= MAX_MEMBERSHIP_MESSAGE);
+            to.bytes(BLOB, message);
+            MEMBERSHIP
+        }
+        Peer::DiskCount { saved } => {
+            to.whole(SAVED, *saved);
+            DISK_COUNT
         }
         Peer::Copies { life, first, copies } => {
             to.whole(LIFE, *life).whole(AT, *first);
@@ -435,6 +442,13 @@
     std::str::from_utf8(raw).map(String::from).map_err(|_| "is no UTF-8")
 }
 
+fn membership_message(raw: &[u8]) -> Result<Vec<u8>, &'static str> {
+    if raw.len() > MAX_MEMBERSHIP_MESSAGE {
+        return Err("is too long");
+    }
+    Ok(raw.to_vec())
+}
+
 pub fn peer(kind: u8, f: &mut Fields) -> Result<Peer, TrunkError> {
     let name = kind_name(kind).ok_or(TrunkError::Kind(kind))?;
     Ok(match kind {
@@ -450,12 +464,8 @@
         LIFE_GIVEN => {
             Peer::Life { life: f.need(LIFE, whole)?, given: flag(f)?, highest: f.need(HIGHEST, whole)? }
         }
-        BEAT => Peer::Beat {
-            life: f.need(LIFE, whole)?,
-            hears: f.need(WORDS, words)?,
-            caught_up: flag(f)?,
-            saved: f.need(SAVED, whole)?,
-        },
+        MEMBERSHIP => Peer::Membership { message: f.need(BLOB, membership_message)? },
+        DISK_COUNT => Peer::DiskCount { saved: f.need(SAVED, whole)? },
         COPIES => {
             Peer::Copies { life: f.need(LIFE, whole)?, first: f.need(AT, whole)?, copies: copies(name, f)? }
         }
--- a/crates/trunk/tests/frames.rs
+++ b/crates/trunk/tests/frames.rs
@@ -141,12 +141,9 @@
         ),
         n().prop_map(|life| Peer::NewLife { life }),
         (n(), any::<bool>(), n()).prop_map(|(life, given, highest)| Peer::Life { life, given, highest }),
-        (n(), words(), any::<bool>(), n()).prop_map(|(life, hears, caught_up, saved)| Peer::Beat {
-            life,
-            hears,
-            caught_up,
-            saved
-        }),
+        proptest::collection::vec(any::<u8>(), 0..=MAX_MEMBERSHIP_MESSAGE)
+            .prop_map(|message| Peer::Membership { message }),
+        n().prop_map(|saved| Peer::DiskCount { saved }),
         (n(), n(), copies()).prop_map(|(life, first, copies)| Peer::Copies { life, first, copies }),
         (n(), n(), n(), proptest::collection::vec(replaced, 0..5))
             .prop_map(|(life, up_to, saved, replaced)| Peer::Kept { life, up_to, saved, replaced }),
@@ -412,7 +409,14 @@
         (frame(64, &[26, 0]), "here: field 27 is missing"),
         (frame(68, &[20, 0, 33, 0, 18, 2, 1, 0]), "copies: field 1 is empty"),
         (frame(68, &[20, 0, 33, 0, 18, 6, 1, 1, b'x', 1, 1, b'y']), "copies: field 1 comes twice"),
-        (frame(67, &[20, 0, 11, 0, 30, 1, 7]), "beat: field 30 is not made of 8 bytes each"),
+        (frame(67, &[20, 0, 11, 0, 30, 1, 7]), "frame kind 67 is not known"),
+        (frame(74, &[35, 0, 32, 0, 30, 1, 7]), "sums: field 30 is not made of 8 bytes each"),
+        (frame(85, &[]), "membership: field 36 is missing"),
+        (
+            frame(85, &[&[36, 129, 16][..], &[0; MAX_MEMBERSHIP_MESSAGE + 1]].concat()),
+            "membership: field 36 is too long",
+        ),
+        (frame(86, &[]), "disk_count: field 41 is missing"),
         (frame(98, &[1, 1, b'x', 31, 2, 0, 0]), "adopt: field 31 is no owner"),
         (frame(39, &[13, 1, 128]), "report: field 13 has more than is known"),
         (frame(39, &[13, 2, 1, 0]), "report: field 13 is cut short"),
