--- a/crates/membership/src/repair.rs
+++ b/crates/membership/src/repair.rs
@@ -170,3 +170,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/repair.rs"]
+mod tests;
--- a/crates/membership/src/spreading.rs
+++ b/crates/membership/src/spreading.rs
@@ -157,3 +157,7 @@
     });
     whole.take(RELAYS).fold(0, |bits, (position, _)| bits | 1 << position)
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/spreading.rs"]
+mod tests;
--- a/crates/membership/tests/bad_messages.rs
+++ b/crates/membership/tests/bad_messages.rs
@@ -207,3 +207,59 @@
     member.set_self(Duration::ZERO, 10, false);
     assert_eq!(member.register(0).map(|register| register.incarnation), Some(10));
 }
+
+#[test]
+fn two_words_with_the_same_numbers_end_alike_in_any_order() {
+    let overlay = Arc::new(Overlay::new(8, 1).expect("an overlay"));
+    let register = |unheard, caught_up| {
+        let register = Register { incarnation: 7, sequence: 4, unheard, caught_up };
+        Message::Registers(vec![MemberRegister { member: 3, register }])
+    };
+    let words = [register(1, false), register(2, false), register(1, true)];
+    let digest = |order: [usize; 3]| {
+        let timing = Timing { silence: SILENCE };
+        let mut observer = Membership::new(Duration::ZERO, 0, Arc::clone(&overlay), timing);
+        for index in order {
+            observer.received(SILENCE, 1, &words[index]).expect("it is valid");
+        }
+        observer.digest()
+    };
+    let first = digest([0, 1, 2]);
+    for order in [[0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]] {
+        assert_eq!(digest(order), first, "{order:?}");
+    }
+}
+
+#[test]
+fn members_that_start_at_once_do_not_send_their_heartbeats_at_once() {
+    let overlay = Arc::new(Overlay::new(64, 1).expect("an overlay"));
+    let timing = Timing { silence: SILENCE };
+    let first_heartbeat = |member| {
+        let mut membership = Membership::new(Duration::ZERO, member, Arc::clone(&overlay), timing);
+        membership.tick(Duration::ZERO);
+        membership.next_due()
+    };
+    let early = (0..64).filter(|member| first_heartbeat(*member) < timing.heartbeat() / 2).count();
+    assert!((16..=48).contains(&early), "{early} of 64 in the first half");
+}
+
+#[test]
+fn registers_of_a_repair_are_passed_on_if_they_replace_known_ones_alone() {
+    let overlay = Arc::new(Overlay::new(100, 1).expect("an overlay"));
+    let from = overlay.neighbours(0)[0];
+    let timing = Timing { silence: SILENCE };
+    let mut observer = Membership::new(Duration::ZERO, 0, overlay, timing);
+    observer.tick(Duration::ZERO);
+    let bucket = |incarnation| {
+        let register = Register { incarnation, sequence: 1, unheard: 0, caught_up: true };
+        Message::Bucket { bucket: 0, registers: vec![MemberRegister { member: 50, register }] }
+    };
+    let passed_on = |observer: &mut Membership, now| {
+        let messages = observer.tick(now);
+        messages.iter().filter(|(_, message)| matches!(message, Message::Registers(_))).count()
+    };
+    observer.received(SILENCE, from, &bucket(5)).expect("it is valid");
+    assert_eq!(passed_on(&mut observer, SILENCE), 0, "it was told to one that starts empty");
+    observer.received(SILENCE * 2, from, &bucket(6)).expect("it is valid");
+    assert!(passed_on(&mut observer, SILENCE * 2) >= 3, "it is news to others too");
+}
--- a/crates/membership/tests/support/sent_bytes.rs
+++ b/crates/membership/tests/support/sent_bytes.rs
@@ -44,6 +44,13 @@
         self.worst_window = 0;
     }
 
+    /// Counts from here on, and forgets what was sent before.
+    pub fn restart_window(&mut self) {
+        self.restart_counts();
+        self.steps = [0; WINDOW_STEPS];
+        self.in_window = 0;
+    }
+
     fn advance(&mut self, step: u128) {
         let passed = (step - self.current_step).min(WINDOW_STEPS as u128);
         for next in 1..=passed {
--- a/crates/membership/tests/support/simulation.rs
+++ b/crates/membership/tests/support/simulation.rs
@@ -157,6 +157,10 @@
         self.seats.iter_mut().for_each(|seat| seat.sent.restart_counts());
     }
 
+    pub fn restart_windows(&mut self) {
+        self.seats.iter_mut().for_each(|seat| seat.sent.restart_window());
+    }
+
     /// All members that are up.
     pub fn up(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.members()).filter(|member| self.is_up(*member))
