--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -234,21 +234,22 @@
         }
     }
 
-    /// Says anew what this member says of itself, if the table has something else.
+    /// Says anew what this member says of itself, if the table has something else and no later incarnation.
     fn refresh_own_register(&mut self, now: Duration) {
         let known = *self.table.get(self.me);
         let OwnState { incarnation, caught_up } = self.own;
-        let is_superseded = known.incarnation > incarnation;
         let unheard = self.hearing.unheard();
         let is_said =
             known.incarnation == incarnation && known.unheard == unheard && known.caught_up == caught_up;
-        if incarnation == 0 || is_superseded || is_said {
+        if incarnation == 0 || is_said {
             return;
         }
         let is_first = known.incarnation < incarnation;
         let sequence = if is_first { 1 } else { known.sequence.saturating_add(1) };
-        self.table.merge(now, self.me, Register { incarnation, sequence, unheard, caught_up });
-        self.spreading.own_changed();
+        let register = Register { incarnation, sequence, unheard, caught_up };
+        if let Merge::Replaced(_) = self.table.merge(now, self.me, register) {
+            self.spreading.own_changed();
+        }
     }
 
     fn heartbeats(&self) -> Vec<(usize, Message)> {
--- a/crates/membership/tests/bad_messages.rs
+++ b/crates/membership/tests/bad_messages.rs
@@ -204,6 +204,11 @@
     member.set_self(Duration::ZERO, 5, false);
     member.set_self(Duration::ZERO, 4, false);
     assert_eq!(member.register(0), Some(&register));
+    let sent = member.tick(Duration::ZERO);
+    assert!(!sent.is_empty());
+    member.set_self(SILENCE, 5, true);
+    let is_heartbeat = |(_, message): &(u16, Message)| matches!(message, Message::Heartbeat { .. });
+    assert!(member.tick(SILENCE).iter().all(is_heartbeat), "it tells the other's register again and again");
     member.set_self(Duration::ZERO, 10, false);
     assert_eq!(member.register(0).map(|register| register.incarnation), Some(10));
 }
@@ -263,3 +268,30 @@
     observer.received(SILENCE * 2, from, &bucket(6)).expect("it is valid");
     assert!(passed_on(&mut observer, SILENCE * 2) >= 3, "it is news to others too");
 }
+
+#[test]
+fn an_incarnation_before_the_present_one_is_not_taken() {
+    let overlay = Arc::new(Overlay::new(8, 1).expect("an overlay"));
+    let mut member = Membership::new(Duration::ZERO, 0, overlay, Timing { silence: SILENCE });
+    member.set_self(Duration::ZERO, 5, true);
+    member.set_self(Duration::ZERO, 4, false);
+    let lying = Register { incarnation: 5, sequence: 9, unheard: 0, caught_up: false };
+    let message = Message::Registers(vec![MemberRegister { member: 0, register: lying }]);
+    member.received(Duration::ZERO, 1, &message).expect("it is valid");
+    let register = Register { incarnation: 5, sequence: 10, unheard: 0, caught_up: true };
+    assert_eq!(member.register(0), Some(&register));
+}
+
+#[test]
+fn members_without_incarnations_send_heartbeats_alone() {
+    let overlay = Arc::new(Overlay::new(8, 1).expect("an overlay"));
+    let mut member = Membership::new(Duration::ZERO, 0, overlay, Timing { silence: SILENCE });
+    for step in 0..30 {
+        let now = Duration::from_millis(step * 200);
+        member.heard(now, 1);
+        let messages = member.tick(now);
+        assert!(messages.iter().all(|(_, message)| matches!(message, Message::Heartbeat { .. })));
+    }
+    assert!(member.hears(1) && !member.hears(2));
+    assert_eq!(member.register(0), None);
+}
--- a/crates/membership/tests/unit/repair.rs
+++ b/crates/membership/tests/unit/repair.rs
@@ -104,6 +104,7 @@
 #[test]
 fn a_neighbour_has_two_buckets_waiting_at_most_each_once() {
     let mut repair = repair(1);
+    repair.requested(0, &[4, 4]);
     for _ in 0..10 {
         repair.requested(0, &[4, 5]);
         repair.requested(0, &[5, 6]);
