--- a/crates/membership/src/allowance.rs
+++ b/crates/membership/src/allowance.rs
@@ -34,3 +34,7 @@
         self.refilled_at = self.refilled_at.max(now);
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/allowance.rs"]
+mod tests;
--- a/crates/membership/tests/bad_messages.rs
+++ b/crates/membership/tests/bad_messages.rs
@@ -295,3 +295,24 @@
     assert!(member.hears(1) && !member.hears(2));
     assert_eq!(member.register(0), None);
 }
+
+#[test]
+fn a_neighbour_that_tells_the_same_meanwhile_is_not_told_it() {
+    let overlay = Arc::new(Overlay::new(100, 1).expect("an overlay"));
+    let register = Register { incarnation: 5, sequence: 1, unheard: 0, caught_up: true };
+    let message = Message::Registers(vec![MemberRegister { member: 50, register }]);
+    let told_after = |tellers: &[u16]| {
+        let timing = Timing { silence: SILENCE };
+        let mut observer = Membership::new(Duration::ZERO, 0, Arc::clone(&overlay), timing);
+        for teller in tellers {
+            observer.received(Duration::ZERO, *teller, &message).expect("it is valid");
+        }
+        let sent = observer.tick(Duration::ZERO).into_iter();
+        let told = sent.filter(|(_, message)| matches!(message, Message::Registers(_)));
+        told.map(|(to, _)| to).collect::<Vec<u16>>()
+    };
+    let first = overlay.neighbours(0)[0];
+    let told_by_one = told_after(&[first]);
+    let second = told_by_one[0];
+    assert_eq!(told_after(&[first, second]), told_by_one[1..]);
+}
--- a/crates/membership/tests/unit/hearing.rs
+++ b/crates/membership/tests/unit/hearing.rs
@@ -138,3 +138,12 @@
     hearing.active(at(10_400));
     assert!(!hearing.review(at(10_900)));
 }
+
+#[test]
+fn a_clock_that_goes_back_and_on_is_no_stall() {
+    let mut hearing = Hearing::new(at(10_000), 1, TIMING);
+    for milliseconds in [10_400, 10_800, 9_900, 11_000] {
+        hearing.active(at(milliseconds));
+    }
+    assert!(hearing.review(at(11_000)), "the silent neighbour is reported");
+}
