--- a/crates/membership/src/spreading.rs
+++ b/crates/membership/src/spreading.rs
@@ -13,7 +13,7 @@
 const RELAYS: usize = 4;
 
 const BYTES_PER_SECOND: u32 = 4_500;
-const BURST_BYTES: u32 = 24_000;
+const BURST_BYTES: u32 = 28_000;
 
 /// What is still to be told, and to whom.
 pub(crate) struct Spreading {
@@ -157,3 +157,7 @@
     });
     whole.take(RELAYS).fold(0, |bits, (position, _)| bits | 1 << position)
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/spreading.rs"]
+mod tests;
--- a/crates/membership/tests/bad_messages.rs
+++ b/crates/membership/tests/bad_messages.rs
@@ -204,6 +204,115 @@
     member.set_self(Duration::ZERO, 5, false);
     member.set_self(Duration::ZERO, 4, false);
     assert_eq!(member.register(0), Some(&register));
+    let sent = member.tick(Duration::ZERO);
+    assert!(!sent.is_empty());
+    member.set_self(SILENCE, 5, true);
+    let is_heartbeat = |(_, message): &(u16, Message)| matches!(message, Message::Heartbeat { .. });
+    assert!(member.tick(SILENCE).iter().all(is_heartbeat), "it tells the other's register again and again");
     member.set_self(Duration::ZERO, 10, false);
     assert_eq!(member.register(0).map(|register| register.incarnation), Some(10));
 }
+
+#[test]
+fn two_words_with_the_same_numbers_end_alike_in_any_order() {
+    let overlay = Arc::new(Overlay::new(8, 1).expect("an overlay"));
+    let register = |unheard, caught_up| {
+        let register = Register { incarnation: 7, sequence: 4, unheard, caught_up };
+        Message::Registers(vec![MemberRegister { member: 3, register }])
+    };
+    let words = [register(1, false), register(2, false), register(1, true)];
+    let digest = |order: [usize; 3]| {
+        let timing = Timing { silence: SILENCE };
+        let mut observer = Membership::new(Duration::ZERO, 0, Arc::clone(&overlay), timing);
+        for index in order {
+            observer.received(SILENCE, 1, &words[index]).expect("it is valid");
+        }
+        observer.digest()
+    };
+    let first = digest([0, 1, 2]);
+    for order in [[0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]] {
+        assert_eq!(digest(order), first, "{order:?}");
+    }
+}
+
+#[test]
+fn members_that_start_at_once_do_not_send_their_heartbeats_at_once() {
+    let overlay = Arc::new(Overlay::new(64, 1).expect("an overlay"));
+    let timing = Timing { silence: SILENCE };
+    let first_heartbeat = |member| {
+        let mut membership = Membership::new(Duration::ZERO, member, Arc::clone(&overlay), timing);
+        membership.tick(Duration::ZERO);
+        membership.next_due()
+    };
+    let early = (0..64).filter(|member| first_heartbeat(*member) < timing.heartbeat() / 2).count();
+    assert!((16..=48).contains(&early), "{early} of 64 in the first half");
+}
+
+#[test]
+fn registers_of_a_repair_are_passed_on_if_they_replace_known_ones_alone() {
+    let overlay = Arc::new(Overlay::new(100, 1).expect("an overlay"));
+    let from = overlay.neighbours(0)[0];
+    let timing = Timing { silence: SILENCE };
+    let mut observer = Membership::new(Duration::ZERO, 0, overlay, timing);
+    observer.tick(Duration::ZERO);
+    let bucket = |incarnation| {
+        let register = Register { incarnation, sequence: 1, unheard: 0, caught_up: true };
+        Message::Bucket { bucket: 0, registers: vec![MemberRegister { member: 50, register }] }
+    };
+    let passed_on = |observer: &mut Membership, now| {
+        let messages = observer.tick(now);
+        messages.iter().filter(|(_, message)| matches!(message, Message::Registers(_))).count()
+    };
+    observer.received(SILENCE, from, &bucket(5)).expect("it is valid");
+    assert_eq!(passed_on(&mut observer, SILENCE), 0, "it was told to one that starts empty");
+    observer.received(SILENCE * 2, from, &bucket(6)).expect("it is valid");
+    assert!(passed_on(&mut observer, SILENCE * 2) >= 3, "it is news to others too");
+}
+
+#[test]
+fn an_incarnation_before_the_present_one_is_not_taken() {
+    let overlay = Arc::new(Overlay::new(8, 1).expect("an overlay"));
+    let mut member = Membership::new(Duration::ZERO, 0, overlay, Timing { silence: SILENCE });
+    member.set_self(Duration::ZERO, 5, true);
+    member.set_self(Duration::ZERO, 4, false);
+    let lying = Register { incarnation: 5, sequence: 9, unheard: 0, caught_up: false };
+    let message = Message::Registers(vec![MemberRegister { member: 0, register: lying }]);
+    member.received(Duration::ZERO, 1, &message).expect("it is valid");
+    let register = Register { incarnation: 5, sequence: 10, unheard: 0, caught_up: true };
+    assert_eq!(member.register(0), Some(&register));
+}
+
+#[test]
+fn members_without_incarnations_send_heartbeats_alone() {
+    let overlay = Arc::new(Overlay::new(8, 1).expect("an overlay"));
+    let mut member = Membership::new(Duration::ZERO, 0, overlay, Timing { silence: SILENCE });
+    for step in 0..30 {
+        let now = Duration::from_millis(step * 200);
+        member.heard(now, 1);
+        let messages = member.tick(now);
+        assert!(messages.iter().all(|(_, message)| matches!(message, Message::Heartbeat { .. })));
+    }
+    assert!(member.hears(1) && !member.hears(2));
+    assert_eq!(member.register(0), None);
+}
+
+#[test]
+fn a_neighbour_that_tells_the_same_meanwhile_is_not_told_it() {
+    let overlay = Arc::new(Overlay::new(100, 1).expect("an overlay"));
+    let register = Register { incarnation: 5, sequence: 1, unheard: 0, caught_up: true };
+    let message = Message::Registers(vec![MemberRegister { member: 50, register }]);
+    let told_after = |tellers: &[u16]| {
+        let timing = Timing { silence: SILENCE };
+        let mut observer = Membership::new(Duration::ZERO, 0, Arc::clone(&overlay), timing);
+        for teller in tellers {
+            observer.received(Duration::ZERO, *teller, &message).expect("it is valid");
+        }
+        let sent = observer.tick(Duration::ZERO).into_iter();
+        let told = sent.filter(|(_, message)| matches!(message, Message::Registers(_)));
+        told.map(|(to, _)| to).collect::<Vec<u16>>()
+    };
+    let first = overlay.neighbours(0)[0];
+    let told_by_one = told_after(&[first]);
+    let second = told_by_one[0];
+    assert_eq!(told_after(&[first, second]), told_by_one[1..]);
+}
