--- a/crates/fleet/src/link_liveness.rs
+++ b/crates/fleet/src/link_liveness.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use lotussaddle_trunk::Frame;
+use lotussaddle_trunk::{Frame, Peer};
 
 /// What is to be done about a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,13 +26,12 @@
 }
 
 impl LinkLiveness {
-    /// A frame is sent. An answer to a ping wants none itself.
+    /// A frame is sent. One that answers another wants no answer itself: whoever asked finds out that it does not come.
     pub fn sent(&mut self, now: Duration, frame: &Frame) {
-        match frame {
-            Frame::Pong { .. } => return,
-            Frame::Ping { .. } => self.is_pinged = true,
-            _ => {}
+        if is_answer(frame) {
+            return;
         }
+        self.is_pinged |= matches!(frame, Frame::Ping { .. });
         self.unanswered_since.get_or_insert(now);
     }
 
@@ -55,6 +54,22 @@
     }
 }
 
+fn is_answer(frame: &Frame) -> bool {
+    match frame {
+        Frame::Pong { .. } => true,
+        Frame::Peer(peer) => matches!(
+            peer,
+            Peer::Kept { .. }
+                | Peer::Know { .. }
+                | Peer::Life { .. }
+                | Peer::Published { .. }
+                | Peer::Fenced { .. }
+                | Peer::Tell { .. }
+        ),
+        _ => false,
+    }
+}
+
 #[cfg(test)]
 #[path = "../tests/unit/link_liveness.rs"]
 mod tests;
--- a/crates/fleet/src/member/links.rs
+++ b/crates/fleet/src/member/links.rs
@@ -18,6 +18,9 @@
 /// A link over which nothing comes regularly is taken as dead when nothing has followed what was sent for so long, and two silences.
 const ANSWER_WITHIN: Duration = Duration::from_secs(2);
 
+/// There a ping asks when nothing has followed what was sent for so long, and half a silence.
+const PING_AFTER: Duration = Duration::from_millis(500);
+
 /// The number of a ping; who answers is told by the link.
 const PROBE: u64 = 0;
 
@@ -111,7 +114,7 @@
             return if is_dead { LinkCheck::Dead } else { LinkCheck::Idle };
         }
         let Some(known) = self.peers.links.get(&link) else { return LinkCheck::Idle };
-        known.liveness.check(self.now, silence / 2, (silence * 2).max(ANSWER_WITHIN))
+        known.liveness.check(self.now, (silence / 2).max(PING_AFTER), (silence * 2).max(ANSWER_WITHIN))
     }
 
     /// Whether what is said to a member now reaches it, as far as is known: there is a link, and it is heard.
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -777,3 +777,141 @@
     says(&mut net, 1_000_001, 1 << 43);
     assert_eq!(orders(&net), 1);
 }
+
+/// Fleets so large that not all members are neighbours of each other.
+const LARGE: usize = 24;
+
+impl Net {
+    fn neighbours(&self, place: usize) -> Vec<usize> {
+        let overlay = self.plan.overlay();
+        overlay.neighbours(place as u16).iter().copied().map(usize::from).collect()
+    }
+
+    /// The first that is no neighbour of this member, from that one on.
+    fn stranger(&self, place: usize, from: usize) -> usize {
+        let neighbours = self.neighbours(place);
+        (from..self.members.len()).find(|other| *other != place && !neighbours.contains(other)).expect("one")
+    }
+
+    fn link(&self, from: usize, to: usize) -> Option<u64> {
+        let found = self.pairs.iter().find(|((at, _), (other, _))| (*at, *other) == (from, to));
+        found.map(|((_, link), _)| *link)
+    }
+
+    /// A dialogue whose copies lie with that member, where this one owns it.
+    fn held_by(&self, owner: usize, holder: usize) -> DialogueId {
+        let group = self.plan.group();
+        let holds = |id: &DialogueId| {
+            group
+                .holders(lotussaddle_replica::print(id), owner as u16)
+                .any(|place| usize::from(place) == holder)
+        };
+        (0..).map(|n| id(&format!("d{n}"))).find(holds).expect("one of many")
+    }
+}
+
+#[test]
+fn a_dead_link_over_which_nothing_comes_regularly_is_found_out_when_it_is_used() {
+    let mut net = Net::new(LARGE, false, |plan| plan.compare_every = ms(1_000_000));
+    net.run(ms(5000));
+    let used = net.stranger(0, 1);
+    let idle = net.stranger(0, used + 1);
+    let links = [net.link(0, used), net.link(0, idle)];
+    net.cut = [used, idle].into_iter().flat_map(|other| [(0, other), (other, 0)]).collect();
+    net.run(ms(8000));
+    assert_eq!([net.link(0, used), net.link(0, idle)], links, "nothing is said over an idle link");
+    assert!(net.held.is_empty(), "{}", net.held.len());
+    let d = net.held_by(0, used);
+    net.launches(0, &d, ms(1000));
+    net.run(ms(3500));
+    assert_eq!(net.link(0, used), None, "nobody has answered");
+    assert_eq!(net.link(0, idle), links[1]);
+    assert!(!net.member(0).view().gone(used as u16), "others hear it");
+    net.heal();
+    net.run(ms(4000));
+    assert!(net.link(0, used).is_some(), "it is begun anew");
+    assert!(net.member(used).book().get(&d).is_some(), "and what was to be said comes over it");
+}
+
+#[test]
+fn a_new_link_of_one_whose_old_one_is_dead_is_taken_in_the_end() {
+    let mut net = Net::new(LARGE, false, |plan| plan.compare_every = ms(1_000_000));
+    net.run(ms(3000));
+    let other = net.stranger(0, 1);
+    // Member 0, who begins the links to all others, is not told that this one has ended.
+    let old = net.link(0, other).expect("linked");
+    let (_, far) = net.pairs.remove(&(0, old)).expect("linked");
+    net.pairs.remove(&(other, far));
+    net.kill(other);
+    net.run(ms(500));
+    net.start(other);
+    net.run(ms(5000));
+    assert!(net.link(0, other).is_some_and(|link| link != old));
+    assert!(net.member(other).caught_up() && !net.ends[0].open.contains(&old));
+}
+
+#[test]
+fn a_disk_that_is_older_than_neighbours_know_is_let_go_in_a_large_fleet() {
+    let mut net = Net::new(LARGE, true, |_| ());
+    let member = 7;
+    net.run(ms(1000));
+    let d = net.held_by(0, member);
+    net.stands(0, &d);
+    let older = net.ends[member].disk.as_ref().expect("it has one").len();
+    // Nobody is acknowledged anything by it after that: its neighbours hear of these writes with its heartbeats.
+    (0..5).for_each(|n| net.stands(member, &id(&format!("own-{n}"))));
+    net.run(ms(1000));
+    net.kill(member);
+    net.ends[member].disk.as_mut().expect("it has one").truncate(older);
+    net.run(ms(300));
+    net.start(member);
+    net.run(ms(3000));
+    let logs = &net.ends[member].logs;
+    assert!(logs.iter().any(|line| line.contains("are not all that was kept, and are let go")), "{logs:#?}");
+    assert!(
+        net.member(member).caught_up() && net.member(member).book().get(&d).is_some(),
+        "it has them anew"
+    );
+}
+
+#[test]
+fn a_disk_of_which_no_neighbour_tells_does_not_pass_for_whole() {
+    let mut net = Net::new(LARGE, true, |_| ());
+    let member = 7;
+    net.run(ms(1000));
+    let d = net.held_by(0, member);
+    net.stands(0, &d);
+    net.run(ms(500));
+    net.kill(member);
+    let neighbours = net.neighbours(member);
+    net.cut = neighbours.iter().flat_map(|other| [(member, *other), (*other, member)]).collect();
+    net.run(ms(200));
+    net.start(member);
+    net.run(ms(900));
+    assert_eq!(net.member(member).life(), 0, "it waits for its neighbours, although most have told");
+    net.run(ms(1200));
+    assert!(net.member(member).life() > 0, "but not for ever");
+    let logs = &net.ends[member].logs;
+    assert!(logs.iter().any(|line| line.contains("are not all that was kept, and are let go")), "{logs:#?}");
+}
+
+#[test]
+fn what_is_no_message_of_a_neighbour_about_membership_ends_its_link() {
+    let mut net = Net::new(LARGE, false, |_| ());
+    let heartbeat = vec![1, 0, 0, 0, 0, 0, 0, 0, 0];
+    let neighbour = net.neighbours(0)[0];
+    let stranger = net.stranger(0, 1);
+    for (from, message, ends) in [
+        (neighbour, heartbeat.clone(), false),
+        (stranger, heartbeat, true),
+        (neighbour, vec![99], true),
+        (neighbour, Vec::new(), true),
+        (neighbour, vec![2, 255, 255, 255, 255, 255, 255, 255, 255, 255, 1], true),
+    ] {
+        let link = net.link(0, from).expect("linked");
+        net.hear(0, link, Frame::Peer(Peer::Membership { message }));
+        net.settle();
+        assert_eq!(!net.ends[0].open.contains(&link), ends, "from {from}");
+        net.run(ms(3000));
+    }
+}
--- a/crates/scale/src/limits.rs
+++ b/crates/scale/src/limits.rs
@@ -6,6 +6,7 @@
 use std::fmt;
 use std::time::Duration;
 
+use lotussaddle_membership::MOST_NEIGHBOURS;
 use rustix::process::{Resource, getrlimit};
 
 use crate::plan::{Bounds, Bytes, Mode, ScalePlan};
@@ -30,7 +31,7 @@
 /// Memory of one end of a link over a socket: its buffers and the stacks of its threads as well.
 const SOCKET_LINK_END_MEMORY: u64 = 48 * KIBIBYTE;
 
-/// Heartbeats of a member to each other, a second.
+/// Heartbeats of a member to each of its neighbours, a second.
 const HEARTBEATS_A_SECOND: f64 = 5.0;
 /// Processor seconds of a heartbeat in virtual time, sent and received.
 const HEARTBEAT_SECONDS: f64 = 2e-6;
@@ -65,7 +66,8 @@
 
     fn in_virtual_time(plan: &ScalePlan, members: u64, links: u64) -> Self {
         let played = (plan.warm_up + plan.duration).as_secs_f64();
-        let heartbeats = 2.0 * links as f64 * HEARTBEATS_A_SECOND * played;
+        let neighbours = members.saturating_sub(1).min(MOST_NEIGHBOURS as u64);
+        let heartbeats = (members * neighbours) as f64 * HEARTBEATS_A_SECOND * played;
         let memory = PROCESS_MEMORY + members * MEMBER_MEMORY + 2 * links * VIRTUAL_LINK_END_MEMORY;
         Self {
             links,
--- a/crates/scale/tests/sockets.rs
+++ b/crates/scale/tests/sockets.rs
@@ -53,8 +53,8 @@
     found.unwrap_or_else(|| panic!("{quantity}, {kind:?}: {observed:?}")).value
 }
 
-/// The same law as in virtual time, on real sockets: five heartbeats a second to each other member. A busy machine may make a
-/// member late, so that it sends fewer.
+/// The same law as in virtual time, on real sockets: five heartbeats a second to each neighbour, which in a fleet of eight is each
+/// other member. A busy machine may make a member late, so that it sends fewer.
 #[test]
 fn members_over_sockets_say_as_much_as_in_virtual_time_and_bring_changes_into_force() {
     let events = r#"changes { a-day 43200; }; departure "members" { count 1; at "2s"; }"#;
