--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -10,7 +10,6 @@
 mod desk;
 pub mod feed;
 mod sessions;
-mod wake_up_delay;
 
 pub use config::{Bounds, Config, ConfigError, EPOCH, feed_of};
 pub use sessions::Platform;
--- a/crates/platform/src/sessions.rs
+++ b/crates/platform/src/sessions.rs
@@ -16,7 +16,6 @@
 use crate::config::Config;
 use crate::desk::{CALLERS, Desk, LaunchOver, name};
 use crate::feed::{Event, Feed};
-use crate::wake_up_delay::WakeUpDelay;
 use crate::{Ending, Net, SocketId};
 
 /// How often connections and lives are looked at.
@@ -43,7 +42,6 @@
     /// How long after the word to end anything is still waited for.
     stays_for: Duration,
     sweep_at: Duration,
-    wake_up_delay: WakeUpDelay,
 }
 
 impl Platform {
@@ -69,7 +67,6 @@
             ending_since: None,
             stays_for: leaving::stays_for(longest),
             sweep_at: now,
-            wake_up_delay: WakeUpDelay::default(),
         }
     }
 
@@ -109,7 +106,6 @@
 
     /// The time given by `next_due` has come.
     pub fn alarm(&mut self, now: Duration, net: &mut dyn Net) {
-        self.wake_up_delay.timer_handled(now, self.next_due());
         self.desk.now = now;
         self.edge.alarm(now, &mut self.desk.hands(net));
         self.settle(net);
--- a/crates/platform/src/sessions/callers.rs
+++ b/crates/platform/src/sessions/callers.rs
@@ -15,8 +15,6 @@
 const SAY_WITHIN: Duration = Duration::from_millis(1800);
 /// Callers close a connection that is idle for 4 s; one idle for longer is held for good.
 const IDLE: Duration = Duration::from_millis(4800);
-/// No more than this share of a caller's time is taken to have gone by before its set-up was read.
-const MOST_WAITED_SHARE: u32 = 4;
 /// So many messages that cannot be used end a connection.
 const MOST_WRONGS: u32 = 8;
 
@@ -140,7 +138,7 @@
             tenant: None,
             first_choice: ServerNumber(start.dest),
             width: start.width,
-            time_left: self.time_left(start.left_ms).min(self.time_here()),
+            time_left: Duration::from_secs_f64(start.left_ms / 1000.0).min(self.time_here()),
             again: start.again,
             came_back: start.came_back,
             repeat: false,
@@ -179,13 +177,6 @@
         self.edge.heard(now, CALLERS, message, &mut self.desk.hands(net));
     }
 
-    /// How long a caller still waits that said so when it sent its set-up, which may have waited to be read since.
-    fn time_left(&self, left_ms: f64) -> Duration {
-        let left = Duration::from_secs_f64(left_ms / 1000.0);
-        let waited = self.wake_up_delay.expected(self.desk.now);
-        left - waited.min(left / MOST_WAITED_SHARE)
-    }
-
     /// A set-up is given up on its own connection, a call that stands on any.
     pub(super) fn caller_finishes(&mut self, socket: SocketId, tag: Tag, net: &mut dyn Net) {
         match self.edge.holds(&name(tag)) {
