--- a/crates/edge/src/edge/launch_ends.rs
+++ b/crates/edge/src/edge/launch_ends.rs
@@ -71,6 +71,7 @@
         self.settle(wires);
     }
 
+    /// Tells the module, and whoever keeps a copy of the dialogue, that its last launch was out until now.
     pub(super) fn called_off_again(&mut self, id: &DialogueId, server: ServerId, wires: &mut dyn Wires) {
         let Some(held) = self.state.held.get(id) else { return };
         if !matches!(held.at, Stage::Waiting) || held.launches == 0 {
@@ -84,7 +85,9 @@
             closed: false,
             report: LoadReport::default(),
         };
-        self.brain.ended(self.state.now, end, &mut Hands { state: &mut self.state, wires });
+        let mut hands = Hands { state: &mut self.state, wires };
+        hands.back(id, true);
+        self.brain.ended(hands.state.now, end, &mut hands);
     }
 
     /// Whether a dialogue that has no answer yet had a launch that is not out any more.
--- a/crates/edge/tests/hard_cases.rs
+++ b/crates/edge/tests/hard_cases.rs
@@ -767,6 +767,32 @@
     }
 }
 
+/// The server had not read the give-up: until then the launch was out, for this edge proxy and for whoever keeps a copy.
+#[test]
+fn an_answer_that_crosses_its_give_up_begins_the_release_time_anew() {
+    let mut b = Bench::kept("a", false);
+    b.dials(100, "d1", 0).at(15).recorded(2).at(30);
+    let (link, given_up_at) = (b.link_to("a"), b.trace.now);
+    let report = LoadReport::default();
+    b.edge.launch_came_to(
+        ms(given_up_at),
+        link,
+        &id("d1"),
+        LaunchNo(0),
+        Outcome::TimedOut,
+        report,
+        &mut b.trace,
+    );
+    let backs = |b: &Bench| b.trace().matches("d1 Back { doubt: true }").count();
+    assert_eq!(backs(&b), 1, "{}", b.trace());
+    b.at(given_up_at + 200).stood("a", "d1", 0);
+    assert_eq!(backs(&b), 2, "{}", b.trace());
+    b.at(given_up_at + 200 + 295);
+    assert!(!b.trace().contains("d1 to a no 1"), "not before the release time: {}", b.trace());
+    b.at(given_up_at + 200 + 320);
+    assert!(b.trace().contains("d1 to a no 1"), "{}", b.trace());
+}
+
 #[test]
 fn a_launch_called_off_while_it_waits_is_never_sent() {
     let mut b = Bench::kept("a", false);
