--- a/crates/fleet/src/membership_view.rs
+++ b/crates/fleet/src/membership_view.rs
@@ -12,16 +12,6 @@
 pub struct MemberSet(Vec<u64>);
 
 impl MemberSet {
-    /// The set with these bits, as [`MemberSet::words`] gave them.
-    pub fn of(words: Vec<u64>) -> Self {
-        Self(words)
-    }
-
-    /// One bit for each member, lowest first, 64 in a word.
-    pub fn words(&self) -> &[u64] {
-        &self.0
-    }
-
     /// Adds a member.
     pub fn set(&mut self, member: u16) {
         let (word, bit) = (usize::from(member) / 64, member % 64);
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -30,7 +30,8 @@
     pub release: Duration,
     /// How long is asked for what is known of a dialogue that was dialled before.
     pub ask_within: Duration,
-    /// A member not heard by a majority for so long has its dialogues taken over.
+    /// A neighbour in the overlay not heard for so long is reported; a member that no path joins to a majority has its dialogues taken
+    /// over.
     pub silence: Duration,
     /// What was taken over and is claimed by no caller for so long is released.
     pub unclaimed: Duration,
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -108,7 +108,6 @@
         })
     }
 
-    /// An operator asks: status, differ, show DIALOGUE.
     /// `DUTY`, or `DUTY MEMBER`: what becomes of it is seen in what is told of duties.
     fn ordered_over(&mut self, rest: &str) -> Value {
         let (duty, to) = rest.split_once(' ').map_or((rest, None), |(duty, to)| (duty, Some(to)));
@@ -148,6 +147,7 @@
         json!({ "ordered": rest })
     }
 
+    /// An operator asks: status, differ, show DIALOGUE, or orders something.
     pub(crate) fn inquired(&mut self, link: PeerLink, what: &str, effects: &mut dyn Effects) {
         let now = self.now();
         let names = &self.plan().members;
--- a/crates/platform/tests/ends.rs
+++ b/crates/platform/tests/ends.rs
@@ -448,19 +448,7 @@
 fn the_end_of_a_call_that_crosses_its_give_up_is_told_at_once_and_nothing_is_launched_again() {
     for end in [cause::NORMAL, cause::RESET] {
         let mut w = World::new();
-        let caller = w.caller();
-        w.start(caller, 5, "dest:0");
-        let core = w.set_up();
-        // Another is answered before it: it counts as lost and is called off, with time left for a second launch.
-        w.wait(2);
-        let other = w.caller();
-        w.start(other, 6, "dest:0");
-        let quick = w.set_up();
-        w.wait(10);
-        w.stands(quick, 6);
-        w.ends(quick, 6, cause::NORMAL);
-        assert!(w.told(other).contains("STARTED"));
-        w.wait_for_give_up(core, 5);
+        let (core, caller) = w.call_with_a_launch_given_up(5);
         assert_eq!(w.told(caller), "", "it waits for a second launch");
         w.ends(core, 5, end);
         w.has_failed_once(caller);
