--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -46,7 +46,7 @@
     }
     fn refuse(&mut self, _: &DialogueId, _: Option<Duration>) {}
     fn fail(&mut self, _: &DialogueId) {}
-    fn cancel(&mut self, _: &DialogueId, _: LaunchNo) {}
+    fn cancel(&mut self, _: &DialogueId, _: LaunchNumber) {}
     fn set_timer(&mut self, _: TimerId, _: Duration) {}
     fn log(&mut self, _: &str) {}
 }
@@ -55,8 +55,8 @@
 fn plan(servers: i64, proxies: u32) -> RoutePlan {
     let product = |n: i64| Product {
         promised: Duration::from_secs(1000),
-        lasts: Duration::from_secs(8),
-        patience: Duration::from_secs(2000),
+        mean_duration: Duration::from_secs(8),
+        redial_window: Duration::from_secs(2000),
         gain: [1.0, 6.0, 2.0, 2.0][n as usize],
         late_share: 0.25,
         servers: (n % 2 == 1).then(|| (0..servers / 2).map(ServerNumber).collect()),
@@ -67,16 +67,16 @@
         tenants: vec![Tenant { quota: 30.0 }, Tenant { quota: 10.0 }],
         over_quota_share: 0.2,
         tick: Duration::from_millis(5),
-        release: Duration::from_millis(300),
-        resend: Duration::from_millis(500),
+        release_time: Duration::from_millis(300),
+        resend_after: Duration::from_millis(500),
         max_launches: 6,
-        marks_again: true,
+        callers_mark_retries: true,
         may_cancel: true,
-        longest_return: Duration::from_secs(2),
-        cold_share: 0.35,
-        warm_after: Duration::from_secs(15),
-        fall_multiple: 2.5,
-        fall_within: Duration::from_secs(1),
+        max_retry_after: Duration::from_secs(2),
+        cold_start_share: 0.35,
+        warm_up_time: Duration::from_secs(15),
+        overload_multiple: 2.5,
+        overload_window: Duration::from_secs(1),
     }
 }
 
@@ -107,12 +107,12 @@
     let entry = |n| ListEntry {
         server: id(n),
         number: ServerNumber(n),
-        listed: Listed::Active,
-        since: Duration::ZERO,
+        state: ServerState::Active,
+        started: Duration::ZERO,
     };
     let entries: Vec<ListEntry> = (0..servers).map(entry).collect();
     let before = held();
-    brain.listed(now, true, &entries, &mut sink);
+    brain.server_list_received(now, true, &entries, &mut sink);
     let server_bytes = (held() - before) / servers as usize;
     let arrival = |n: u64, now: Duration| Arrival {
         id: DialogueId(Arc::from(format!("gateway-17-{n}"))),
@@ -123,19 +123,19 @@
         width: 1.0,
         dialled_at: now,
         cut_off: now + Duration::from_secs(1500),
-        again: false,
-        came_back: false,
+        is_retry: false,
+        redialled_after_cut: false,
     };
     let report = |wait: Option<u64>| LoadReport {
         free_lines: Some(9e6),
-        lines: Some(9e6 + 800.0),
-        wait: wait.map(Duration::from_millis),
+        total_lines: Some(9e6 + 800.0),
+        processor_wait: wait.map(Duration::from_millis),
         ..LoadReport::default()
     };
     if room == Room::Shares {
         for _ in 0..12 {
             for n in 0..servers {
-                brain.reported(now, &id(n), &report(Some(500)), &mut sink);
+                brain.load_reported(now, &id(n), &report(Some(500)), &mut sink);
             }
             now += Duration::from_secs(1);
         }
@@ -143,7 +143,7 @@
     let before = held();
     let mut count = 0;
     for _ in 0..waiting + 2 * servers as u64 {
-        brain.arrived(now, arrival(count, now), &mut sink);
+        brain.dialogue_arrived(now, arrival(count, now), &mut sink);
         count += 1;
     }
     let waiting_bytes = if waiting > 1000 { (held() - before) / waiting as usize } else { 0 };
@@ -158,17 +158,19 @@
             took[kind].push(begun.elapsed().as_secs_f64() * 1e6);
         };
         if let Some((dialogue, server)) = answered {
-            timed(1, &mut |brain, sink| brain.stands(now, &dialogue, LaunchNo(0), &server, sink));
+            timed(1, &mut |brain, sink| {
+                brain.dialogue_stands(now, &dialogue, LaunchNumber(0), &server, sink)
+            });
         }
-        timed(0, &mut |brain, sink| brain.arrived(now, arrival(count, now), sink));
+        timed(0, &mut |brain, sink| brain.dialogue_arrived(now, arrival(count, now), sink));
         count += 1;
         let n = i64::from(round) % servers;
         let wait = (room != Room::Shares).then_some(1);
-        timed(2, &mut |brain, sink| brain.reported(now, &id(n), &report(wait), sink));
-        timed(4, &mut |brain, sink| brain.alarm(now, TimerId(0), sink));
+        timed(2, &mut |brain, sink| brain.load_reported(now, &id(n), &report(wait), sink));
+        timed(4, &mut |brain, sink| brain.timer_fired(now, TimerId(0), sink));
         if round % 8 == 0 {
             let changed = [entry(n)];
-            timed(3, &mut |brain, sink| brain.listed(now, false, &changed, sink));
+            timed(3, &mut |brain, sink| brain.server_list_received(now, false, &changed, sink));
         }
     }
     Run { took, server_bytes, waiting_bytes }
--- a/benches/waiting.rs
+++ b/benches/waiting.rs
@@ -7,16 +7,21 @@
 use lotussaddle::brain::Brain;
 use lotussaddle::interface::*;
 
-mod interface {
-    pub use lotussaddle::interface::*;
-}
+#[path = "../tests/former/interface.rs"]
+#[allow(dead_code, clippy::all)]
+mod interface;
 mod pcg {
     pub use lotussaddle::pcg::*;
 }
+#[path = "../tests/former/adapter.rs"]
+#[allow(dead_code)]
+mod adapter;
 #[path = "../tests/former/brain.rs"]
 #[allow(dead_code, clippy::all)]
 mod former;
 
+use adapter::FormerBrain;
+
 /// Takes what is decided and keeps the launches.
 #[derive(Default)]
 struct Sink {
@@ -29,7 +34,7 @@
     }
     fn refuse(&mut self, _: &DialogueId, _: Option<Duration>) {}
     fn fail(&mut self, _: &DialogueId) {}
-    fn cancel(&mut self, _: &DialogueId, _: LaunchNo) {}
+    fn cancel(&mut self, _: &DialogueId, _: LaunchNumber) {}
     fn set_timer(&mut self, _: TimerId, _: Duration) {}
     fn log(&mut self, _: &str) {}
 }
@@ -37,8 +42,8 @@
 fn plan() -> RoutePlan {
     let product = |gain| Product {
         promised: Duration::from_secs(100),
-        lasts: Duration::from_secs(8),
-        patience: Duration::from_secs(200),
+        mean_duration: Duration::from_secs(8),
+        redial_window: Duration::from_secs(200),
         gain,
         late_share: 0.25,
         servers: None,
@@ -49,16 +54,16 @@
         tenants: vec![Tenant { quota: 30.0 }, Tenant { quota: 10.0 }],
         over_quota_share: 0.2,
         tick: Duration::from_millis(5),
-        release: Duration::from_millis(300),
-        resend: Duration::from_millis(500),
+        release_time: Duration::from_millis(300),
+        resend_after: Duration::from_millis(500),
         max_launches: 6,
-        marks_again: true,
+        callers_mark_retries: true,
         may_cancel: true,
-        longest_return: Duration::from_secs(2),
-        cold_share: 0.35,
-        warm_after: Duration::from_secs(15),
-        fall_multiple: 2.5,
-        fall_within: Duration::from_secs(1),
+        max_retry_after: Duration::from_secs(2),
+        cold_start_share: 0.35,
+        warm_up_time: Duration::from_secs(15),
+        overload_multiple: 2.5,
+        overload_window: Duration::from_secs(1),
     }
 }
 
@@ -70,11 +75,11 @@
             .map(|n| ListEntry {
                 server: ServerId(Arc::from(format!("core-{n}"))),
                 number: ServerNumber(n),
-                listed: Listed::Active,
-                since: Duration::ZERO,
+                state: ServerState::Active,
+                started: Duration::ZERO,
             })
             .collect();
-        brain.listed(now, true, &entries, &mut sink);
+        brain.server_list_received(now, true, &entries, &mut sink);
         let arrival = |n: u64, now: Duration| Arrival {
             id: DialogueId(Arc::from(format!("gateway-17-{n}"))),
             key: Some(DialledKey(Arc::from(format!("key-{n}")))),
@@ -84,12 +89,12 @@
             width: 1.0,
             dialled_at: now,
             cut_off: now + Duration::from_secs(150),
-            again: false,
-            came_back: false,
+            is_retry: false,
+            redialled_after_cut: false,
         };
         let mut count = 0;
         for _ in 0..$waiting + 16 {
-            brain.arrived(now, arrival(count, now), &mut sink);
+            brain.dialogue_arrived(now, arrival(count, now), &mut sink);
             count += 1;
         }
         // As many wait all the time: an answer sets one free, and a dial takes its place.
@@ -100,15 +105,15 @@
             now += Duration::from_micros(200);
             let Some((dialogue, server)) = sink.launched.pop_front() else { break };
             let begun = Instant::now();
-            brain.stands(now, &dialogue, LaunchNo(0), &server, &mut sink);
+            brain.dialogue_stands(now, &dialogue, LaunchNumber(0), &server, &mut sink);
             let took = begun.elapsed();
             (answers, worst, answered) = (answers + took, worst.max(took), answered + 1);
             let begun = Instant::now();
-            brain.arrived(now, arrival(count, now), &mut sink);
+            brain.dialogue_arrived(now, arrival(count, now), &mut sink);
             dials += begun.elapsed();
             count += 1;
             let begun = Instant::now();
-            brain.alarm(now, TimerId(0), &mut sink);
+            brain.timer_fired(now, TimerId(0), &mut sink);
             alarms += begun.elapsed();
         }
         let each = |sum: Duration| sum.as_secs_f64() * 1e6 / f64::from(answered.max(1));
@@ -132,7 +137,7 @@
         for _ in 0..runs {
             let (a, d, t, worst, rounds) = measured!(Brain, waiting, 20_000);
             let walks = (2_000_000 / waiting).clamp(30, 2000);
-            let (fa, fd, ft, fworst, frounds) = measured!(former::Brain, waiting, walks);
+            let (fa, fd, ft, fworst, frounds) = measured!(FormerBrain, waiting, walks);
             println!(
                 "{waiting:>8} {a:>8.2} {d:>6.2} {t:>6.2} ({worst:>7.1}) x{rounds} {fa:>10.1} {fd:>9.1} {ft:>9.1} ({fworst:>7.0}) x{frounds}"
             );
--- a/crates/cli/benches/through.rs
+++ b/crates/cli/benches/through.rs
@@ -37,7 +37,7 @@
         server: ServerId(Arc::from(format!("core-{n}"))),
         number: ServerNumber(n as i64),
         address: Arc::from(addresses[n + 1].to_string()),
-        listed: Listed::Active,
+        listed: ServerState::Active,
         life: 0,
         age: Duration::ZERO,
     });
@@ -53,7 +53,7 @@
     thread::spawn(move || {
         let _gates = gates;
         let mut at: HashMap<Token, u32> = HashMap::new();
-        let report = LoadReport { free_lines: Some(1e6), lines: Some(1e6), ..LoadReport::default() };
+        let report = LoadReport { free_lines: Some(1e6), total_lines: Some(1e6), ..LoadReport::default() };
         while let Ok(happening) = happenings.recv() {
             match happening {
                 Happening::Came(token, gate, opened) => {
@@ -222,7 +222,7 @@
                     callers.insert(d.dialogue.clone(), (token, far[next]));
                     let launch = Launch {
                         dialogue: d.dialogue,
-                        launch: LaunchNo(0),
+                        launch: LaunchNumber(0),
                         key: d.key,
                         product: d.product,
                         width: d.width,
@@ -241,7 +241,7 @@
                 }
                 Frame::HangUp { dialogue } => {
                     if let Some((_, far)) = callers.remove(&dialogue) {
-                        hub.say(far, Frame::Release { dialogue, launch: LaunchNo(0) }.into());
+                        hub.say(far, Frame::Release { dialogue, launch: LaunchNumber(0) }.into());
                     }
                 }
                 _ => {}
@@ -364,7 +364,7 @@
         let dialogue = DialogueId(Arc::from(format!("direct-{count}")));
         let launch = Launch {
             dialogue: dialogue.clone(),
-            launch: LaunchNo(0),
+            launch: LaunchNumber(0),
             key: None,
             product: 0,
             width: 1.0,
--- a/crates/day/src/baseline.rs
+++ b/crates/day/src/baseline.rs
@@ -54,7 +54,7 @@
     first_choice: ServerNumber,
     answer_by: Duration,
     launches: u32,
-    at: Option<(ServerId, LaunchNo)>,
+    at: Option<(ServerId, LaunchNumber)>,
     /// When something is to be done for it next.
     due: Duration,
 }
@@ -101,12 +101,12 @@
         asked.due = asked.answer_by;
         if asked.at.is_none() {
             if asked.launches >= self.plan.max_launches {
-                let come_back = Some(self.plan.longest_return).filter(|d| !d.is_zero());
+                let come_back = Some(self.plan.max_retry_after).filter(|d| !d.is_zero());
                 return out.refuse(id, come_back);
             }
             match self.choose(&asked) {
                 Some(server) => {
-                    asked.at = Some((server.clone(), LaunchNo(asked.launches)));
+                    asked.at = Some((server.clone(), LaunchNumber(asked.launches)));
                     asked.launches += 1;
                     if let Some(known) = self.servers.get_mut(&server) {
                         known.out += 1;
@@ -158,7 +158,7 @@
             self.servers.values_mut().for_each(|s| s.active = false);
         }
         for entry in entries {
-            let active = entry.listed == Listed::Active;
+            let active = entry.state == ServerState::Active;
             let known = self.servers.entry(entry.server.clone());
             let known = known.or_insert(Server { number: entry.number, active, out: 0 });
             (known.number, known.active) = (entry.number, active);
@@ -197,7 +197,7 @@
     }
 
     fn stands(
-        &mut self, now: Duration, id: &DialogueId, _launch: LaunchNo, _server: &ServerId,
+        &mut self, now: Duration, id: &DialogueId, _launch: LaunchNumber, _server: &ServerId,
         out: &mut dyn Signalling,
     ) {
         self.forget(id);
@@ -210,8 +210,8 @@
             && self.asked.get(&end.dialogue).is_some_and(ours)
             && let Some(mut asked) = self.forget(&end.dialogue)
         {
-            let doubt = matches!(end.outcome, Outcome::TimedOut | Outcome::BrokenOff | Outcome::CalledOff);
-            let wait = if doubt { self.plan.release } else { self.plan.tick };
+            let doubt = matches!(end.outcome, Outcome::TimedOut | Outcome::BrokenOff | Outcome::Cancelled);
+            let wait = if doubt { self.plan.release_time } else { self.plan.tick };
             asked.at = None;
             asked.due = asked.answer_by.min(now + wait);
             self.by_time.insert((asked.due, end.dialogue.clone()));
--- a/crates/day/src/world.rs
+++ b/crates/day/src/world.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lotussaddle::interface::{Listed, ServerId, ServerNumber};
+use lotussaddle::interface::{ServerId, ServerNumber, ServerState};
 use lotussaddle_judge::{Line, Way, What, hex};
 use lotussaddle_standin::{CoreServer, Crowd, EnumServer, Floor, Listing, Mood, PoolList, Strain};
 use lotussaddle_trunk::{Frame, Message};
@@ -97,7 +97,7 @@
     region: usize,
     address: Arc<str>,
     life: u64,
-    listed: Listed,
+    listed: ServerState,
     shut: bool,
 }
 
@@ -219,7 +219,7 @@
         self.capacities.insert(name.to_string(), figures.capacity());
         let model = CoreServer::new(figures, self.rng.random());
         let address = Arc::from(ground.open_core(place));
-        let listed = Listed::Active;
+        let listed = ServerState::Active;
         self.cores.push(Core { model, name, number, region, address, life: 0, listed, shut: false });
         place
     }
@@ -686,7 +686,7 @@
             }
             Turn::CoreUp(core) => self.start_core(core, ground),
             Turn::Retire(core) => {
-                self.cores[core].listed = Listed::Gone;
+                self.cores[core].listed = ServerState::Gone;
                 self.with_core(core, ground, |model, now, acts| {
                     model.cut_all(now, acts);
                     model.crash(acts);
@@ -706,7 +706,7 @@
 
     fn draw_struck(&mut self, kind: &Kind) -> Vec<usize> {
         let in_service = |world: &Self| -> Vec<usize> {
-            (0..world.cores.len()).filter(|c| world.cores[*c].listed == Listed::Active).collect()
+            (0..world.cores.len()).filter(|c| world.cores[*c].listed == ServerState::Active).collect()
         };
         let (mut all, part) = match kind {
             Kind::Crash { part }
@@ -976,10 +976,10 @@
                 let batches = struck.len().div_ceil(*batch as usize);
                 let now = self.now;
                 for core in struck.into_iter().skip(step as usize * *batch as usize).take(*batch as usize) {
-                    if self.cores[core].listed != Listed::Active {
+                    if self.cores[core].listed != ServerState::Active {
                         continue;
                     }
-                    self.cores[core].listed = Listed::Leaving;
+                    self.cores[core].listed = ServerState::Draining;
                     let leaving = listing(&self.cores[core]);
                     self.list.changed(now, leaving);
                     self.turn(now + *drains, Turn::Retire(core));
@@ -1070,7 +1070,7 @@
 
     fn start_core(&mut self, core: usize, ground: &mut dyn Ground) {
         let now = self.now;
-        if self.cores[core].model.is_up() || self.cores[core].listed == Listed::Gone {
+        if self.cores[core].model.is_up() || self.cores[core].listed == ServerState::Gone {
             return;
         }
         self.cores[core].model.start(now);
--- a/crates/day/tests/virtual_days.rs
+++ b/crates/day/tests/virtual_days.rs
@@ -129,7 +129,7 @@
     let mut day = short(1, 6);
     let kind = Kind::AnswersLost { part: 1.0, share: 0.3, by_reset: true };
     day.troubles = vec![Trouble { at: S, lasts: S * 4, kind }];
-    let hasty = |plan: RoutePlan, seed| Brain::new(RoutePlan { release: MS * 100, ..plan }, seed);
+    let hasty = |plan: RoutePlan, seed| Brain::new(RoutePlan { release_time: MS * 100, ..plan }, seed);
     let played = virt::play_with(&day, &Play::default(), hasty).unwrap();
     assert_eq!(rules_broken(&played.verdict), [Rule::Release]);
 }
@@ -185,8 +185,8 @@
             &mut self, now: Duration, whole: bool, entries: &[lotussaddle::interface::ListEntry],
             out: &mut dyn lotussaddle::interface::Signalling,
         ) {
-            use lotussaddle::interface::Listed;
-            let active: Vec<_> = entries.iter().filter(|e| e.listed == Listed::Active).cloned().collect();
+            use lotussaddle::interface::ServerState;
+            let active: Vec<_> = entries.iter().filter(|e| e.state == ServerState::Active).cloned().collect();
             self.0.listed(now, whole, &active, out);
         }
         fn arrived(
@@ -209,7 +209,7 @@
         }
         fn stands(
             &mut self, now: Duration, id: &lotussaddle::interface::DialogueId,
-            launch: lotussaddle::interface::LaunchNo, server: &lotussaddle::interface::ServerId,
+            launch: lotussaddle::interface::LaunchNumber, server: &lotussaddle::interface::ServerId,
             out: &mut dyn lotussaddle::interface::Signalling,
         ) {
             self.0.stands(now, id, launch, server, out);
--- a/crates/drill/src/fields.rs
+++ b/crates/drill/src/fields.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use anyhow::{Context, Result, bail, ensure};
-use lotussaddle_settings::millis;
+use lotussaddle_settings::checked_millis;
 
 pub struct Fields<'a>(Vec<(&'a str, &'a str)>);
 
@@ -44,7 +44,7 @@
     }
 
     pub fn time(&self, name: &str) -> Result<Duration> {
-        millis(name, self.number(name)?)
+        checked_millis(name, self.number(name)?)
     }
 
     pub fn flag(&self, name: &str) -> Result<bool> {
--- a/crates/drill/src/reply.rs
+++ b/crates/drill/src/reply.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, ServerId, Signalling, TimerId};
+use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId, Signalling, TimerId};
 
 #[derive(Default)]
 pub struct Reply {
@@ -49,7 +49,7 @@
         self.put(format_args!("FINISH_ERROR call={}", dialogue.0));
     }
 
-    fn cancel(&mut self, dialogue: &DialogueId, launch: LaunchNo) {
+    fn cancel(&mut self, dialogue: &DialogueId, launch: LaunchNumber) {
         self.put(format_args!("CALL_OFF call={} n={}", dialogue.0, launch.0));
     }
 
--- a/crates/drill/src/wire.rs
+++ b/crates/drill/src/wire.rs
@@ -9,7 +9,7 @@
 use base64::engine::general_purpose::STANDARD as BASE64;
 use lotussaddle::brain::Brain;
 use lotussaddle::interface::*;
-use lotussaddle_settings::{load_report, millis, route_plan};
+use lotussaddle_settings::{checked_millis, load_report, route_plan};
 
 use crate::fields::{Fields, parse};
 use crate::reply::Reply;
@@ -95,7 +95,7 @@
                 let id = dialogue(&fields)?;
                 let now = self.now;
                 let (instance, reply) = self.instance()?;
-                instance.brain.left(now, &id, reply);
+                instance.brain.caller_left(now, &id, reply);
             }
             "STATUS_BACK" => {
                 let (server, report) = (server(&fields)?, usage(&fields)?);
@@ -103,12 +103,12 @@
                 fields.time("durationMs")?;
                 let now = self.now;
                 let (instance, reply) = self.instance()?;
-                instance.brain.reported(now, &server, &report, reply);
+                instance.brain.load_reported(now, &server, &report, reply);
             }
             "REPLY" => {
                 let end = LaunchEnd {
                     dialogue: dialogue(&fields)?,
-                    launch: LaunchNo(fields.whole("n")?),
+                    launch: LaunchNumber(fields.whole("n")?),
                     server: server(&fields)?,
                     outcome: launch_outcome(&fields)?,
                     closed: fields.flag("noMore")?,
@@ -116,20 +116,20 @@
                 };
                 let now = self.now;
                 let (instance, reply) = self.instance()?;
-                instance.brain.ended(now, end, reply);
+                instance.brain.launch_ended(now, end, reply);
             }
             "STARTED" => {
                 let (id, server) = (dialogue(&fields)?, server(&fields)?);
-                let launch = LaunchNo(fields.whole("n")?);
+                let launch = LaunchNumber(fields.whole("n")?);
                 let now = self.now;
                 let (instance, reply) = self.instance()?;
-                instance.brain.stands(now, &id, launch, &server, reply);
+                instance.brain.dialogue_stands(now, &id, launch, &server, reply);
             }
             "ALARM" => {
                 let timer = TimerId(fields.whole("name")?);
                 let now = self.now;
                 let (instance, reply) = self.instance()?;
-                instance.brain.alarm(now, timer, reply);
+                instance.brain.timer_fired(now, timer, reply);
             }
             "HEARD" => {
                 // Nothing is decided by a message of another edge proxy; it is checked like any other.
@@ -153,17 +153,17 @@
     fn entry(&mut self, fields: &Fields) -> Result<()> {
         let (list, missing) = self.filling.context("no list is being registered")?;
         let listed = match fields.need("readiness")? {
-            "active" => Listed::Active,
-            "leaving" => Listed::Leaving,
-            "left" => Listed::Gone,
+            "active" => ServerState::Active,
+            "leaving" => ServerState::Draining,
+            "left" => ServerState::Gone,
             other => bail!("readiness={other} is not known"),
         };
         let since = fields.get("sinceMs").map_or(Ok(0.0), |text| parse("sinceMs", text))?;
         let entry = ListEntry {
             server: server(fields)?,
             number: ServerNumber(fields.whole("number")?),
-            listed,
-            since: millis("sinceMs", since)?,
+            state: listed,
+            started: checked_millis("sinceMs", since)?,
         };
         self.lists.entry(list).or_default().push(entry);
         self.filling = Some((list, missing - 1)).filter(|(_, missing)| *missing > 0);
@@ -183,7 +183,7 @@
         let entries = entries.clone();
         let now = self.now;
         let (instance, reply) = self.instance()?;
-        instance.brain.listed(now, whole, &entries, reply);
+        instance.brain.server_list_received(now, whole, &entries, reply);
         Ok(())
     }
 
@@ -197,13 +197,13 @@
             width: fields.get("units").map_or(Ok(1.0), |_| fields.number("units"))?,
             dialled_at: self.now,
             cut_off: fields.time("clientDeadlineMs")?,
-            again: fields.flag("againByClient")?,
-            came_back: fields.flag("cameBack")?,
+            is_retry: fields.flag("againByClient")?,
+            redialled_after_cut: fields.flag("cameBack")?,
         };
         let now = self.now;
         let (instance, reply) = self.instance()?;
         ensure!(arrival.product.0 < instance.products, "grade={} is no product", arrival.product.0);
-        instance.brain.arrived(now, arrival, reply);
+        instance.brain.dialogue_arrived(now, arrival, reply);
         Ok(())
     }
 }
@@ -220,7 +220,7 @@
 fn launch_outcome(fields: &Fields) -> Result<Outcome> {
     let code: u32 = fields.get("clearCode").map_or(Ok(0), |text| parse("clearCode", text))?;
     Ok(match outcome(fields.need("outcome")?)? {
-        Outcome::TurnedBack if code % 16 == 1 => Outcome::LinesTaken,
+        Outcome::TurnedBack if code % 16 == 1 => Outcome::NoFreeLine,
         Outcome::Fault if code % 16 == 4 => Outcome::NumberBusy,
         other => other,
     })
@@ -234,7 +234,7 @@
         "expired" => Outcome::TimedOut,
         "dial_failed" => Outcome::Unreachable,
         "dropped" => Outcome::BrokenOff,
-        "revoked" => Outcome::CalledOff,
+        "revoked" => Outcome::Cancelled,
         "unused" => Outcome::NotSent,
         other => bail!("outcome={other} is not known"),
     })
--- a/crates/edge/benches/fleet.rs
+++ b/crates/edge/benches/fleet.rs
@@ -14,7 +14,7 @@
 struct Taken {
     links: u64,
     begun: Vec<(String, LinkId)>,
-    launched: Vec<(DialogueId, LaunchNo, LinkId)>,
+    launched: Vec<(DialogueId, LaunchNumber, LinkId)>,
 }
 
 impl Wires for Taken {
@@ -38,8 +38,8 @@
         proxies,
         products: vec![Product {
             promised: Duration::from_secs(2),
-            lasts: Duration::from_secs(8),
-            patience: Duration::from_secs(9),
+            mean_duration: Duration::from_secs(8),
+            redial_window: Duration::from_secs(9),
             gain: 1.0,
             late_share: 0.25,
             servers: None,
@@ -47,16 +47,16 @@
         tenants: vec![],
         over_quota_share: 0.2,
         tick: Duration::from_millis(5),
-        release: Duration::from_millis(300),
-        resend: Duration::ZERO,
+        release_time: Duration::from_millis(300),
+        resend_after: Duration::ZERO,
         max_launches: 6,
-        marks_again: true,
+        callers_mark_retries: true,
         may_cancel: true,
-        longest_return: Duration::ZERO,
-        cold_share: 0.35,
-        warm_after: Duration::from_secs(15),
-        fall_multiple: 2.5,
-        fall_within: Duration::from_secs(1),
+        max_retry_after: Duration::ZERO,
+        cold_start_share: 0.35,
+        warm_up_time: Duration::from_secs(15),
+        overload_multiple: 2.5,
+        overload_window: Duration::from_secs(1),
     }
 }
 
@@ -76,7 +76,7 @@
         server: ServerId(Arc::from(format!("core-{n}"))),
         number: ServerNumber(n as i64),
         address: Arc::from(format!("core-{n}")),
-        listed: Listed::Active,
+        listed: ServerState::Active,
         life: 0,
         age: Duration::ZERO,
     };
--- a/crates/edge/src/decisions.rs
+++ b/crates/edge/src/decisions.rs
@@ -14,7 +14,7 @@
     fn left(&mut self, now: Duration, id: &DialogueId, out: &mut dyn Signalling);
     fn reported(&mut self, now: Duration, id: &ServerId, report: &LoadReport, out: &mut dyn Signalling);
     fn stands(
-        &mut self, now: Duration, id: &DialogueId, launch: LaunchNo, server: &ServerId,
+        &mut self, now: Duration, id: &DialogueId, launch: LaunchNumber, server: &ServerId,
         out: &mut dyn Signalling,
     );
     fn ended(&mut self, now: Duration, end: LaunchEnd, out: &mut dyn Signalling);
@@ -23,30 +23,30 @@
 
 impl Decisions for Brain {
     fn rest_until(&mut self, until: Duration) {
-        Self::rest_until(self, until);
+        Self::hold_launches_until(self, until);
     }
     fn listed(&mut self, now: Duration, whole: bool, entries: &[ListEntry], out: &mut dyn Signalling) {
-        Self::listed(self, now, whole, entries, out);
+        Self::server_list_received(self, now, whole, entries, out);
     }
     fn arrived(&mut self, now: Duration, arrival: Arrival, out: &mut dyn Signalling) {
-        Self::arrived(self, now, arrival, out);
+        Self::dialogue_arrived(self, now, arrival, out);
     }
     fn left(&mut self, now: Duration, id: &DialogueId, out: &mut dyn Signalling) {
-        Self::left(self, now, id, out);
+        Self::caller_left(self, now, id, out);
     }
     fn reported(&mut self, now: Duration, id: &ServerId, report: &LoadReport, out: &mut dyn Signalling) {
-        Self::reported(self, now, id, report, out);
+        Self::load_reported(self, now, id, report, out);
     }
     fn stands(
-        &mut self, now: Duration, id: &DialogueId, launch: LaunchNo, server: &ServerId,
+        &mut self, now: Duration, id: &DialogueId, launch: LaunchNumber, server: &ServerId,
         out: &mut dyn Signalling,
     ) {
-        Self::stands(self, now, id, launch, server, out);
+        Self::dialogue_stands(self, now, id, launch, server, out);
     }
     fn ended(&mut self, now: Duration, end: LaunchEnd, out: &mut dyn Signalling) {
-        Self::ended(self, now, end, out);
+        Self::launch_ended(self, now, end, out);
     }
     fn alarm(&mut self, now: Duration, timer: TimerId, out: &mut dyn Signalling) {
-        Self::alarm(self, now, timer, out);
+        Self::timer_fired(self, now, timer, out);
     }
 }
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use lotussaddle::brain::Brain;
-use lotussaddle::interface::{DialogueId, LaunchNo, RoutePlan};
+use lotussaddle::interface::{DialogueId, LaunchNumber, RoutePlan};
 
 use crate::hands::{Hands, State};
 use crate::held::{Concluded, Counts, Deadlines, Limits, Pending, Stage};
@@ -24,7 +24,7 @@
 use crate::{Decisions, LinkId, Wires};
 
 /// Stands for a launch where a dialogue that was dialled before waits to be decided on.
-const NO_LAUNCH: LaunchNo = LaunchNo(u32::MAX);
+const NO_LAUNCH: LaunchNumber = LaunchNumber(u32::MAX);
 
 /// One edge proxy. Inputs are method calls with the time since the start, effects are calls on [`Wires`].
 pub struct Edge<D = Brain> {
--- a/crates/edge/src/edge/connections.rs
+++ b/crates/edge/src/edge/connections.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, Listed, LoadReport, Outcome, ServerId};
+use lotussaddle::interface::{DialogueId, LoadReport, Outcome, ServerId, ServerState};
 use lotussaddle_trunk::{End, Frame, Hello, Role};
 
 use super::Edge;
@@ -127,7 +127,7 @@
             // The link to a former life of a server, or to one that is gone, ends with the last dialogue there.
             let left = |server| {
                 let core: Option<&CoreServer> = self.state.servers.get(server);
-                core.is_none_or(|core| core.link != Some(*id) || core.listed == Listed::Gone)
+                core.is_none_or(|core| core.link != Some(*id) || core.listed == ServerState::Gone)
             };
             if matches!(&link.kind, Peer::Core(server) if link.dialogues.is_empty() && left(server)) {
                 closing.push((*id, "nobody is there any more"));
--- a/crates/edge/src/edge/core_frames.rs
+++ b/crates/edge/src/edge/core_frames.rs
@@ -1,6 +1,6 @@
 //! Frames of core servers.
 
-use lotussaddle::interface::{DialogueId, LaunchNo, LoadReport, Outcome, ServerId};
+use lotussaddle::interface::{DialogueId, LaunchNumber, LoadReport, Outcome, ServerId};
 use lotussaddle_trunk::{Cause, Extra, Frame, Message};
 
 use super::Edge;
@@ -22,7 +22,7 @@
             Frame::TurnedBack { dialogue, launch, cause, report } => {
                 let outcome = match cause {
                     Cause::Processor => Outcome::TurnedBack,
-                    Cause::Lines => Outcome::LinesTaken,
+                    Cause::Lines => Outcome::NoFreeLine,
                     Cause::NumberBusy => Outcome::NumberBusy,
                     Cause::Fault => Outcome::Fault,
                 };
@@ -45,7 +45,7 @@
 
     /// A server says that a launch stands.
     fn launch_stood(
-        &mut self, link: LinkId, server: &ServerId, dialogue: DialogueId, launch: LaunchNo,
+        &mut self, link: LinkId, server: &ServerId, dialogue: DialogueId, launch: LaunchNumber,
         extra: Vec<Extra>, wires: &mut dyn Wires,
     ) {
         if !self.is_out(&dialogue, launch, link) {
@@ -74,12 +74,12 @@
         }
     }
 
-    pub(super) fn is_out(&self, id: &DialogueId, launch: LaunchNo, link: LinkId) -> bool {
+    pub(super) fn is_out(&self, id: &DialogueId, launch: LaunchNumber, link: LinkId) -> bool {
         let at = self.state.held.get(id).map(|held| &held.at);
         matches!(at, Some(Stage::Out { launch: out, link: over, .. }) if (*out, *over) == (launch, Some(link)))
     }
 
-    fn is_standing_or_releasing(&self, id: &DialogueId, launch: LaunchNo, link: LinkId) -> bool {
+    fn is_standing_or_releasing(&self, id: &DialogueId, launch: LaunchNumber, link: LinkId) -> bool {
         match self.state.held.get(id).map(|held| &held.at) {
             Some(
                 Stage::Standing { launch: out, link: over, .. }
@@ -89,7 +89,7 @@
         }
     }
 
-    fn is_standing(&self, id: &DialogueId, launch: LaunchNo, link: LinkId) -> bool {
+    fn is_standing(&self, id: &DialogueId, launch: LaunchNumber, link: LinkId) -> bool {
         let at = self.state.held.get(id).map(|held| &held.at);
         matches!(at, Some(Stage::Standing { launch: out, link: over, .. }) if (*out, *over) == (launch, link))
     }
--- a/crates/edge/src/edge/dialling.rs
+++ b/crates/edge/src/edge/dialling.rs
@@ -115,8 +115,8 @@
             width: dial.width,
             dialled_at: now,
             cut_off: cut_off.saturating_sub(self.state.limits.record_within).max(now),
-            again: dial.again,
-            came_back: dial.came_back,
+            is_retry: dial.again,
+            redialled_after_cut: dial.came_back,
             key: dial.key.clone(),
         };
         if self.numbers.is_some() && dial.dialled.is_some() {
--- a/crates/edge/src/edge/launch_ends.rs
+++ b/crates/edge/src/edge/launch_ends.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchEnd, LaunchNo, LoadReport, Outcome, ServerId, Signalling};
+use lotussaddle::interface::{
+    DialogueId, LaunchEnd, LaunchNumber, LoadReport, Outcome, ServerId, Signalling,
+};
 use lotussaddle_trunk::{End, Frame};
 
 use super::Edge;
@@ -14,7 +16,7 @@
     /// A launch on this link has ended with this outcome, which no frame tells.
     #[expect(clippy::too_many_arguments)]
     pub fn launch_came_to(
-        &mut self, now: Duration, link: LinkId, id: &DialogueId, launch: LaunchNo, outcome: Outcome,
+        &mut self, now: Duration, link: LinkId, id: &DialogueId, launch: LaunchNumber, outcome: Outcome,
         report: LoadReport, wires: &mut dyn Wires,
     ) {
         self.state.now = now;
@@ -32,7 +34,7 @@
     /// lost its connection before; whatever is out by now is called off.
     #[expect(clippy::too_many_arguments)]
     pub fn over_unheard(
-        &mut self, now: Duration, link: LinkId, id: &DialogueId, launch: Option<LaunchNo>, end: End,
+        &mut self, now: Duration, link: LinkId, id: &DialogueId, launch: Option<LaunchNumber>, end: End,
         report: LoadReport, wires: &mut dyn Wires,
     ) {
         self.state.now = now;
@@ -79,9 +81,9 @@
         }
         let end = LaunchEnd {
             dialogue: id.clone(),
-            launch: LaunchNo(held.launches - 1),
+            launch: LaunchNumber(held.launches - 1),
             server,
-            outcome: Outcome::CalledOff,
+            outcome: Outcome::Cancelled,
             closed: false,
             report: LoadReport::default(),
         };
@@ -123,7 +125,7 @@
 
     #[expect(clippy::too_many_arguments)]
     pub(super) fn launch_ended(
-        &mut self, link: LinkId, server: &ServerId, id: &DialogueId, launch: LaunchNo, outcome: Outcome,
+        &mut self, link: LinkId, server: &ServerId, id: &DialogueId, launch: LaunchNumber, outcome: Outcome,
         report: LoadReport, wires: &mut dyn Wires,
     ) {
         if !self.is_out(id, launch, link) {
@@ -132,7 +134,7 @@
         }
         let mut hands = Hands { state: &mut self.state, wires };
         hands.launch_over(id);
-        hands.back(id, matches!(outcome, Outcome::BrokenOff | Outcome::TimedOut | Outcome::CalledOff));
+        hands.back(id, matches!(outcome, Outcome::BrokenOff | Outcome::TimedOut | Outcome::Cancelled));
         let end = LaunchEnd {
             dialogue: id.clone(),
             launch,
@@ -147,7 +149,7 @@
     /// A dialogue that stood is over, by its caller's release or without.
     #[expect(clippy::too_many_arguments)]
     pub(super) fn standing_ended(
-        &mut self, id: &DialogueId, launch: LaunchNo, server: &ServerId, link: LinkId, end: End,
+        &mut self, id: &DialogueId, launch: LaunchNumber, server: &ServerId, link: LinkId, end: End,
         report: LoadReport, wires: &mut dyn Wires,
     ) {
         let mut hands = Hands { state: &mut self.state, wires };
--- a/crates/edge/src/edge/server_list.rs
+++ b/crates/edge/src/edge/server_list.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lotussaddle::interface::{ListEntry, Listed, ServerId};
+use lotussaddle::interface::{ListEntry, ServerId, ServerState};
 use lotussaddle_trunk::Entry;
 
 use super::Edge;
@@ -17,11 +17,11 @@
     /// A list has come, whole or with the entries that changed.
     pub(super) fn listed(&mut self, whole: bool, entries: Vec<Entry>, wires: &mut dyn Wires) {
         if whole {
-            self.state.servers.values_mut().for_each(|core| core.listed = Listed::Gone);
+            self.state.servers.values_mut().for_each(|core| core.listed = ServerState::Gone);
         }
         let (known, replaced_links) = self.take_in(entries, wires);
         for entry in &known {
-            if entry.listed == Listed::Active {
+            if entry.state == ServerState::Active {
                 self.hands(wires).link_to(&entry.server);
             }
         }
@@ -75,12 +75,12 @@
         }
         core.listed = entry.listed;
         let (number, listed, since) = (entry.number, core.listed, core.since);
-        (ListEntry { server: entry.server, number, listed, since }, replaced_link)
+        (ListEntry { server: entry.server, number, state: listed, started: since }, replaced_link)
     }
 
     /// What waits for the link of a server that drains is not sent there when the link is up.
     fn return_queued_of_inactive(&mut self, wires: &mut dyn Wires) {
-        let leaving = self.state.servers.iter_mut().filter(|(_, core)| core.listed != Listed::Active);
+        let leaving = self.state.servers.iter_mut().filter(|(_, core)| core.listed != ServerState::Active);
         let returned: Vec<_> = leaving
             .flat_map(|(id, core)| std::mem::take(&mut core.queued).into_iter().map(|d| (d, id.clone())))
             .collect();
@@ -91,7 +91,7 @@
 
     /// Ends links on which nothing is left of those to former lives and to servers that are gone, and forgets the latter.
     fn remove_gone(&mut self, mut unused_links: Vec<LinkId>, wires: &mut dyn Wires) {
-        let gone = self.state.servers.iter().filter(|(_, core)| core.listed == Listed::Gone);
+        let gone = self.state.servers.iter().filter(|(_, core)| core.listed == ServerState::Gone);
         let gone: Vec<ServerId> = gone.map(|(id, _)| id.clone()).collect();
         unused_links.extend(gone.iter().filter_map(|id| self.state.servers.get(id)?.link));
         for link in unused_links {
@@ -106,8 +106,9 @@
 
     /// Forgets a server that is gone from the list, once no link to it is left and nothing waits for one.
     pub(super) fn remove_server_if_gone(&mut self, id: &ServerId) {
-        let unused =
-            |core: &CoreServer| core.listed == Listed::Gone && core.link.is_none() && core.queued.is_empty();
+        let unused = |core: &CoreServer| {
+            core.listed == ServerState::Gone && core.link.is_none() && core.queued.is_empty()
+        };
         if self.state.servers.get(id).is_some_and(unused) {
             self.state.servers.remove(id);
         }
--- a/crates/edge/src/edge/takeover.rs
+++ b/crates/edge/src/edge/takeover.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
+use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
 use lotussaddle_trunk::{Dial, End, Frame, NotTaken};
 
 use super::{Edge, NO_LAUNCH};
@@ -49,7 +49,8 @@
 
     /// It stands at that server, and goes on here; where the server cannot be reached, it is not taken.
     fn resume_standing(
-        &mut self, id: &DialogueId, caller: LinkId, server: ServerId, launch: LaunchNo, wires: &mut dyn Wires,
+        &mut self, id: &DialogueId, caller: LinkId, server: ServerId, launch: LaunchNumber,
+        wires: &mut dyn Wires,
     ) {
         let Some(link) = self.hands(wires).link_to(&server) else {
             return self.decline_sought(id, None, wires);
@@ -143,7 +144,7 @@
         } else if self.state.held.len() < self.state.limits.dialogues
             && let Some(there) = self.hands(wires).link_to(server)
         {
-            let at = Stage::Standing { server: server.clone(), launch: LaunchNo(0), link: there };
+            let at = Stage::Standing { server: server.clone(), launch: LaunchNumber(0), link: there };
             let mut held = Held::of_dial(dial, link, now, at, Vec::new());
             held.launches = 1;
             self.state.held.insert(id.clone(), held);
--- a/crates/edge/src/edge/timers.rs
+++ b/crates/edge/src/edge/timers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, LoadReport, Outcome, TimerId};
+use lotussaddle::interface::{DialogueId, LaunchNumber, LoadReport, Outcome, TimerId};
 use lotussaddle_trunk::End;
 
 use super::Edge;
@@ -69,7 +69,7 @@
         }
     }
 
-    fn timed_out(&mut self, id: &DialogueId, launch: LaunchNo, wires: &mut dyn Wires) {
+    fn timed_out(&mut self, id: &DialogueId, launch: LaunchNumber, wires: &mut dyn Wires) {
         let Some(held) = self.state.held.get(id) else { return };
         match held.at.clone() {
             Stage::Out { server, launch: out, .. } if out == launch => {
--- a/crates/edge/src/hands.rs
+++ b/crates/edge/src/hands.rs
@@ -52,7 +52,7 @@
     /// Gives a final answer, once it is recorded that it is given: a crash in between leaves a dialogue that is known
     /// to have been answered and was not, never one that is answered twice.
     pub fn answer(
-        &mut self, (link, cut_off): (LinkId, Duration), dialogue: &DialogueId, launch: LaunchNo,
+        &mut self, (link, cut_off): (LinkId, Duration), dialogue: &DialogueId, launch: LaunchNumber,
         message: Message,
     ) {
         match self.wires.record(dialogue, Step::Answer { answer: &message.frame, launch }) {
@@ -120,7 +120,7 @@
         if let Stage::Out { launch, .. } = self.state.held.get(id)?.at
             && let Some(server) = self.call_off(id, launch)
         {
-            self.end(id, launch, &server, Outcome::CalledOff);
+            self.end(id, launch, &server, Outcome::Cancelled);
         }
         let held = self.drop_held(id)?;
         self.state.concluded.add(self.state.now, id, &self.state.limits);
@@ -146,7 +146,7 @@
     }
 
     /// Calls a launch off where it is out; gives the server.
-    pub fn call_off(&mut self, id: &DialogueId, launch: LaunchNo) -> Option<ServerId> {
+    pub fn call_off(&mut self, id: &DialogueId, launch: LaunchNumber) -> Option<ServerId> {
         let held = self.state.held.get(id)?;
         let Stage::Out { server, launch: out, link, .. } = &held.at else { return None };
         if *out != launch {
@@ -162,7 +162,7 @@
     }
 
     /// Sends a launch, or has it wait for its link to come up.
-    fn go(&mut self, dialogue: &DialogueId, launch: LaunchNo) {
+    fn go(&mut self, dialogue: &DialogueId, launch: LaunchNumber) {
         let server = match self.state.held.get(dialogue).map(|held| &held.at) {
             Some(Stage::Out { server, launch: out, link: None, .. }) if *out == launch => server.clone(),
             _ => return,
@@ -230,7 +230,7 @@
 
     /// A held dialogue stands at that server from now on; gives its caller's link, and when that gives up.
     pub fn mark_standing(
-        &mut self, id: &DialogueId, server: &ServerId, launch: LaunchNo, link: LinkId,
+        &mut self, id: &DialogueId, server: &ServerId, launch: LaunchNumber, link: LinkId,
     ) -> Option<(LinkId, Duration)> {
         let held = self.state.held.get_mut(id)?;
         held.at = Stage::Standing { server: server.clone(), launch, link };
@@ -241,13 +241,13 @@
     }
 
     /// A launch that was never sent ends, as one whose server cannot be reached.
-    pub fn launch_unreachable(&mut self, id: &DialogueId, launch: LaunchNo, server: &ServerId) {
+    pub fn launch_unreachable(&mut self, id: &DialogueId, launch: LaunchNumber, server: &ServerId) {
         self.launch_over(id);
         self.back(id, false);
         self.end(id, launch, server, Outcome::Unreachable);
     }
 
-    pub fn end(&mut self, dialogue: &DialogueId, launch: LaunchNo, server: &ServerId, outcome: Outcome) {
+    pub fn end(&mut self, dialogue: &DialogueId, launch: LaunchNumber, server: &ServerId, outcome: Outcome) {
         self.state.ends.push_back(LaunchEnd {
             dialogue: dialogue.clone(),
             launch,
@@ -278,7 +278,7 @@
             let line = format!("a launch of {} is not sent: it is {:?}", dialogue.0, held.at);
             return self.wires.log(Note::Mode, &line);
         }
-        let launch = LaunchNo(held.launches);
+        let launch = LaunchNumber(held.launches);
         held.launches += 1;
         held.at = Stage::Out { server: server.clone(), launch, until, link: None };
         self.state.deadlines.set(until, dialogue, launch);
@@ -298,7 +298,7 @@
             self.answer(
                 to,
                 dialogue,
-                LaunchNo(0),
+                LaunchNumber(0),
                 Frame::Refused { dialogue: dialogue.clone(), come_back }.into(),
             );
         }
@@ -307,15 +307,15 @@
     fn fail(&mut self, dialogue: &DialogueId) {
         if let Some(to) = self.conclude(dialogue) {
             self.state.counts.failed += 1;
-            self.answer(to, dialogue, LaunchNo(0), Frame::Failed { dialogue: dialogue.clone() }.into());
+            self.answer(to, dialogue, LaunchNumber(0), Frame::Failed { dialogue: dialogue.clone() }.into());
         }
     }
 
     /// The end of the launch does not wait for the server's word: an answer that crosses the cancel finds the
     /// launch over and is released there.
-    fn cancel(&mut self, dialogue: &DialogueId, launch: LaunchNo) {
+    fn cancel(&mut self, dialogue: &DialogueId, launch: LaunchNumber) {
         if let Some(server) = self.call_off(dialogue, launch) {
-            self.end(dialogue, launch, &server, Outcome::CalledOff);
+            self.end(dialogue, launch, &server, Outcome::Cancelled);
         }
     }
 
--- a/crates/edge/src/held.rs
+++ b/crates/edge/src/held.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lotussaddle::interface::{DialledKey, DialogueId, LaunchNo, ServerId};
+use lotussaddle::interface::{DialledKey, DialogueId, LaunchNumber, ServerId};
 use lotussaddle_trunk::{Dial, Extra, Message};
 
 use crate::LinkId;
@@ -111,19 +111,19 @@
     /// On its way to a server; none yet of its link: it waits for that to come up.
     Out {
         server: ServerId,
-        launch: LaunchNo,
+        launch: LaunchNumber,
         until: Duration,
         link: Option<LinkId>,
     },
     Standing {
         server: ServerId,
-        launch: LaunchNo,
+        launch: LaunchNumber,
         link: LinkId,
     },
     /// Its caller hung up; the server was told.
     Releasing {
         server: ServerId,
-        launch: LaunchNo,
+        launch: LaunchNumber,
         link: LinkId,
         until: Duration,
     },
@@ -202,7 +202,7 @@
 /// What waits until it is recorded.
 pub enum Deferred {
     Answer { link: LinkId, message: Message },
-    Launch(LaunchNo),
+    Launch(LaunchNumber),
 }
 
 /// Answers and launches that wait until they are recorded, one a dialogue.
@@ -258,14 +258,14 @@
 
 /// Ends of time, earliest first; what is no longer meant is passed over when it comes up.
 #[derive(Default)]
-pub struct Deadlines(BTreeSet<(Duration, DialogueId, LaunchNo)>);
+pub struct Deadlines(BTreeSet<(Duration, DialogueId, LaunchNumber)>);
 
 impl Deadlines {
-    pub fn set(&mut self, at: Duration, id: &DialogueId, launch: LaunchNo) {
+    pub fn set(&mut self, at: Duration, id: &DialogueId, launch: LaunchNumber) {
         self.0.insert((at, id.clone(), launch));
     }
 
-    pub fn unset(&mut self, at: Duration, id: &DialogueId, launch: LaunchNo) {
+    pub fn unset(&mut self, at: Duration, id: &DialogueId, launch: LaunchNumber) {
         self.0.remove(&(at, id.clone(), launch));
     }
 
@@ -273,7 +273,7 @@
         self.0.first().map(|(at, ..)| *at)
     }
 
-    pub fn pop(&mut self, now: Duration) -> Option<(DialogueId, LaunchNo)> {
+    pub fn pop(&mut self, now: Duration) -> Option<(DialogueId, LaunchNumber)> {
         if self.first()? > now {
             return None;
         }
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -19,7 +19,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
+use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
 
 use lotussaddle_numbers::Tables;
 use lotussaddle_trunk::{Frame, Message};
@@ -45,7 +45,7 @@
     /// A launch is to be sent, and ends by itself at that time.
     Launch {
         server: &'a ServerId,
-        launch: LaunchNo,
+        launch: LaunchNumber,
         until: Duration,
     },
     /// No launch is out any more, and it does not stand; in doubt: the last one may be set up for a release time yet.
@@ -55,7 +55,7 @@
     /// A final answer is to be given; where it stands, at this launch.
     Answer {
         answer: &'a Frame,
-        launch: LaunchNo,
+        launch: LaunchNumber,
     },
     /// It stood, and is over.
     Over,
@@ -69,7 +69,7 @@
     /// It has had this final answer, and does not stand.
     Answered(Frame),
     /// It stands there, and belongs to this edge proxy now.
-    Stands { server: ServerId, launch: LaunchNo },
+    Stands { server: ServerId, launch: LaunchNumber },
     /// It stood, and is over.
     Concluded,
     /// Who would know is not reached, or it cannot be taken up in its time.
--- a/crates/edge/src/links.rs
+++ b/crates/edge/src/links.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, Listed, ServerId};
+use lotussaddle::interface::{DialogueId, ServerId, ServerState};
 
 use crate::LinkId;
 
@@ -72,7 +72,7 @@
 /// A core server as the list names it.
 pub struct CoreServer {
     pub address: Arc<str>,
-    pub listed: Listed,
+    pub listed: ServerState,
     /// Which life of it is known, and since when that runs on this clock: it is told as an age, which wavers
     /// with the list's delay, and a start must not seem to be another one for that.
     pub life: u64,
--- a/crates/edge/tests/hard_cases.rs
+++ b/crates/edge/tests/hard_cases.rs
@@ -116,8 +116,8 @@
         proxies: 4,
         products: vec![Product {
             promised: ms(1500),
-            lasts: ms(8000),
-            patience: ms(9000),
+            mean_duration: ms(8000),
+            redial_window: ms(9000),
             gain: 1.0,
             late_share: 0.25,
             servers: None,
@@ -125,16 +125,16 @@
         tenants: vec![],
         over_quota_share: 0.2,
         tick: ms(5),
-        release: ms(300),
-        resend: Duration::ZERO,
+        release_time: ms(300),
+        resend_after: Duration::ZERO,
         max_launches: 4,
-        marks_again: true,
+        callers_mark_retries: true,
         may_cancel: true,
-        longest_return: ms(2000),
-        cold_share: 0.4,
-        warm_after: ms(10_000),
-        fall_multiple: 2.5,
-        fall_within: Duration::from_secs(1),
+        max_retry_after: ms(2000),
+        cold_start_share: 0.4,
+        warm_up_time: ms(10_000),
+        overload_multiple: 2.5,
+        overload_window: Duration::from_secs(1),
     }
 }
 
@@ -142,7 +142,7 @@
     Frame::Hello(Hello::new(role, Arc::from(name)))
 }
 
-fn entry(name: &str, address: &str, listed: Listed, life: u64) -> Entry {
+fn entry(name: &str, address: &str, listed: ServerState, life: u64) -> Entry {
     let number = ServerNumber(i64::from(name.as_bytes()[0] - b'a'));
     let age = if life > 0 { ms(50) } else { Duration::ZERO };
     Entry { server: ServerId(Arc::from(name)), number, address: Arc::from(address), listed, life, age }
@@ -188,7 +188,7 @@
         self.edge.connected(ms(self.trace.now), list, &mut self.trace);
         self.hears(list, hello(Role::List, "list"));
         let entries = servers.chars().map(|c| c.to_string());
-        let entries = entries.map(|name| entry(&name, &name, Listed::Active, 0)).collect();
+        let entries = entries.map(|name| entry(&name, &name, ServerState::Active, 0)).collect();
         self.hears(list, Frame::List { whole: true, entries });
         for name in servers.chars() {
             self.core_up(&name.to_string());
@@ -248,12 +248,12 @@
 
     fn stood(&mut self, server: &str, name: &str, launch: u32) -> &mut Self {
         let report = LoadReport::default();
-        self.core_says(server, Frame::Stood { dialogue: id(name), launch: LaunchNo(launch), report })
+        self.core_says(server, Frame::Stood { dialogue: id(name), launch: LaunchNumber(launch), report })
     }
 
     fn ended(&mut self, server: &str, name: &str, launch: u32, end: End) -> &mut Self {
         let report = LoadReport::default();
-        self.core_says(server, Frame::Ended { dialogue: id(name), launch: LaunchNo(launch), end, report })
+        self.core_says(server, Frame::Ended { dialogue: id(name), launch: LaunchNumber(launch), end, report })
     }
 
     fn loses(&mut self, link: LinkId) -> &mut Self {
@@ -345,14 +345,17 @@
 fn an_entry_goes_while_launches_are_out_and_its_id_is_used_again() {
     let mut b = Bench::new("ab");
     let former = b.link_to("a");
-    b.dials(100, "d1", 0).at(20).lists(false, vec![entry("a", "a", Listed::Gone, 0)]).at(30);
+    b.dials(100, "d1", 0).at(20).lists(false, vec![entry("a", "a", ServerState::Gone, 0)]).at(30);
     b.dials(100, "d2", 0).at(40);
     // Another machine under the old id, elsewhere: the old link ends what is out on it.
-    b.lists(false, vec![entry("a", "a2", Listed::Active, 1)]).at(60);
+    b.lists(false, vec![entry("a", "a2", ServerState::Active, 1)]).at(60);
     let new = b.link_to("a2");
     b.edge.connected(ms(60), new, &mut b.trace);
     b.hears(new, hello(Role::Core, "a")).at(200).dials(100, "d3", 0).at(210);
-    b.hears(former, Frame::Stood { dialogue: id("d1"), launch: LaunchNo(0), report: LoadReport::default() });
+    b.hears(
+        former,
+        Frame::Stood { dialogue: id("d1"), launch: LaunchNumber(0), report: LoadReport::default() },
+    );
     b.at(220).loses(former).at(230);
     assert_snapshot!(b.trace());
 }
@@ -602,10 +605,10 @@
     let mut b = Bench::new("a");
     let former = b.link_to("a");
     b.dials(100, "d1", 0).at(20).stood("a", "d1", 0);
-    b.lists(false, vec![entry("a", "a2", Listed::Active, 2)]).at(1000);
+    b.lists(false, vec![entry("a", "a2", ServerState::Active, 2)]).at(1000);
     assert!(!b.trace.closed.contains(&former), "d1 stands there");
     b.hears(former, Frame::Pong { nonce: 0 }).hangs_up(100, "d1");
-    let (dialogue, launch, report) = (id("d1"), LaunchNo(0), LoadReport::default());
+    let (dialogue, launch, report) = (id("d1"), LaunchNumber(0), LoadReport::default());
     b.hears(former, Frame::Ended { dialogue, launch, end: End::Released, report });
     b.at(1500);
     assert!(b.trace.closed.contains(&former), "nobody is there any more");
@@ -617,11 +620,11 @@
     let mut b = Bench::new("a");
     b.trace.quiet = true;
     for part in 0..21 {
-        let entries = (0..500).map(|n| entry(&format!("b{part}-{n}"), "x", Listed::Active, 0)).collect();
+        let entries = (0..500).map(|n| entry(&format!("b{part}-{n}"), "x", ServerState::Active, 0)).collect();
         b.trace.quiet = part < 20;
         b.lists(false, entries);
     }
-    assert_eq!(b.edge.decisions().sizes().1, 10_000);
+    assert_eq!(b.edge.decisions().held_counts().1, 10_000);
     assert!(b.trace().contains("500 servers of the list are left out"), "{}", b.trace());
 }
 
@@ -632,7 +635,7 @@
     b.at(0);
     let list = b.link_to("list");
     b.edge.admitted(ms(0), list, &mut b.trace);
-    b.hears(list, Frame::List { whole: true, entries: vec![entry("a", "a", Listed::Active, 0)] });
+    b.hears(list, Frame::List { whole: true, entries: vec![entry("a", "a", ServerState::Active, 0)] });
     b.edge.linked(ms(0), LinkId(100), &mut b.trace);
     b.edge.admitted(ms(0), LinkId(100), &mut b.trace);
     b.trace.quiet = false;
@@ -662,18 +665,18 @@
     let report = LoadReport::default;
     let at = |b: &Bench| ms(b.trace.now);
     // Another launch than the one that is out, and one on another link, end nothing.
-    b.edge.launch_came_to(at(&b), link, &id("d1"), LaunchNo(7), Outcome::NotSent, report(), &mut b.trace);
+    b.edge.launch_came_to(at(&b), link, &id("d1"), LaunchNumber(7), Outcome::NotSent, report(), &mut b.trace);
     b.edge.launch_came_to(
         at(&b),
         LinkId(9),
         &id("d1"),
-        LaunchNo(0),
+        LaunchNumber(0),
         Outcome::NotSent,
         report(),
         &mut b.trace,
     );
     assert_eq!(b.edge.counts().launches, 1);
-    b.edge.launch_came_to(at(&b), link, &id("d1"), LaunchNo(0), Outcome::NotSent, report(), &mut b.trace);
+    b.edge.launch_came_to(at(&b), link, &id("d1"), LaunchNumber(0), Outcome::NotSent, report(), &mut b.trace);
     assert_eq!(b.edge.counts().launches, 2, "what never left goes again at once: {}", b.trace());
     assert!(
         !b.edge.over(at(&b), link, &id("d1"), End::Released, report(), &mut b.trace),
@@ -778,7 +781,7 @@
         ms(given_up_at),
         link,
         &id("d1"),
-        LaunchNo(0),
+        LaunchNumber(0),
         Outcome::TimedOut,
         report,
         &mut b.trace,
@@ -824,7 +827,7 @@
     assert!(b.trace().ends_with("to 100: d1 refused\n"), "{}", b.trace());
     b.dials(100, "d1", 0);
     assert!(b.trace().ends_with("d1 declined: Concluded\n"), "{}", b.trace());
-    let mut b = dialled(Found::Stands { server: ServerId(Arc::from("a")), launch: LaunchNo(3) });
+    let mut b = dialled(Found::Stands { server: ServerId(Arc::from("a")), launch: LaunchNumber(3) });
     assert!(b.trace().ends_with("to 100: d1 stands at a\n"), "{}", b.trace());
     b.hangs_up(100, "d1").ended("a", "d1", 3, End::Released);
     assert!(b.trace().contains("release d1 no 3"), "{}", b.trace());
--- a/crates/edge/tests/numbers.rs
+++ b/crates/edge/tests/numbers.rs
@@ -101,8 +101,8 @@
 fn plan() -> RoutePlan {
     let product = |servers: Option<&[i64]>| Product {
         promised: ms(1500),
-        lasts: ms(8000),
-        patience: ms(9000),
+        mean_duration: ms(8000),
+        redial_window: ms(9000),
         gain: 1.0,
         late_share: 0.25,
         servers: servers.map(|all| all.iter().copied().map(ServerNumber).collect()),
@@ -115,16 +115,16 @@
         tenants: vec![],
         over_quota_share: 0.2,
         tick: ms(5),
-        release: ms(300),
-        resend: Duration::ZERO,
+        release_time: ms(300),
+        resend_after: Duration::ZERO,
         max_launches: 4,
-        marks_again: true,
+        callers_mark_retries: true,
         may_cancel: true,
-        longest_return: ms(2000),
-        cold_share: 0.4,
-        warm_after: ms(10_000),
-        fall_multiple: 2.5,
-        fall_within: Duration::from_secs(1),
+        max_retry_after: ms(2000),
+        cold_start_share: 0.4,
+        warm_up_time: ms(10_000),
+        overload_multiple: 2.5,
+        overload_window: Duration::from_secs(1),
     }
 }
 
@@ -170,7 +170,7 @@
             server: ServerId(Arc::from(format!("core-{n}"))),
             number: ServerNumber(n),
             address: Arc::from(format!("core-{n}")),
-            listed: Listed::Active,
+            listed: ServerState::Active,
             life: 0,
             age: Duration::ZERO,
         });
@@ -341,7 +341,7 @@
     assert_eq!(b.launches("d1").len(), 1);
     let report = LoadReport::default();
     let link = b.link_to(&b.launches("d1")[0].0);
-    b.hears(link, Frame::Stood { dialogue: id("d1"), launch: LaunchNo(0), report });
+    b.hears(link, Frame::Stood { dialogue: id("d1"), launch: LaunchNumber(0), report });
     let stands: Vec<LinkId> =
         b.trace.said.iter().filter(|(_, f)| matches!(f, Frame::Stands { .. })).map(|(l, _)| *l).collect();
     assert_eq!(stands, [LinkId(101)]);
--- a/crates/edge/tests/stages.rs
+++ b/crates/edge/tests/stages.rs
@@ -100,7 +100,7 @@
     over_at: Duration,
     answers: Vec<(Duration, String)>,
     declined: usize,
-    out: Option<(LaunchNo, LinkId)>,
+    out: Option<(LaunchNumber, LinkId)>,
     doubt: Option<Duration>,
     launches: u32,
     wrong: Vec<String>,
@@ -240,8 +240,8 @@
         proxies: 4,
         products: vec![Product {
             promised: MS * 700,
-            lasts: MS * 8000,
-            patience: MS * 3000,
+            mean_duration: MS * 8000,
+            redial_window: MS * 3000,
             gain: 1.0,
             late_share: 0.25,
             servers: None,
@@ -249,16 +249,16 @@
         tenants: vec![],
         over_quota_share: 0.2,
         tick: MS * 5,
-        release: RELEASE,
-        resend: MS * if may_cancel { 0 } else { 500 },
+        release_time: RELEASE,
+        resend_after: MS * if may_cancel { 0 } else { 500 },
         max_launches: 4,
-        marks_again: true,
+        callers_mark_retries: true,
         may_cancel,
-        longest_return: MS * 2000,
-        cold_share: 0.4,
-        warm_after: MS * 1000,
-        fall_multiple: 2.5,
-        fall_within: Duration::from_secs(1),
+        max_retry_after: MS * 2000,
+        cold_start_share: 0.4,
+        warm_up_time: MS * 1000,
+        overload_multiple: 2.5,
+        overload_window: Duration::from_secs(1),
     }
 }
 
@@ -285,7 +285,7 @@
         let list = self.net.list.expect("the list is asked first");
         self.edge(|edge, now, net| edge.connected(now, list, net));
         self.heard(list, Frame::Hello(Hello::new(Role::List, Arc::from("list"))));
-        self.lists(Listed::Active);
+        self.lists(ServerState::Active);
         if up {
             self.cores_up();
         }
@@ -309,7 +309,7 @@
         self.until(soon);
     }
 
-    fn lists(&mut self, listed: Listed) {
+    fn lists(&mut self, listed: ServerState) {
         let entry = |(number, name): (i64, &str)| Entry {
             server: ServerId(Arc::from(name)),
             number: ServerNumber(number),
@@ -506,7 +506,7 @@
                 self.lose(LinkId(self.owner));
             }
             CoreGone => self.lose_cores(),
-            Drains => self.lists(Listed::Leaving),
+            Drains => self.lists(ServerState::Draining),
             DialledAgain => {
                 let (declined, edge) = (self.net.declined, self.edge.as_ref());
                 // What was hung up and is not over yet is neither taken again nor left without a word.
@@ -563,7 +563,7 @@
             }
         }
         if let Some(edge) = &self.edge {
-            let (dialogues, _, out, _) = edge.decisions().sizes();
+            let (dialogues, _, out, _) = edge.decisions().held_counts();
             if (edge.sizes().0, edge.traces(), dialogues, out) != (0, 0, 0, 0) {
                 self.net.wrong.push(format!(
                     "left over: {} held, {} traces, in the module {dialogues} dialogues, {out} out",
--- a/crates/fleet/benches/copies.rs
+++ b/crates/fleet/benches/copies.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
+use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
 use lotussaddle_replica::{Book, Bounds, Differing, Group};
 use lotussaddle_trunk::{Answer, Decoder, Frame, Message, Peer, Reached};
 
@@ -29,7 +29,7 @@
     let mut book = book(0);
     let server = ServerId(Arc::from("core-0"));
     for n in 0..count {
-        let reached = Reached::Stands { server: server.clone(), launch: LaunchNo(0) };
+        let reached = Reached::Stands { server: server.clone(), launch: LaunchNumber(0) };
         let answer = Answer::Stands { server: server.clone() };
         book.write(Duration::ZERO, &id(n), reached, Duration::ZERO, Some(&answer), Duration::ZERO, None);
     }
--- a/crates/fleet/src/member/core_servers.rs
+++ b/crates/fleet/src/member/core_servers.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
+use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
 use lotussaddle_replica::Copy;
 use lotussaddle_trunk::{Audit, Frame, HeldLine, Reached};
 
@@ -65,7 +65,7 @@
                 }
             }
             Audit::Adopted { dialogue, owner, launch, by } => {
-                let launch = launch.map(LaunchNo);
+                let launch = launch.map(LaunchNumber);
                 let actions = self.redials.adopted(&dialogue, server, owner, launch, by);
                 self.do_redial_actions(actions);
                 let actions = self.takeovers.adopted(now, &dialogue, server, owner, launch, by);
--- a/crates/fleet/src/member/own_dialogues.rs
+++ b/crates/fleet/src/member/own_dialogues.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
+use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
 use lotussaddle_replica::Written;
 use lotussaddle_trunk::{Answer, Owner, Reached};
 
@@ -43,7 +43,7 @@
 
     /// A launch is to be sent, and ends by itself at that time. Some: not before that ticket is told.
     pub fn launch(
-        &mut self, now: Duration, id: &DialogueId, server: &ServerId, launch: LaunchNo, until: Duration,
+        &mut self, now: Duration, id: &DialogueId, server: &ServerId, launch: LaunchNumber, until: Duration,
     ) -> Option<u64> {
         self.now = now;
         let reached = Reached::Out { server: server.clone(), launch };
@@ -62,7 +62,7 @@
 
     /// A final answer is to be given. Some: not before that ticket is told.
     pub fn answer(
-        &mut self, now: Duration, id: &DialogueId, answer: &Answer, launch: LaunchNo,
+        &mut self, now: Duration, id: &DialogueId, answer: &Answer, launch: LaunchNumber,
     ) -> Option<u64> {
         self.now = now;
         let reached = match answer {
--- a/crates/fleet/src/redial.rs
+++ b/crates/fleet/src/redial.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
+use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
 use lotussaddle_replica::{Copy, Group, Reading, print};
 use lotussaddle_trunk::{Answer, Owner};
 
@@ -33,7 +33,7 @@
     Answered(Answer),
     Stands {
         server: ServerId,
-        launch: LaunchNo,
+        launch: LaunchNumber,
     },
     /// It stood, and is over.
     Concluded,
@@ -350,7 +350,7 @@
 
     /// A core server has answered whether a dialogue stands there: the launch that does, or whose it is now.
     pub fn adopted(
-        &mut self, id: &DialogueId, server: &ServerId, owner: Owner, launch: Option<LaunchNo>, by: Owner,
+        &mut self, id: &DialogueId, server: &ServerId, owner: Owner, launch: Option<LaunchNumber>, by: Owner,
     ) -> Vec<RedialAction> {
         let adopting = |ask: &&Ask| matches!(ask.phase, Phase::Adopting) && ask.owner == owner;
         if self.asks.get(id).filter(adopting).is_none() {
--- a/crates/fleet/src/takeovers.rs
+++ b/crates/fleet/src/takeovers.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
+use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
 use lotussaddle_replica::{Copy, Reading};
 use lotussaddle_trunk::{HeldLine, Owner};
 
@@ -38,12 +38,12 @@
         dialogue: DialogueId,
         owner: Owner,
         server: ServerId,
-        launch: LaunchNo,
+        launch: LaunchNumber,
     },
     Release {
         server: ServerId,
         dialogue: DialogueId,
-        launch: LaunchNo,
+        launch: LaunchNumber,
     },
     /// It is over, by this owner's word.
     Over {
@@ -68,7 +68,7 @@
     /// It stands, and waits for its caller until then.
     Kept {
         until: Duration,
-        launch: LaunchNo,
+        launch: LaunchNumber,
     },
     /// Nobody owns it: it is adopted to be released.
     Freeing {
@@ -248,7 +248,7 @@
     }
 
     /// Its caller has come for what is kept here: where it stands.
-    pub fn claim(&mut self, id: &DialogueId) -> Option<(ServerId, LaunchNo)> {
+    pub fn claim(&mut self, id: &DialogueId) -> Option<(ServerId, LaunchNumber)> {
         let Stage::Kept { launch, .. } = self.orphans.get(id)?.stage else { return None };
         let server = self.orphans[id].server.clone();
         self.drop_of(id);
@@ -256,7 +256,9 @@
     }
 
     /// What this member has taken over for a caller that could not be told waits for that caller as if it had been left behind.
-    pub fn keep(&mut self, now: Duration, id: &DialogueId, server: ServerId, owner: Owner, launch: LaunchNo) {
+    pub fn keep(
+        &mut self, now: Duration, id: &DialogueId, server: ServerId, owner: Owner, launch: LaunchNumber,
+    ) {
         let stage = Stage::Kept { until: now + self.unclaimed, launch };
         self.put(id, Orphan { server, owner, stage });
     }
@@ -270,8 +272,8 @@
 
     /// A core server has answered.
     pub fn adopted(
-        &mut self, now: Duration, id: &DialogueId, server: &ServerId, owner: Owner, launch: Option<LaunchNo>,
-        by: Owner,
+        &mut self, now: Duration, id: &DialogueId, server: &ServerId, owner: Owner,
+        launch: Option<LaunchNumber>, by: Owner,
     ) -> Vec<TakeoverAction> {
         let known = self.orphans.get(id).filter(|orphan| orphan.owner == owner && orphan.server == *server);
         let Some(orphan) = known else { return Vec::new() };
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
+use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
 use lotussaddle_fleet::{DutyPlan, Effects, Finding, Member, PeerLink, Plan, Save, Stored, Verdict};
 use lotussaddle_trunk::{
     Act, Answer, Audit, Frame, HeldLine, Hello, Owner, Peer, Reached, Role, TablesOrder, VERSION, copy_read,
@@ -310,13 +310,13 @@
         let now = self.now;
         let member = self.member(place);
         member.taken(now, id);
-        member.launch(now, id, &server(), LaunchNo(0), now + lasts);
+        member.launch(now, id, &server(), LaunchNumber(0), now + lasts);
         self.settle();
     }
 
     fn answers(&mut self, place: usize, id: &DialogueId, answer: Answer) {
         let now = self.now;
-        self.member(place).answer(now, id, &answer, LaunchNo(0));
+        self.member(place).answer(now, id, &answer, LaunchNumber(0));
         self.settle();
     }
 
@@ -378,7 +378,7 @@
 }
 
 fn stands() -> Option<Verdict> {
-    Some(Verdict::Stands { server: server(), launch: LaunchNo(0) })
+    Some(Verdict::Stands { server: server(), launch: LaunchNumber(0) })
 }
 
 #[test]
@@ -607,7 +607,7 @@
     net.adopts(other, &d);
     // It is under this member's name there, and its edge proxy does not hold it yet.
     let owner = net.adopting(other, &d).unwrap();
-    let lines = vec![lotussaddle_trunk::HeldLine { dialogue: d.clone(), launch: LaunchNo(0), owner }];
+    let lines = vec![lotussaddle_trunk::HeldLine { dialogue: d.clone(), launch: LaunchNumber(0), owner }];
     let serial = asked.expect("its own lines are asked for");
     net.core_says(other, Audit::Holds { serial, more: false, lines });
     net.heal();
@@ -622,7 +622,7 @@
     let mut net = Net::new(5, false, |_| ());
     let tells = |net: &mut Net, life: u64| {
         let owner = Owner { round: 0, member: 0, life };
-        let lines = vec![lotussaddle_trunk::HeldLine { dialogue: id("x"), launch: LaunchNo(0), owner }];
+        let lines = vec![lotussaddle_trunk::HeldLine { dialogue: id("x"), launch: LaunchNumber(0), owner }];
         net.core_says(0, Audit::Holds { serial: 1, more: false, lines });
         net.run(ms(2000));
         net.member(0).life()
@@ -643,7 +643,7 @@
     for n in 0..3000 {
         let d = id(&format!("d{n}"));
         net.member(0).taken(now, &d);
-        net.member(0).answer(now, &d, &Answer::Failed, LaunchNo(0));
+        net.member(0).answer(now, &d, &Answer::Failed, LaunchNumber(0));
     }
     net.settle();
     net.kill(1);
@@ -704,7 +704,7 @@
                     asked += 1;
                     let owner = |dialogue: &str| HeldLine {
                         dialogue: id(dialogue),
-                        launch: LaunchNo(0),
+                        launch: LaunchNumber(0),
                         owner: Owner { round: 0, member, life: net.members[place].as_ref().unwrap().life() },
                     };
                     let lines = vec![owner("busy"), owner("held")];
--- a/crates/fleet/tests/unit/batches.rs
+++ b/crates/fleet/tests/unit/batches.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
+use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
 use lotussaddle_trunk::{Given, Owner, Part, copy_bytes};
 
 use super::*;
@@ -11,7 +11,7 @@
 fn a_copy_takes_no_more_than_is_reckoned() {
     let owner = Owner { round: u32::MAX, member: u16::MAX, life: u64::MAX };
     let server = ServerId("s".repeat(128).into());
-    let stands = Reached::Stands { server: server.clone(), launch: LaunchNo(u32::MAX) };
+    let stands = Reached::Stands { server: server.clone(), launch: LaunchNumber(u32::MAX) };
     let most = Duration::from_secs(900_000);
     for reached in [Reached::Taken, Reached::Over, stands] {
         for answer in [
--- a/crates/fleet/tests/unit/redial.rs
+++ b/crates/fleet/tests/unit/redial.rs
@@ -127,7 +127,7 @@
     let without_first = |member: u16| member != first;
     // The holders of the first candidate, who wrote last, are the others; those of member 0, who claimed it, the first two.
     let verdict = |claimed: Option<Owner>| {
-        let out = Reached::Out { server: server(), launch: LaunchNo(0) };
+        let out = Reached::Out { server: server(), launch: LaunchNumber(0) };
         let mut copy = written(owner(0, first), out, 0);
         claimed.iter().for_each(|owner| copy.merge(&Copy::claimed(*owner, ms(60_000))));
         let (mut redials, actions) = asks_with(1, &without_first, Copy::default());
@@ -160,7 +160,7 @@
     let mut over = written(owner(0, 9), Reached::Over, 0);
     over.answered(owner(0, 0), &Answer::Stands { server: server() });
     assert_eq!(said(&found(over)), Some(Verdict::Concluded));
-    let out = Reached::Out { server: server(), launch: LaunchNo(0) };
+    let out = Reached::Out { server: server(), launch: LaunchNumber(0) };
     assert_eq!(
         said(&found(written(owner(0, 9), out.clone(), 800))),
         Some(Verdict::Free { not_before: ms(800) })
@@ -174,7 +174,7 @@
 fn its_owner_is_asked_once_it_is_known_and_calls_its_launch_off() {
     let (mut redials, actions) = asks(&all, Copy::default());
     let n = serial(&actions);
-    let out = Reached::Out { server: server(), launch: LaunchNo(0) };
+    let out = Reached::Out { server: server(), launch: LaunchNumber(0) };
     let copy = written(owner(0, 7), out, 2500);
     let actions = redials.answered(ms(1), n, 1, true, None, Some(&copy), &all, false);
     assert_eq!(asked(&actions), [7]);
@@ -217,7 +217,7 @@
 
 #[test]
 fn what_stands_is_adopted_at_its_core_server_or_is_over() {
-    let stands = written(owner(0, 9), Reached::Stands { server: server(), launch: LaunchNo(2) }, 0);
+    let stands = written(owner(0, 9), Reached::Stands { server: server(), launch: LaunchNumber(2) }, 0);
     let adopting = || {
         let (mut redials, actions) = asks(&|member| member < 3, Copy::default());
         let n = serial(&actions);
@@ -229,8 +229,8 @@
     };
     let mine = owner(1, 4);
     let verdict = |launch, by| said(&adopting().adopted(&id(), &server(), mine, launch, by));
-    let there = Verdict::Stands { server: server(), launch: LaunchNo(2) };
-    assert_eq!(verdict(Some(LaunchNo(2)), mine), Some(there));
+    let there = Verdict::Stands { server: server(), launch: LaunchNumber(2) };
+    assert_eq!(verdict(Some(LaunchNumber(2)), mine), Some(there));
     assert_eq!(verdict(None, mine), Some(Verdict::Concluded));
     assert_eq!(verdict(None, owner(2, 8)), Some(UNSURE));
     assert_eq!(
@@ -246,7 +246,7 @@
 #[test]
 fn whoever_is_found_to_own_it_is_asked_after_by_his_holders() {
     // One acknowledgement is awaited: all three candidates must answer, or both holders of its owner.
-    let out = Reached::Out { server: server(), launch: LaunchNo(0) };
+    let out = Reached::Out { server: server(), launch: LaunchNumber(0) };
     let copy = written(owner(0, 1), out, 500);
     let dead = |member: u16| member != 1;
     let (mut redials, actions) = asks_with(1, &dead, Copy::default());
--- a/crates/fleet/tests/unit/takeovers.rs
+++ b/crates/fleet/tests/unit/takeovers.rs
@@ -24,7 +24,7 @@
 
 fn standing(owner: Owner) -> Copy {
     let mut copy = Copy::default();
-    let reached = Reached::Stands { server: server("s"), launch: LaunchNo(1) };
+    let reached = Reached::Stands { server: server("s"), launch: LaunchNumber(1) };
     copy.write(owner, reached, ms(0), lotussaddle_replica::for_ever());
     copy
 }
@@ -51,14 +51,19 @@
     assert_eq!(h.look(ms(0), &id("d"), &copy, Some(2), 9), Some(adopt.clone()));
     assert_eq!(h.look(ms(0), &id("d"), &copy, Some(2), 9), None, "once");
     assert_eq!(h.alarm(ms(500)), [adopt], "asked again");
-    let actions = h.adopted(ms(600), &id("d"), &server("s"), mine, Some(LaunchNo(1)), mine);
+    let actions = h.adopted(ms(600), &id("d"), &server("s"), mine, Some(LaunchNumber(1)), mine);
     assert_eq!(
         actions,
-        [TakeoverAction::Own { dialogue: id("d"), owner: mine, server: server("s"), launch: LaunchNo(1) }]
+        [TakeoverAction::Own {
+            dialogue: id("d"),
+            owner: mine,
+            server: server("s"),
+            launch: LaunchNumber(1)
+        }]
     );
-    assert_eq!(h.adopted(ms(601), &id("d"), &server("s"), mine, Some(LaunchNo(1)), mine), []);
+    assert_eq!(h.adopted(ms(601), &id("d"), &server("s"), mine, Some(LaunchNumber(1)), mine), []);
     assert_eq!(h.alarm(ms(5599)), []);
-    let release = TakeoverAction::Release { server: server("s"), dialogue: id("d"), launch: LaunchNo(1) };
+    let release = TakeoverAction::Release { server: server("s"), dialogue: id("d"), launch: LaunchNumber(1) };
     assert_eq!(h.alarm(ms(5600)), [release, TakeoverAction::Over { dialogue: id("d"), owner: mine }]);
     assert!(h.is_empty() && h.next_due().is_none());
 }
@@ -80,12 +85,12 @@
         [TakeoverAction::Over { dialogue: id("d"), owner: mine }]
     );
     let mut h = begun();
-    h.adopted(ms(1), &id("d"), &server("s"), mine, Some(LaunchNo(1)), mine);
+    h.adopted(ms(1), &id("d"), &server("s"), mine, Some(LaunchNumber(1)), mine);
     assert_eq!(h.over(&id("d")), [TakeoverAction::Over { dialogue: id("d"), owner: mine }]);
     assert!(h.is_empty() && begun().over(&id("d")).is_empty());
     // Its caller came for it: nothing of it is released.
     let mut h = begun();
-    h.adopted(ms(1), &id("d"), &server("s"), mine, Some(LaunchNo(1)), mine);
+    h.adopted(ms(1), &id("d"), &server("s"), mine, Some(LaunchNumber(1)), mine);
     assert!(h.drop_of(&id("d")) && h.alarm(ms(99_000)).is_empty());
     // A core server that never answers is not asked for ever.
     let mut h = begun();
@@ -105,7 +110,7 @@
     let TakeoverAction::What { serial, member: 0, life: 7, after: None, .. } = &asked[0] else {
         panic!("{asked:?}")
     };
-    let line = |name: &str, owner| HeldLine { dialogue: id(name), launch: LaunchNo(0), owner };
+    let line = |name: &str, owner| HeldLine { dialogue: id(name), launch: LaunchNumber(0), owner };
     let lines = [
         line("a", owner(0, 0, 7)),
         line("b", owner(2, 0, 6)),
@@ -126,7 +131,7 @@
     assert!(matches!(&actions[0], TakeoverAction::What { after: Some(after), .. } if *after == id("kept")));
     assert_eq!(actions[1..], [adopt("a", 1), adopt("b", 3)]);
     let freed =
-        h.adopted(ms(5020), &id("a"), &server("s"), owner(1, 2, 9), Some(LaunchNo(0)), owner(1, 2, 9));
+        h.adopted(ms(5020), &id("a"), &server("s"), owner(1, 2, 9), Some(LaunchNumber(0)), owner(1, 2, 9));
     assert!(matches!(freed[..], [TakeoverAction::Release { .. }, TakeoverAction::Over { .. }]));
     assert_eq!(h.holds(ms(5030), &server("s"), *serial, &[], false, 9, |_| LineOf::Nobody), []);
     assert_eq!(
@@ -148,7 +153,7 @@
 #[test]
 fn a_line_that_was_claimed_is_left_at_first_and_freed_when_nothing_came_of_it() {
     let cores: BTreeSet<ServerId> = [server("s")].into();
-    let lines = [HeldLine { dialogue: id("d"), launch: LaunchNo(0), owner: owner(0, 0, 7) }];
+    let lines = [HeldLine { dialogue: id("d"), launch: LaunchNumber(0), owner: owner(0, 0, 7) }];
     let serial = |actions: Vec<TakeoverAction>| match other(actions)[..] {
         [TakeoverAction::What { serial, .. }] => serial,
         _ => panic!("not asked"),
--- a/crates/judge/src/fleet.rs
+++ b/crates/judge/src/fleet.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo};
+use lotussaddle::interface::{DialogueId, LaunchNumber};
 use lotussaddle_trunk::{Act, Audit, CopySent, Frame, Launch, Peer, Reached, Replaced};
 use serde::{Deserialize, Serialize};
 
@@ -86,7 +86,7 @@
 /// A launch that is out.
 struct Out {
     seat: Seat,
-    launch: LaunchNo,
+    launch: LaunchNumber,
     link: u64,
     mark: Mark,
     /// It ends by itself then.
@@ -392,11 +392,11 @@
         }
     }
 
-    fn out_of(&self, edge: usize, id: &DialogueId, launch: LaunchNo) -> Option<&Out> {
+    fn out_of(&self, edge: usize, id: &DialogueId, launch: LaunchNumber) -> Option<&Out> {
         self.dialogues.get(id)?.out.iter().find(|out| (out.seat.0, out.launch) == (edge, launch))
     }
 
-    fn over(&mut self, edge: usize, id: &DialogueId, launch: LaunchNo, doubt: bool) {
+    fn over(&mut self, edge: usize, id: &DialogueId, launch: LaunchNumber, doubt: bool) {
         let now = self.now;
         let Some(known) = self.dialogues.get_mut(id) else { return };
         let Some(place) = known.out.iter().position(|out| (out.seat.0, out.launch) == (edge, launch)) else {
--- a/crates/judge/src/rules.rs
+++ b/crates/judge/src/rules.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, Listed};
+use lotussaddle::interface::{DialogueId, LaunchNumber, ServerState};
 use lotussaddle_trunk::Frame;
 use serde::{Deserialize, Serialize};
 
@@ -102,7 +102,7 @@
     answer: Option<(Answer, Mark)>,
     hung_up: Option<Mark>,
     /// The launch that is out: its number, link and place.
-    out: Option<(LaunchNo, u64, Mark)>,
+    out: Option<(LaunchNumber, u64, Mark)>,
     /// The last launch that ended in doubt.
     doubt: Option<Mark>,
     /// Once it stands: over which link.
@@ -125,7 +125,7 @@
     /// Told not to send there, since when.
     barred: HashMap<String, Mark>,
     /// Servers in the list it was told.
-    listed: HashMap<String, Listed>,
+    listed: HashMap<String, ServerState>,
     /// Which start of a server it has been told of, by its life.
     lives: HashMap<String, u64>,
     stalls: Vec<(Duration, Option<Duration>)>,
@@ -540,7 +540,7 @@
 
     // Rules 2 and 5
 
-    fn launched(&mut self, edge: usize, link: u64, id: &DialogueId, launch: LaunchNo) {
+    fn launched(&mut self, edge: usize, link: u64, id: &DialogueId, launch: LaunchNumber) {
         let now = self.now;
         let rate = self.proxy(edge).rate.unwrap_or(1.0).max(1.0); // By its own clock it keeps the release.
         let release = span((self.brief.release_s - self.brief.slack_s).max(0.0)).div_f64(rate);
@@ -580,7 +580,9 @@
         self.sent(edge, &far, id);
     }
 
-    fn ended(&mut self, edge: usize, id: &DialogueId, launch: LaunchNo, stands: Option<u64>, doubt: bool) {
+    fn ended(
+        &mut self, edge: usize, id: &DialogueId, launch: LaunchNumber, stands: Option<u64>, doubt: bool,
+    ) {
         let now = self.now;
         if let Some(known) = self.proxy(edge).dialogues.get_mut(id)
             && known.out.is_some_and(|(out, ..)| out == launch)
@@ -629,7 +631,7 @@
             let server = entry.server.0.to_string();
             self.numbers.insert(server.clone(), entry.number.0);
             let proxy = self.proxies.entry(edge).or_default();
-            if entry.listed == Listed::Active {
+            if entry.listed == ServerState::Active {
                 proxy.barred.remove(&server);
             } else {
                 proxy.barred.entry(server.clone()).or_insert(now);
--- a/crates/judge/tests/doctored.rs
+++ b/crates/judge/tests/doctored.rs
@@ -29,7 +29,7 @@
         for (link, far) in [(CALLER, "callers"), (LIST, "list"), (A, "a"), (B, "b")] {
             script.put(0, What::Up { edge: 0, link, far: far.into() });
         }
-        let entries = vec![entry("a", Listed::Active, 0), entry("b", Listed::Active, 0)];
+        let entries = vec![entry("a", ServerState::Active, 0), entry("b", ServerState::Active, 0)];
         script.passed(0, LIST, Way::In, Frame::List { whole: true, entries })
     }
 
@@ -75,7 +75,7 @@
         let time_left = Duration::from_millis(3000);
         let launch = Launch {
             dialogue: id(name),
-            launch: LaunchNo(launch),
+            launch: LaunchNumber(launch),
             key: None,
             product: 0,
             width: 1.0,
@@ -89,18 +89,18 @@
 
     fn stood(self, at: u64, link: u64, name: &str, launch: u32) -> Self {
         let report = LoadReport::default();
-        let frame = Frame::Stood { dialogue: id(name), launch: LaunchNo(launch), report };
+        let frame = Frame::Stood { dialogue: id(name), launch: LaunchNumber(launch), report };
         self.passed(at, link, Way::In, frame)
     }
 
     fn broken_off(self, at: u64, link: u64, name: &str, launch: u32) -> Self {
         let report = LoadReport::default();
-        let frame = Frame::BrokenOff { dialogue: id(name), launch: LaunchNo(launch), report };
+        let frame = Frame::BrokenOff { dialogue: id(name), launch: LaunchNumber(launch), report };
         self.passed(at, link, Way::In, frame)
     }
 
     fn cancel(self, at: u64, link: u64, name: &str, launch: u32) -> Self {
-        self.passed(at, link, Way::Out, Frame::Cancel { dialogue: id(name), launch: LaunchNo(launch) })
+        self.passed(at, link, Way::Out, Frame::Cancel { dialogue: id(name), launch: LaunchNumber(launch) })
     }
 
     fn stands(self, at: u64, name: &str) -> Self {
@@ -138,7 +138,7 @@
     }
 }
 
-fn entry(name: &str, listed: Listed, life: u64) -> Entry {
+fn entry(name: &str, listed: ServerState, life: u64) -> Entry {
     Entry {
         server: ServerId(Arc::from(name)),
         number: ServerNumber(0),
@@ -293,9 +293,9 @@
 #[test]
 fn rule_3_a_launch_past_the_grace() {
     for (whole, entries) in [
-        (false, vec![entry("a", Listed::Leaving, 0)]),
-        (false, vec![entry("a", Listed::Gone, 0)]),
-        (true, vec![entry("b", Listed::Active, 0)]),
+        (false, vec![entry("a", ServerState::Draining, 0)]),
+        (false, vec![entry("a", ServerState::Gone, 0)]),
+        (true, vec![entry("b", ServerState::Active, 0)]),
     ] {
         let at = |time: u64| {
             let script = good().list(6000, whole, entries.clone()).dial(time - 1, "d9");
@@ -305,8 +305,8 @@
         only(&at(8010), Rule::Drain, "launched 2.010 s after the list said");
     }
     // It may be listed again.
-    let again = good().list(6000, false, vec![entry("a", Listed::Gone, 0)]);
-    let again = again.list(6500, false, vec![entry("a", Listed::Active, 1)]).dial(9000, "d9");
+    let again = good().list(6000, false, vec![entry("a", ServerState::Gone, 0)]);
+    let again = again.list(6500, false, vec![entry("a", ServerState::Active, 1)]).dial(9000, "d9");
     assert!(again.launch(9001, A, "d9", 0).refused(9100, "d9").found().is_empty());
 }
 
@@ -314,7 +314,7 @@
 fn rule_3_counts_from_when_a_proxy_that_stood_still_went_on() {
     let at = |time: u64| {
         let script = good().note(6000, What::Stalled { edge: 0 });
-        let script = script.list(6100, false, vec![entry("a", Listed::Leaving, 0)]).dial(6200, "d9");
+        let script = script.list(6100, false, vec![entry("a", ServerState::Draining, 0)]).dial(6200, "d9");
         let script = script.note(7500, What::Resumed { edge: 0 }).launch(time, A, "d9", 0);
         // Rule 1 gives it time for an answer, too.
         script.cancel(time + 10, A, "d9", 0).refused(time + 10, "d9").found()
@@ -328,7 +328,7 @@
 fn pressed(launches: u64, told: bool) -> Vec<(Rule, String)> {
     let mut script = good().note(6000, What::CoreStarted { server: "a".into(), life: 1 });
     if told {
-        script = script.list(6100, false, vec![entry("a", Listed::Active, 1)]);
+        script = script.list(6100, false, vec![entry("a", ServerState::Active, 1)]);
     }
     for n in 0..launches {
         let (at, name) = (6200 + n * 1000 / launches, format!("p{n}"));
@@ -344,8 +344,10 @@
     only(&pressed(60, true), Rule::Cold, "cold and sent more than it bears");
     assert!(pressed(60, false).is_empty(), "nobody had been told of the start");
     let fell = good().note(6000, What::CoreStarted { server: "a".into(), life: 1 });
-    let fell =
-        fell.list(6100, false, vec![entry("a", Listed::Active, 1)]).dial(6200, "d9").launch(6201, A, "d9", 0);
+    let fell = fell
+        .list(6100, false, vec![entry("a", ServerState::Active, 1)])
+        .dial(6200, "d9")
+        .launch(6201, A, "d9", 0);
     let fell = fell.note(6210, What::Fell { server: "a".into() }).refused(6300, "d9");
     only(&fell.found(), Rule::Cold, "cold and fell over");
 }
@@ -365,7 +367,7 @@
     }
     // A turn-back leaves no doubt.
     let report = LoadReport::default();
-    let back = Frame::TurnedBack { dialogue: id("d9"), launch: LaunchNo(0), cause: Cause::Lines, report };
+    let back = Frame::TurnedBack { dialogue: id("d9"), launch: LaunchNumber(0), cause: Cause::Lines, report };
     assert!(after(script().passed(6100, A, Way::In, back), 6110).is_empty());
 }
 
@@ -445,7 +447,7 @@
         suffix: "e164.arpa".into(),
     };
     let mut script = Script::new();
-    let mut second = entry("b", Listed::Active, 0);
+    let mut second = entry("b", ServerState::Active, 0);
     second.number = ServerNumber(1);
     script = script.list(1, false, vec![second]);
     type Put = Box<dyn FnOnce(Script) -> Script>;
@@ -470,7 +472,7 @@
             Box::new(move |script| {
                 let launch = Launch {
                     dialogue: id("d1"),
-                    launch: LaunchNo(no as u32),
+                    launch: LaunchNumber(no as u32),
                     key: None,
                     product,
                     width: 1.0,
--- a/crates/judge/tests/doctored_fleet.rs
+++ b/crates/judge/tests/doctored_fleet.rs
@@ -59,7 +59,7 @@
             server: a(),
             number: ServerNumber(0),
             address: Arc::from("x"),
-            listed: Listed::Active,
+            listed: ServerState::Active,
             life: 0,
             age: Duration::ZERO,
         };
@@ -113,11 +113,11 @@
     }
 
     fn launch_with(self, at: u64, edge: usize, launch: u32, kept: bool) -> Self {
-        let reached = Reached::Out { server: a(), launch: LaunchNo(launch) };
+        let reached = Reached::Out { server: a(), launch: LaunchNumber(launch) };
         let script = self.write(at, edge, reached, None, kept);
         let launch = Launch {
             dialogue: id("d"),
-            launch: LaunchNo(launch),
+            launch: LaunchNumber(launch),
             key: None,
             product: 0,
             width: 1.0,
@@ -135,16 +135,22 @@
 
     fn broken_off(self, at: u64, edge: usize) -> Self {
         let report = LoadReport::default();
-        self.passed(at, edge, A, Way::In, Frame::BrokenOff { dialogue: id("d"), launch: LaunchNo(0), report })
+        self.passed(
+            at,
+            edge,
+            A,
+            Way::In,
+            Frame::BrokenOff { dialogue: id("d"), launch: LaunchNumber(0), report },
+        )
     }
 
     fn stood(self, at: u64, edge: usize) -> Self {
         let report = LoadReport::default();
-        self.passed(at, edge, A, Way::In, Frame::Stood { dialogue: id("d"), launch: LaunchNo(0), report })
+        self.passed(at, edge, A, Way::In, Frame::Stood { dialogue: id("d"), launch: LaunchNumber(0), report })
     }
 
     fn stands_with(self, at: u64, edge: usize, kept: bool) -> Self {
-        let reached = Reached::Stands { server: a(), launch: LaunchNo(0) };
+        let reached = Reached::Stands { server: a(), launch: LaunchNumber(0) };
         let script = self.write(at, edge, reached, Some(Answer::Stands { server: a() }), kept);
         script.passed(at, edge, CALLER, Way::Out, Frame::Stands { dialogue: id("d"), server: a() })
     }
@@ -160,7 +166,7 @@
 
     fn hang_up(self, at: u64, edge: usize) -> Self {
         let script = self.passed(at, edge, CALLER, Way::In, Frame::HangUp { dialogue: id("d") });
-        let release = Frame::Release { dialogue: id("d"), launch: LaunchNo(0) };
+        let release = Frame::Release { dialogue: id("d"), launch: LaunchNumber(0) };
         script.passed(at, edge, A, Way::Out, release)
     }
 
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -8,7 +8,7 @@
 
 use lotussaddle::interface::RoutePlan;
 use lotussaddle_edge::Limits;
-use lotussaddle_settings::{read_named, settings};
+use lotussaddle_settings::{parse_json, settings};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
@@ -120,13 +120,13 @@
     struct FeedSheet {
         feed: String,
     }
-    let sheet: FeedSheet = read_named(text).map_err(|e| ConfigError(e.to_string()))?;
+    let sheet: FeedSheet = parse_json(text).map_err(|e| ConfigError(e.to_string()))?;
     address("feed", &sheet.feed)
 }
 
 impl Config {
     pub fn read(text: &str) -> Result<Self, ConfigError> {
-        let sheet: Sheet = read_named(text).map_err(|e| ConfigError(e.to_string()))?;
+        let sheet: Sheet = parse_json(text).map_err(|e| ConfigError(e.to_string()))?;
         let seed = u64::from_str_radix(&sheet.seed, 16)
             .map_err(|_| ConfigError(format!("seed: {:?} is no hexadecimal number", sheet.seed)))?;
         let limit = |name, value: f64| {
@@ -136,7 +136,7 @@
         let memory_mb = limit("memory_mb", sheet.limits.memory_mb)?;
         let sockets = limit("sockets", sheet.limits.sockets)?;
         let settings = settings(sheet.settings.get()).map_err(|e| ConfigError(format!("settings: {e:#}")))?;
-        if let Some(place) = settings.classes.iter().position(String::is_empty) {
+        if let Some(place) = settings.product_names.iter().position(String::is_empty) {
             return Err(ConfigError(format!("settings: categories[{place}].name: there is none")));
         }
         let dests = settings.plan.products.iter().filter_map(|product| product.servers.as_ref());
@@ -149,10 +149,10 @@
             known: sheet.known,
             dests,
             bounds: Bounds::new(memory_mb as u64, sockets as usize),
-            connect_within: settings.connect_within.clamp(Duration::from_millis(50), Duration::from_secs(5)),
-            idle_after: settings.idle_after.max(Duration::from_millis(500)),
-            classes: settings.classes,
-            widths: settings.widths,
+            connect_within: settings.connect_timeout.clamp(Duration::from_millis(50), Duration::from_secs(5)),
+            idle_after: settings.idle_timeout.max(Duration::from_millis(500)),
+            classes: settings.product_names,
+            widths: settings.product_widths,
             plan: settings.plan,
         })
     }
--- a/crates/platform/src/cores.rs
+++ b/crates/platform/src/cores.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lotussaddle::interface::LaunchNo;
+use lotussaddle::interface::LaunchNumber;
 use lotussaddle_edge::LinkId;
 
 use crate::SocketId;
@@ -87,7 +87,7 @@
     /// When a set-up last went out on it.
     pub used: Duration,
     pub cutter: Cutter,
-    pub open: BTreeMap<Tag, LaunchNo>,
+    pub open: BTreeMap<Tag, LaunchNumber>,
     /// Set-ups that go when the turn is over in which they were decided on, or the connection has come up.
     pub waiting: Vec<SetUp>,
     called_off: VecDeque<Tag>,
@@ -110,7 +110,7 @@
     }
 
     /// The launch out there under this id, which is out no more; none where it was not sent yet.
-    pub fn take_open(&mut self, tag: Tag) -> Option<LaunchNo> {
+    pub fn take_open(&mut self, tag: Tag) -> Option<LaunchNumber> {
         if self.waits(tag) { None } else { self.open.remove(&tag) }
     }
 
--- a/crates/platform/src/desk.rs
+++ b/crates/platform/src/desk.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, LoadReport, Outcome};
+use lotussaddle::interface::{DialogueId, LaunchNumber, LoadReport, Outcome};
 use lotussaddle_edge::{LinkId, Note, Wires};
 use lotussaddle_trunk::{End, Frame, Launch, Message, NotTaken};
 
@@ -48,7 +48,7 @@
 pub struct LaunchOver {
     pub link: LinkId,
     pub tag: Tag,
-    pub launch: LaunchNo,
+    pub launch: LaunchNumber,
     pub outcome: Outcome,
 }
 
--- a/crates/platform/src/feed.rs
+++ b/crates/platform/src/feed.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use lotussaddle::interface::Listed;
+use lotussaddle::interface::ServerState;
 use serde::Deserialize;
 
 use crate::codec::{Cutter, Form};
@@ -56,11 +56,11 @@
 }
 
 impl Health {
-    pub fn listed(self) -> Listed {
+    pub fn listed(self) -> ServerState {
         match self {
-            Self::Ready => Listed::Active,
-            Self::Terminating => Listed::Leaving,
-            Self::Gone => Listed::Gone,
+            Self::Ready => ServerState::Active,
+            Self::Terminating => ServerState::Draining,
+            Self::Gone => ServerState::Gone,
         }
     }
 }
--- a/crates/platform/src/sessions.rs
+++ b/crates/platform/src/sessions.rs
@@ -48,7 +48,7 @@
     /// `unix_ms` is the Unix clock at `now`.
     pub fn new(now: Duration, unix_ms: f64, config: Config) -> Self {
         let Config { bounds, classes, plan, .. } = config;
-        let longest = plan.products.iter().map(|p| p.patience).max().unwrap_or_default();
+        let longest = plan.products.iter().map(|p| p.redial_window).max().unwrap_or_default();
         let edge = Edge::new(&config.name, "", plan, config.seed, bounds.edge.clone());
         let by_name = classes.iter().enumerate().map(|(place, name)| (name.clone(), place as u16)).collect();
         Self {
--- a/crates/platform/src/sessions/lives.rs
+++ b/crates/platform/src/sessions/lives.rs
@@ -30,7 +30,7 @@
 /// from one whose end is owed.
 fn refusal(cause: u8, note: &str) -> Option<Outcome> {
     match (cause, note) {
-        (cause::FULL, "atb" | "rtb") => Some(Outcome::LinesTaken),
+        (cause::FULL, "atb" | "rtb") => Some(Outcome::NoFreeLine),
         (cause::FULL, _) => Some(Outcome::TurnedBack),
         (cause::BUSY | cause::ERROR, "sub") => Some(Outcome::NumberBusy),
         (cause::BUSY | cause::ERROR, _) => Some(Outcome::Fault),
--- a/crates/platform/src/sessions/watch.rs
+++ b/crates/platform/src/sessions/watch.rs
@@ -28,7 +28,7 @@
         net.log(&format!("feed event {}: {}", event.n, hosts.join(", ")));
         // A new life at an address, or of a host, ends the one before it: that process is no more.
         for entry in &entries {
-            let new = entry.listed != Listed::Gone;
+            let new = entry.listed != ServerState::Gone;
             let before = self.desk.lives.iter().filter(|(_, life)| {
                 let same = *life.host == *entry.server.0;
                 let at = Life::at(&entry.address, now).map(|life| life.address);
@@ -47,7 +47,7 @@
             match entries.iter().find(|entry| *entry.server.0 == *life.host) {
                 Some(entry) => {
                     (life.gone, life.leaving) =
-                        (entry.listed == Listed::Gone, entry.listed != Listed::Active);
+                        (entry.listed == ServerState::Gone, entry.listed != ServerState::Active);
                 }
                 None => (life.gone, life.leaving) = (life.gone | members.whole, life.leaving | members.whole),
             }
--- a/crates/platform/tests/config.rs
+++ b/crates/platform/tests/config.rs
@@ -78,7 +78,7 @@
         assert_eq!((&one.classes[..], &one.widths[..]), (&["voice".to_owned()][..], &[2.5][..]));
         assert_eq!((&two.classes[..], &two.widths[..]), (&["fax".to_owned()][..], &[][..]));
         assert_eq!((one.dests.len(), two.dests.len()), (2, 0));
-        let times = [&one, &two].map(|config| (config.connect_within, config.plan.fall_within));
+        let times = [&one, &two].map(|config| (config.connect_within, config.plan.overload_window));
         let ms = Duration::from_millis;
         assert_eq!(times, [(ms(100), ms(800)), (ms(900), ms(2000))]);
     }
--- a/crates/replica/src/copy.rs
+++ b/crates/replica/src/copy.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
+use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
 use lotussaddle_trunk::{Answer, CopySent, Given, Owner, Part, Reached};
 
 /// What is kept of owners and answers, at most: beyond it owners go that only said that they own it, then the lowest.
@@ -47,7 +47,7 @@
     Over,
     Stands {
         server: &'a ServerId,
-        launch: LaunchNo,
+        launch: LaunchNumber,
         owner: Owner,
     },
     /// It has no answer, as far as is known. Nothing may be launched before `bar`; the owner that wrote last may have a
--- a/crates/replica/tests/copies.rs
+++ b/crates/replica/tests/copies.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
+use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
 use lotussaddle_replica::*;
 use lotussaddle_trunk::{Answer, CopySent, Given, Owner, Part, Reached};
 use proptest::prelude::*;
@@ -26,7 +26,7 @@
 }
 
 fn reached() -> impl Strategy<Value = Reached> {
-    let place = || ("[ab]", 0u32..3).prop_map(|(s, launch)| (server(&s), LaunchNo(launch)));
+    let place = || ("[ab]", 0u32..3).prop_map(|(s, launch)| (server(&s), LaunchNumber(launch)));
     prop_oneof![
         Just(Reached::Taken),
         place().prop_map(|(server, launch)| Reached::Out { server, launch }),
@@ -114,11 +114,11 @@
     let (a, b) = (owner(0, 0, 1), owner(1, 1, 1));
     let states: [(&str, Reached, u64, Option<Answer>); 7] = [
         ("taken", Reached::Taken, 0, None),
-        ("out", Reached::Out { server: server("s"), launch: LaunchNo(0) }, 900, None),
+        ("out", Reached::Out { server: server("s"), launch: LaunchNumber(0) }, 900, None),
         ("in doubt", Reached::Taken, 300, None),
         (
             "stands",
-            Reached::Stands { server: server("s"), launch: LaunchNo(0) },
+            Reached::Stands { server: server("s"), launch: LaunchNumber(0) },
             0,
             Some(Answer::Stands { server: server("s") }),
         ),
@@ -248,7 +248,7 @@
 }
 
 fn out(n: u32) -> Reached {
-    Reached::Out { server: server("s"), launch: LaunchNo(n) }
+    Reached::Out { server: server("s"), launch: LaunchNumber(n) }
 }
 
 #[test]
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
+use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
 use lotussaddle_fleet::{DutyPlan, Effects, Finding, Member, PeerLink, Plan, Save, Stored};
 use lotussaddle_trunk::{Answer, Frame, TablesOrder};
 use rustix::time::{ClockId, clock_gettime};
@@ -299,11 +299,11 @@
             CallStep::Launch(dialogue) => {
                 self.member.taken(now, &dialogue);
                 let until = now + LAUNCH_LASTS;
-                let ticket = self.member.launch(now, &dialogue, &server, LaunchNo(0), until);
+                let ticket = self.member.launch(now, &dialogue, &server, LaunchNumber(0), until);
                 self.wait_for(now, ticket, CallStep::Answer(dialogue));
             }
             CallStep::Answer(dialogue) => {
-                let ticket = self.member.answer(now, &dialogue, &Answer::Stands { server }, LaunchNo(0));
+                let ticket = self.member.answer(now, &dialogue, &Answer::Stands { server }, LaunchNumber(0));
                 self.wait_for(now, ticket, CallStep::End(dialogue));
             }
             CallStep::End(dialogue) => self.member.over(now, &dialogue),
--- a/crates/serve/src/sheet.rs
+++ b/crates/serve/src/sheet.rs
@@ -682,8 +682,8 @@
             let servers: Vec<_> = servers.collect();
             servers.into_iter().map(|servers| Product {
                 promised: p.promised,
-                lasts: p.lasts,
-                patience: p.cut_off,
+                mean_duration: p.lasts,
+                redial_window: p.cut_off,
                 gain: p.gain,
                 late_share: p.late_share,
                 servers: servers.map(|cores| cores.into_iter().map(ServerNumber).collect()),
@@ -695,16 +695,16 @@
             tenants: self.tenants.iter().map(|t| Tenant { quota: t.quota }).collect(),
             over_quota_share: self.over_quota_share,
             tick: self.tick,
-            release: self.release,
-            resend: self.resend,
+            release_time: self.release,
+            resend_after: self.resend,
             max_launches: self.max_launches,
-            marks_again: self.marks_again,
+            callers_mark_retries: self.marks_again,
             may_cancel: self.may_cancel,
-            longest_return: self.longest_return,
-            cold_share: self.cold_share,
-            warm_after: self.warm_after,
-            fall_multiple: self.fall_multiple,
-            fall_within: self.fall_within,
+            max_retry_after: self.longest_return,
+            cold_start_share: self.cold_share,
+            warm_up_time: self.warm_after,
+            overload_multiple: self.fall_multiple,
+            overload_window: self.fall_within,
         }
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,5 +6,5 @@
 mod plan;
 mod report;
 
-pub use plan::{Settings, millis, read_named, route_plan, settings};
+pub use plan::{Settings, checked_millis, parse_json, route_plan, settings};
 pub use report::load_report;
--- a/crates/settings/src/plan.rs
+++ b/crates/settings/src/plan.rs
@@ -12,16 +12,16 @@
 pub struct Settings {
     pub plan: RoutePlan,
     /// Names of the products, in the plan's order; empty where the settings have none.
-    pub classes: Vec<String>,
+    pub product_names: Vec<String>,
     /// Lines that a dialogue of each product takes, where the settings say so.
-    pub widths: Vec<f64>,
+    pub product_widths: Vec<f64>,
     /// How long a connection to a core server may take to come up, and when one that carries nothing is closed.
-    pub connect_within: Duration,
-    pub idle_after: Duration,
+    pub connect_timeout: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// Reads JSON; what cannot be read is named by its path.
-pub fn read_named<T: DeserializeOwned>(text: &str) -> Result<T> {
+pub fn parse_json<T: DeserializeOwned>(text: &str) -> Result<T> {
     let mut reader = serde_json::Deserializer::from_str(text);
     let read: T = serde_path_to_error::deserialize(&mut reader).map_err(|e| match e.path().to_string() {
         path if path == "." => anyhow::anyhow!("{}", e.inner()),
@@ -132,7 +132,7 @@
 }
 
 pub fn settings(conf: &str) -> Result<Settings> {
-    let sheet: StartSheet = read_named(conf)?;
+    let sheet: StartSheet = parse_json(conf)?;
     let StartSheet { domain, limits, rules, .. } = sheet;
     ensure!(!sheet.categories.is_empty(), "categories: there is none");
     within("rules.coldFrom", rules.cold_from, 0.001..=1.0)?;
@@ -145,9 +145,12 @@
         within("categories.worth", category.worth, 1e-6..=1e9)?;
         within("categories.lateShare", category.late_share, 0.0..=1.0)?;
         products.push(Product {
-            promised: millis("promiseMs", category.promise_ms)?,
-            lasts: millis("classHoldMs", domain.class_hold_ms.get(place).copied().unwrap_or_default())?,
-            patience: millis("hardLimitMs", category.hard_limit_ms)?,
+            promised: checked_millis("promiseMs", category.promise_ms)?,
+            mean_duration: checked_millis(
+                "classHoldMs",
+                domain.class_hold_ms.get(place).copied().unwrap_or_default(),
+            )?,
+            redial_window: checked_millis("hardLimitMs", category.hard_limit_ms)?,
             gain: category.worth,
             late_share: category.late_share,
             servers: domain
@@ -162,24 +165,24 @@
         products,
         tenants: sheet.tenants.iter().map(|t| Tenant { quota: t.quota_rps }).collect(),
         over_quota_share: sheet.over_share_worth,
-        tick: millis("tickMs", sheet.tick_ms)?.max(Duration::from_micros(1)),
-        release: millis("releaseGuardMs", domain.release_guard_ms)?,
-        resend: millis("resendMs", domain.resend_ms)?,
+        tick: checked_millis("tickMs", sheet.tick_ms)?.max(Duration::from_micros(1)),
+        release_time: checked_millis("releaseGuardMs", domain.release_guard_ms)?,
+        resend_after: checked_millis("resendMs", domain.resend_ms)?,
         max_launches: limits.attempts_cap,
-        marks_again: sheet.client_habits.marks_retry,
+        callers_mark_retries: sheet.client_habits.marks_retry,
         may_cancel: limits.cancel,
-        longest_return: millis("maxRetryAfterMs", longest_return)?,
-        cold_share: rules.cold_from,
-        warm_after: millis("rampTimeMs", rules.ramp_time_ms)?,
-        fall_multiple: rules.tip_multiple,
-        fall_within: millis("fallMs", rules.fall_ms)?,
+        max_retry_after: checked_millis("maxRetryAfterMs", longest_return)?,
+        cold_start_share: rules.cold_from,
+        warm_up_time: checked_millis("rampTimeMs", rules.ramp_time_ms)?,
+        overload_multiple: rules.tip_multiple,
+        overload_window: checked_millis("fallMs", rules.fall_ms)?,
     };
     Ok(Settings {
         plan,
-        classes: sheet.categories.into_iter().map(|category| category.name).collect(),
-        widths: domain.widths,
-        connect_within: millis("connectTimeoutMs", limits.connect_timeout_ms)?,
-        idle_after: millis("connIdleMs", limits.conn_idle_ms)?,
+        product_names: sheet.categories.into_iter().map(|category| category.name).collect(),
+        product_widths: domain.widths,
+        connect_timeout: checked_millis("connectTimeoutMs", limits.connect_timeout_ms)?,
+        idle_timeout: checked_millis("connIdleMs", limits.conn_idle_ms)?,
     })
 }
 
@@ -191,7 +194,7 @@
 /// No time of the settings is longer than this, so that sums of a few never overflow.
 const LONGEST_MS: f64 = 1e15;
 
-pub fn millis(name: &str, value: f64) -> Result<Duration> {
+pub fn checked_millis(name: &str, value: f64) -> Result<Duration> {
     ensure!((0.0..=LONGEST_MS).contains(&value), "{name}={value} is no time");
     Ok(Duration::from_secs_f64(value / 1000.0))
 }
--- a/crates/settings/src/report.rs
+++ b/crates/settings/src/report.rs
@@ -3,7 +3,7 @@
 use anyhow::{Context, Result};
 use lotussaddle::interface::LoadReport;
 
-use crate::millis;
+use crate::checked_millis;
 
 /// Negative figures stand for what was not told; names that are not known are passed over.
 pub fn load_report(text: &str, between: char) -> Result<LoadReport> {
@@ -14,10 +14,10 @@
         let told = Some(value).filter(|v| *v >= 0.0 && v.is_finite());
         match name {
             "spare" => report.free_lines = told,
-            "total" => report.lines = told,
-            "load_share" => report.busy = told,
-            "depth" => report.queue = told,
-            "mean_ms" => report.wait = told.map(|v| millis(name, v)).transpose()?,
+            "total" => report.total_lines = told,
+            "load_share" => report.processor_busy = told,
+            "depth" => report.processor_queue = told,
+            "mean_ms" => report.processor_wait = told.map(|v| checked_millis(name, v)).transpose()?,
             "allowed" => report.rate = told,
             _ => {}
         }
--- a/crates/standin/src/core.rs
+++ b/crates/standin/src/core.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, LoadReport};
+use lotussaddle::interface::{DialogueId, LaunchNumber, LoadReport};
 use lotussaddle_lease::{Duty, Fence, Number};
 use lotussaddle_trunk::{
     Act, Audit, Cause, End, Frame, HeldLine, Hello, Launch, Message, Owner, Role, VERSION,
@@ -93,7 +93,7 @@
     }
 }
 
-type CallId = (u64, DialogueId, LaunchNo);
+type CallId = (u64, DialogueId, LaunchNumber);
 
 /// Stands for the link of what stands and lost it: its owner is to come for it.
 const NO_LINK: u64 = u64::MAX;
@@ -250,7 +250,7 @@
 
     pub fn lost(&mut self, now: Duration, link: u64) {
         self.links.remove(&link);
-        let from = (link, DialogueId(Arc::from("")), LaunchNo(0));
+        let from = (link, DialogueId(Arc::from("")), LaunchNumber(0));
         let there: Vec<CallId> =
             self.calls.range(from..).take_while(|(id, _)| id.0 == link).map(|(id, _)| id.clone()).collect();
         for id in there {
@@ -650,10 +650,10 @@
         let lines = self.figures.lines * self.strain.lines;
         let report = LoadReport {
             free_lines: told.lines.then_some((lines - self.used).max(0.0)),
-            lines: told.lines.then_some(lines),
-            busy: told.busy.then_some(busy.min(1.0)),
-            queue: told.queue.then_some(self.queue.len() as f64),
-            wait: told.wait.then(|| self.wait(now)),
+            total_lines: told.lines.then_some(lines),
+            processor_busy: told.busy.then_some(busy.min(1.0)),
+            processor_queue: told.queue.then_some(self.queue.len() as f64),
+            processor_wait: told.wait.then(|| self.wait(now)),
             rate: told.rate.then(|| self.figures.capacity() * self.level(now) / self.strain.slower),
         };
         self.taken.push_back((now, report));
--- a/crates/standin/src/list.rs
+++ b/crates/standin/src/list.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lotussaddle::interface::{Listed, ServerId, ServerNumber};
+use lotussaddle::interface::{ServerId, ServerNumber, ServerState};
 use lotussaddle_trunk::{Entry, Frame, Hello, Message, Role, TablesOrder, VERSION};
 
 use crate::Floor;
@@ -17,7 +17,7 @@
     pub server: ServerId,
     pub number: ServerNumber,
     pub address: Arc<str>,
-    pub listed: Listed,
+    pub listed: ServerState,
     pub life: u64,
     /// None: long ago.
     pub started: Option<Duration>,
@@ -184,7 +184,7 @@
             && *due <= now
         {
             entries.push(entry(now, listing));
-            if listing.listed == Listed::Gone {
+            if listing.listed == ServerState::Gone {
                 self.known.remove(&listing.server);
             } else {
                 self.known.insert(listing.server.clone(), listing.clone());
--- a/crates/standin/src/sheets.rs
+++ b/crates/standin/src/sheets.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use lotussaddle::interface::{Listed, ServerId, ServerNumber};
+use lotussaddle::interface::{ServerId, ServerNumber, ServerState};
 use lotussaddle_numbers::Digits;
 use lotussaddle_sheet::{Block, Mistakes, Node, Sheet};
 
@@ -108,11 +108,11 @@
             let entries = root.many("core").into_iter().map(|node| {
                 let block = node.block();
                 let listed = match block.text("listed", Some("active")).as_str() {
-                    "active" => Listed::Active,
-                    "leaving" => Listed::Leaving,
+                    "active" => ServerState::Active,
+                    "leaving" => ServerState::Draining,
                     other => {
                         block.wrong(format!("listed may be active or leaving, not {other:?}"));
-                        Listed::Gone
+                        ServerState::Gone
                     }
                 };
                 Listing {
--- a/crates/trunk/src/codec.rs
+++ b/crates/trunk/src/codec.rs
@@ -4,7 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lotussaddle::interface::{DialledKey, DialogueId, LaunchNo, Listed, LoadReport, ServerId, ServerNumber};
+use lotussaddle::interface::{
+    DialledKey, DialogueId, LaunchNumber, LoadReport, ServerId, ServerNumber, ServerState,
+};
 use thiserror::Error;
 
 use crate::frame::*;
@@ -159,14 +161,21 @@
         self.bytes(tag, &value.to_le_bytes())
     }
 
-    fn launch(&mut self, dialogue: &DialogueId, launch: LaunchNo) -> &mut Self {
+    fn launch(&mut self, dialogue: &DialogueId, launch: LaunchNumber) -> &mut Self {
         self.text(DIALOGUE, &dialogue.0).whole(LAUNCH_NO, launch.0.into())
     }
 
     /// Six figures; what is not told is left out, by a bit each.
     fn report(&mut self, report: &LoadReport) -> &mut Self {
-        let wait = report.wait.map(|w| w.as_secs_f64());
-        let told = [report.free_lines, report.lines, report.busy, report.queue, wait, report.rate];
+        let wait = report.processor_wait.map(|w| w.as_secs_f64());
+        let told = [
+            report.free_lines,
+            report.total_lines,
+            report.processor_busy,
+            report.processor_queue,
+            wait,
+            report.rate,
+        ];
         if told.iter().all(Option::is_none) {
             return self;
         }
@@ -437,8 +446,8 @@
         self.need(DIALOGUE, text).map(DialogueId)
     }
 
-    pub fn launch(&mut self) -> Result<LaunchNo, TrunkError> {
-        self.need(LAUNCH_NO, small).map(LaunchNo)
+    pub fn launch(&mut self) -> Result<LaunchNumber, TrunkError> {
+        self.need(LAUNCH_NO, small).map(LaunchNumber)
     }
 
     fn report(&mut self) -> Result<LoadReport, TrunkError> {
@@ -505,7 +514,14 @@
     let wait =
         wait.map(|w| Duration::try_from_secs_f64(w).ok().filter(|w| w.as_micros() < MAX_MICROS.into()));
     let wait = wait.map(|w| w.ok_or("is too long a time")).transpose()?;
-    Ok(LoadReport { free_lines, lines, busy, queue, wait, rate })
+    Ok(LoadReport {
+        free_lines,
+        total_lines: lines,
+        processor_busy: busy,
+        processor_queue: queue,
+        processor_wait: wait,
+        rate,
+    })
 }
 
 fn one_of<T: Copy>(all: &'static [T]) -> impl Fn(&[u8]) -> Result<T, &'static str> {
@@ -523,7 +539,7 @@
 ];
 const CAUSES: &[Cause] = &[Cause::Processor, Cause::Lines, Cause::NumberBusy, Cause::Fault];
 const ENDS: &[End] = &[End::Released, End::Cut];
-const LISTED: &[Listed] = &[Listed::Active, Listed::Leaving, Listed::Gone];
+const LISTED: &[ServerState] = &[ServerState::Active, ServerState::Draining, ServerState::Gone];
 
 fn entry(frame: &'static str, raw: &[u8]) -> Result<Entry, TrunkError> {
     let mut f = Fields::read(frame, raw)?;
--- a/crates/trunk/src/frame.rs
+++ b/crates/trunk/src/frame.rs
@@ -3,7 +3,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lotussaddle::interface::{DialledKey, DialogueId, LaunchNo, Listed, LoadReport, ServerId, ServerNumber};
+use lotussaddle::interface::{
+    DialledKey, DialogueId, LaunchNumber, LoadReport, ServerId, ServerNumber, ServerState,
+};
 use serde::{Deserialize, Serialize};
 
 use crate::member::{Audit, Owner, Peer};
@@ -144,14 +146,14 @@
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
         #[serde(with = "texts::LaunchText")]
-        launch: LaunchNo,
+        launch: LaunchNumber,
     },
     /// A dialogue that stands is over.
     Release {
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
         #[serde(with = "texts::LaunchText")]
-        launch: LaunchNo,
+        launch: LaunchNumber,
     },
 
     // Core server to edge proxy
@@ -159,7 +161,7 @@
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
         #[serde(with = "texts::LaunchText")]
-        launch: LaunchNo,
+        launch: LaunchNumber,
         #[serde(with = "texts::ReportText")]
         report: LoadReport,
     },
@@ -167,7 +169,7 @@
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
         #[serde(with = "texts::LaunchText")]
-        launch: LaunchNo,
+        launch: LaunchNumber,
         cause: Cause,
         #[serde(with = "texts::ReportText")]
         report: LoadReport,
@@ -177,7 +179,7 @@
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
         #[serde(with = "texts::LaunchText")]
-        launch: LaunchNo,
+        launch: LaunchNumber,
         #[serde(with = "texts::ReportText")]
         report: LoadReport,
     },
@@ -186,7 +188,7 @@
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
         #[serde(with = "texts::LaunchText")]
-        launch: LaunchNo,
+        launch: LaunchNumber,
         end: End,
         #[serde(with = "texts::ReportText")]
         report: LoadReport,
@@ -317,7 +319,7 @@
     #[serde(with = "texts::DialogueText")]
     pub dialogue: DialogueId,
     #[serde(with = "texts::LaunchText")]
-    pub launch: LaunchNo,
+    pub launch: LaunchNumber,
     #[serde(default, skip_serializing_if = "Option::is_none", with = "texts::maybe_key")]
     pub key: Option<DialledKey>,
     pub product: u16,
@@ -345,7 +347,7 @@
     /// Where it is reached: an address and port.
     pub address: Arc<str>,
     #[serde(with = "listed_text")]
-    pub listed: Listed,
+    pub listed: ServerState,
     /// Which of its lives this is; another one is a start.
     pub life: u64,
     /// How long ago that life began; zero: long ago.
@@ -357,19 +359,20 @@
     use super::*;
 
     #[derive(Serialize, Deserialize)]
-    #[serde(remote = "Listed")]
-    enum ListedText {
+    #[serde(remote = "ServerState")]
+    enum ServerStateText {
         Active,
-        Leaving,
+        #[serde(rename = "Leaving")]
+        Draining,
         Gone,
     }
 
-    pub fn serialize<S: serde::Serializer>(listed: &Listed, out: S) -> Result<S::Ok, S::Error> {
-        ListedText::serialize(listed, out)
+    pub fn serialize<S: serde::Serializer>(listed: &ServerState, out: S) -> Result<S::Ok, S::Error> {
+        ServerStateText::serialize(listed, out)
     }
 
-    pub fn deserialize<'de, D: serde::Deserializer<'de>>(input: D) -> Result<Listed, D::Error> {
-        ListedText::deserialize(input)
+    pub fn deserialize<'de, D: serde::Deserializer<'de>>(input: D) -> Result<ServerState, D::Error> {
+        ServerStateText::deserialize(input)
     }
 }
 
--- a/crates/trunk/src/member.rs
+++ b/crates/trunk/src/member.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
+use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
 use serde::{Deserialize, Serialize};
 
 use crate::frame::TablesOrder;
@@ -45,13 +45,13 @@
         #[serde(with = "texts::ServerText")]
         server: ServerId,
         #[serde(with = "texts::LaunchText")]
-        launch: LaunchNo,
+        launch: LaunchNumber,
     },
     Stands {
         #[serde(with = "texts::ServerText")]
         server: ServerId,
         #[serde(with = "texts::LaunchText")]
-        launch: LaunchNo,
+        launch: LaunchNumber,
     },
     /// It has had its answer and does not stand, or stands no more.
     Over,
@@ -254,7 +254,7 @@
     #[serde(with = "texts::DialogueText")]
     pub dialogue: DialogueId,
     #[serde(with = "texts::LaunchText")]
-    pub launch: LaunchNo,
+    pub launch: LaunchNumber,
     pub owner: Owner,
 }
 
@@ -299,7 +299,7 @@
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
         #[serde(with = "texts::LaunchText")]
-        launch: LaunchNo,
+        launch: LaunchNumber,
         by: Owner,
     },
     /// An act was refused: its number is lower than this one, which was seen.
--- a/crates/trunk/src/texts.rs
+++ b/crates/trunk/src/texts.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use lotussaddle::interface::{DialledKey, DialogueId, LaunchNo, LoadReport, ServerId, ServerNumber};
+use lotussaddle::interface::{DialledKey, DialogueId, LaunchNumber, LoadReport, ServerId, ServerNumber};
 use serde::{Deserialize, Serialize};
 
 #[derive(Serialize, Deserialize)]
@@ -18,7 +18,7 @@
 pub struct NumberText(i64);
 
 #[derive(Serialize, Deserialize)]
-#[serde(remote = "LaunchNo")]
+#[serde(remote = "LaunchNumber")]
 pub struct LaunchText(u32);
 
 /// Times are whole microseconds, on the wire and in a record.
@@ -64,14 +64,14 @@
 pub struct ReportText {
     #[serde(default, skip_serializing_if = "Option::is_none")]
     free_lines: Option<f64>,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    lines: Option<f64>,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    busy: Option<f64>,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    queue: Option<f64>,
-    #[serde(default, skip_serializing_if = "Option::is_none", with = "maybe_micros")]
-    wait: Option<std::time::Duration>,
+    #[serde(default, rename = "lines", skip_serializing_if = "Option::is_none")]
+    total_lines: Option<f64>,
+    #[serde(default, rename = "busy", skip_serializing_if = "Option::is_none")]
+    processor_busy: Option<f64>,
+    #[serde(default, rename = "queue", skip_serializing_if = "Option::is_none")]
+    processor_queue: Option<f64>,
+    #[serde(default, rename = "wait", skip_serializing_if = "Option::is_none", with = "maybe_micros")]
+    processor_wait: Option<std::time::Duration>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     rate: Option<f64>,
 }
--- a/crates/trunk/tests/frames.rs
+++ b/crates/trunk/tests/frames.rs
@@ -27,13 +27,20 @@
     (figure(), figure(), figure(), figure(), proptest::option::of(0u32..100_000), figure()).prop_map(
         |(free_lines, lines, busy, queue, wait, rate)| {
             let wait = wait.map(|wait| Duration::from_millis(wait.into()));
-            LoadReport { free_lines, lines, busy, queue, wait, rate }
+            LoadReport {
+                free_lines,
+                total_lines: lines,
+                processor_busy: busy,
+                processor_queue: queue,
+                processor_wait: wait,
+                rate,
+            }
         },
     )
 }
 
-fn launch_no() -> impl Strategy<Value = LaunchNo> {
-    any::<u32>().prop_map(LaunchNo)
+fn launch_no() -> impl Strategy<Value = LaunchNumber> {
+    any::<u32>().prop_map(LaunchNumber)
 }
 
 fn end() -> impl Strategy<Value = End> {
@@ -41,7 +48,7 @@
 }
 
 fn entry() -> impl Strategy<Value = Entry> {
-    let listed = prop_oneof![Just(Listed::Active), Just(Listed::Leaving), Just(Listed::Gone)];
+    let listed = prop_oneof![Just(ServerState::Active), Just(ServerState::Draining), Just(ServerState::Gone)];
     (text(), any::<i64>(), text(), listed, any::<u64>(), micros()).prop_map(
         |(server, number, address, listed, life, age)| Entry {
             server: ServerId(server),
@@ -365,7 +372,7 @@
 fn a_frame_cut_short_inside_is_an_error_that_names_it() {
     let launch = Frame::Launch(Launch {
         dialogue: DialogueId(Arc::from("d1")),
-        launch: LaunchNo(3),
+        launch: LaunchNumber(3),
         key: None,
         product: 1,
         width: 1.0,
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -85,7 +85,7 @@
     figures: Rc<Figures>,
     pcg: Pcg,
     number: ServerNumber,
-    listed: Listed,
+    listed: ServerState,
     /// When it last started, as far as is known; none: long ago.
     started: Option<Duration>,
     /// Drawn once: decides between servers that look alike.
@@ -116,7 +116,7 @@
 
 struct Out {
     dialogue: DialogueId,
-    launch: LaunchNo,
+    launch: LaunchNumber,
     at: Duration,
     /// When a later launch was answered first, though a server takes set-ups in turn: probably lost.
     overtaken: Option<Duration>,
@@ -200,40 +200,41 @@
 
 impl Brain {
     pub fn new(mut plan: RoutePlan, seed: u64) -> Self {
-        plan.release = plan.release.min(LONGEST);
+        plan.release_time = plan.release_time.min(LONGEST);
         (plan.proxies, plan.tick) = (plan.proxies.max(1), plan.tick.max(Duration::from_micros(1)));
         for product in &mut plan.products {
             product.promised = product.promised.min(LONGEST);
-            product.patience = product.patience.min(LONGEST);
+            product.redial_window = product.redial_window.min(LONGEST);
             product.servers.iter_mut().for_each(|servers| servers.sort_unstable()); // found by halves
         }
         let tightest = plan.products.iter().map(|p| p.promised).min().unwrap_or(LONGEST);
-        let resend = if plan.resend.is_zero() { Duration::MAX } else { plan.resend };
+        let resend = if plan.resend_after.is_zero() { Duration::MAX } else { plan.resend_after };
         // Gains are measured by the least, as the lots are.
         let least = plan.products.iter().map(|p| p.gain).fold(f64::INFINITY, f64::min);
         let all: f64 = plan.tenants.iter().map(|t| t.quota).sum();
         let parts = plan.tenants.iter().map(|t| t.quota / all);
         let demands = parts.map(|part| Demand { quota: part, asked: part }).collect();
-        let lasts = plan.products.iter().map(|p| p.lasts.as_secs_f64() / plan.products.len() as f64).sum();
+        let lasts =
+            plan.products.iter().map(|p| p.mean_duration.as_secs_f64() / plan.products.len() as f64).sum();
         let figures = Rc::new(Figures {
             lasts,
-            surge: if plan.resend.is_zero() { f64::INFINITY } else { SURGE },
+            surge: if plan.resend_after.is_zero() { f64::INFINITY } else { SURGE },
             over_quota_share: plan.over_quota_share,
             products: plan.products.into_iter().map(|p| Product { gain: p.gain / least, ..p }).collect(),
             tick: plan.tick,
-            release: plan.release,
+            release: plan.release_time,
             proxies: f64::from(plan.proxies),
             headroom: (HEADROOM / f64::from(plan.proxies)).min(1.0),
             ease: (tightest / 3).min(resend / 5 * 4),
             silence: tightest / 2,
             max_launches: plan.max_launches,
-            marks_again: plan.marks_again,
+            marks_again: plan.callers_mark_retries,
             may_cancel: plan.may_cancel,
-            come_back: Some(plan.longest_return).filter(|d| !d.is_zero()),
-            cold_share: plan.cold_share,
-            warm_after: plan.warm_after,
-            cold_multiple: plan.fall_multiple * plan.fall_within.as_secs_f64(),
-            fall_within: plan.fall_within.clamp(Duration::from_millis(1), LONGEST),
+            come_back: Some(plan.max_retry_after).filter(|d| !d.is_zero()),
+            cold_share: plan.cold_start_share,
+            warm_after: plan.warm_up_time,
+            cold_multiple: plan.overload_multiple * plan.overload_window.as_secs_f64(),
+            fall_within: plan.overload_window.clamp(Duration::from_millis(1), LONGEST),
         });
         Self {
             figures,
@@ -253,7 +254,7 @@
     }
 
     /// What is held: dialogues that are owed an answer, servers (gone ones included), launches out, callers.
-    pub fn sizes(&self) -> (usize, usize, usize, usize) {
+    pub fn held_counts(&self) -> (usize, usize, usize, usize) {
         let out = self.servers.values().map(|s| s.out.len()).sum();
         (self.dialogues.len(), self.servers.len(), out, self.callers.len())
     }
@@ -261,20 +262,22 @@
     // Inputs
 
     /// A former life may have left launches at core servers: until then nothing new is launched (rule 5).
-    pub fn rest_until(&mut self, until: Duration) {
+    pub fn hold_launches_until(&mut self, until: Duration) {
         self.rests_until = until;
     }
 
-    pub fn listed(&mut self, now: Duration, whole: bool, entries: &[ListEntry], out: &mut dyn Signalling) {
+    pub fn server_list_received(
+        &mut self, now: Duration, whole: bool, entries: &[ListEntry], out: &mut dyn Signalling,
+    ) {
         let now = self.turn_to(now);
         if whole {
-            self.servers.values_mut().for_each(|s| s.listed = Listed::Gone);
+            self.servers.values_mut().for_each(|s| s.listed = ServerState::Gone);
         }
         for entry in entries {
             if let Some(server) = self.servers.get_mut(&entry.server)
-                && Some(entry.since).filter(|s| !s.is_zero()) <= server.started
+                && Some(entry.started).filter(|s| !s.is_zero()) <= server.started
             {
-                (server.number, server.listed) = (entry.number, entry.listed);
+                (server.number, server.listed) = (entry.number, entry.state);
                 continue;
             }
             // New, or started anew: what it bears is known from its forerunner, else the least of the warm.
@@ -293,16 +296,16 @@
         }
         // One gone is kept until its number is taken again: what it bore tells of the next, till it fades.
         let faded = Duration::from_secs_f64(BORNE_SPAN);
-        let active = self.servers.values().filter(|s| s.listed == Listed::Active);
+        let active = self.servers.values().filter(|s| s.listed == ServerState::Active);
         let active: BTreeSet<ServerNumber> = active.map(|s| s.number).collect();
         self.servers.retain(|_, s| {
             let tells = !active.contains(&s.number) && now < s.last_sign + faded;
-            s.listed != Listed::Gone || !s.out.is_empty() || tells
+            s.listed != ServerState::Gone || !s.out.is_empty() || tells
         });
         self.settle(out);
     }
 
-    pub fn arrived(&mut self, now: Duration, arrival: Arrival, out: &mut dyn Signalling) {
+    pub fn dialogue_arrived(&mut self, now: Duration, arrival: Arrival, out: &mut dyn Signalling) {
         let now = if now > self.now { self.turn_to(now) } else { self.now };
         let Some(product) = self.figures.products.get(arrival.product.0) else {
             return out.fail(&arrival.id);
@@ -313,10 +316,10 @@
         let (promised, late_share, plain) = (product.promised, product.late_share, product.gain);
         let part = if self.beyond_quota(arrival.tenant) { self.figures.over_quota_share } else { 1.0 };
         // A further try is measured from the first one: past the promised time little of its gain is left.
-        let may_be_again = arrival.again || !self.figures.marks_again;
+        let may_be_again = arrival.is_retry || !self.figures.marks_again;
         let before = arrival.key.as_ref().filter(|_| may_be_again).and_then(|key| self.forget_caller(key));
         let first_dialled = before.map_or(arrival.dialled_at.min(now), |(first, _)| first);
-        let unknown = arrival.again && !arrival.came_back && before.is_none();
+        let unknown = arrival.is_retry && !arrival.redialled_after_cut && before.is_none();
         let late = unknown || now >= first_dialled + promised;
         let gain = plain * part * if late { late_share } else { 1.0 };
         let lot = self.pcg.share() / gain;
@@ -344,13 +347,15 @@
         self.settle(out);
     }
 
-    pub fn left(&mut self, now: Duration, id: &DialogueId, out: &mut dyn Signalling) {
+    pub fn caller_left(&mut self, now: Duration, id: &DialogueId, out: &mut dyn Signalling) {
         self.turn_to(now);
         self.let_go(id, out);
         self.settle(out);
     }
 
-    pub fn reported(&mut self, now: Duration, id: &ServerId, report: &LoadReport, out: &mut dyn Signalling) {
+    pub fn load_reported(
+        &mut self, now: Duration, id: &ServerId, report: &LoadReport, out: &mut dyn Signalling,
+    ) {
         let now = self.turn_to(now);
         if let Some(server) = self.servers.get_mut(id) {
             server.read(now, report);
@@ -358,8 +363,8 @@
         self.settle(out);
     }
 
-    pub fn stands(
-        &mut self, now: Duration, id: &DialogueId, launch: LaunchNo, server: &ServerId,
+    pub fn dialogue_stands(
+        &mut self, now: Duration, id: &DialogueId, launch: LaunchNumber, server: &ServerId,
         out: &mut dyn Signalling,
     ) {
         let now = self.turn_to(now);
@@ -373,12 +378,12 @@
     }
 
     /// A launch has ended without standing, or a standing dialogue has ended.
-    pub fn ended(&mut self, now: Duration, end: LaunchEnd, out: &mut dyn Signalling) {
-        use Outcome::{Ended, LinesTaken, NumberBusy, TurnedBack};
+    pub fn launch_ended(&mut self, now: Duration, end: LaunchEnd, out: &mut dyn Signalling) {
+        use Outcome::{Ended, NoFreeLine, NumberBusy, TurnedBack};
         let now = self.turn_to(now);
         if let Some(server) = self.servers.get_mut(&end.server) {
             server.read(now, &end.report);
-            if matches!(end.outcome, Ended | LinesTaken | TurnedBack | NumberBusy) {
+            if matches!(end.outcome, Ended | NoFreeLine | TurnedBack | NumberBusy) {
                 server.answered(now, &end.dialogue, end.launch, out);
             } else if server.take_out(&end.dialogue, end.launch).is_some() {
                 // One failure may be chance, and a server can fail some and serve the rest well; a run of
@@ -395,7 +400,7 @@
             }
             match end.outcome {
                 Outcome::TurnedBack => server.full(now, self.figures.silence * 2),
-                Outcome::LinesTaken => server.full(now, Duration::ZERO),
+                Outcome::NoFreeLine => server.full(now, Duration::ZERO),
                 _ => {}
             }
         }
@@ -404,7 +409,7 @@
         } else if !self.dialogues.contains_key(&end.dialogue) {
             out.fail(&end.dialogue); // Called off in the moment it stood: the answer is owed again.
         } else if let Some(dialogue) = self.dialogues.get(&end.dialogue)
-            && (dialogue.at.as_ref() == Some(&end.server) || end.outcome == Outcome::CalledOff)
+            && (dialogue.at.as_ref() == Some(&end.server) || end.outcome == Outcome::Cancelled)
             && dialogue.last_launch() == end.launch
         {
             self.leave_room(&end.dialogue);
@@ -413,7 +418,7 @@
             dialogue.called_off = false;
             match end.outcome {
                 // What it held may stay taken until the release (rule 5); one called off may still answer first.
-                Outcome::TimedOut | Outcome::BrokenOff | Outcome::CalledOff => {
+                Outcome::TimedOut | Outcome::BrokenOff | Outcome::Cancelled => {
                     dialogue.not_before = now + self.figures.release;
                     dialogue.shunned = Some(end.server);
                 }
@@ -427,7 +432,7 @@
         self.settle(out);
     }
 
-    pub fn alarm(&mut self, now: Duration, _timer: TimerId, out: &mut dyn Signalling) {
+    pub fn timer_fired(&mut self, now: Duration, _timer: TimerId, out: &mut dyn Signalling) {
         self.turn_to(now);
         self.alarm_set = false;
         self.settle(out);
@@ -644,7 +649,7 @@
         if dialogue.at.is_some() && !dialogue.called_off && self.figures.may_cancel {
             out.cancel(id, dialogue.last_launch());
         }
-        let until = dialogue.first_dialled + self.figures.products[dialogue.product.0].patience;
+        let until = dialogue.first_dialled + self.figures.products[dialogue.product.0].redial_window;
         if let Some(key) = dialogue.key {
             self.forget_caller(&key);
             self.by_until.insert((until, key.clone()));
@@ -659,8 +664,8 @@
 }
 
 impl Dialogue {
-    fn last_launch(&self) -> LaunchNo {
-        LaunchNo(self.launches.saturating_sub(1))
+    fn last_launch(&self) -> LaunchNumber {
+        LaunchNumber(self.launches.saturating_sub(1))
     }
 
     /// From then on it cannot stand within the promised time.
@@ -691,8 +696,8 @@
             limit: 1.0 + figures.headroom,
             figures,
             number: entry.number,
-            listed: entry.listed,
-            started: Some(entry.since).filter(|s| !s.is_zero()),
+            listed: entry.state,
+            started: Some(entry.started).filter(|s| !s.is_zero()),
             lot,
             told_free: None,
             placed_since: 0.0,
@@ -719,7 +724,7 @@
     /// It may be sent something new.
     fn open(&self, now: Duration) -> bool {
         let room = if self.trial_at.is_some() { 1.0 } else { self.limit.max(1.0) };
-        self.listed == Listed::Active
+        self.listed == ServerState::Active
             && (self.in_turn().count() + 1) as f64 <= room
             && now >= self.trial_at.unwrap_or_default().max(self.opens_at)
             && now >= self.last_launch + self.cold_gap(self.last_launch)
@@ -743,7 +748,7 @@
 
     fn read(&mut self, now: Duration, report: &LoadReport) {
         let sane = |figure: Option<f64>| figure.filter(|f| (0.0..=MOST_TOLD).contains(f));
-        let (free, all) = (sane(report.free_lines), sane(report.lines));
+        let (free, all) = (sane(report.free_lines), sane(report.total_lines));
         if let Some(free) = free {
             (self.told_free, self.placed_since) = (Some(free), 0.0);
         }
@@ -761,8 +766,8 @@
             (self.reckoned_at, self.placed) = (now, placed);
         }
         let rate = sane(report.rate).or(placed).filter(|rate| *rate > 0.0);
-        let queue = sane(report.queue).zip(rate).map(|(queue, rate)| queue / rate);
-        if let Some(wait) = report.wait.map(|wait| wait.as_secs_f64()).or(queue) {
+        let queue = sane(report.processor_queue).zip(rate).map(|(queue, rate)| queue / rate);
+        if let Some(wait) = report.processor_wait.map(|wait| wait.as_secs_f64()).or(queue) {
             self.seen(now, Duration::from_secs_f64(wait.min(60.0)));
         }
     }
@@ -779,14 +784,14 @@
         }
     }
 
-    fn take_out(&mut self, id: &DialogueId, launch: LaunchNo) -> Option<Duration> {
+    fn take_out(&mut self, id: &DialogueId, launch: LaunchNumber) -> Option<Duration> {
         let place = self.out.iter().position(|o| o.dialogue == *id && o.launch == launch)?;
         Some(self.out.remove(place).at)
     }
 
     /// It has answered: a sign of life, and to a launch still out the end of any silence.
     fn answered(
-        &mut self, now: Duration, id: &DialogueId, launch: LaunchNo, out: &mut dyn Signalling,
+        &mut self, now: Duration, id: &DialogueId, launch: LaunchNumber, out: &mut dyn Signalling,
     ) -> Option<Duration> {
         self.last_sign = now;
         let at = self.take_out(id, launch);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,169 +1,216 @@
-//! The words in which the decisions are spoken to and speak: ids, what is read at start, list
-//! entries, load reports, outcomes, and the [`Signalling`] through which they act.
+//! Types shared by the decision module and its callers: identifiers, the route plan read at start, server list
+//! entries, load reports, launch outcomes, and [`Signalling`], through which decisions take effect.
 
 use std::sync::Arc;
 use std::time::Duration;
 
+/// Identifies a dialogue.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DialogueId(pub Arc<str>);
 
+/// Identifies one instance of a core server, usually by its address.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub Arc<str>);
 
-/// Stands for what was dialled; a further try of a caller bears the same.
+/// Identifies the dialled destination; retries of a caller carry the same key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DialledKey(pub Arc<str>);
 
-/// The number under which dialogues name a core server as their first choice.
+/// The number by which dialogues name a core server as their first choice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServerNumber(pub i64);
 
+/// Index of a product in [`RoutePlan::products`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProductId(pub usize);
 
+/// Index of a tenant in [`RoutePlan::tenants`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantId(pub usize);
 
-/// Which launch of a dialogue, counted from 0.
+/// Number of a launch within its dialogue, counted from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct LaunchNo(pub u32);
+pub struct LaunchNumber(pub u32);
 
+/// Identifies a timer set through [`Signalling::set_timer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerId(pub u64);
 
-/// What an edge proxy reads when it starts.
+/// The configuration that an edge proxy reads at start.
 pub struct RoutePlan {
-    /// How many edge proxies send to the same core servers, this one included.
+    /// Number of edge proxies that send to the same core servers, including this one.
     pub proxies: u32,
+    /// Products, indexed by [`ProductId`].
     pub products: Vec<Product>,
+    /// Tenants, indexed by [`TenantId`].
     pub tenants: Vec<Tenant>,
-    /// The part of its gain that a dialogue keeps beyond its tenant's quota.
+    /// Share of its gain that a dialogue retains when its tenant is over quota.
     pub over_quota_share: f64,
-    /// The smallest time between two inputs.
+    /// Minimum time between two inputs.
     pub tick: Duration,
-    /// How long a dialogue rests after a launch in doubt.
-    pub release: Duration,
-    /// A set-up that waits this long is sent again by itself; zero: never.
-    pub resend: Duration,
+    /// Minimum time between a launch whose outcome is unknown and the next launch of the same dialogue.
+    pub release_time: Duration,
+    /// A set-up that waits this long is retransmitted by the lower layer; zero: never.
+    pub resend_after: Duration,
+    /// Maximum number of launches per dialogue.
     pub max_launches: u32,
-    /// Callers mark their further tries.
-    pub marks_again: bool,
+    /// Whether callers mark their retries.
+    pub callers_mark_retries: bool,
+    /// Whether a launch may be cancelled.
     pub may_cancel: bool,
-    /// The longest come-back time a caller heeds; zero where none may be given.
-    pub longest_return: Duration,
-    /// A core server starts with at least this share of its capacity ...
-    pub cold_share: f64,
-    /// ... is warm after this time ...
-    pub warm_after: Duration,
-    /// ... and falls over when all edge proxies keep up this multiple of what it can do just then ...
-    pub fall_multiple: f64,
-    /// ... for so long.
-    pub fall_within: Duration,
+    /// Maximum retry-after time that callers honour; zero if none may be sent.
+    pub max_retry_after: Duration,
+    /// Share of its capacity that a core server has at the moment it starts.
+    pub cold_start_share: f64,
+    /// Time from its start until a core server has its full capacity.
+    pub warm_up_time: Duration,
+    /// A core server collapses when the launches of all edge proxies together exceed its present capacity by
+    /// this factor throughout `overload_window`.
+    pub overload_multiple: f64,
+    /// Time for which an overload must last before a core server collapses.
+    pub overload_window: Duration,
 }
 
+/// A kind of dialogue with its time limits and its gain.
 pub struct Product {
+    /// Promised time, measured from the first try.
     pub promised: Duration,
-    /// How long a dialogue that stands lasts, on average.
-    pub lasts: Duration,
-    /// How long a caller keeps trying, from the first try.
-    pub patience: Duration,
+    /// Mean duration of a dialogue that stands.
+    pub mean_duration: Duration,
+    /// Time from the first try during which a caller keeps redialling.
+    pub redial_window: Duration,
+    /// Gain of a dialogue that stands within the promised time.
     pub gain: f64,
-    /// The part of the gain left when a dialogue stands after the promised time.
+    /// Share of the gain that remains when a dialogue stands after the promised time.
     pub late_share: f64,
-    /// The core servers that can take it; none named: any can.
+    /// Core servers that can handle this product; `None` if all can.
     pub servers: Option<Vec<ServerNumber>>,
 }
 
+/// A customer whose dialogues share one quota.
 pub struct Tenant {
-    /// Dialogues a second, over all edge proxies, that carry their full gain.
+    /// Dialogues per second, over all edge proxies, that count with their full gain.
     pub quota: f64,
 }
 
-/// A dialogue as it comes in.
+/// A new dialogue.
 pub struct Arrival {
+    /// Identifier of the dialogue.
     pub id: DialogueId,
+    /// Dialled destination, by which retries are matched with earlier tries.
     pub key: Option<DialledKey>,
+    /// Product of the dialogue.
     pub product: ProductId,
+    /// Tenant of the dialogue, if it belongs to one.
     pub tenant: Option<TenantId>,
+    /// Preferred core server.
     pub first_choice: ServerNumber,
-    /// How many lines it takes.
+    /// Number of lines that the dialogue occupies.
     pub width: f64,
-    /// When it was dialled: now, or before, where something had to be looked up first.
+    /// Time of dialling; earlier than the input if a look-up came first.
     pub dialled_at: Duration,
-    /// When the caller gives up this try.
+    /// Time at which the caller gives up this try.
     pub cut_off: Duration,
-    /// The caller marks that it has dialled before.
-    pub again: bool,
-    /// It stood and was cut.
-    pub came_back: bool,
+    /// The caller marks this as a retry.
+    pub is_retry: bool,
+    /// The dialogue had stood and was cut, and the caller dialled again.
+    pub redialled_after_cut: bool,
 }
 
+/// A core server as the pool list gives it.
 #[derive(Clone)]
 pub struct ListEntry {
+    /// Instance of the core server.
     pub server: ServerId,
+    /// Number by which dialogues name it.
     pub number: ServerNumber,
-    pub listed: Listed,
-    /// Its latest start; zero: long ago.
-    pub since: Duration,
+    /// State in the pool list.
+    pub state: ServerState,
+    /// Time of its latest start; zero if it started long ago.
+    pub started: Duration,
 }
 
+/// State of a core server in the pool list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum ServerState {
+    /// Accepts launches.
     Active,
-    Leaving,
+    /// Finishes its dialogues and accepts no launches.
+    Draining,
+    /// No longer in the pool.
     Gone,
 }
 
-/// What a core server says of itself; what it does not say is absent.
+/// Load figures reported by a core server; a figure that it does not report is `None`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadReport {
+    /// Number of free lines.
     pub free_lines: Option<f64>,
-    /// All its lines.
-    pub lines: Option<f64>,
-    /// Share of its processor that is busy.
-    pub busy: Option<f64>,
-    /// Set-ups waiting at its processor.
-    pub queue: Option<f64>,
-    /// The wait at its processor.
-    pub wait: Option<Duration>,
-    /// Set-ups a second that it can take from all edge proxies together.
+    /// Number of lines, free and in use.
+    pub total_lines: Option<f64>,
+    /// Share of processor time in use.
+    pub processor_busy: Option<f64>,
+    /// Number of set-ups in the processor queue.
+    pub processor_queue: Option<f64>,
+    /// Time that a set-up waits in the processor queue.
+    pub processor_wait: Option<Duration>,
+    /// Set-ups per second that it can take from all edge proxies together.
     pub rate: Option<f64>,
 }
 
+/// How a launch, or a dialogue that stood, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// The dialogue stood and ended regularly.
     Ended,
+    /// The core server failed to process the launch.
     Fault,
-    /// All lines of the dialled number are busy, whichever server sets it up.
+    /// All lines of the dialled number are busy, whichever core server is used.
     NumberBusy,
-    /// No line free there.
-    LinesTaken,
-    /// Turned back for another cause: too long a wait at its processor.
+    /// The core server has no free line.
+    NoFreeLine,
+    /// Turned back for another cause: the wait at the core server's processor is too long.
     TurnedBack,
+    /// No answer within the launch's time-out.
     TimedOut,
+    /// The core server could not be reached.
     Unreachable,
+    /// The connection to the core server broke.
     BrokenOff,
-    CalledOff,
+    /// Cancelled by this edge proxy.
+    Cancelled,
+    /// The launch did not leave the edge proxy.
     NotSent,
 }
 
 /// The end of a launch.
 pub struct LaunchEnd {
+    /// Dialogue of the launch.
     pub dialogue: DialogueId,
-    pub launch: LaunchNo,
+    /// Number of the launch within the dialogue.
+    pub launch: LaunchNumber,
+    /// Core server of the launch.
     pub server: ServerId,
+    /// How it ended.
     pub outcome: Outcome,
-    /// No answer is owed for the dialogue any more.
+    /// The caller is no longer owed an answer.
     pub closed: bool,
+    /// Load figures that came with the end.
     pub report: LoadReport,
 }
 
-/// All that the decisions can do.
+/// The effects that decisions can have.
 pub trait Signalling {
+    /// Launches `dialogue` at `server`; without an answer within `time_out` the launch ends as timed out.
     fn launch(&mut self, dialogue: &DialogueId, server: &ServerId, time_out: Duration);
-    fn refuse(&mut self, dialogue: &DialogueId, come_back: Option<Duration>);
+    /// Refuses `dialogue`, with the time after which the caller may retry if one may be sent.
+    fn refuse(&mut self, dialogue: &DialogueId, retry_after: Option<Duration>);
+    /// Answers `dialogue` with a failure.
     fn fail(&mut self, dialogue: &DialogueId);
-    fn cancel(&mut self, dialogue: &DialogueId, launch: LaunchNo);
+    /// Cancels a launch of `dialogue`.
+    fn cancel(&mut self, dialogue: &DialogueId, launch: LaunchNumber);
+    /// Requests a call of [`Brain::timer_fired`](crate::brain::Brain::timer_fired) after `after`.
     fn set_timer(&mut self, timer: TimerId, after: Duration);
+    /// Writes a line to the log.
     fn log(&mut self, line: &str);
 }
--- a/tests/both_forms.rs
+++ b/tests/both_forms.rs
@@ -10,23 +10,27 @@
 use lotussaddle::interface::*;
 use lotussaddle::pcg::Pcg;
 
-mod interface {
-    pub use lotussaddle::interface::*;
-}
+#[path = "former/interface.rs"]
+#[allow(dead_code, clippy::all)]
+mod interface;
 mod pcg {
     pub use lotussaddle::pcg::*;
 }
+#[path = "former/adapter.rs"]
+mod adapter;
 #[path = "former/brain.rs"]
 #[allow(clippy::all)]
 mod former;
 
+use adapter::FormerBrain;
+
 /// What was decided, as text; and what a world needs to go on.
 #[derive(Default)]
 struct Trace {
     text: String,
     launched: Vec<(DialogueId, ServerId)>,
     let_go: Vec<DialogueId>,
-    cancelled: Vec<(DialogueId, LaunchNo)>,
+    cancelled: Vec<(DialogueId, LaunchNumber)>,
     alarm: Option<Duration>,
 }
 
@@ -43,7 +47,7 @@
         let _ = writeln!(self.text, "fail {}", dialogue.0);
         self.let_go.push(dialogue.clone());
     }
-    fn cancel(&mut self, dialogue: &DialogueId, launch: LaunchNo) {
+    fn cancel(&mut self, dialogue: &DialogueId, launch: LaunchNumber) {
         let _ = writeln!(self.text, "cancel {} {}", dialogue.0, launch.0);
         self.cancelled.push((dialogue.clone(), launch));
     }
@@ -59,14 +63,14 @@
 /// A launch that is out in the world.
 struct Out {
     dialogue: DialogueId,
-    launch: LaunchNo,
+    launch: LaunchNumber,
     server: ServerId,
 }
 
 struct Both {
     now: Duration,
     new: Brain,
-    old: former::Brain,
+    old: FormerBrain,
     chance: Pcg,
     out: Vec<Out>,
     standing: Vec<Out>,
@@ -82,8 +86,8 @@
     let products = (0..pick(&[1, 2, 3]))
         .map(|n| Product {
             promised: Duration::from_millis(pick(&[300, 800, 1500, 2000])),
-            lasts: Duration::from_millis(pick(&[0, 500, 3000])),
-            patience: Duration::from_millis(pick(&[3000, 9000])),
+            mean_duration: Duration::from_millis(pick(&[0, 500, 3000])),
+            redial_window: Duration::from_millis(pick(&[3000, 9000])),
             gain: pick(&[1, 2, 6]) as f64,
             late_share: pick(&[0, 1, 3]) as f64 / 10.0,
             servers: (n == 1 && pick(&[0, 1]) == 1).then(|| vec![ServerNumber(0), ServerNumber(2)]),
@@ -95,16 +99,16 @@
         tenants: (0..pick(&[0, 1, 3])).map(|n| Tenant { quota: (n + 1) as f64 * 10.0 }).collect(),
         over_quota_share: 0.2,
         tick: Duration::from_millis(pick(&[1, 5])),
-        release: Duration::from_millis(pick(&[0, 100, 300])),
-        resend: Duration::from_millis(pick(&[0, 500])),
+        release_time: Duration::from_millis(pick(&[0, 100, 300])),
+        resend_after: Duration::from_millis(pick(&[0, 500])),
         max_launches: pick(&[1, 3, 6]) as u32,
-        marks_again: pick(&[0, 1]) == 1,
+        callers_mark_retries: pick(&[0, 1]) == 1,
         may_cancel: pick(&[0, 1, 1]) == 1,
-        longest_return: Duration::from_millis(pick(&[0, 2000])),
-        cold_share: 0.35,
-        warm_after: Duration::from_millis(pick(&[500, 6000])),
-        fall_multiple: 2.5,
-        fall_within: Duration::from_secs(1),
+        max_retry_after: Duration::from_millis(pick(&[0, 2000])),
+        cold_start_share: 0.35,
+        warm_up_time: Duration::from_millis(pick(&[500, 6000])),
+        overload_multiple: 2.5,
+        overload_window: Duration::from_secs(1),
     }
 }
 
@@ -116,7 +120,7 @@
         Self {
             now: Duration::ZERO,
             new: Brain::new(one, seed),
-            old: former::Brain::new(two, seed),
+            old: FormerBrain::new(two, seed),
             chance,
             out: Vec::new(),
             standing: Vec::new(),
@@ -131,7 +135,7 @@
     /// Brings an input to both and compares all that comes of it.
     fn bring(
         &mut self, what: &str, new: impl FnOnce(&mut Brain, &mut Trace),
-        old: impl FnOnce(&mut former::Brain, &mut Trace),
+        old: impl FnOnce(&mut FormerBrain, &mut Trace),
     ) {
         let (mut one, mut two) = (Trace::default(), Trace::default());
         new(&mut self.new, &mut one);
@@ -141,7 +145,7 @@
         self.decisions += one.text.lines().filter(|line| !line.starts_with("timer")).count() as u64;
         for (dialogue, server) in one.launched {
             let count = self.launches.entry(dialogue.clone()).or_default();
-            self.out.push(Out { dialogue, launch: LaunchNo(*count), server });
+            self.out.push(Out { dialogue, launch: LaunchNumber(*count), server });
             *count += 1;
         }
         for id in one.let_go {
@@ -157,7 +161,7 @@
                 let out = self.out.swap_remove(place);
                 // Called off at once, or in the moment it stood.
                 let closed = !self.launches.contains_key(&dialogue);
-                let outcome = Outcome::CalledOff;
+                let outcome = Outcome::Cancelled;
                 self.ends(out, outcome, closed);
             }
         }
@@ -178,7 +182,11 @@
         if closed {
             self.launches.remove(&out.dialogue);
         }
-        self.bring(&format!("{outcome:?}"), |b, t| b.ended(now, one, t), |b, t| b.ended(now, two, t));
+        self.bring(
+            &format!("{outcome:?}"),
+            |b, t| b.launch_ended(now, one, t),
+            |b, t| b.launch_ended(now, two, t),
+        );
     }
 
     fn draw(&mut self, below: u32) -> usize {
@@ -188,21 +196,27 @@
     fn list(&mut self, whole: bool) {
         let entries: Vec<ListEntry> = (0..1 + self.draw(5))
             .map(|n| {
-                let listed = [Listed::Active, Listed::Active, Listed::Active, Listed::Leaving, Listed::Gone];
+                let listed = [
+                    ServerState::Active,
+                    ServerState::Active,
+                    ServerState::Active,
+                    ServerState::Draining,
+                    ServerState::Gone,
+                ];
                 let since = if self.draw(4) == 0 { self.now } else { Duration::ZERO };
                 ListEntry {
                     server: ServerId(Arc::from(format!("s{}", if whole { n } else { self.draw(7) }))),
                     number: ServerNumber(if whole { n as i64 } else { self.draw(5) as i64 }),
-                    listed: if whole { Listed::Active } else { listed[self.draw(5)] },
-                    since,
+                    state: if whole { ServerState::Active } else { listed[self.draw(5)] },
+                    started: since,
                 }
             })
             .collect();
         let now = self.now;
         self.bring(
             "list",
-            |b, t| b.listed(now, whole, &entries, t),
-            |b, t| b.listed(now, whole, &entries, t),
+            |b, t| b.server_list_received(now, whole, &entries, t),
+            |b, t| b.server_list_received(now, whole, &entries, t),
         );
     }
 
@@ -224,11 +238,15 @@
             width,
             dialled_at: now,
             cut_off: now + left,
-            again,
-            came_back,
+            is_retry: again,
+            redialled_after_cut: came_back,
         };
         self.launches.insert(arrival().id, 0);
-        self.bring("dial", |b, t| b.arrived(now, arrival(), t), |b, t| b.arrived(now, arrival(), t));
+        self.bring(
+            "dial",
+            |b, t| b.dialogue_arrived(now, arrival(), t),
+            |b, t| b.dialogue_arrived(now, arrival(), t),
+        );
     }
 
     fn report(&mut self) {
@@ -236,17 +254,17 @@
         let lines = [50.0, 1000.0][self.draw(2)];
         let report = LoadReport {
             free_lines: (self.draw(2) == 0).then(|| lines * self.chance.share()),
-            lines: (self.draw(2) == 0).then_some(lines),
-            busy: None,
-            queue: (self.draw(2) == 0).then(|| self.chance.share() * 30.0),
-            wait: (self.draw(3) == 0).then(|| Duration::from_secs_f64(self.chance.share() * 0.8)),
+            total_lines: (self.draw(2) == 0).then_some(lines),
+            processor_busy: None,
+            processor_queue: (self.draw(2) == 0).then(|| self.chance.share() * 30.0),
+            processor_wait: (self.draw(3) == 0).then(|| Duration::from_secs_f64(self.chance.share() * 0.8)),
             rate: (self.draw(3) == 0).then(|| self.chance.share() * 40.0),
         };
         let now = self.now;
         self.bring(
             "report",
-            |b, t| b.reported(now, &id, &report, t),
-            |b, t| b.reported(now, &id, &report, t),
+            |b, t| b.load_reported(now, &id, &report, t),
+            |b, t| b.load_reported(now, &id, &report, t),
         );
     }
 
@@ -262,7 +280,11 @@
         if self.alarm.is_some_and(|at| at <= self.now) {
             self.alarm = None;
             let now = self.now;
-            self.bring("alarm", |b, t| b.alarm(now, TimerId(0), t), |b, t| b.alarm(now, TimerId(0), t));
+            self.bring(
+                "alarm",
+                |b, t| b.timer_fired(now, TimerId(0), t),
+                |b, t| b.timer_fired(now, TimerId(0), t),
+            );
         }
         match self.draw(20) {
             0 if self.draw(10) == 0 => {
@@ -276,7 +298,7 @@
                     let id = self.launches.keys().nth(place).cloned().expect("it is there");
                     self.launches.remove(&id);
                     let now = self.now;
-                    self.bring("left", |b, t| b.left(now, &id, t), |b, t| b.left(now, &id, t));
+                    self.bring("left", |b, t| b.caller_left(now, &id, t), |b, t| b.caller_left(now, &id, t));
                 }
             }
             3..=7 if !self.out.is_empty() => {
@@ -290,15 +312,15 @@
                     self.standing.push(out);
                     self.bring(
                         "stands",
-                        |b, t| b.stands(now, &id, no, &server, t),
-                        |b, t| b.stands(now, &id, no, &server, t),
+                        |b, t| b.dialogue_stands(now, &id, no, &server, t),
+                        |b, t| b.dialogue_stands(now, &id, no, &server, t),
                     );
                 } else {
                     use Outcome::*;
                     let all = [
                         TurnedBack,
                         TurnedBack,
-                        LinesTaken,
+                        NoFreeLine,
                         NumberBusy,
                         Fault,
                         TimedOut,
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -62,10 +62,10 @@
 
 enum Input {
     Dial(DialogueId, i64),
-    Stood(DialogueId, LaunchNo, usize),
-    Ended(DialogueId, LaunchNo, usize),
+    Stood(DialogueId, LaunchNumber, usize),
+    Ended(DialogueId, LaunchNumber, usize),
     /// It went to a process that is no more.
-    Unreached(DialogueId, LaunchNo, ServerId),
+    Unreached(DialogueId, LaunchNumber, ServerId),
     Report(usize, LoadReport),
     List(Vec<ListEntry>),
     Alarm,
@@ -73,8 +73,8 @@
 
 enum Event {
     To(usize, u32, Input),
-    Reaches(usize, u32, DialogueId, LaunchNo, usize),
-    Over(usize, u32, DialogueId, LaunchNo, usize),
+    Reaches(usize, u32, DialogueId, LaunchNumber, usize),
+    Over(usize, u32, DialogueId, LaunchNumber, usize),
     NextDial,
     Tell,
     Start,
@@ -93,7 +93,7 @@
     }
     fn refuse(&mut self, _: &DialogueId, _: Option<Duration>) {}
     fn fail(&mut self, _: &DialogueId) {}
-    fn cancel(&mut self, _: &DialogueId, _: LaunchNo) {}
+    fn cancel(&mut self, _: &DialogueId, _: LaunchNumber) {}
     fn set_timer(&mut self, _: TimerId, after: Duration) {
         self.alarm = Some(after);
     }
@@ -111,7 +111,7 @@
     id: ServerId,
     number: i64,
     started: Option<Duration>,
-    listed: Listed,
+    listed: ServerState,
     free_at: Duration,
     standing: usize,
     arrived: Vec<Duration>,
@@ -134,8 +134,8 @@
         proxies: scene.told as u32,
         products: vec![Product {
             promised: MS * 1500,
-            lasts: Duration::from_secs_f64(LASTS),
-            patience: Duration::from_secs(9),
+            mean_duration: Duration::from_secs_f64(LASTS),
+            redial_window: Duration::from_secs(9),
             gain: 1.0,
             late_share: 0.25,
             servers: None,
@@ -143,21 +143,21 @@
         tenants: Vec::new(),
         over_quota_share: 1.0,
         tick: TICK,
-        release: MS * 300,
+        release_time: MS * 300,
         // Nothing is sent again by itself: lines that fill quickly are no strain.
-        resend: Duration::ZERO,
+        resend_after: Duration::ZERO,
         max_launches: 6,
-        marks_again: true,
+        callers_mark_retries: true,
         may_cancel: true,
-        longest_return: MS * 2000,
-        cold_share: COLD_SHARE,
-        warm_after: Duration::from_secs_f64(WARM_AFTER),
-        fall_multiple: scene.multiple,
-        fall_within: Duration::from_secs_f64(scene.window),
+        max_retry_after: MS * 2000,
+        cold_start_share: COLD_SHARE,
+        warm_up_time: Duration::from_secs_f64(WARM_AFTER),
+        overload_multiple: scene.multiple,
+        overload_window: Duration::from_secs_f64(scene.window),
     }
 }
 
-fn end(dialogue: DialogueId, launch: LaunchNo, server: ServerId, outcome: Outcome) -> LaunchEnd {
+fn end(dialogue: DialogueId, launch: LaunchNumber, server: ServerId, outcome: Outcome) -> LaunchEnd {
     let closed = outcome == Outcome::Ended;
     LaunchEnd { dialogue, launch, server, outcome, closed, report: LoadReport::default() }
 }
@@ -176,7 +176,7 @@
             id: ServerId(Arc::from(format!("s{number}.0"))),
             number: number as i64,
             started: None,
-            listed: Listed::Active,
+            listed: ServerState::Active,
             free_at: EPOCH,
             standing: 0,
             arrived: Vec::new(),
@@ -216,8 +216,8 @@
         let entry = |s: &Server| ListEntry {
             server: s.id.clone(),
             number: ServerNumber(s.number),
-            listed: s.listed,
-            since: s.started.unwrap_or_default(),
+            state: s.listed,
+            started: s.started.unwrap_or_default(),
         };
         let entries = self.servers.iter().map(entry).collect();
         let life = self.proxies[place].life;
@@ -236,9 +236,9 @@
         let waits = server.free_at.saturating_sub(self.now).as_secs_f64();
         LoadReport {
             free_lines: Some((lines - server.standing as f64).max(0.0)),
-            lines: Some(lines),
+            total_lines: Some(lines),
             // The one at work does not wait.
-            queue: (!self.scene.at_ease || server.started.is_none())
+            processor_queue: (!self.scene.at_ease || server.started.is_none())
                 .then(|| (waits * self.scene.capacity * self.level(server, self.now)).floor()),
             ..LoadReport::default()
         }
@@ -257,29 +257,29 @@
                     width: 1.0,
                     dialled_at: now,
                     cut_off: now + Duration::from_secs(9),
-                    again: false,
-                    came_back: false,
+                    is_retry: false,
+                    redialled_after_cut: false,
                 };
-                proxy.brain.arrived(now, arrival, &mut out);
+                proxy.brain.dialogue_arrived(now, arrival, &mut out);
             }
             Input::Stood(id, launch, server) => {
                 proxy.launches.remove(&id);
-                proxy.brain.stands(now, &id, launch, &self.servers[server].id, &mut out);
+                proxy.brain.dialogue_stands(now, &id, launch, &self.servers[server].id, &mut out);
             }
             Input::Ended(dialogue, launch, server) => {
                 let server = self.servers[server].id.clone();
-                proxy.brain.ended(now, end(dialogue, launch, server, Outcome::Ended), &mut out);
+                proxy.brain.launch_ended(now, end(dialogue, launch, server, Outcome::Ended), &mut out);
             }
             Input::Unreached(dialogue, launch, server) => {
-                proxy.brain.ended(now, end(dialogue, launch, server, Outcome::Unreachable), &mut out);
+                proxy.brain.launch_ended(now, end(dialogue, launch, server, Outcome::Unreachable), &mut out);
             }
             Input::Report(server, report) => {
-                proxy.brain.reported(now, &self.servers[server].id, &report, &mut out);
+                proxy.brain.load_reported(now, &self.servers[server].id, &report, &mut out);
             }
-            Input::List(entries) => proxy.brain.listed(now, true, &entries, &mut out),
+            Input::List(entries) => proxy.brain.server_list_received(now, true, &entries, &mut out),
             Input::Alarm => {
                 proxy.alarm = false;
-                proxy.brain.alarm(now, TimerId(0), &mut out);
+                proxy.brain.timer_fired(now, TimerId(0), &mut out);
             }
         }
         let life = proxy.life;
@@ -289,7 +289,7 @@
         }
         for (id, to) in out.launched {
             let launches = self.proxies[place].launches.entry(id.clone()).or_default();
-            let launch = LaunchNo(*launches);
+            let launch = LaunchNumber(*launches);
             *launches += 1;
             let late = 0.002 + 0.004 * self.pcg.share();
             let Some(server) = self.servers.iter().position(|s| s.id == to) else {
@@ -300,7 +300,7 @@
         }
     }
 
-    fn reaches(&mut self, place: usize, life: u32, id: DialogueId, launch: LaunchNo, server: usize) {
+    fn reaches(&mut self, place: usize, life: u32, id: DialogueId, launch: LaunchNumber, server: usize) {
         let level = self.level(&self.servers[server], self.now);
         let there = &mut self.servers[server];
         there.arrived.push(self.now);
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -31,7 +31,7 @@
     fn fail(&mut self, dialogue: &DialogueId) {
         self.put(format_args!("fail {}", dialogue.0));
     }
-    fn cancel(&mut self, dialogue: &DialogueId, launch: LaunchNo) {
+    fn cancel(&mut self, dialogue: &DialogueId, launch: LaunchNumber) {
         self.put(format_args!("cancel {} launch {}", dialogue.0, launch.0));
     }
     fn set_timer(&mut self, _timer: TimerId, after: Duration) {
@@ -67,8 +67,8 @@
 fn night_of(proxies: u32, resend: u64, servers: &str) -> Night {
     let product = |promised, gain| Product {
         promised: ms(promised),
-        lasts: ms(8000),
-        patience: ms(9000),
+        mean_duration: ms(8000),
+        redial_window: ms(9000),
         gain,
         late_share: 0.25,
         servers: None,
@@ -79,20 +79,20 @@
         tenants: vec![Tenant { quota: 30.0 }, Tenant { quota: 10.0 }],
         over_quota_share: 0.2,
         tick: ms(5),
-        release: ms(300),
-        resend: ms(resend),
+        release_time: ms(300),
+        resend_after: ms(resend),
         max_launches: 4,
-        marks_again: true,
+        callers_mark_retries: true,
         may_cancel: true,
-        longest_return: ms(2000),
-        cold_share: 0.4,
-        warm_after: ms(10_000),
-        fall_multiple: 2.5,
-        fall_within: Duration::from_secs(1),
+        max_retry_after: ms(2000),
+        cold_start_share: 0.4,
+        warm_up_time: ms(10_000),
+        overload_multiple: 2.5,
+        overload_window: Duration::from_secs(1),
     };
     let mut night = Night { brain: Brain::new(plan, 7), trace: Trace::default() };
     for name in servers.chars() {
-        night.list(&name.to_string(), Listed::Active, 0);
+        night.list(&name.to_string(), ServerState::Active, 0);
     }
     night
 }
@@ -103,49 +103,50 @@
         while let Some(alarm) = self.trace.alarm.filter(|alarm| *alarm <= time) {
             self.trace.now = alarm;
             self.trace.alarm = None;
-            self.brain.alarm(ms(alarm), TimerId(0), &mut self.trace);
+            self.brain.timer_fired(ms(alarm), TimerId(0), &mut self.trace);
         }
         self.trace.now = time;
         self
     }
 
-    fn list(&mut self, name: &str, listed: Listed, since: u64) -> &mut Self {
+    fn list(&mut self, name: &str, listed: ServerState, since: u64) -> &mut Self {
         let number = ServerNumber(i64::from(name.as_bytes()[0] - b'a'));
-        let entry = ListEntry { server: server(name), number, listed, since: ms(since) };
-        self.brain.listed(ms(self.trace.now), false, &[entry], &mut self.trace);
+        let entry = ListEntry { server: server(name), number, state: listed, started: ms(since) };
+        self.brain.server_list_received(ms(self.trace.now), false, &[entry], &mut self.trace);
         self
     }
 
     fn free(&mut self, name: &str, lines: f64) -> &mut Self {
         let report = LoadReport { free_lines: Some(lines), ..LoadReport::default() };
-        self.brain.reported(ms(self.trace.now), &server(name), &report, &mut self.trace);
+        self.brain.load_reported(ms(self.trace.now), &server(name), &report, &mut self.trace);
         self
     }
 
     /// So many of a thousand lines are free.
     fn lines(&mut self, name: &str, free: f64) -> &mut Self {
-        let report = LoadReport { free_lines: Some(free), lines: Some(1000.0), ..LoadReport::default() };
-        self.brain.reported(ms(self.trace.now), &server(name), &report, &mut self.trace);
+        let report =
+            LoadReport { free_lines: Some(free), total_lines: Some(1000.0), ..LoadReport::default() };
+        self.brain.load_reported(ms(self.trace.now), &server(name), &report, &mut self.trace);
         self.at(self.trace.now + 600);
-        self.brain.reported(ms(self.trace.now), &server(name), &report, &mut self.trace);
+        self.brain.load_reported(ms(self.trace.now), &server(name), &report, &mut self.trace);
         self
     }
 
     fn waits(&mut self, name: &str, wait: u64) -> &mut Self {
-        let report = LoadReport { wait: Some(ms(wait)), ..LoadReport::default() };
-        self.brain.reported(ms(self.trace.now), &server(name), &report, &mut self.trace);
+        let report = LoadReport { processor_wait: Some(ms(wait)), ..LoadReport::default() };
+        self.brain.load_reported(ms(self.trace.now), &server(name), &report, &mut self.trace);
         self
     }
 
     fn dial_until(&mut self, name: &str, cut_off: u64) -> &mut Self {
         let arrival = Arrival { cut_off: ms(cut_off), ..self.arrival(name, 0, 0, false) };
-        self.brain.arrived(ms(self.trace.now), arrival, &mut self.trace);
+        self.brain.dialogue_arrived(ms(self.trace.now), arrival, &mut self.trace);
         self
     }
 
     fn dial_as(&mut self, name: &str, product: usize, choice: i64, again: bool) -> &mut Self {
         let arrival = self.arrival(name, product, choice, again);
-        self.brain.arrived(ms(self.trace.now), arrival, &mut self.trace);
+        self.brain.dialogue_arrived(ms(self.trace.now), arrival, &mut self.trace);
         self
     }
 
@@ -159,8 +160,8 @@
             width: 1.0,
             dialled_at: ms(self.trace.now),
             cut_off: ms(self.trace.now + 3000),
-            again,
-            came_back: false,
+            is_retry: again,
+            redialled_after_cut: false,
         }
     }
 
@@ -174,7 +175,7 @@
 
     fn stands_by(&mut self, name: &str, launch: u32, at: &str) -> &mut Self {
         let now = ms(self.trace.now);
-        self.brain.stands(now, &dialogue(name), LaunchNo(launch), &server(at), &mut self.trace);
+        self.brain.dialogue_stands(now, &dialogue(name), LaunchNumber(launch), &server(at), &mut self.trace);
         self
     }
 
@@ -185,13 +186,13 @@
     fn over(&mut self, name: &str, launch: u32, at: &str, outcome: Outcome, closed: bool) -> &mut Self {
         let end = LaunchEnd {
             dialogue: dialogue(name),
-            launch: LaunchNo(launch),
+            launch: LaunchNumber(launch),
             server: server(at),
             outcome,
             closed,
             report: LoadReport::default(),
         };
-        self.brain.ended(ms(self.trace.now), end, &mut self.trace);
+        self.brain.launch_ended(ms(self.trace.now), end, &mut self.trace);
         self
     }
 
@@ -251,7 +252,7 @@
     let mut night = night("ab");
     night.calm("a", 0, 50, 4).told();
     night.at(3000).dial("d1", 0).at(3460).dial("d2", 0).at(3500).stands("d2", "b");
-    night.at(3905).ends("d1", 0, "a", Outcome::CalledOff).at(4210).stands_by("d1", 1, "b");
+    night.at(3905).ends("d1", 0, "a", Outcome::Cancelled).at(4210).stands_by("d1", 1, "b");
     night.at(4300).dial("d3", 0).at(4400).stands("d3", "a").dial("d4", 0);
     assert_snapshot!(night.told());
 }
@@ -294,7 +295,7 @@
 fn a_cold_server_gets_spaced_launches() {
     let mut night = night("a");
     night.calm("a", 0, 50, 20).told();
-    night.at(20_000).list("a", Listed::Active, 19_900).dial("d1", 0).dial("d2", 0).dial("d3", 0);
+    night.at(20_000).list("a", ServerState::Active, 19_900).dial("d1", 0).dial("d2", 0).dial("d3", 0);
     night.at(20_050).stands("d1", "a").at(20_900).stands("d2", "a").stands("d3", "a").at(22_000);
     assert_snapshot!(night.told());
 }
@@ -303,8 +304,8 @@
 #[test]
 fn a_drain_is_kept_at_once() {
     let mut night = night("ab");
-    night.free("a", 50.0).free("b", 9.0).list("a", Listed::Leaving, 0).dial("d1", 0);
-    night.list("b", Listed::Gone, 0).dial("d2", 1).at(2000);
+    night.free("a", 50.0).free("b", 9.0).list("a", ServerState::Draining, 0).dial("d1", 0);
+    night.list("b", ServerState::Gone, 0).dial("d2", 1).at(2000);
     assert_snapshot!(night.told());
 }
 
@@ -323,7 +324,7 @@
 fn a_further_try_is_late_from_its_first_dial() {
     let mut night = night("a");
     night.dial("d1", 0).dial("d2", 0).dial("d3", 0).at(390).stands("d1", "a").at(391);
-    night.brain.left(ms(391), &dialogue("d3"), &mut night.trace);
+    night.brain.caller_left(ms(391), &dialogue("d3"), &mut night.trace);
     night
         .at(1600)
         .dial_as("d3-2", 0, 0, true)
@@ -341,7 +342,7 @@
     let mut night = night("ab");
     night.calm("a", 0, 50, 4).told();
     night.at(3000).dial("d1", 0).at(3010).dial("d2", 0).at(3060).stands("d2", "a").at(3200);
-    night.ends("d1", 0, "a", Outcome::CalledOff).at(3550);
+    night.ends("d1", 0, "a", Outcome::Cancelled).at(3550);
     assert_snapshot!(night.told());
 }
 
@@ -357,7 +358,7 @@
 #[test]
 fn an_end_that_leaves_the_answer_owed_is_answered() {
     let mut night = night("a");
-    night.dial("d1", 0).at(40).stands("d1", "a").at(45).ends("d1", 0, "a", Outcome::CalledOff).at(200);
+    night.dial("d1", 0).at(40).stands("d1", "a").at(45).ends("d1", 0, "a", Outcome::Cancelled).at(200);
     assert_snapshot!(night.told());
 }
 
@@ -371,7 +372,7 @@
             dialled_at: ms(n),
             ..night.arrival(&format!("o{n:02}"), 0, 0, false)
         };
-        night.brain.arrived(ms(n), arrival, &mut night.trace);
+        night.brain.dialogue_arrived(ms(n), arrival, &mut night.trace);
         night.at(n).stands(&format!("o{n:02}"), "a");
     }
     night.told();
@@ -380,7 +381,7 @@
         let tenant = Some(TenantId(tenant));
         let arrival = Arrival { tenant, dialled_at: ms(110), ..night.arrival(name, 0, 0, false) };
         night.at(110);
-        night.brain.arrived(ms(110), arrival, &mut night.trace);
+        night.brain.dialogue_arrived(ms(110), arrival, &mut night.trace);
     }
     for (n, name) in ["d1", "d2", "t0", "t4", "t1", "t2", "t3", "d3"].into_iter().enumerate() {
         night.at(120 + 10 * n as u64).stands(name, "a");
@@ -434,7 +435,7 @@
 #[test]
 fn want_of_lines_rests_a_server_until_its_next_report() {
     let mut night = night("a");
-    night.dial("d1", 0).at(20).ends("d1", 0, "a", Outcome::LinesTaken).dial("d2", 0);
+    night.dial("d1", 0).at(20).ends("d1", 0, "a", Outcome::NoFreeLine).dial("d2", 0);
     night.at(60).free("a", 2.0).at(100).stands("d1", "a");
     assert_snapshot!(night.told());
 }
