--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -23,7 +23,7 @@
     Launch(DialogueId, ServerId, Duration),
     Refuse(DialogueId),
     Fail(DialogueId),
-    Cancel(DialogueId, LaunchNo),
+    Cancel(DialogueId, LaunchNumber),
 }
 
 #[derive(Default)]
@@ -42,7 +42,7 @@
     fn fail(&mut self, dialogue: &DialogueId) {
         self.done.push(Deed::Fail(dialogue.clone()));
     }
-    fn cancel(&mut self, dialogue: &DialogueId, launch: LaunchNo) {
+    fn cancel(&mut self, dialogue: &DialogueId, launch: LaunchNumber) {
         self.done.push(Deed::Cancel(dialogue.clone(), launch));
     }
     fn set_timer(&mut self, _: TimerId, after: Duration) {
@@ -56,8 +56,8 @@
 enum Input {
     Dial(DialogueId),
     HangUp(DialogueId),
-    Stood(DialogueId, LaunchNo, ServerId, LoadReport),
-    End(DialogueId, LaunchNo, ServerId, Outcome, LoadReport),
+    Stood(DialogueId, LaunchNumber, ServerId, LoadReport),
+    End(DialogueId, LaunchNumber, ServerId, Outcome, LoadReport),
     Report(ServerId, LoadReport),
     List(bool, Vec<ListEntry>),
     Alarm,
@@ -67,9 +67,9 @@
 enum Event {
     To(usize, Input),
     /// A launch reaches a core server.
-    Reaches(usize, DialogueId, LaunchNo, ServerId),
+    Reaches(usize, DialogueId, LaunchNumber, ServerId),
     /// A dialogue that stood there ends.
-    Over(usize, DialogueId, LaunchNo, ServerId, u32),
+    Over(usize, DialogueId, LaunchNumber, ServerId, u32),
     Tell(ServerId),
     Trouble,
     NextDial,
@@ -81,7 +81,7 @@
     cut_off: Duration,
     answered: bool,
     left: bool,
-    out: Option<(LaunchNo, ServerId)>,
+    out: Option<(LaunchNumber, ServerId)>,
     stands: bool,
     launches: u32,
     doubt: Option<Duration>,
@@ -91,7 +91,7 @@
     brain: Brain,
     alarm: Option<Duration>,
     /// As it was told last, and the start that it knows of.
-    told: BTreeMap<ServerId, (Listed, Duration)>,
+    told: BTreeMap<ServerId, (ServerState, Duration)>,
     still: bool,
     stood_still: Vec<(Duration, Duration)>,
     held_back: VecDeque<Input>,
@@ -101,7 +101,7 @@
     number: ServerNumber,
     life: u32,
     started: Option<Duration>,
-    listed: Listed,
+    listed: ServerState,
     up: bool,
     hung: bool,
     /// The share of its answers that get lost, and of its launches that it fails.
@@ -111,7 +111,7 @@
     slower: f64,
     lines: f64,
     free_at: Duration,
-    standing: Vec<(usize, DialogueId, LaunchNo)>,
+    standing: Vec<(usize, DialogueId, LaunchNumber)>,
     /// Launches since it started cold of proxies that know of the start.
     pressed: VecDeque<Duration>,
 }
@@ -155,8 +155,8 @@
     let products = (0..pick(&[1, 2, 3]))
         .map(|n| Product {
             promised: MS * pick(&[400, 900, 1500]) as u32,
-            lasts: MS * 3000,
-            patience: MS * 6000,
+            mean_duration: MS * 3000,
+            redial_window: MS * 6000,
             gain: pick(&[1, 2, 6]) as f64,
             late_share: 0.25,
             servers: (n == 2).then(|| vec![ServerNumber(1), ServerNumber(0)]),
@@ -168,16 +168,16 @@
         tenants: (0..pick(&[0, 2])).map(|n| Tenant { quota: (n + 1) as f64 * 10.0 }).collect(),
         over_quota_share: 0.2,
         tick: MS * pick(&[2, 10]) as u32,
-        release: MS * pick(&[100, 300]) as u32,
-        resend: MS * pick(&[0, 500]) as u32,
+        release_time: MS * pick(&[100, 300]) as u32,
+        resend_after: MS * pick(&[0, 500]) as u32,
         max_launches: pick(&[2, 6]) as u32,
-        marks_again: pick(&[0, 1]) == 1,
+        callers_mark_retries: pick(&[0, 1]) == 1,
         may_cancel: pick(&[0, 1, 1]) == 1,
-        longest_return: MS * pick(&[0, 2000]) as u32,
-        cold_share: 0.35,
-        warm_after: MS * 5000,
-        fall_multiple: 2.5,
-        fall_within: FALL_WITHIN,
+        max_retry_after: MS * pick(&[0, 2000]) as u32,
+        cold_start_share: 0.35,
+        warm_up_time: MS * 5000,
+        overload_multiple: 2.5,
+        overload_window: FALL_WITHIN,
     }
 }
 
@@ -252,7 +252,7 @@
             number: ServerNumber(number),
             life: 0,
             started,
-            listed: Listed::Active,
+            listed: ServerState::Active,
             up: true,
             hung: false,
             loses: 0.0,
@@ -272,11 +272,11 @@
     fn entry(&self, id: &ServerId) -> ListEntry {
         let core = &self.cores[id];
         let since = core.started.unwrap_or_default();
-        ListEntry { server: id.clone(), number: core.number, listed: core.listed, since }
+        ListEntry { server: id.clone(), number: core.number, state: core.listed, started: since }
     }
 
     fn list(&mut self, proxy: usize, whole: bool) {
-        let gone = |core: &Core| whole && core.listed == Listed::Gone;
+        let gone = |core: &Core| whole && core.listed == ServerState::Gone;
         let ids: Vec<ServerId> =
             self.cores.iter().filter(|(_, core)| !gone(core)).map(|(id, _)| id.clone()).collect();
         let entries = ids.iter().map(|id| self.entry(id)).collect();
@@ -297,15 +297,15 @@
 
     fn level(&self, core: &Core, now: Duration) -> f64 {
         let Some(started) = core.started else { return 1.0 };
-        let warmed = (now - started).as_secs_f64() / self.plan.warm_after.as_secs_f64();
-        (self.plan.cold_share + (1.0 - self.plan.cold_share) * warmed).min(1.0)
+        let warmed = (now - started).as_secs_f64() / self.plan.warm_up_time.as_secs_f64();
+        (self.plan.cold_start_share + (1.0 - self.plan.cold_start_share) * warmed).min(1.0)
     }
 
     fn report(&self, core: &Core) -> LoadReport {
         LoadReport {
             free_lines: Some((core.lines - core.standing.len() as f64).max(0.0)),
-            lines: Some(core.lines),
-            wait: (self.seed % 2 == 1).then(|| core.free_at.saturating_sub(self.now)),
+            total_lines: Some(core.lines),
+            processor_wait: (self.seed % 2 == 1).then(|| core.free_at.saturating_sub(self.now)),
             ..LoadReport::default()
         }
     }
@@ -348,7 +348,7 @@
         }
         let mute = self.mute_at < self.now;
         // With nobody owed an answer nothing is held or waited for any more.
-        let sizes: Vec<_> = self.proxies.iter().map(|p| (p.alarm.is_some(), p.brain.sizes())).collect();
+        let sizes: Vec<_> = self.proxies.iter().map(|p| (p.alarm.is_some(), p.brain.held_counts())).collect();
         if sizes
             .iter()
             .any(|(alarm, (dialogues, _, out, _))| *alarm || dialogues + if mute { 0 } else { *out } > 0)
@@ -379,8 +379,8 @@
             width: [1.0, 1.0, 2.0][self.below(3) as usize],
             dialled_at: self.now,
             cut_off: self.now + left,
-            again: self.below(5) == 0,
-            came_back: self.below(20) == 0,
+            is_retry: self.below(5) == 0,
+            redialled_after_cut: self.below(20) == 0,
         };
         let call = Call {
             proxy,
@@ -419,17 +419,17 @@
             2 => core.fails = if share < 0.2 { 1.0 } else { share / 3.0 },
             3 => core.slower = 1.0 + share * 6.0,
             4 => (core.loses, core.fails, core.slower, core.hung) = (0.0, 0.0, 1.0, false),
-            5 if core.listed == Listed::Active => core.listed = Listed::Leaving,
+            5 if core.listed == ServerState::Active => core.listed = ServerState::Draining,
             // It dies; or comes back cold, under its own id or as another machine of its number.
             5 | 6 if core.up => self.dies(&id),
             5..=7 if !core.up => {
                 let (number, capacity) = (core.number.0, core.capacity);
                 if share < 0.6 {
-                    (core.up, core.hung, core.listed) = (true, false, Listed::Active);
+                    (core.up, core.hung, core.listed) = (true, false, ServerState::Active);
                     (core.started, core.free_at, core.slower) = (Some(now), now, 1.0);
                     core.pressed.clear();
                 } else {
-                    core.listed = Listed::Gone;
+                    core.listed = ServerState::Gone;
                     let name = format!("core-{number}-{}", self.count);
                     self.core(&name, number, capacity, Some(now));
                 }
@@ -468,7 +468,7 @@
         }
     }
 
-    fn reaches(&mut self, proxy: usize, id: DialogueId, launch: LaunchNo, server: &ServerId) {
+    fn reaches(&mut self, proxy: usize, id: DialogueId, launch: LaunchNumber, server: &ServerId) {
         let draw = self.chance.share();
         let busy = self.below(60) == 0;
         let now = self.now;
@@ -492,7 +492,7 @@
         } else if busy {
             Some(Outcome::NumberBusy)
         } else if core.standing.len() as f64 >= core.lines {
-            Some(Outcome::LinesTaken)
+            Some(Outcome::NoFreeLine)
         } else {
             (wait > MS * 900).then_some(Outcome::TurnedBack)
         };
@@ -513,7 +513,7 @@
         );
     }
 
-    fn over(&mut self, proxy: usize, id: DialogueId, launch: LaunchNo, server: &ServerId, life: u32) {
+    fn over(&mut self, proxy: usize, id: DialogueId, launch: LaunchNumber, server: &ServerId, life: u32) {
         let Some(core) = self.cores.get_mut(server).filter(|core| core.life == life) else { return };
         core.standing.retain(|(_, there, no)| (there, *no) != (&id, launch));
         let report = self.report(&self.cores[server]);
@@ -547,32 +547,32 @@
             Input::Dial(id) => {
                 let call = self.calls.get_mut(&id).expect("it was dialled");
                 if let Some(arrival) = call.arrival.take_if(|_| !call.left) {
-                    brain.arrived(now, arrival, &mut deeds);
+                    brain.dialogue_arrived(now, arrival, &mut deeds);
                 }
             }
             Input::HangUp(id) => {
                 let call = self.calls.get_mut(&id).expect("it was dialled");
                 if !call.answered {
                     call.left = true;
-                    brain.left(now, &id, &mut deeds);
+                    brain.caller_left(now, &id, &mut deeds);
                 }
             }
-            Input::Report(server, report) => brain.reported(now, &server, &report, &mut deeds),
+            Input::Report(server, report) => brain.load_reported(now, &server, &report, &mut deeds),
             Input::Stood(id, launch, server, report) => {
                 let call = self.calls.get_mut(&id).expect("it was dialled");
                 if call.out.as_ref() == Some(&(launch, server.clone())) {
                     call.out = None;
                     if call.answered || call.left {
                         // No answer is owed: it is let go, and the launch was called off in the moment it stood.
-                        let outcome = Outcome::CalledOff;
+                        let outcome = Outcome::Cancelled;
                         let end = LaunchEnd { dialogue: id, launch, server, outcome, closed: true, report };
-                        brain.ended(now, end, &mut deeds);
+                        brain.launch_ended(now, end, &mut deeds);
                     } else {
                         call.stands = true;
                         self.answers(&id);
                         let brain = &mut self.proxies[place].brain;
-                        brain.stands(now, &id, launch, &server, &mut deeds);
-                        brain.reported(now, &server, &report, &mut deeds);
+                        brain.dialogue_stands(now, &id, launch, &server, &mut deeds);
+                        brain.load_reported(now, &server, &report, &mut deeds);
                     }
                 }
             }
@@ -581,32 +581,32 @@
                 let out = call.out.as_ref() == Some(&(launch, server.clone()));
                 let over = call.stands && matches!(outcome, Outcome::Ended | Outcome::BrokenOff);
                 if out || over {
-                    use Outcome::{BrokenOff, CalledOff, TimedOut};
-                    if out && matches!(outcome, TimedOut | BrokenOff | CalledOff) {
+                    use Outcome::{BrokenOff, Cancelled, TimedOut};
+                    if out && matches!(outcome, TimedOut | BrokenOff | Cancelled) {
                         call.doubt = Some(now);
                     }
                     call.stands &= !over;
                     call.out = None;
                     let closed = call.answered || call.left;
                     let end = LaunchEnd { dialogue: id, launch, server, outcome, closed, report };
-                    brain.ended(now, end, &mut deeds);
+                    brain.launch_ended(now, end, &mut deeds);
                 }
             }
             Input::List(whole, entries) => {
                 let told = &mut self.proxies[place].told;
                 if whole {
-                    told.values_mut().for_each(|told| told.0 = Listed::Gone);
+                    told.values_mut().for_each(|told| told.0 = ServerState::Gone);
                 }
                 for entry in &entries {
                     let since = told.get(&entry.server).map_or(Duration::ZERO, |told| told.1);
-                    told.insert(entry.server.clone(), (entry.listed, since.max(entry.since)));
+                    told.insert(entry.server.clone(), (entry.state, since.max(entry.started)));
                 }
                 let brain = &mut self.proxies[place].brain;
-                brain.listed(now, whole, &entries, &mut deeds);
+                brain.server_list_received(now, whole, &entries, &mut deeds);
             }
             Input::Alarm => {
                 self.proxies[place].alarm = None;
-                self.proxies[place].brain.alarm(now, TimerId(0), &mut deeds);
+                self.proxies[place].brain.timer_fired(now, TimerId(0), &mut deeds);
             }
             Input::GoOn => {}
         }
@@ -627,7 +627,7 @@
         }
         // The end of a launch called off is the next input, not part of this one.
         for (id, launch, server) in called_off {
-            self.bring(place, Input::End(id, launch, server, Outcome::CalledOff, LoadReport::default()));
+            self.bring(place, Input::End(id, launch, server, Outcome::Cancelled, LoadReport::default()));
         }
     }
 
@@ -656,7 +656,7 @@
     fn launched(&mut self, place: usize, id: &DialogueId, server: ServerId, time_out: Duration) {
         let now = self.now;
         let call = self.calls.get_mut(id).expect("it was dialled");
-        let launch = LaunchNo(call.launches);
+        let launch = LaunchNumber(call.launches);
         let (out, stands) = (call.out.is_some(), call.stands);
         let (over, doubt) = (call.answered || call.left, call.doubt);
         call.launches += 1;
@@ -668,15 +668,16 @@
         if out || stands {
             self.broke(2, format!("{} is launched while another launch is out or stands", id.0));
         }
-        let (listed, since) = self.proxies[place].told.get(&server).copied().unwrap_or((Listed::Gone, now));
-        let leaves = self.proxies[place].told.values().any(|(listed, _)| *listed == Listed::Leaving);
+        let (listed, since) =
+            self.proxies[place].told.get(&server).copied().unwrap_or((ServerState::Gone, now));
+        let leaves = self.proxies[place].told.values().any(|(listed, _)| *listed == ServerState::Draining);
         self.verdict.seen.told_to_leave += u64::from(leaves);
-        if listed != Listed::Active {
+        if listed != ServerState::Active {
             self.broke(3, format!("{} is launched at {}, told to be {listed:?}", id.0, server.0));
         }
         if let Some(doubt) = doubt {
             self.verdict.seen.after_doubt += 1;
-            if now < doubt + self.plan.release {
+            if now < doubt + self.plan.release_time {
                 self.broke(5, format!("{} is launched {:?} after a launch in doubt", id.0, now - doubt));
             }
         }
@@ -701,7 +702,7 @@
         while core.pressed.front().is_some_and(|at| *at + FALL_WITHIN < now) {
             core.pressed.pop_front();
         }
-        let most = self.plan.fall_multiple * level * capacity * FALL_WITHIN.as_secs_f64() + SLACK;
+        let most = self.plan.overload_multiple * level * capacity * FALL_WITHIN.as_secs_f64() + SLACK;
         let (sent, seen) = (core.pressed.len() as f64, &mut self.verdict.seen);
         seen.cold_launches += 1;
         seen.most_cold = seen.most_cold.max(sent / most);
@@ -791,8 +792,8 @@
         width: 1.0,
         dialled_at: now,
         cut_off,
-        again: false,
-        came_back: false,
+        is_retry: false,
+        redialled_after_cut: false,
     }
 }
 
@@ -800,14 +801,14 @@
     ListEntry {
         server: ServerId(Arc::from(name)),
         number: ServerNumber(number),
-        listed: Listed::Active,
-        since,
+        state: ServerState::Active,
+        started: since,
     }
 }
 
 fn brain() -> (Brain, Deeds) {
     let (mut brain, mut deeds) = (Brain::new(plan(&mut Pcg::new(1), 4), 7), Deeds::default());
-    brain.listed(
+    brain.server_list_received(
         MS * 1000,
         true,
         &[entry("a", 0, Duration::ZERO), entry("b", 1, Duration::ZERO)],
@@ -824,13 +825,13 @@
 #[test]
 fn a_clock_that_runs_back_is_taken_to_stand() {
     let (mut brain, mut deeds) = brain();
-    brain.arrived(MS * 1010, arrival("d1", MS * 1010, MS * 3000), &mut deeds);
+    brain.dialogue_arrived(MS * 1010, arrival("d1", MS * 1010, MS * 3000), &mut deeds);
     let (id, server) = (DialogueId(Arc::from("d1")), ServerId(Arc::from("a")));
-    let report = LoadReport { free_lines: Some(5.0), lines: Some(9.0), ..LoadReport::default() };
-    brain.reported(MS * 400, &server, &report, &mut deeds);
-    brain.alarm(MS * 10, TimerId(0), &mut deeds);
-    brain.stands(MS * 20, &id, LaunchNo(0), &server, &mut deeds);
-    brain.arrived(MS * 30, arrival("d2", MS * 30, MS * 900), &mut deeds);
+    let report = LoadReport { free_lines: Some(5.0), total_lines: Some(9.0), ..LoadReport::default() };
+    brain.load_reported(MS * 400, &server, &report, &mut deeds);
+    brain.timer_fired(MS * 10, TimerId(0), &mut deeds);
+    brain.dialogue_stands(MS * 20, &id, LaunchNumber(0), &server, &mut deeds);
+    brain.dialogue_arrived(MS * 30, arrival("d2", MS * 30, MS * 900), &mut deeds);
     assert_eq!(answers(&deeds), 1, "the cut-off of d2 has passed");
 }
 
@@ -843,27 +844,27 @@
         let wait = told(4).and_then(|w| Duration::try_from_secs_f64(w).ok()).filter(|_| place == 4);
         let report = LoadReport {
             free_lines: told(0),
-            lines: told(1),
-            queue: told(2).filter(|_| place == 2),
+            total_lines: told(1),
+            processor_queue: told(2).filter(|_| place == 2),
             rate: told(3),
-            wait,
+            processor_wait: wait,
             ..LoadReport::default()
         };
         for (n, server) in ["a", "b", "nobody's"].iter().cycle().take(12).enumerate() {
             let now = MS * (1000 + 600 * n as u32);
-            brain.reported(now, &ServerId(Arc::from(*server)), &report, &mut deeds);
-            brain.arrived(now, arrival(&format!("d{n}"), now, now + MS * 3000), &mut deeds);
+            brain.load_reported(now, &ServerId(Arc::from(*server)), &report, &mut deeds);
+            brain.dialogue_arrived(now, arrival(&format!("d{n}"), now, now + MS * 3000), &mut deeds);
             // All that is launched stands at once, so that nothing but figures can be in the way.
             if let Some(Deed::Launch(id, server, _)) = deeds.done.pop() {
-                brain.stands(now + MS * 5, &id, LaunchNo(0), &server, &mut deeds);
+                brain.dialogue_stands(now + MS * 5, &id, LaunchNumber(0), &server, &mut deeds);
             }
         }
-        let sane = LoadReport { free_lines: Some(30.0), lines: Some(40.0), ..LoadReport::default() };
+        let sane = LoadReport { free_lines: Some(30.0), total_lines: Some(40.0), ..LoadReport::default() };
         for server in ["a", "b"] {
-            brain.reported(MS * 20_000, &ServerId(Arc::from(server)), &sane, &mut deeds);
+            brain.load_reported(MS * 20_000, &ServerId(Arc::from(server)), &sane, &mut deeds);
         }
         deeds.done.clear();
-        brain.arrived(MS * 90_000, arrival("last", MS * 90_000, MS * 93_000), &mut deeds);
+        brain.dialogue_arrived(MS * 90_000, arrival("last", MS * 90_000, MS * 93_000), &mut deeds);
         let launched = deeds.done.iter().any(|deed| matches!(deed, Deed::Launch(..)));
         assert!(launched, "after {figure} in place {place} a sane report mends it");
     }
@@ -873,15 +874,15 @@
 fn a_product_nobody_planned_and_an_id_that_is_in_already() {
     let (mut brain, mut deeds) = brain();
     let unknown = Arrival { product: ProductId(9), ..arrival("d1", MS * 1010, MS * 3000) };
-    brain.arrived(MS * 1010, unknown, &mut deeds);
+    brain.dialogue_arrived(MS * 1010, unknown, &mut deeds);
     assert_eq!(answers(&deeds), 1, "answered at once");
     // Nobody can take it, so that it waits; then it comes again, and its caller hangs up.
-    brain.listed(MS * 1010, true, &[], &mut deeds);
-    brain.arrived(MS * 1010, arrival("d2", MS * 1010, MS * 3000), &mut deeds);
-    brain.arrived(MS * 1011, arrival("d2", MS * 1011, MS * 2000), &mut deeds);
-    brain.left(MS * 1012, &DialogueId(Arc::from("d2")), &mut deeds);
-    brain.listed(MS * 1013, true, &[entry("a", 0, Duration::ZERO)], &mut deeds);
-    brain.alarm(MS * 3500, TimerId(0), &mut deeds);
+    brain.server_list_received(MS * 1010, true, &[], &mut deeds);
+    brain.dialogue_arrived(MS * 1010, arrival("d2", MS * 1010, MS * 3000), &mut deeds);
+    brain.dialogue_arrived(MS * 1011, arrival("d2", MS * 1011, MS * 2000), &mut deeds);
+    brain.caller_left(MS * 1012, &DialogueId(Arc::from("d2")), &mut deeds);
+    brain.server_list_received(MS * 1013, true, &[entry("a", 0, Duration::ZERO)], &mut deeds);
+    brain.timer_fired(MS * 3500, TimerId(0), &mut deeds);
     assert_eq!(deeds.done.len(), 1, "no launch, no second answer");
 }
 
@@ -890,56 +891,60 @@
     let mut nothing = plan(&mut Pcg::new(1), 0);
     (nothing.products, nothing.tenants) = (Vec::new(), vec![Tenant { quota: 0.0 }]);
     let (mut brain, mut deeds) = (Brain::new(nothing, 7), Deeds::default());
-    brain.listed(MS, true, &[entry("a", 0, MS)], &mut deeds);
-    brain.arrived(MS, Arrival { tenant: Some(TenantId(0)), ..arrival("d1", MS, MS * 50) }, &mut deeds);
+    brain.server_list_received(MS, true, &[entry("a", 0, MS)], &mut deeds);
+    brain.dialogue_arrived(
+        MS,
+        Arrival { tenant: Some(TenantId(0)), ..arrival("d1", MS, MS * 50) },
+        &mut deeds,
+    );
     assert_eq!(answers(&deeds), 1);
     // No time between two inputs and no proxy, not even this one: alarms still come later than now, and a cold server
     // is still sent one launch at a time.
     let mut idle = plan(&mut Pcg::new(1), 0);
     idle.tick = Duration::ZERO;
     let (mut brain, mut deeds) = (Brain::new(idle, 7), Deeds::default());
-    brain.listed(MS * 100, true, &[entry("a", 0, MS * 100)], &mut deeds);
+    brain.server_list_received(MS * 100, true, &[entry("a", 0, MS * 100)], &mut deeds);
     for n in 0..3 {
-        brain.arrived(MS * 700, arrival(&format!("d{n}"), MS * 700, MS * 3000), &mut deeds);
+        brain.dialogue_arrived(MS * 700, arrival(&format!("d{n}"), MS * 700, MS * 3000), &mut deeds);
     }
     assert!(deeds.alarm > Some(Duration::ZERO), "{:?}", deeds.alarm);
     let launched = deeds.done.iter().filter(|deed| matches!(deed, Deed::Launch(..))).count();
     assert!(launched <= 1, "{launched} launches at once");
     let mut endless = plan(&mut Pcg::new(1), 4);
-    endless.release = Duration::MAX;
+    endless.release_time = Duration::MAX;
     for product in &mut endless.products {
-        (product.promised, product.patience) = (Duration::MAX, Duration::MAX);
+        (product.promised, product.redial_window) = (Duration::MAX, Duration::MAX);
     }
     let (mut brain, mut deeds) = (Brain::new(endless, 7), Deeds::default());
     let tenant = Some(TenantId(usize::MAX));
     let key = Some(DialledKey(Arc::from("k")));
     let server = ServerId(Arc::from("a"));
-    brain.listed(MS, true, &[entry("a", 0, Duration::MAX)], &mut deeds);
-    brain.arrived(MS, Arrival { tenant, key, ..arrival("d1", MS, Duration::MAX) }, &mut deeds);
+    brain.server_list_received(MS, true, &[entry("a", 0, Duration::MAX)], &mut deeds);
+    brain.dialogue_arrived(MS, Arrival { tenant, key, ..arrival("d1", MS, Duration::MAX) }, &mut deeds);
     let end = |outcome| LaunchEnd {
         dialogue: DialogueId(Arc::from("d1")),
-        launch: LaunchNo(0),
+        launch: LaunchNumber(0),
         server: server.clone(),
         outcome,
         closed: false,
         report: LoadReport::default(),
     };
-    brain.ended(MS * 2, end(Outcome::TimedOut), &mut deeds);
-    brain.alarm(MS * 9, TimerId(0), &mut deeds);
-    brain.left(MS * 10, &DialogueId(Arc::from("d1")), &mut deeds);
-    brain.alarm(MS * 11, TimerId(0), &mut deeds);
+    brain.launch_ended(MS * 2, end(Outcome::TimedOut), &mut deeds);
+    brain.timer_fired(MS * 9, TimerId(0), &mut deeds);
+    brain.caller_left(MS * 10, &DialogueId(Arc::from("d1")), &mut deeds);
+    brain.timer_fired(MS * 11, TimerId(0), &mut deeds);
 }
 
 /// A server whose id is given to another number while launches are out there keeps them.
 #[test]
 fn a_renamed_server_keeps_its_launches() {
     let (mut brain, mut deeds) = brain();
-    brain.arrived(MS * 1010, arrival("d1", MS * 1010, MS * 3000), &mut deeds);
-    brain.listed(MS * 1020, false, &[entry("a", 5, Duration::ZERO)], &mut deeds);
-    brain.listed(MS * 1030, false, &[entry("a", 6, MS * 1025)], &mut deeds);
+    brain.dialogue_arrived(MS * 1010, arrival("d1", MS * 1010, MS * 3000), &mut deeds);
+    brain.server_list_received(MS * 1020, false, &[entry("a", 5, Duration::ZERO)], &mut deeds);
+    brain.server_list_received(MS * 1030, false, &[entry("a", 6, MS * 1025)], &mut deeds);
     let (id, server) = (DialogueId(Arc::from("d1")), ServerId(Arc::from("a")));
-    brain.stands(MS * 1040, &id, LaunchNo(0), &server, &mut deeds);
-    brain.alarm(MS * 4000, TimerId(0), &mut deeds);
+    brain.dialogue_stands(MS * 1040, &id, LaunchNumber(0), &server, &mut deeds);
+    brain.timer_fired(MS * 4000, TimerId(0), &mut deeds);
     assert_eq!((deeds.done.len(), answers(&deeds)), (1, 0), "one launch, and it stands");
 }
 
@@ -950,20 +955,25 @@
     for n in 0..3000u32 {
         let now = MS * (1100 + 100 * n);
         let number = 100 + i64::from(n);
-        brain.listed(now, false, &[entry(&format!("s{n}"), number, Duration::ZERO)], &mut deeds);
-        brain.listed(
+        brain.server_list_received(
+            now,
+            false,
+            &[entry(&format!("s{n}"), number, Duration::ZERO)],
+            &mut deeds,
+        );
+        brain.server_list_received(
             now,
             false,
-            &[ListEntry { listed: Listed::Gone, ..entry(&format!("s{n}"), number, MS) }],
+            &[ListEntry { state: ServerState::Gone, ..entry(&format!("s{n}"), number, MS) }],
             &mut deeds,
         );
     }
-    assert!(brain.sizes().1 < 1000, "{:?}", brain.sizes());
+    assert!(brain.held_counts().1 < 1000, "{:?}", brain.held_counts());
     // Callers that are let go at once, all within the time for which one is remembered.
     let now = MS * 400_000;
     for n in 0..200_100 {
         let key = Some(DialledKey(Arc::from(format!("k{n}"))));
-        brain.arrived(now, Arrival { key, ..arrival(&format!("c{n}"), now, now) }, &mut deeds);
+        brain.dialogue_arrived(now, Arrival { key, ..arrival(&format!("c{n}"), now, now) }, &mut deeds);
     }
-    assert_eq!(brain.sizes().3, 200_000);
+    assert_eq!(brain.held_counts().3, 200_000);
 }
