--- a/crates/drill/src/main.rs
+++ b/crates/drill/src/main.rs
@@ -1,4 +1,5 @@
-//! Runs the decisions on the simulator's wire: batches on standard input, replies on standard output.
+//! Adapter that runs the decision module under the simulator: reads batches of messages from standard input and writes
+//! the replies to standard output.
 
 mod fields;
 mod reply;
@@ -17,7 +18,7 @@
     }
 }
 
-/// Answers batch after batch; a reply goes out whole or not at all.
+/// Answers batch after batch; a reply is written completely or not at all.
 fn run(mut input: impl BufRead, mut output: impl Write) -> anyhow::Result<()> {
     let mut wire = wire::Wire::default();
     let mut raw = Vec::new();
@@ -26,12 +27,12 @@
         if input.read_until(b'\n', &mut raw)? == 0 {
             break;
         }
-        let named = |error: anyhow::Error| error.context(format!("line {number}"));
-        let line = std::str::from_utf8(&raw).map_err(|e| named(e.into()))?;
-        if let Some(reply) = wire.line(line.trim_end_matches(['\n', '\r'])).map_err(named)? {
+        let with_line = |error: anyhow::Error| error.context(format!("line {number}"));
+        let line = std::str::from_utf8(&raw).map_err(|e| with_line(e.into()))?;
+        if let Some(reply) = wire.read_line(line.trim_end_matches(['\n', '\r'])).map_err(with_line)? {
             output.write_all(reply.as_bytes())?;
             output.flush()?;
         }
     }
-    wire.end()
+    wire.finish()
 }
--- a/crates/platform/tests/config.rs
+++ b/crates/platform/tests/config.rs
@@ -56,7 +56,7 @@
         (
             "\"categories\":[{\"name\":\"voice\",\"promiseMs\":400.0,\"hardLimitMs\":3000.0,\"worth\":1.5,\"lateShare\":0.25}]",
             "\"categories\":[]",
-            "categories: there is none",
+            "categories: must not be empty",
         ),
     ];
     for (from, to, named) in cases {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! The settings object that an instance is handed at its start, on the simulator's wire and in the platform's
-//! configuration alike, and the load reports whose fields it names.
+//! Parser for the settings object that an instance receives at start, both on the simulator's wire and in the
+//! platform's configuration, and for load reports.
 //!
-//! It decides nothing and holds no figure of its own. Start reading at [`settings`].
+//! The crate makes no decisions. The entry point is [`settings`].
 
 mod plan;
 mod report;
--- a/crates/settings/src/plan.rs
+++ b/crates/settings/src/plan.rs
@@ -1,4 +1,4 @@
-//! The settings that an instance is handed at its start, as the wire words them.
+//! The settings that an instance receives at start, under their names on the wire.
 
 use std::num::NonZeroU32;
 use std::time::Duration;
@@ -8,43 +8,46 @@
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 
-/// All that is read of the settings, in this place alone.
+/// The parsed settings.
 pub struct Settings {
+    /// Parameters of the decision module.
     pub plan: RoutePlan,
-    /// Names of the products, in the plan's order; empty where the settings have none.
+    /// Names of the products, in the order of the plan; an empty string where the settings give no name.
     pub product_names: Vec<String>,
-    /// Lines that a dialogue of each product takes, where the settings say so.
+    /// Number of lines that a dialogue of each product occupies; empty if the settings do not give it.
     pub product_widths: Vec<f64>,
-    /// How long a connection to a core server may take to come up, and when one that carries nothing is closed.
+    /// Time-out for establishing a connection to a core server.
     pub connect_timeout: Duration,
+    /// Time after which an idle connection to a core server is closed.
     pub idle_timeout: Duration,
 }
 
-/// Reads JSON; what cannot be read is named by its path.
+/// Parses JSON; the error names the path of the value that cannot be parsed.
 pub fn parse_json<T: DeserializeOwned>(text: &str) -> Result<T> {
     let mut reader = serde_json::Deserializer::from_str(text);
-    let read: T = serde_path_to_error::deserialize(&mut reader).map_err(|e| match e.path().to_string() {
-        path if path == "." => anyhow::anyhow!("{}", e.inner()),
-        path => anyhow::anyhow!("{path}: {}", e.inner()),
-    })?;
+    let parsed: T =
+        serde_path_to_error::deserialize(&mut reader).map_err(|e| match e.path().to_string() {
+            path if path == "." => anyhow::anyhow!("{}", e.inner()),
+            path => anyhow::anyhow!("{path}: {}", e.inner()),
+        })?;
     reader.end()?;
-    Ok(read)
+    Ok(parsed)
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct StartSheet {
+struct StartSettings {
     categories: Vec<Category>,
     #[serde(default)]
-    client_habits: Habits,
-    domain: Domain,
+    client_habits: CallerHabits,
+    domain: CoreServers,
     instances: NonZeroU32,
     limits: Limits,
     #[serde(default)]
     over_share_worth: f64,
-    rules: Rules,
+    rules: ColdStart,
     #[serde(default)]
-    tenants: Vec<Party>,
+    tenants: Vec<TenantSettings>,
     tick_ms: f64,
 }
 
@@ -62,14 +65,14 @@
 
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Habits {
+struct CallerHabits {
     #[serde(default)]
     marks_retry: bool,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Domain {
+struct CoreServers {
     #[serde(default)]
     class_cells: Vec<Vec<i64>>,
     #[serde(default)]
@@ -98,17 +101,19 @@
     conn_idle_ms: f64,
 }
 
+/// Default connection time-out, in milliseconds.
 fn half_a_second() -> f64 {
     500.0
 }
 
+/// Default idle time-out, in milliseconds.
 fn ten_minutes() -> f64 {
     600_000.0
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Rules {
+struct ColdStart {
     cold_from: f64,
     ramp_time_ms: f64,
     tip_multiple: f64,
@@ -116,34 +121,39 @@
     fall_ms: f64,
 }
 
-/// The brief's time where the settings name none.
+/// Default overload window, in milliseconds.
 fn one_second() -> f64 {
     1000.0
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Party {
+struct TenantSettings {
     quota_rps: f64,
 }
 
+/// Parses the settings and returns their route plan.
 pub fn route_plan(conf: &str) -> Result<RoutePlan> {
     Ok(settings(conf).context("conf cannot be read")?.plan)
 }
 
+/// Parses and checks the settings; the error names the setting that is missing or invalid.
 pub fn settings(conf: &str) -> Result<Settings> {
-    let sheet: StartSheet = parse_json(conf)?;
-    let StartSheet { domain, limits, rules, .. } = sheet;
-    ensure!(!sheet.categories.is_empty(), "categories: there is none");
-    within("rules.coldFrom", rules.cold_from, 0.001..=1.0)?;
-    within("rules.tipMultiple", rules.tip_multiple, 0.001..=1e6)?;
-    within("overShareWorth", sheet.over_share_worth, 0.0..=1e6)?;
-    domain.widths.iter().try_for_each(|width| within("domain.widths", *width, 0.001..=10_000.0))?;
-    sheet.tenants.iter().try_for_each(|tenant| within("tenants.quotaRps", tenant.quota_rps, 0.0..=1e9))?;
+    let parsed: StartSettings = parse_json(conf)?;
+    let StartSettings { domain, limits, rules, .. } = parsed;
+    ensure!(!parsed.categories.is_empty(), "categories: must not be empty");
+    check_range("rules.coldFrom", rules.cold_from, 0.001..=1.0)?;
+    check_range("rules.tipMultiple", rules.tip_multiple, 0.001..=1e6)?;
+    check_range("overShareWorth", parsed.over_share_worth, 0.0..=1e6)?;
+    domain.widths.iter().try_for_each(|width| check_range("domain.widths", *width, 0.001..=10_000.0))?;
+    parsed
+        .tenants
+        .iter()
+        .try_for_each(|tenant| check_range("tenants.quotaRps", tenant.quota_rps, 0.0..=1e9))?;
     let mut products = Vec::new();
-    for (place, category) in sheet.categories.iter().enumerate() {
-        within("categories.worth", category.worth, 1e-6..=1e9)?;
-        within("categories.lateShare", category.late_share, 0.0..=1.0)?;
+    for (place, category) in parsed.categories.iter().enumerate() {
+        check_range("categories.worth", category.worth, 1e-6..=1e9)?;
+        check_range("categories.lateShare", category.late_share, 0.0..=1.0)?;
         products.push(Product {
             promised: checked_millis("promiseMs", category.promise_ms)?,
             mean_duration: checked_millis(
@@ -156,22 +166,22 @@
             servers: domain
                 .class_cells
                 .get(place)
-                .map(|cells| cells.iter().copied().map(ServerNumber).collect()),
+                .map(|servers| servers.iter().copied().map(ServerNumber).collect()),
         });
     }
-    let longest_return = if limits.retry_after { limits.max_retry_after_ms } else { 0.0 };
+    let max_retry_after_ms = if limits.retry_after { limits.max_retry_after_ms } else { 0.0 };
     let plan = RoutePlan {
-        proxies: sheet.instances.get(),
+        proxies: parsed.instances.get(),
         products,
-        tenants: sheet.tenants.iter().map(|t| Tenant { quota: t.quota_rps }).collect(),
-        over_quota_share: sheet.over_share_worth,
-        tick: checked_millis("tickMs", sheet.tick_ms)?.max(Duration::from_micros(1)),
+        tenants: parsed.tenants.iter().map(|t| Tenant { quota: t.quota_rps }).collect(),
+        over_quota_share: parsed.over_share_worth,
+        tick: checked_millis("tickMs", parsed.tick_ms)?.max(Duration::from_micros(1)),
         release_time: checked_millis("releaseGuardMs", domain.release_guard_ms)?,
         resend_after: checked_millis("resendMs", domain.resend_ms)?,
         max_launches: limits.attempts_cap,
-        callers_mark_retries: sheet.client_habits.marks_retry,
+        callers_mark_retries: parsed.client_habits.marks_retry,
         may_cancel: limits.cancel,
-        max_retry_after: checked_millis("maxRetryAfterMs", longest_return)?,
+        max_retry_after: checked_millis("maxRetryAfterMs", max_retry_after_ms)?,
         cold_start_share: rules.cold_from,
         warm_up_time: checked_millis("rampTimeMs", rules.ramp_time_ms)?,
         overload_multiple: rules.tip_multiple,
@@ -179,22 +189,23 @@
     };
     Ok(Settings {
         plan,
-        product_names: sheet.categories.into_iter().map(|category| category.name).collect(),
+        product_names: parsed.categories.into_iter().map(|category| category.name).collect(),
         product_widths: domain.widths,
         connect_timeout: checked_millis("connectTimeoutMs", limits.connect_timeout_ms)?,
         idle_timeout: checked_millis("connIdleMs", limits.conn_idle_ms)?,
     })
 }
 
-fn within(name: &str, value: f64, range: std::ops::RangeInclusive<f64>) -> Result<()> {
-    ensure!(range.contains(&value), "{name}={value} is not from {} to {}", range.start(), range.end());
+fn check_range(name: &str, value: f64, range: std::ops::RangeInclusive<f64>) -> Result<()> {
+    ensure!(range.contains(&value), "{name}={value} is not between {} and {}", range.start(), range.end());
     Ok(())
 }
 
-/// No time of the settings is longer than this, so that sums of a few never overflow.
-const LONGEST_MS: f64 = 1e15;
+/// Upper bound for times in the settings, so that the sum of a few of them cannot overflow.
+const MAX_TIME_MS: f64 = 1e15;
 
+/// Converts milliseconds to a duration; the error names the setting if its value is negative, too large or NaN.
 pub fn checked_millis(name: &str, value: f64) -> Result<Duration> {
-    ensure!((0.0..=LONGEST_MS).contains(&value), "{name}={value} is no time");
+    ensure!((0.0..=MAX_TIME_MS).contains(&value), "{name}={value} is not a valid time in milliseconds");
     Ok(Duration::from_secs_f64(value / 1000.0))
 }
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -1,18 +1,23 @@
-//! The decisions of one edge proxy: which core server takes a dialogue, and which dialogue is let go.
+//! The decisions of one edge proxy: which core server takes a dialogue, and which dialogue is given up.
 //!
-//! The caller brings every input to [`Brain`] with the time since the start; `interface.rs` has the
-//! words spoken both ways, and the brain acts through `Signalling` alone. After every input, and each tick
-//! while a dialogue is owed an answer, the rules in `RULES` are gone through in order until none fires.
+//! The caller passes every input to [`Brain`] together with the time since start; `interface.rs` defines the types
+//! of inputs and outputs, and all effects go through [`Signalling`]. After every input, and at every tick while a
+//! dialogue is owed an answer, the rules in `RULES` are tried in order until none applies.
 //!
-//! The design: a dialogue goes to its first choice while that server qualifies, else to the qualifying
-//! server with the most estimated free lines (told free less own placed since). Beside it stand:
-//! 1. Limit: set-ups unanswered at a server, below 1 its share of the dialogues; grows by one a round while
-//!    waits, met or told, are in ease, is cut by a share on strain, and then the server rests for the excess.
-//! 2. Waiting room: a dialogue that finds no server waits here, higher gain first, while it has hope.
-//! 3. Quotas: of a tenant that asks more than its part, the excess counts little and so comes last.
-//! 4. Silence: a server that answers nothing, is out of reach or fails all is set aside until a trial.
-//! 5. Lost launches: one overtaken, or long unanswered without strain, is called off and goes elsewhere.
-//! 6. Budgets: starts, trials and overflow are spaced by what a server bore, shared by the number of proxies.
+//! Routing: a dialogue goes to its first choice while that server qualifies, else to the qualifying server with the
+//! most estimated free lines (free lines last reported minus lines taken by own launches since). Six mechanisms
+//! support this:
+//! 1. Limit per server: an adaptive limit on unanswered set-ups; below 1 it is the share of dialogues that the server
+//!    is offered. It grows by one per round while waits, measured or reported, indicate normal load. On overload it
+//!    is cut by a factor, and the server is blocked until the excess wait has been worked off.
+//! 2. Waiting queue: a dialogue for which no server qualifies waits, ordered by gain, while it can finish in time.
+//! 3. Quotas: dialogues of a tenant that demands more than its share count little for the excess and so come last.
+//! 4. Outlier ejection: a server that does not answer, is unreachable or fails every launch is ejected until a probe
+//!    launch succeeds.
+//! 5. Lost-launch detection: a launch that was overtaken by later ones, or went unanswered for long without overload,
+//!    is cancelled, and its dialogue is launched elsewhere.
+//! 6. Budgets with slow start: launches to a cold server, probes and overflow are spaced by the rate that the server
+//!    has sustained, divided among the edge proxies.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,641 +26,699 @@
 
 use crate::interface::*;
 use crate::pcg::Pcg;
-use crate::ranked::{Ranked, Real};
-
-/// A limit is cut to this share of itself.
-const CUT: f64 = 0.7;
-/// The lowest limit; below 1 it is the share of the dialogues, drawn by lot, for which a server qualifies.
-const LOWEST_LIMIT: f64 = 0.05;
-/// What all proxies together may add to the set-ups in turn at a server that is in ease.
-const HEADROOM: f64 = 8.0;
-/// The part of what a server has borne that all proxies together may spend on trials there.
-const TRIAL_SHARE: f64 = 0.2;
-/// The same for dialogues whose first choice is another; a turn for one lasts so much of the gap.
-const OVERFLOW_SHARE: f64 = 3.0;
-const TURN: f64 = 0.25;
-/// What a cold server is sent by all is chance: its mean lies so many of its roots below the most allowed.
-const CHANCES: f64 = 4.0;
-/// So many failures running, more than chance brings, put a server aside; out of reach counts as half.
-const FAILURES: u32 = 16;
-/// A server of which nothing is known is taken to bear so many dialogues a second once it is warm.
-const LOWEST_RATE: f64 = 5.0;
-/// Weight of the newest answer in a smoothed figure, and of the newest dialogue in the tenants' parts.
-const NEWEST: f64 = 0.2;
-const NEWEST_DIALOGUE: f64 = 0.01;
-/// The most that a server has borne fades over this time, in seconds.
-const BORNE_SPAN: f64 = 60.0;
-/// Lines in use are reckoned up after so many seconds; coming at these times the most borne is a surge.
-const RECKONING: f64 = 0.5;
-const SURGE: f64 = 1.25;
-
-/// So many callers let go are remembered; beyond it the one that may dial again the shortest is forgotten.
-const MOST_CALLERS: usize = 200_000;
-/// No server has more lines or takes more set-ups than this: a figure beyond it is not believed.
-const MOST_TOLD: f64 = 1e7;
-/// No time of a plan is longer.
-const LONGEST: Duration = Duration::from_secs(366 * 86_400);
-
-/// The figures that decisions use, made from the route plan at start.
-struct Figures {
+use crate::ranked::{RankedList, TotalF64};
+
+/// Factor by which a limit is cut on overload.
+const LIMIT_CUT_FACTOR: f64 = 0.7;
+/// Minimum limit. Below 1, a limit is the share of dialogues, selected by random rank, for which a server qualifies.
+const MIN_LIMIT: f64 = 0.05;
+/// Set-ups that all edge proxies together may add to the queue of a server under normal load.
+const SHARED_HEADROOM_SET_UPS: f64 = 8.0;
+/// Share of a server's sustained rate that all edge proxies together may spend on probe launches.
+const PROBE_RATE_SHARE: f64 = 0.2;
+/// Multiple of a server's sustained rate that all edge proxies together may send it as overflow, that is, dialogues
+/// whose first choice is another server.
+const OVERFLOW_RATE_MULTIPLE: f64 = 3.0;
+/// Share of the overflow interval during which one edge proxy may send overflow.
+const OVERFLOW_TURN_SHARE: f64 = 0.25;
+/// The launches that a cold server receives from all edge proxies are random in number; their mean lies this many
+/// standard deviations below the maximum that the server survives.
+const COLD_START_DEVIATIONS: f64 = 4.0;
+/// Consecutive failures, more than chance produces, that eject a server; a launch that does not reach it counts as
+/// half of them.
+const EJECTION_FAILURES: u32 = 16;
+/// Dialogues per second that a warm server is assumed to sustain while nothing is known about it.
+const MIN_SUSTAINED_RATE_PER_SECOND: f64 = 5.0;
+/// Weight of the newest sample in the smoothed answer time.
+const ANSWER_TIME_WEIGHT: f64 = 0.2;
+/// Weight of the newest dialogue in the tenants' demand shares.
+const DEMAND_WEIGHT: f64 = 0.01;
+/// Time constant with which the maximum sustained rate decays.
+const SUSTAINED_RATE_DECAY_SECONDS: f64 = 60.0;
+/// Minimum interval between two estimates of the placement rate from the lines in use.
+const RATE_INTERVAL_SECONDS: f64 = 0.5;
+/// Incoming dialogues at this multiple of the sustained rate are a traffic surge.
+const SURGE_RATIO: f64 = 1.25;
+/// Spreads above the smoothed answer time within which nearly all answers arrive.
+const ANSWER_TIME_SPREADS: u32 = 4;
+/// Longer reported waits are taken as this long.
+const MAX_REPORTED_WAIT_SECONDS: f64 = 60.0;
+
+/// Maximum number of remembered callers; beyond it the one whose redial window ends first is evicted.
+const MAX_REMEMBERED_CALLERS: usize = 200_000;
+/// Reported figures above this are ignored: no server has as many lines or takes as many set-ups.
+const MAX_REPORTED_FIGURE: f64 = 1e7;
+/// Upper bound for the times of a route plan.
+const MAX_PLAN_TIME: Duration = Duration::from_secs(366 * 86_400);
+
+/// Parameters of the decisions, derived from the route plan at start.
+struct Parameters {
     products: Vec<Product>,
     over_quota_share: f64,
     tick: Duration,
-    release: Duration,
+    release_time: Duration,
     proxies: f64,
-    /// This proxy's part of the headroom.
+    /// This edge proxy's part of [`SHARED_HEADROOM_SET_UPS`].
     headroom: f64,
-    lasts: f64, // the mean length of a dialogue, in seconds
-    /// A surge feeds itself only where what waits is sent again by itself; else infinite.
-    surge: f64,
-    /// A wait above this is strain and cuts a limit.
-    ease: Duration,
-    silence: Duration,
+    /// Mean duration of a dialogue over all products.
+    mean_duration_seconds: f64,
+    /// [`SURGE_RATIO`], or infinity where waiting set-ups are not retransmitted, since a surge only feeds itself
+    /// through retransmissions.
+    surge_ratio: f64,
+    /// A longer wait indicates overload and cuts the limit.
+    max_normal_wait: Duration,
+    /// Minimum time without a response after which a server counts as unresponsive.
+    min_response_timeout: Duration,
     max_launches: u32,
-    marks_again: bool,
+    callers_mark_retries: bool,
     may_cancel: bool,
-    come_back: Option<Duration>,
-    cold_share: f64,
-    warm_after: Duration,
-    cold_multiple: f64, // kept up over the time below
-    fall_within: Duration,
+    retry_after: Option<Duration>,
+    cold_start_share: f64,
+    warm_up_time: Duration,
+    /// Overload multiple times overload window: the launches within one window that make a server collapse, per
+    /// launch per second of its capacity.
+    overload_multiple_seconds: f64,
+    overload_window: Duration,
 }
 
 struct Server {
-    figures: Rc<Figures>,
-    pcg: Pcg,
+    parameters: Rc<Parameters>,
+    random: Pcg,
     number: ServerNumber,
-    listed: ServerState,
-    /// When it last started, as far as is known; none: long ago.
+    state: ServerState,
+    /// Time of the last start, if known; `None` means long ago.
     started: Option<Duration>,
-    /// Drawn once: decides between servers that look alike.
-    lot: u32,
-    told_free: Option<f64>,
-    placed_since: f64,
-    /// Launches out, oldest first.
-    out: Vec<Out>,
+    /// Drawn once; breaks ties between servers that are otherwise equal.
+    random_rank: u32,
+    reported_free_lines: Option<f64>,
+    lines_placed_since_report: f64,
+    /// Launches without an answer, oldest first.
+    pending_launches: Vec<PendingLaunch>,
     limit: f64,
-    opens_at: Duration,
-    last_launch: Duration,
-    /// From when it may take another whose first choice is another server.
-    overflow_at: Duration,
-    last_sign: Duration,
-    /// Set aside: when its next trial may go.
-    trial_at: Option<Duration>,
-    /// Launches in a row that did not reach it or failed there.
-    failures: u32,
-    /// Smoothed time to an answer, and its spread.
-    usual: Duration,
-    spread: Duration,
-    /// The most dialogues a second that all proxies placed there or at its forerunner, when that was last
-    /// reckoned, and what they placed then.
-    borne: f64,
-    reckoned_at: Duration,
-    placed: f64,
+    blocked_until: Duration,
+    last_launch_at: Duration,
+    /// Time from which it may take another dialogue whose first choice is a different server.
+    overflow_allowed_at: Duration,
+    last_response_at: Duration,
+    /// `Some` while the server is ejected: the time at which its next probe launch may be sent.
+    next_probe_at: Option<Duration>,
+    /// Consecutive launches that did not reach the server or failed there.
+    consecutive_failures: u32,
+    /// Smoothed time from launch to answer.
+    smoothed_answer_time: Duration,
+    /// Smoothed deviation from `smoothed_answer_time`.
+    answer_time_spread: Duration,
+    /// Maximum dialogues per second that all edge proxies placed at this server or its previous incarnation, decaying
+    /// with time.
+    sustained_rate: f64,
+    /// Time of the last estimate of `placement_rate`.
+    rate_estimated_at: Duration,
+    /// Dialogues per second that all edge proxies placed here at the last estimate; 0 before the first.
+    placement_rate: f64,
 }
 
-struct Out {
+struct PendingLaunch {
     dialogue: DialogueId,
-    launch: LaunchNumber,
-    at: Duration,
-    /// When a later launch was answered first, though a server takes set-ups in turn: probably lost.
-    overtaken: Option<Duration>,
+    number: LaunchNumber,
+    launched_at: Duration,
+    /// When a later launch was answered first. A server processes set-ups in order, so this launch is probably lost.
+    overtaken_at: Option<Duration>,
 }
 
 /// A dialogue that is owed an answer.
 struct Dialogue {
     product: ProductId,
     key: Option<DialledKey>,
-    first_dialled: Duration,
+    first_dialled_at: Duration,
     first_choice: ServerNumber,
     width: f64,
-    promised: Duration,
+    promised_by: Duration,
     answer_by: Duration,
     gain: f64,
-    /// Chance over gain: where a server takes a share of the dialogues, it takes those of the lowest lots.
-    lot: f64,
-    turned_back: u32,
-    launches: u32,
-    at: Option<ServerId>,
-    called_off: bool,
-    /// Where its last launch was lost: taken again only where no other server qualifies.
-    shunned: Option<ServerId>,
-    not_before: Duration,
+    /// Random number divided by gain: a server that takes a share of the dialogues takes those of the lowest ranks.
+    random_rank: f64,
+    turn_backs: u32,
+    launch_count: u32,
+    /// Server of the pending launch.
+    launched_at_server: Option<ServerId>,
+    is_cancel_sent: bool,
+    /// Server at which the last launch was lost or failed; used again only where no other server qualifies.
+    avoided_server: Option<ServerId>,
+    launch_not_before: Duration,
 }
 
-/// Who is launched first: of higher gain, then the newest. Where room is short the oldest is about to leave
-/// or to stand too late.
-type Rank = (Reverse<Real>, Reverse<Duration>, DialogueId);
+/// Order of launches: higher gain first, then the newest. When capacity is short, the oldest dialogues are about to
+/// be given up by their callers or to stand too late.
+type LaunchPriority = (Reverse<TotalF64>, Reverse<Duration>, DialogueId);
 
-/// The waiting room, in the orders in which the rules look at it.
+/// The dialogues that wait for a server, indexed in the orders that the rules need.
 #[derive(Default)]
-struct Room {
-    /// By the time when even an immediate answer would be late.
-    by_end: BTreeSet<(Duration, DialogueId)>,
-    /// By what is left of that once it may be launched; nothing for one that may not.
-    by_rest: BTreeSet<(Duration, DialogueId)>,
-    /// Not yet to be launched, by when it may.
-    barred: BTreeSet<(Duration, DialogueId)>,
-    /// To be launched, by product; and once more by first choice and product.
-    ready: BTreeMap<ProductId, Ranked<Rank>>,
-    by_choice: BTreeMap<(ServerNumber, ProductId), Ranked<Rank>>,
+struct WaitingQueue {
+    /// By deadline, after which even an immediate answer would be late.
+    by_deadline: BTreeSet<(Duration, DialogueId)>,
+    /// By the time that remains between the earliest permitted launch and the deadline; zero if no further launch is
+    /// permitted.
+    by_slack: BTreeSet<(Duration, DialogueId)>,
+    /// Dialogues that may not be launched yet, by the time from which they may.
+    blocked: BTreeSet<(Duration, DialogueId)>,
+    /// Dialogues that may be launched, by product.
+    ready_by_product: BTreeMap<ProductId, RankedList<LaunchPriority>>,
+    /// The same dialogues by first choice and product.
+    ready_by_first_choice: BTreeMap<(ServerNumber, ProductId), RankedList<LaunchPriority>>,
 }
 
-/// A tenant's part of all quotas, and its part of the dialogues that lately came in here.
-struct Demand {
-    quota: f64,
-    asked: f64,
+/// A tenant's share of all quotas, and its share of the dialogues that recently arrived at this edge proxy.
+struct TenantDemand {
+    quota_share: f64,
+    demand_share: f64,
 }
 
+/// The decision module of one edge proxy.
 pub struct Brain {
-    figures: Rc<Figures>,
-    demands: Vec<Demand>,
-    pcg: Pcg,
+    parameters: Rc<Parameters>,
+    tenant_demands: Vec<TenantDemand>,
+    random: Pcg,
     now: Duration,
     servers: BTreeMap<ServerId, Server>,
     dialogues: BTreeMap<DialogueId, Dialogue>,
-    /// The same by when they must be answered.
-    by_answer: BTreeSet<(Duration, DialogueId)>,
-    room: Room,
-    /// Callers let go who may dial again: when they first dialled, and until when they may.
+    /// The same dialogues by the time by which they must be answered.
+    by_answer_deadline: BTreeSet<(Duration, DialogueId)>,
+    waiting: WaitingQueue,
+    /// Callers whose dialogue was given up and who may redial: time of the first dial, and end of the redial window.
     callers: BTreeMap<DialledKey, (Duration, Duration)>,
-    by_until: BTreeSet<(Duration, DialledKey)>,
-    /// More than an arrival has come since the rules were last gone through.
-    look: bool,
-    alarm_set: bool,
-    /// Nothing is launched before.
-    rests_until: Duration,
+    callers_by_expiry: BTreeSet<(Duration, DialledKey)>,
+    /// An input other than an arrival has come since the rules were last applied, so that all rules are to be tried.
+    all_rules_due: bool,
+    is_timer_set: bool,
+    /// No launch is sent before this time.
+    launches_held_until: Duration,
 }
 
 type Rule = fn(&mut Brain, &mut dyn Signalling) -> bool;
 
-/// Each is a condition and an effect and tells whether it fired.
+/// Each rule is a condition with an effect and returns whether it applied.
 const RULES: [Rule; 5] = [
-    Brain::answer_before_the_cut_off,
-    Brain::refuse_the_hopeless,
-    Brain::set_the_silent_aside,
-    Brain::call_off_the_lost,
-    Brain::launch_the_best,
+    Brain::fail_before_cut_off,
+    Brain::refuse_those_too_late,
+    Brain::eject_unresponsive_server,
+    Brain::cancel_lost_launch,
+    Brain::launch_first_in_priority,
 ];
 
 impl Brain {
+    /// Creates a decision module without servers; equal seeds and inputs give equal decisions.
     pub fn new(mut plan: RoutePlan, seed: u64) -> Self {
-        plan.release_time = plan.release_time.min(LONGEST);
+        plan.release_time = plan.release_time.min(MAX_PLAN_TIME);
         (plan.proxies, plan.tick) = (plan.proxies.max(1), plan.tick.max(Duration::from_micros(1)));
         for product in &mut plan.products {
-            product.promised = product.promised.min(LONGEST);
-            product.redial_window = product.redial_window.min(LONGEST);
-            product.servers.iter_mut().for_each(|servers| servers.sort_unstable()); // found by halves
-        }
-        let tightest = plan.products.iter().map(|p| p.promised).min().unwrap_or(LONGEST);
-        let resend = if plan.resend_after.is_zero() { Duration::MAX } else { plan.resend_after };
-        // Gains are measured by the least, as the lots are.
-        let least = plan.products.iter().map(|p| p.gain).fold(f64::INFINITY, f64::min);
-        let all: f64 = plan.tenants.iter().map(|t| t.quota).sum();
-        let parts = plan.tenants.iter().map(|t| t.quota / all);
-        let demands = parts.map(|part| Demand { quota: part, asked: part }).collect();
-        let lasts =
+            product.promised = product.promised.min(MAX_PLAN_TIME);
+            product.redial_window = product.redial_window.min(MAX_PLAN_TIME);
+            product.servers.iter_mut().for_each(|servers| servers.sort_unstable()); // for the binary search
+        }
+        let min_promised = plan.products.iter().map(|p| p.promised).min().unwrap_or(MAX_PLAN_TIME);
+        let resend_after = if plan.resend_after.is_zero() { Duration::MAX } else { plan.resend_after };
+        // Gains are scaled to the lowest one, and so are the random ranks.
+        let min_gain = plan.products.iter().map(|p| p.gain).fold(f64::INFINITY, f64::min);
+        let total_quota: f64 = plan.tenants.iter().map(|t| t.quota).sum();
+        let quota_shares = plan.tenants.iter().map(|t| t.quota / total_quota);
+        let tenant_demands =
+            quota_shares.map(|share| TenantDemand { quota_share: share, demand_share: share }).collect();
+        let mean_duration_seconds =
             plan.products.iter().map(|p| p.mean_duration.as_secs_f64() / plan.products.len() as f64).sum();
-        let figures = Rc::new(Figures {
-            lasts,
-            surge: if plan.resend_after.is_zero() { f64::INFINITY } else { SURGE },
+        let parameters = Rc::new(Parameters {
+            mean_duration_seconds,
+            surge_ratio: if plan.resend_after.is_zero() { f64::INFINITY } else { SURGE_RATIO },
             over_quota_share: plan.over_quota_share,
-            products: plan.products.into_iter().map(|p| Product { gain: p.gain / least, ..p }).collect(),
+            products: plan.products.into_iter().map(|p| Product { gain: p.gain / min_gain, ..p }).collect(),
             tick: plan.tick,
-            release: plan.release_time,
+            release_time: plan.release_time,
             proxies: f64::from(plan.proxies),
-            headroom: (HEADROOM / f64::from(plan.proxies)).min(1.0),
-            ease: (tightest / 3).min(resend / 5 * 4),
-            silence: tightest / 2,
+            headroom: (SHARED_HEADROOM_SET_UPS / f64::from(plan.proxies)).min(1.0),
+            max_normal_wait: (min_promised / 3).min(resend_after / 5 * 4),
+            min_response_timeout: min_promised / 2,
             max_launches: plan.max_launches,
-            marks_again: plan.callers_mark_retries,
+            callers_mark_retries: plan.callers_mark_retries,
             may_cancel: plan.may_cancel,
-            come_back: Some(plan.max_retry_after).filter(|d| !d.is_zero()),
-            cold_share: plan.cold_start_share,
-            warm_after: plan.warm_up_time,
-            cold_multiple: plan.overload_multiple * plan.overload_window.as_secs_f64(),
-            fall_within: plan.overload_window.clamp(Duration::from_millis(1), LONGEST),
+            retry_after: Some(plan.max_retry_after).filter(|d| !d.is_zero()),
+            cold_start_share: plan.cold_start_share,
+            warm_up_time: plan.warm_up_time,
+            overload_multiple_seconds: plan.overload_multiple * plan.overload_window.as_secs_f64(),
+            overload_window: plan.overload_window.clamp(Duration::from_millis(1), MAX_PLAN_TIME),
         });
         Self {
-            figures,
-            demands,
-            pcg: Pcg::new(seed),
+            parameters,
+            tenant_demands,
+            random: Pcg::new(seed),
             now: Duration::ZERO,
             servers: BTreeMap::new(),
             dialogues: BTreeMap::new(),
-            by_answer: BTreeSet::new(),
-            room: Room::default(),
+            by_answer_deadline: BTreeSet::new(),
+            waiting: WaitingQueue::default(),
             callers: BTreeMap::new(),
-            by_until: BTreeSet::new(),
-            look: true,
-            alarm_set: false,
-            rests_until: Duration::ZERO,
+            callers_by_expiry: BTreeSet::new(),
+            all_rules_due: true,
+            is_timer_set: false,
+            launches_held_until: Duration::ZERO,
         }
     }
 
-    /// What is held: dialogues that are owed an answer, servers (gone ones included), launches out, callers.
+    /// Numbers of dialogues that are owed an answer, servers (including those gone), pending launches and remembered
+    /// callers.
     pub fn held_counts(&self) -> (usize, usize, usize, usize) {
-        let out = self.servers.values().map(|s| s.out.len()).sum();
-        (self.dialogues.len(), self.servers.len(), out, self.callers.len())
+        let pending_launches = self.servers.values().map(|s| s.pending_launches.len()).sum();
+        (self.dialogues.len(), self.servers.len(), pending_launches, self.callers.len())
     }
 
     // Inputs
 
-    /// A former life may have left launches at core servers: until then nothing new is launched (rule 5).
+    /// Holds all launches until the given time, because launches of a previous incarnation of this edge proxy may
+    /// still occupy lines at core servers (mechanism 5).
     pub fn hold_launches_until(&mut self, until: Duration) {
-        self.rests_until = until;
+        self.launches_held_until = until;
     }
 
+    /// Takes in entries of the pool list; if `whole`, servers without an entry are gone.
     pub fn server_list_received(
         &mut self, now: Duration, whole: bool, entries: &[ListEntry], out: &mut dyn Signalling,
     ) {
-        let now = self.turn_to(now);
+        let now = self.advance_clock(now);
         if whole {
-            self.servers.values_mut().for_each(|s| s.listed = ServerState::Gone);
+            self.servers.values_mut().for_each(|s| s.state = ServerState::Gone);
         }
         for entry in entries {
             if let Some(server) = self.servers.get_mut(&entry.server)
                 && Some(entry.started).filter(|s| !s.is_zero()) <= server.started
             {
-                (server.number, server.listed) = (entry.number, entry.state);
+                (server.number, server.state) = (entry.number, entry.state);
                 continue;
             }
-            // New, or started anew: what it bears is known from its forerunner, else the least of the warm.
-            let same = self.servers.values().filter(|s| s.number == entry.number);
-            let same = same.map(|s| s.borne).max_by(f64::total_cmp).filter(|borne| *borne > 0.0);
-            let warm = self.servers.values().filter(|s| s.cold_level(now).is_none());
-            let warm = warm.map(|s| s.borne).min_by(f64::total_cmp);
-            let borne = same.or(warm).unwrap_or_default();
-            let mut server = Server::new(entry, now, borne, self.figures.clone(), self.pcg.draw());
-            if let Some(before) = self.servers.remove(&entry.server) {
-                server.out = before.out;
+            // New or restarted: the sustained rate is that of its previous incarnation, else the lowest of the warm
+            // servers.
+            let same_number = self.servers.values().filter(|s| s.number == entry.number);
+            let same_number =
+                same_number.map(|s| s.sustained_rate).max_by(f64::total_cmp).filter(|rate| *rate > 0.0);
+            let warm = self.servers.values().filter(|s| s.cold_capacity_share(now).is_none());
+            let warm = warm.map(|s| s.sustained_rate).min_by(f64::total_cmp);
+            let sustained_rate = same_number.or(warm).unwrap_or_default();
+            let mut server =
+                Server::new(entry, now, sustained_rate, self.parameters.clone(), self.random.draw());
+            if let Some(previous) = self.servers.remove(&entry.server) {
+                server.pending_launches = previous.pending_launches;
             }
-            // All proxies hear of a start at once: each lets a part of its first gap pass, by chance.
-            server.opens_at = now + server.cold_gap(now).mul_f64(server.pcg.share());
+            // All edge proxies learn of a start at the same time, so each waits a random part of its first interval.
+            server.blocked_until = now + server.cold_launch_interval(now).mul_f64(server.random.share());
             self.servers.insert(entry.server.clone(), server);
         }
-        // One gone is kept until its number is taken again: what it bore tells of the next, till it fades.
-        let faded = Duration::from_secs_f64(BORNE_SPAN);
-        let active = self.servers.values().filter(|s| s.listed == ServerState::Active);
+        // A server that is gone is retained until its number is in use again, because its sustained rate is the
+        // estimate for the next one, or until that rate expires.
+        let expiry = Duration::from_secs_f64(SUSTAINED_RATE_DECAY_SECONDS);
+        let active = self.servers.values().filter(|s| s.state == ServerState::Active);
         let active: BTreeSet<ServerNumber> = active.map(|s| s.number).collect();
         self.servers.retain(|_, s| {
-            let tells = !active.contains(&s.number) && now < s.last_sign + faded;
-            s.listed != ServerState::Gone || !s.out.is_empty() || tells
+            let is_rate_needed = !active.contains(&s.number) && now < s.last_response_at + expiry;
+            s.state != ServerState::Gone || !s.pending_launches.is_empty() || is_rate_needed
         });
-        self.settle(out);
+        self.apply_rules(out);
     }
 
+    /// Takes in a new dialogue. A dialogue of an unknown product fails; one already held is ignored.
     pub fn dialogue_arrived(&mut self, now: Duration, arrival: Arrival, out: &mut dyn Signalling) {
-        let now = if now > self.now { self.turn_to(now) } else { self.now };
-        let Some(product) = self.figures.products.get(arrival.product.0) else {
+        let now = if now > self.now { self.advance_clock(now) } else { self.now };
+        let Some(product) = self.parameters.products.get(arrival.product.0) else {
             return out.fail(&arrival.id);
         };
         if self.dialogues.contains_key(&arrival.id) {
-            return; // It is in already, and will have its answer.
-        }
-        let (promised, late_share, plain) = (product.promised, product.late_share, product.gain);
-        let part = if self.beyond_quota(arrival.tenant) { self.figures.over_quota_share } else { 1.0 };
-        // A further try is measured from the first one: past the promised time little of its gain is left.
-        let may_be_again = arrival.is_retry || !self.figures.marks_again;
-        let before = arrival.key.as_ref().filter(|_| may_be_again).and_then(|key| self.forget_caller(key));
-        let first_dialled = before.map_or(arrival.dialled_at.min(now), |(first, _)| first);
-        let unknown = arrival.is_retry && !arrival.redialled_after_cut && before.is_none();
-        let late = unknown || now >= first_dialled + promised;
-        let gain = plain * part * if late { late_share } else { 1.0 };
-        let lot = self.pcg.share() / gain;
+            return; // A repeated arrival; the dialogue held is going to be answered.
+        }
+        let (promised, late_share, full_gain) = (product.promised, product.late_share, product.gain);
+        let quota_factor =
+            if self.draw_exceeds_quota(arrival.tenant) { self.parameters.over_quota_share } else { 1.0 };
+        // The promised time of a retry runs from the first dial; after it only the late share of the gain is left.
+        let may_be_retry = arrival.is_retry || !self.parameters.callers_mark_retries;
+        let earlier = arrival.key.as_ref().filter(|_| may_be_retry).and_then(|key| self.remove_caller(key));
+        let first_dialled_at = earlier.map_or(arrival.dialled_at.min(now), |(first, _)| first);
+        let is_unknown_retry = arrival.is_retry && !arrival.redialled_after_cut && earlier.is_none();
+        let is_late = is_unknown_retry || now >= first_dialled_at + promised;
+        let gain = full_gain * quota_factor * if is_late { late_share } else { 1.0 };
+        let random_rank = self.random.share() / gain;
         let dialogue = Dialogue {
             product: arrival.product,
             key: arrival.key,
-            first_dialled,
+            first_dialled_at,
             first_choice: arrival.first_choice,
             width: arrival.width,
-            promised: promised + if late { now } else { first_dialled },
-            answer_by: arrival.cut_off.saturating_sub(self.figures.tick * 2),
+            promised_by: promised + if is_late { now } else { first_dialled_at },
+            answer_by: arrival.cut_off.saturating_sub(self.parameters.tick * 2),
             gain,
-            lot,
-            turned_back: 0,
-            launches: 0,
-            at: None,
-            called_off: false,
-            shunned: None,
-            not_before: now.max(self.rests_until),
+            random_rank,
+            turn_backs: 0,
+            launch_count: 0,
+            launched_at_server: None,
+            is_cancel_sent: false,
+            avoided_server: None,
+            launch_not_before: now.max(self.launches_held_until),
         };
-        self.look |= now >= dialogue.end().saturating_sub(self.usual());
-        self.by_answer.insert((dialogue.answer_by, arrival.id.clone()));
+        self.all_rules_due |= now >= dialogue.deadline().saturating_sub(self.shortest_answer_time());
+        self.by_answer_deadline.insert((dialogue.answer_by, arrival.id.clone()));
         self.dialogues.insert(arrival.id.clone(), dialogue);
-        self.wait(&arrival.id);
-        self.settle(out);
+        self.enqueue(&arrival.id);
+        self.apply_rules(out);
     }
 
+    /// The caller has hung up before its dialogue stood.
     pub fn caller_left(&mut self, now: Duration, id: &DialogueId, out: &mut dyn Signalling) {
-        self.turn_to(now);
-        self.let_go(id, out);
-        self.settle(out);
+        self.advance_clock(now);
+        self.give_up(id, out);
+        self.apply_rules(out);
     }
 
+    /// A core server has reported its load.
     pub fn load_reported(
         &mut self, now: Duration, id: &ServerId, report: &LoadReport, out: &mut dyn Signalling,
     ) {
-        let now = self.turn_to(now);
+        let now = self.advance_clock(now);
         if let Some(server) = self.servers.get_mut(id) {
-            server.read(now, report);
+            server.apply_report(now, report);
         }
-        self.settle(out);
+        self.apply_rules(out);
     }
 
+    /// A launch has succeeded: the dialogue stands.
     pub fn dialogue_stands(
         &mut self, now: Duration, id: &DialogueId, launch: LaunchNumber, server: &ServerId,
         out: &mut dyn Signalling,
     ) {
-        let now = self.turn_to(now);
-        self.take(id);
+        let now = self.advance_clock(now);
+        self.remove_dialogue(id);
         if let Some(server) = self.servers.get_mut(server)
-            && let Some(at) = server.answered(now, id, launch, out)
+            && let Some(launched_at) = server.answer_received(now, id, launch, out)
         {
-            server.learn(now, now - at);
+            server.record_answer_time(now, now - launched_at);
         }
-        self.settle(out);
+        self.apply_rules(out);
     }
 
-    /// A launch has ended without standing, or a standing dialogue has ended.
+    /// A launch has ended without success, or a dialogue that stood has ended.
     pub fn launch_ended(&mut self, now: Duration, end: LaunchEnd, out: &mut dyn Signalling) {
         use Outcome::{Ended, NoFreeLine, NumberBusy, TurnedBack};
-        let now = self.turn_to(now);
+        let now = self.advance_clock(now);
         if let Some(server) = self.servers.get_mut(&end.server) {
-            server.read(now, &end.report);
+            server.apply_report(now, &end.report);
             if matches!(end.outcome, Ended | NoFreeLine | TurnedBack | NumberBusy) {
-                server.answered(now, &end.dialogue, end.launch, out);
-            } else if server.take_out(&end.dialogue, end.launch).is_some() {
-                // One failure may be chance, and a server can fail some and serve the rest well; a run of
-                // them is a server down, or one that fails all so quickly that it would draw everything.
-                let (failures, why, sign) = match end.outcome {
-                    Outcome::Unreachable => (FAILURES / 2, "out of reach", server.last_sign),
+                server.answer_received(now, &end.dialogue, end.launch, out);
+            } else if server.remove_launch(&end.dialogue, end.launch).is_some() {
+                // A single failure may be chance, and a server can fail some launches and serve the rest well. A run
+                // of failures means that it is down, or that it fails everything so quickly that it would attract
+                // all traffic.
+                let (failures, why, last_response_at) = match end.outcome {
+                    Outcome::Unreachable => (EJECTION_FAILURES / 2, "out of reach", server.last_response_at),
                     Outcome::Fault | Outcome::BrokenOff => (1, "fails all", now),
-                    _ => (0, "", server.last_sign),
+                    _ => (0, "", server.last_response_at),
                 };
-                (server.failures, server.last_sign) = (server.failures + failures, sign);
-                if server.failures >= FAILURES && failures > 0 {
-                    server.set_aside(now, why, &end.server, out);
+                (server.consecutive_failures, server.last_response_at) =
+                    (server.consecutive_failures + failures, last_response_at);
+                if server.consecutive_failures >= EJECTION_FAILURES && failures > 0 {
+                    server.eject(now, why, &end.server, out);
                 }
             }
             match end.outcome {
-                Outcome::TurnedBack => server.full(now, self.figures.silence * 2),
-                Outcome::NoFreeLine => server.full(now, Duration::ZERO),
+                Outcome::TurnedBack => server.mark_full(now, self.parameters.min_response_timeout * 2),
+                Outcome::NoFreeLine => server.mark_full(now, Duration::ZERO),
                 _ => {}
             }
         }
         if end.closed {
-            self.take(&end.dialogue);
+            self.remove_dialogue(&end.dialogue);
         } else if !self.dialogues.contains_key(&end.dialogue) {
-            out.fail(&end.dialogue); // Called off in the moment it stood: the answer is owed again.
+            out.fail(&end.dialogue); // Cancelled at the moment it stood: the caller is owed an answer again.
         } else if let Some(dialogue) = self.dialogues.get(&end.dialogue)
-            && (dialogue.at.as_ref() == Some(&end.server) || end.outcome == Outcome::Cancelled)
-            && dialogue.last_launch() == end.launch
+            && (dialogue.launched_at_server.as_ref() == Some(&end.server)
+                || end.outcome == Outcome::Cancelled)
+            && dialogue.last_launch_number() == end.launch
         {
-            self.leave_room(&end.dialogue);
-            let dialogue = self.dialogues.get_mut(&end.dialogue).expect("it was looked up");
-            dialogue.at = None;
-            dialogue.called_off = false;
+            self.dequeue(&end.dialogue);
+            let dialogue = self.dialogues.get_mut(&end.dialogue).expect("the dialogue was found above");
+            dialogue.launched_at_server = None;
+            dialogue.is_cancel_sent = false;
             match end.outcome {
-                // What it held may stay taken until the release (rule 5); one called off may still answer first.
+                // Its lines may stay occupied until the release time (mechanism 5), and a cancelled launch may still
+                // be answered first.
                 Outcome::TimedOut | Outcome::BrokenOff | Outcome::Cancelled => {
-                    dialogue.not_before = now + self.figures.release;
-                    dialogue.shunned = Some(end.server);
+                    dialogue.launch_not_before = now + self.parameters.release_time;
+                    dialogue.avoided_server = Some(end.server);
                 }
-                Outcome::Unreachable | Outcome::Fault => dialogue.shunned = Some(end.server),
-                // Another server reaches the same number: it is refused at once.
-                Outcome::NumberBusy => dialogue.launches = self.figures.max_launches,
-                _ => dialogue.turned_back += 1,
+                Outcome::Unreachable | Outcome::Fault => dialogue.avoided_server = Some(end.server),
+                // Every other server reaches the same busy number, so the dialogue is refused at once.
+                Outcome::NumberBusy => dialogue.launch_count = self.parameters.max_launches,
+                _ => dialogue.turn_backs += 1,
             }
-            self.wait(&end.dialogue);
+            self.enqueue(&end.dialogue);
         }
-        self.settle(out);
+        self.apply_rules(out);
     }
 
+    /// The timer set through [`Signalling::set_timer`] has fired.
     pub fn timer_fired(&mut self, now: Duration, _timer: TimerId, out: &mut dyn Signalling) {
-        self.turn_to(now);
-        self.alarm_set = false;
-        self.settle(out);
+        self.advance_clock(now);
+        self.is_timer_set = false;
+        self.apply_rules(out);
     }
 
-    /// A clock that runs back is taken to stand.
-    fn turn_to(&mut self, now: Duration) -> Duration {
-        self.look = true;
+    /// Advances the clock, expires callers and unblocks waiting dialogues. A clock that runs backwards stands still.
+    fn advance_clock(&mut self, now: Duration) -> Duration {
+        self.all_rules_due = true;
         let now = self.now.max(now);
         self.now = now;
-        while let Some((until, key)) = self.by_until.first().cloned()
+        while let Some((until, key)) = self.callers_by_expiry.first().cloned()
             && until <= now
         {
-            self.forget_caller(&key);
+            self.remove_caller(&key);
         }
-        while let Some((not_before, _)) = self.room.barred.first()
-            && *not_before <= now
+        while let Some((launch_not_before, _)) = self.waiting.blocked.first()
+            && *launch_not_before <= now
         {
-            let (_, id) = self.room.barred.pop_first().expect("it is there");
-            self.make_ready(&id);
+            let (_, id) = self.waiting.blocked.pop_first().expect("the set is not empty");
+            self.add_to_ready(&id);
         }
         now
     }
 
-    /// After an arrival at a moment already looked at, only the launching rule can fire.
-    fn settle(&mut self, out: &mut dyn Signalling) {
-        let rules = if self.look { &RULES[..] } else { &RULES[RULES.len() - 1..] };
+    /// Applies the rules until none fires. After an arrival at a time for which all rules have been tried, only the
+    /// launch rule can fire.
+    fn apply_rules(&mut self, out: &mut dyn Signalling) {
+        let rules = if self.all_rules_due { &RULES[..] } else { &RULES[RULES.len() - 1..] };
         while rules.iter().any(|rule| rule(self, out)) {}
-        self.look = false;
-        if !self.dialogues.is_empty() && !self.alarm_set {
-            self.alarm_set = true;
-            out.set_timer(TimerId(0), self.figures.tick);
+        self.all_rules_due = false;
+        if !self.dialogues.is_empty() && !self.is_timer_set {
+            self.is_timer_set = true;
+            out.set_timer(TimerId(0), self.parameters.tick);
         }
     }
 
     // Rules
 
-    /// Whatever else goes wrong, a dialogue is answered before the cut-off of its try.
-    fn answer_before_the_cut_off(&mut self, out: &mut dyn Signalling) -> bool {
-        let overdue: BTreeSet<DialogueId> = up_to(&self.by_answer, self.now).collect();
+    /// Fails the dialogues that are about to reach their cut-off, so that each is answered whatever else goes wrong.
+    fn fail_before_cut_off(&mut self, out: &mut dyn Signalling) -> bool {
+        let overdue: BTreeSet<DialogueId> = ids_up_to(&self.by_answer_deadline, self.now).collect();
         for id in &overdue {
-            self.let_go(id, out);
+            self.give_up(id, out);
             out.fail(id);
         }
         !overdue.is_empty()
     }
 
-    /// What can no longer stand within the promised time is refused at once, to the good of what can.
-    fn refuse_the_hopeless(&mut self, out: &mut dyn Signalling) -> bool {
-        let usual = self.usual();
-        let late = up_to(&self.room.by_end, self.now + usual);
-        let hopeless: BTreeSet<DialogueId> = late.chain(up_to(&self.room.by_rest, usual)).collect();
-        for id in &hopeless {
-            self.let_go(id, out);
-            out.refuse(id, self.figures.come_back);
+    /// Refuses waiting dialogues that cannot stand within the promised time any more, in favour of those that can.
+    fn refuse_those_too_late(&mut self, out: &mut dyn Signalling) -> bool {
+        let answer_time = self.shortest_answer_time();
+        let past_deadline = ids_up_to(&self.waiting.by_deadline, self.now + answer_time);
+        let too_late: BTreeSet<DialogueId> =
+            past_deadline.chain(ids_up_to(&self.waiting.by_slack, answer_time)).collect();
+        for id in &too_late {
+            self.give_up(id, out);
+            out.refuse(id, self.parameters.retry_after);
         }
-        !hopeless.is_empty()
+        !too_late.is_empty()
     }
 
-    /// Launches out and no sign of life: hung, cut off, or dead before the list tells.
-    fn set_the_silent_aside(&mut self, out: &mut dyn Signalling) -> bool {
-        let silent = self.servers.iter_mut().find(|(_, s)| {
-            let since = s.in_turn().next().map(|oldest| s.last_sign.max(oldest.at));
-            s.trial_at.is_none() && since.is_some_and(|t| self.now >= t + s.patience())
+    /// Ejects a server that has pending launches and has not responded: it hangs, is cut off, or is dead before the
+    /// pool list shows it.
+    fn eject_unresponsive_server(&mut self, out: &mut dyn Signalling) -> bool {
+        let unresponsive = self.servers.iter_mut().find(|(_, s)| {
+            let since = s.ordered_launches().next().map(|oldest| s.last_response_at.max(oldest.launched_at));
+            s.next_probe_at.is_none() && since.is_some_and(|t| self.now >= t + s.response_timeout())
         });
-        let Some((id, server)) = silent else { return false };
-        server.set_aside(self.now, "silent", id, out);
+        let Some((id, server)) = unresponsive else { return false };
+        server.eject(self.now, "silent", id, out);
         true
     }
 
-    /// A launch that is probably lost is called off, to go elsewhere while there is hope.
-    fn call_off_the_lost(&mut self, out: &mut dyn Signalling) -> bool {
-        let (now, figures) = (self.now, &self.figures);
+    /// Cancels a launch that is probably lost, so that its dialogue can be launched elsewhere while it can still
+    /// finish in time.
+    fn cancel_lost_launch(&mut self, out: &mut dyn Signalling) -> bool {
+        let (now, parameters) = (self.now, &self.parameters);
         let lost = self.servers.iter().flat_map(|(server, s)| {
-            let old = s.out.iter().take_while(|o| now >= o.at + s.ordinary());
-            let lost = old.filter(|o| figures.may_cancel && now >= s.lost_at(o));
+            let old =
+                s.pending_launches.iter().take_while(|o| now >= o.launched_at + s.usual_max_answer_time());
+            let lost = old.filter(|o| parameters.may_cancel && now >= s.lost_from(o));
             lost.filter(|o| {
-                let dialogue = self.dialogues.get(&o.dialogue).filter(|d| d.at.as_ref() == Some(server));
-                dialogue.is_some_and(|d| !d.called_off && now + figures.release < d.promised)
+                let dialogue =
+                    self.dialogues.get(&o.dialogue).filter(|d| d.launched_at_server.as_ref() == Some(server));
+                dialogue.is_some_and(|d| !d.is_cancel_sent && now + parameters.release_time < d.promised_by)
             })
         });
         let Some(id) = lost.map(|o| &o.dialogue).min().cloned() else { return false };
-        let dialogue = self.dialogues.get_mut(&id).expect("it was looked up");
-        dialogue.called_off = true;
-        out.cancel(&id, dialogue.last_launch());
+        let dialogue = self.dialogues.get_mut(&id).expect("the dialogue was found above");
+        dialogue.is_cancel_sent = true;
+        out.cancel(&id, dialogue.last_launch_number());
         true
     }
 
-    /// Of the dialogues that wait and have a server, the one of highest gain is launched, the newest first.
-    fn launch_the_best(&mut self, out: &mut dyn Signalling) -> bool {
-        let open = self.servers.values().filter(|s| s.open(self.now));
-        let Some((.., id)) = open.filter_map(|s| self.best_for(s)).min().cloned() else { return false };
-        self.leave_room(&id);
-        let server_id = self.choose(&self.dialogues[&id]).expect("a server takes it");
-        let dialogue = self.dialogues.get_mut(&id).expect("it waits");
-        let server = self.servers.get_mut(&server_id).expect("it was chosen");
-        dialogue.launches += 1;
-        server.launched(self.now, &id, dialogue);
-        // Where nothing is sent again by itself, a late set-up is given up cheaply.
-        let late = if self.figures.surge.is_finite() { Duration::MAX } else { dialogue.promised };
-        let until = late.min(dialogue.answer_by + self.figures.tick * 2);
+    /// Launches the dialogue that comes first in [`LaunchPriority`] among the waiting ones with a qualifying server.
+    fn launch_first_in_priority(&mut self, out: &mut dyn Signalling) -> bool {
+        let usable = self.servers.values().filter(|s| s.can_launch(self.now));
+        let Some((.., id)) = usable.filter_map(|s| self.best_for(s)).min().cloned() else { return false };
+        self.dequeue(&id);
+        let server_id = self.select_server(&self.dialogues[&id]).expect("a server qualifies");
+        let dialogue = self.dialogues.get_mut(&id).expect("the dialogue was waiting");
+        let server = self.servers.get_mut(&server_id).expect("the server was selected");
+        dialogue.launch_count += 1;
+        server.launch_sent(self.now, &id, dialogue);
+        // Without retransmissions it costs little to abandon a late set-up.
+        let latest =
+            if self.parameters.surge_ratio.is_finite() { Duration::MAX } else { dialogue.promised_by };
+        let until = latest.min(dialogue.answer_by + self.parameters.tick * 2);
         out.launch(&id, &server_id, until.saturating_sub(self.now));
-        dialogue.at = Some(server_id);
+        dialogue.launched_at_server = Some(server_id);
         true
     }
 
-    // The design
+    // Routing
 
-    /// The first choice while it qualifies, else the qualifying server with most estimated free lines.
-    fn choose(&self, dialogue: &Dialogue) -> Option<ServerId> {
+    /// The first choice while it qualifies, else the qualifying server with the most estimated free lines.
+    fn select_server(&self, dialogue: &Dialogue) -> Option<ServerId> {
         let qualifying = self.servers.iter().filter(|(_, s)| {
-            self.is_able(s, dialogue.product)
-                && s.open(self.now)
-                && s.takes(self.now)(dialogue.lot, dialogue.width)
-                && (s.number == dialogue.first_choice || s.takes_overflow(self.now))
+            self.can_handle(s, dialogue.product)
+                && s.can_launch(self.now)
+                && s.admission(self.now)(dialogue.random_rank, dialogue.width)
+                && (s.number == dialogue.first_choice || s.accepts_overflow(self.now))
         });
-        let rank = |(id, s): &(&ServerId, &Server)| {
-            let shunned = dialogue.shunned.as_ref() == Some(*id);
-            (!shunned, s.number == dialogue.first_choice, s.estimate(), s.lot)
+        let preference = |(id, s): &(&ServerId, &Server)| {
+            let is_avoided = dialogue.avoided_server.as_ref() == Some(*id);
+            (!is_avoided, s.number == dialogue.first_choice, s.estimated_free_lines(), s.random_rank)
         };
-        let best = qualifying.max_by(|a, b| rank(a).partial_cmp(&rank(b)).expect("estimates are numbers"));
+        let best = qualifying
+            .max_by(|a, b| preference(a).partial_cmp(&preference(b)).expect("estimates are never NaN"));
         best.map(|(id, _)| id.clone())
     }
 
-    // Figures that several rules share
+    // Shared by several rules
 
-    fn is_able(&self, server: &Server, product: ProductId) -> bool {
-        let able = self.figures.products[product.0].servers.as_ref();
-        able.is_none_or(|able| able.binary_search(&server.number).is_ok())
+    fn can_handle(&self, server: &Server, product: ProductId) -> bool {
+        let servers = self.parameters.products[product.0].servers.as_ref();
+        servers.is_none_or(|servers| servers.binary_search(&server.number).is_ok())
     }
 
-    /// The dialogue that would be launched first, had only this server room.
-    fn best_for(&self, server: &Server) -> Option<&Rank> {
-        let (takes, overflow) = (server.takes(self.now), server.takes_overflow(self.now));
-        let all = self.room.ready.iter().filter(|_| overflow).map(|(product, ranked)| (*product, ranked));
+    /// The dialogue that would be launched first if only this server were usable.
+    fn best_for(&self, server: &Server) -> Option<&LaunchPriority> {
+        let (admits, overflow) = (server.admission(self.now), server.accepts_overflow(self.now));
+        let all = self
+            .waiting
+            .ready_by_product
+            .iter()
+            .filter(|_| overflow)
+            .map(|(product, ranked)| (*product, ranked));
         let own = (server.number, ProductId(0))..=(server.number, ProductId(usize::MAX));
-        let own = self.room.by_choice.range(own).map(|((_, product), ranked)| (*product, ranked));
-        let able = all.chain(own).filter(|(product, _)| self.is_able(server, *product));
-        able.filter_map(|(_, ranked)| ranked.first(&takes)).min()
+        let own =
+            self.waiting.ready_by_first_choice.range(own).map(|((_, product), ranked)| (*product, ranked));
+        let able = all.chain(own).filter(|(product, _)| self.can_handle(server, *product));
+        able.filter_map(|(_, ranked)| ranked.first_matching(&admits)).min()
     }
 
-    /// The quickest answer to be expected.
-    fn usual(&self) -> Duration {
-        let serving = self.servers.values().filter(|s| s.trial_at.is_none());
-        serving.map(|s| s.usual).min().unwrap_or_default()
+    /// The shortest answer time that any server in use can be expected to have.
+    fn shortest_answer_time(&self) -> Duration {
+        let in_use = self.servers.values().filter(|s| s.next_probe_at.is_none());
+        in_use.map(|s| s.smoothed_answer_time).min().unwrap_or_default()
     }
 
-    /// It waits from now on, or waits again.
-    fn wait(&mut self, id: &DialogueId) {
+    /// Adds a dialogue to the waiting queue.
+    fn enqueue(&mut self, id: &DialogueId) {
         let dialogue = &self.dialogues[id];
-        self.room.by_end.insert((dialogue.end(), id.clone()));
-        self.room.by_rest.insert((dialogue.rest(&self.figures), id.clone()));
-        if dialogue.not_before > self.now {
-            self.room.barred.insert((dialogue.not_before, id.clone()));
+        self.waiting.by_deadline.insert((dialogue.deadline(), id.clone()));
+        self.waiting.by_slack.insert((dialogue.slack(&self.parameters), id.clone()));
+        if dialogue.launch_not_before > self.now {
+            self.waiting.blocked.insert((dialogue.launch_not_before, id.clone()));
         } else {
-            self.make_ready(id);
+            self.add_to_ready(id);
         }
     }
 
-    fn make_ready(&mut self, id: &DialogueId) {
+    fn add_to_ready(&mut self, id: &DialogueId) {
         let dialogue = &self.dialogues[id];
-        let all = self.room.ready.entry(dialogue.product).or_default();
-        all.add(dialogue.rank(id), dialogue.lot, dialogue.width);
-        let own = self.room.by_choice.entry((dialogue.first_choice, dialogue.product)).or_default();
-        own.add(dialogue.rank(id), dialogue.lot, dialogue.width);
+        let by_product = self.waiting.ready_by_product.entry(dialogue.product).or_default();
+        by_product.insert(dialogue.priority(id), dialogue.random_rank, dialogue.width);
+        let by_first_choice =
+            self.waiting.ready_by_first_choice.entry((dialogue.first_choice, dialogue.product)).or_default();
+        by_first_choice.insert(dialogue.priority(id), dialogue.random_rank, dialogue.width);
     }
 
-    /// It does not wait any more, if it did.
-    fn leave_room(&mut self, id: &DialogueId) {
+    /// Removes a dialogue from the waiting queue if it is there.
+    fn dequeue(&mut self, id: &DialogueId) {
         let Some(dialogue) = self.dialogues.get(id) else { return };
-        self.room.by_end.remove(&(dialogue.end(), id.clone()));
-        self.room.by_rest.remove(&(dialogue.rest(&self.figures), id.clone()));
-        if !self.room.barred.remove(&(dialogue.not_before, id.clone())) {
-            let (rank, own) = (dialogue.rank(id), (dialogue.first_choice, dialogue.product));
-            if let Some(ranked) = self.room.ready.get_mut(&dialogue.product) {
-                ranked.remove(&rank);
+        self.waiting.by_deadline.remove(&(dialogue.deadline(), id.clone()));
+        self.waiting.by_slack.remove(&(dialogue.slack(&self.parameters), id.clone()));
+        if !self.waiting.blocked.remove(&(dialogue.launch_not_before, id.clone())) {
+            let (priority, first_choice) = (dialogue.priority(id), (dialogue.first_choice, dialogue.product));
+            if let Some(ranked) = self.waiting.ready_by_product.get_mut(&dialogue.product) {
+                ranked.remove(&priority);
             }
-            if let Some(ranked) = self.room.by_choice.get_mut(&own) {
-                ranked.remove(&rank);
+            if let Some(ranked) = self.waiting.ready_by_first_choice.get_mut(&first_choice) {
+                ranked.remove(&priority);
                 if ranked.is_empty() {
-                    self.room.by_choice.remove(&own);
+                    self.waiting.ready_by_first_choice.remove(&first_choice);
                 }
             }
         }
     }
 
-    fn take(&mut self, id: &DialogueId) -> Option<Dialogue> {
-        self.leave_room(id);
+    /// Removes a dialogue that is not owed an answer any more.
+    fn remove_dialogue(&mut self, id: &DialogueId) -> Option<Dialogue> {
+        self.dequeue(id);
         let dialogue = self.dialogues.remove(id)?;
-        self.by_answer.remove(&(dialogue.answer_by, id.clone()));
+        self.by_answer_deadline.remove(&(dialogue.answer_by, id.clone()));
         Some(dialogue)
     }
 
-    fn forget_caller(&mut self, key: &DialledKey) -> Option<(Duration, Duration)> {
+    fn remove_caller(&mut self, key: &DialledKey) -> Option<(Duration, Duration)> {
         let (first, until) = self.callers.remove(key)?;
-        self.by_until.remove(&(until, key.clone()));
+        self.callers_by_expiry.remove(&(until, key.clone()));
         Some((first, until))
     }
 
-    /// Room is short only where tenants together ask for about their quotas or more; then one whose part of
-    /// the dialogues exceeds its part of the quotas is over by the difference, and chance says with which.
-    fn beyond_quota(&mut self, tenant: Option<TenantId>) -> bool {
-        let Some(TenantId(tenant)) = tenant.filter(|t| t.0 < self.demands.len()) else { return false };
-        for (place, demand) in self.demands.iter_mut().enumerate() {
-            demand.asked += NEWEST_DIALOGUE * (f64::from(place == tenant) - demand.asked);
+    /// Counts a dialogue of the tenant and decides whether it is over quota. Capacity is short only where the tenants
+    /// together ask for about their quotas or more. A tenant whose share of the dialogues then exceeds its share of
+    /// the quotas is over quota by the difference, and a random draw selects the dialogues that count as over quota.
+    fn draw_exceeds_quota(&mut self, tenant: Option<TenantId>) -> bool {
+        let Some(TenantId(tenant)) = tenant.filter(|t| t.0 < self.tenant_demands.len()) else { return false };
+        for (place, demand) in self.tenant_demands.iter_mut().enumerate() {
+            demand.demand_share += DEMAND_WEIGHT * (f64::from(place == tenant) - demand.demand_share);
         }
-        let Demand { quota, asked } = self.demands[tenant];
-        self.pcg.share() < 1.0 - quota / asked
+        let TenantDemand { quota_share, demand_share } = self.tenant_demands[tenant];
+        self.random.share() < 1.0 - quota_share / demand_share
     }
 
-    /// Takes out a dialogue that does not stand, and remembers its caller while it may dial again.
-    fn let_go(&mut self, id: &DialogueId, out: &mut dyn Signalling) {
-        let Some(dialogue) = self.take(id) else { return };
-        if dialogue.at.is_some() && !dialogue.called_off && self.figures.may_cancel {
-            out.cancel(id, dialogue.last_launch());
+    /// Removes a dialogue that does not stand, cancels its launch, and remembers its caller while it may redial.
+    fn give_up(&mut self, id: &DialogueId, out: &mut dyn Signalling) {
+        let Some(dialogue) = self.remove_dialogue(id) else { return };
+        if dialogue.launched_at_server.is_some() && !dialogue.is_cancel_sent && self.parameters.may_cancel {
+            out.cancel(id, dialogue.last_launch_number());
         }
-        let until = dialogue.first_dialled + self.figures.products[dialogue.product.0].redial_window;
+        let until = dialogue.first_dialled_at + self.parameters.products[dialogue.product.0].redial_window;
         if let Some(key) = dialogue.key {
-            self.forget_caller(&key);
-            self.by_until.insert((until, key.clone()));
-            self.callers.insert(key, (dialogue.first_dialled, until));
-            if self.callers.len() > MOST_CALLERS
-                && let Some((_, key)) = self.by_until.pop_first()
+            self.remove_caller(&key);
+            self.callers_by_expiry.insert((until, key.clone()));
+            self.callers.insert(key, (dialogue.first_dialled_at, until));
+            if self.callers.len() > MAX_REMEMBERED_CALLERS
+                && let Some((_, key)) = self.callers_by_expiry.pop_first()
             {
                 self.callers.remove(&key);
             }
@@ -664,245 +727,285 @@
 }
 
 impl Dialogue {
-    fn last_launch(&self) -> LaunchNumber {
-        LaunchNumber(self.launches.saturating_sub(1))
+    fn last_launch_number(&self) -> LaunchNumber {
+        LaunchNumber(self.launch_count.saturating_sub(1))
     }
 
-    /// From then on it cannot stand within the promised time.
-    fn end(&self) -> Duration {
-        self.promised.min(self.answer_by)
+    /// After this time it cannot stand within the promised time.
+    fn deadline(&self) -> Duration {
+        self.promised_by.min(self.answer_by)
     }
 
-    /// The time from its next launch, were that not to be had sooner for want of a server, to its end.
-    fn rest(&self, figures: &Figures) -> Duration {
-        let spent = self.turned_back > 1 || self.launches >= figures.max_launches;
-        if spent { Duration::ZERO } else { self.end().saturating_sub(self.not_before) }
+    /// Time from the earliest permitted launch to the deadline; zero if no further launch is permitted.
+    fn slack(&self, parameters: &Parameters) -> Duration {
+        let is_exhausted = self.turn_backs > 1 || self.launch_count >= parameters.max_launches;
+        if is_exhausted { Duration::ZERO } else { self.deadline().saturating_sub(self.launch_not_before) }
     }
 
-    fn rank(&self, id: &DialogueId) -> Rank {
-        (Reverse(Real(self.gain)), Reverse(self.first_dialled), id.clone())
+    fn priority(&self, id: &DialogueId) -> LaunchPriority {
+        (Reverse(TotalF64(self.gain)), Reverse(self.first_dialled_at), id.clone())
     }
 }
 
-/// Those whose time is no later than this.
-fn up_to(times: &BTreeSet<(Duration, DialogueId)>, until: Duration) -> impl Iterator<Item = DialogueId> {
+/// The dialogues whose time is not later than `until`.
+fn ids_up_to(times: &BTreeSet<(Duration, DialogueId)>, until: Duration) -> impl Iterator<Item = DialogueId> {
     times.iter().take_while(move |(at, _)| *at <= until).map(|(_, id)| id.clone())
 }
 
 impl Server {
-    fn new(entry: &ListEntry, now: Duration, borne: f64, figures: Rc<Figures>, lot: u32) -> Self {
+    fn new(
+        entry: &ListEntry, now: Duration, sustained_rate: f64, parameters: Rc<Parameters>, random_rank: u32,
+    ) -> Self {
         Self {
-            pcg: Pcg::new(lot.into()),
-            limit: 1.0 + figures.headroom,
-            figures,
+            random: Pcg::new(random_rank.into()),
+            limit: 1.0 + parameters.headroom,
+            parameters,
             number: entry.number,
-            listed: entry.state,
+            state: entry.state,
             started: Some(entry.started).filter(|s| !s.is_zero()),
-            lot,
-            told_free: None,
-            placed_since: 0.0,
-            out: Vec::new(),
-            opens_at: Duration::ZERO,
-            last_launch: Duration::ZERO,
-            overflow_at: Duration::ZERO,
-            last_sign: now,
-            trial_at: None,
-            failures: 0,
-            usual: Duration::ZERO,
-            spread: Duration::ZERO,
-            borne,
-            reckoned_at: now,
-            placed: 0.0,
-        }
-    }
-
-    /// Told free less own placed since; before any report it counts as having room.
-    fn estimate(&self) -> f64 {
-        self.told_free.map_or(f64::INFINITY, |free| free - self.placed_since)
-    }
-
-    /// It may be sent something new.
-    fn open(&self, now: Duration) -> bool {
-        let room = if self.trial_at.is_some() { 1.0 } else { self.limit.max(1.0) };
-        self.listed == ServerState::Active
-            && (self.in_turn().count() + 1) as f64 <= room
-            && now >= self.trial_at.unwrap_or_default().max(self.opens_at)
-            && now >= self.last_launch + self.cold_gap(self.last_launch)
-    }
-
-    /// Which dialogues it has room for: by their lots while its limit is a share, and by their width.
-    fn takes(&self, now: Duration) -> impl Fn(f64, f64) -> bool {
-        let tried = self.last_launch + self.gap(TRIAL_SHARE);
-        let (estimate, limit, all) = (self.estimate(), self.limit, self.limit >= 1.0 || now >= tried);
-        move |lot, width| estimate >= width && (all || lot < limit)
-    }
-
-    /// What others turn away comes to the emptiest from all at once: proxies take turns each gap, by lot,
-    /// which lapse soon, else each had one saved up when a surge begins.
-    fn takes_overflow(&self, now: Duration) -> bool {
-        let turn =
-            now.saturating_sub(self.overflow_at).as_secs_f64() / self.gap(OVERFLOW_SHARE).as_secs_f64();
-        let turn = (turn + f64::from(self.lot) / f64::from(u32::MAX)).fract();
-        self.borne == 0.0 || now >= self.overflow_at && turn < TURN.max(self.figures.headroom)
-    }
-
-    fn read(&mut self, now: Duration, report: &LoadReport) {
-        let sane = |figure: Option<f64>| figure.filter(|f| (0.0..=MOST_TOLD).contains(f));
-        let (free, all) = (sane(report.free_lines), sane(report.total_lines));
+            random_rank,
+            reported_free_lines: None,
+            lines_placed_since_report: 0.0,
+            pending_launches: Vec::new(),
+            blocked_until: Duration::ZERO,
+            last_launch_at: Duration::ZERO,
+            overflow_allowed_at: Duration::ZERO,
+            last_response_at: now,
+            next_probe_at: None,
+            consecutive_failures: 0,
+            smoothed_answer_time: Duration::ZERO,
+            answer_time_spread: Duration::ZERO,
+            sustained_rate,
+            rate_estimated_at: now,
+            placement_rate: 0.0,
+        }
+    }
+
+    /// Free lines last reported minus lines taken by own launches since; unbounded before the first report.
+    fn estimated_free_lines(&self) -> f64 {
+        self.reported_free_lines.map_or(f64::INFINITY, |free| free - self.lines_placed_since_report)
+    }
+
+    /// Whether a launch may be sent to it now.
+    fn can_launch(&self, now: Duration) -> bool {
+        let max_launches = if self.next_probe_at.is_some() { 1.0 } else { self.limit.max(1.0) };
+        self.state == ServerState::Active
+            && (self.ordered_launches().count() + 1) as f64 <= max_launches
+            && now >= self.next_probe_at.unwrap_or_default().max(self.blocked_until)
+            && now >= self.last_launch_at + self.cold_launch_interval(self.last_launch_at)
+    }
+
+    /// Tells which dialogues it takes: by their random rank while its limit is a share, and by their width.
+    fn admission(&self, now: Duration) -> impl Fn(f64, f64) -> bool {
+        let next_probe = self.last_launch_at + self.shared_interval(PROBE_RATE_SHARE);
+        let (estimate, limit, admits_all) =
+            (self.estimated_free_lines(), self.limit, self.limit >= 1.0 || now >= next_probe);
+        move |random_rank, width| estimate >= width && (admits_all || random_rank < limit)
+    }
+
+    /// Whether it takes a dialogue whose first choice is another server. All edge proxies would send what others turn
+    /// away to the emptiest server at once, so they take turns within each interval, in the order of a random draw. A
+    /// turn lapses soon; otherwise each proxy would have one saved up when a traffic surge begins.
+    fn accepts_overflow(&self, now: Duration) -> bool {
+        let phase = now.saturating_sub(self.overflow_allowed_at).as_secs_f64()
+            / self.shared_interval(OVERFLOW_RATE_MULTIPLE).as_secs_f64();
+        let phase = (phase + f64::from(self.random_rank) / f64::from(u32::MAX)).fract();
+        self.sustained_rate == 0.0
+            || now >= self.overflow_allowed_at && phase < OVERFLOW_TURN_SHARE.max(self.parameters.headroom)
+    }
+
+    fn apply_report(&mut self, now: Duration, report: &LoadReport) {
+        let plausible = |figure: Option<f64>| figure.filter(|f| (0.0..=MAX_REPORTED_FIGURE).contains(f));
+        let (free, total) = (plausible(report.free_lines), plausible(report.total_lines));
         if let Some(free) = free {
-            (self.told_free, self.placed_since) = (Some(free), 0.0);
-        }
-        // A queue lasts as long as it takes at the told rate, else at the rate that the lines in use tell.
-        let in_use = all.zip(free).filter(|_| self.figures.lasts > 0.0);
-        let placed = in_use.map(|(all, free)| (all - free) / self.figures.lasts);
-        let since = (now - self.reckoned_at).as_secs_f64();
-        if let Some(placed) = placed.filter(|_| since >= RECKONING && self.cold_level(now).is_none()) {
-            // What comes is what goes, at the mean length, and what the lines in use have grown by.
-            let coming = placed + (placed - self.placed) * self.figures.lasts / since;
-            if self.placed > 0.0 && coming > self.figures.surge * self.borne.max(LOWEST_RATE) {
-                self.cut(now, Duration::ZERO);
+            (self.reported_free_lines, self.lines_placed_since_report) = (Some(free), 0.0);
+        }
+        // The wait in a queue follows from the reported rate, or else from the rate derived from the lines in use.
+        let lines = total.zip(free).filter(|_| self.parameters.mean_duration_seconds > 0.0);
+        let rate_in_use = lines.map(|(total, free)| (total - free) / self.parameters.mean_duration_seconds);
+        let elapsed = (now - self.rate_estimated_at).as_secs_f64();
+        if let Some(rate_in_use) = rate_in_use
+            .filter(|_| elapsed >= RATE_INTERVAL_SECONDS && self.cold_capacity_share(now).is_none())
+        {
+            // Incoming rate: what ends, given the mean duration, plus the growth of the lines in use.
+            let incoming = rate_in_use
+                + (rate_in_use - self.placement_rate) * self.parameters.mean_duration_seconds / elapsed;
+            if self.placement_rate > 0.0
+                && incoming
+                    > self.parameters.surge_ratio * self.sustained_rate.max(MIN_SUSTAINED_RATE_PER_SECOND)
+            {
+                self.reduce_limit(now, Duration::ZERO);
             }
-            self.borne = (self.borne * (-since / BORNE_SPAN).exp()).max(placed);
-            (self.reckoned_at, self.placed) = (now, placed);
+            self.sustained_rate =
+                (self.sustained_rate * (-elapsed / SUSTAINED_RATE_DECAY_SECONDS).exp()).max(rate_in_use);
+            (self.rate_estimated_at, self.placement_rate) = (now, rate_in_use);
         }
-        let rate = sane(report.rate).or(placed).filter(|rate| *rate > 0.0);
-        let queue = sane(report.processor_queue).zip(rate).map(|(queue, rate)| queue / rate);
-        if let Some(wait) = report.processor_wait.map(|wait| wait.as_secs_f64()).or(queue) {
-            self.seen(now, Duration::from_secs_f64(wait.min(60.0)));
+        let rate = plausible(report.rate).or(rate_in_use).filter(|rate| *rate > 0.0);
+        let queue_wait = plausible(report.processor_queue).zip(rate).map(|(queue, rate)| queue / rate);
+        if let Some(wait) = report.processor_wait.map(|wait| wait.as_secs_f64()).or(queue_wait) {
+            self.adapt_limit(now, Duration::from_secs_f64(wait.min(MAX_REPORTED_WAIT_SECONDS)));
         }
     }
 
-    fn launched(&mut self, now: Duration, id: &DialogueId, dialogue: &Dialogue) {
-        self.placed_since += dialogue.width;
-        self.last_launch = now;
+    /// Records a launch that is being sent to it.
+    fn launch_sent(&mut self, now: Duration, id: &DialogueId, dialogue: &Dialogue) {
+        self.lines_placed_since_report += dialogue.width;
+        self.last_launch_at = now;
         if dialogue.first_choice != self.number {
-            self.overflow_at = now + self.gap(OVERFLOW_SHARE);
+            self.overflow_allowed_at = now + self.shared_interval(OVERFLOW_RATE_MULTIPLE);
         }
-        self.out.push(Out { dialogue: id.clone(), launch: dialogue.last_launch(), at: now, overtaken: None });
-        if self.trial_at.is_some() {
-            self.trial_at = Some(now + self.next_trial(0.5));
+        self.pending_launches.push(PendingLaunch {
+            dialogue: id.clone(),
+            number: dialogue.last_launch_number(),
+            launched_at: now,
+            overtaken_at: None,
+        });
+        if self.next_probe_at.is_some() {
+            self.next_probe_at = Some(now + self.draw_probe_delay(0.5));
         }
     }
 
-    fn take_out(&mut self, id: &DialogueId, launch: LaunchNumber) -> Option<Duration> {
-        let place = self.out.iter().position(|o| o.dialogue == *id && o.launch == launch)?;
-        Some(self.out.remove(place).at)
+    /// Removes a pending launch and returns when it was sent.
+    fn remove_launch(&mut self, id: &DialogueId, launch: LaunchNumber) -> Option<Duration> {
+        let place = self.pending_launches.iter().position(|o| o.dialogue == *id && o.number == launch)?;
+        Some(self.pending_launches.remove(place).launched_at)
     }
 
-    /// It has answered: a sign of life, and to a launch still out the end of any silence.
-    fn answered(
+    /// Records an answer, and returns when the launch was sent if it was pending. The answer to a pending launch
+    /// always ends an ejection.
+    fn answer_received(
         &mut self, now: Duration, id: &DialogueId, launch: LaunchNumber, out: &mut dyn Signalling,
     ) -> Option<Duration> {
-        self.last_sign = now;
-        let at = self.take_out(id, launch);
-        // The end of a standing dialogue breaks a silence too, but says nothing of set-ups that fail or jam.
-        let silent = self.failures < FAILURES && self.limit >= 1.0;
-        if (silent || at.is_some()) && self.trial_at.take().is_some() {
+        self.last_response_at = now;
+        let launched_at = self.remove_launch(id, launch);
+        // The end of a standing dialogue shows that the server responds again, but says nothing about set-ups that
+        // fail or queue up there.
+        let was_only_unresponsive = self.consecutive_failures < EJECTION_FAILURES && self.limit >= 1.0;
+        if (was_only_unresponsive || launched_at.is_some()) && self.next_probe_at.take().is_some() {
             self.limit = self.limit.min(1.0);
-            let wait = at.map(|at| now - at);
+            let wait = launched_at.map(|launched_at| now - launched_at);
             out.log(&format!("server {} back: a sign of life, answer after {wait:?}", self.number.0));
         }
-        let at = at?;
-        for earlier in self.out.iter_mut().filter(|o| o.at < at) {
-            earlier.overtaken.get_or_insert(now);
+        let launched_at = launched_at?;
+        for earlier in self.pending_launches.iter_mut().filter(|o| o.launched_at < launched_at) {
+            earlier.overtaken_at.get_or_insert(now);
         }
-        self.failures = 0;
-        Some(at)
+        self.consecutive_failures = 0;
+        Some(launched_at)
     }
 
-    fn learn(&mut self, now: Duration, wait: Duration) {
-        if self.usual.is_zero() {
-            (self.usual, self.spread) = (wait, wait / 2);
+    /// Updates the smoothed answer time, and adapts the limit to the measured wait.
+    fn record_answer_time(&mut self, now: Duration, wait: Duration) {
+        if self.smoothed_answer_time.is_zero() {
+            (self.smoothed_answer_time, self.answer_time_spread) = (wait, wait / 2);
         }
-        self.spread = self.spread.mul_f64(1.0 - NEWEST) + wait.abs_diff(self.usual).mul_f64(NEWEST);
-        self.usual = self.usual.mul_f64(1.0 - NEWEST) + wait.mul_f64(NEWEST);
-        if wait <= self.figures.ease || now - wait >= self.opens_at {
-            self.seen(now, wait);
+        self.answer_time_spread = self.answer_time_spread.mul_f64(1.0 - ANSWER_TIME_WEIGHT)
+            + wait.abs_diff(self.smoothed_answer_time).mul_f64(ANSWER_TIME_WEIGHT);
+        self.smoothed_answer_time =
+            self.smoothed_answer_time.mul_f64(1.0 - ANSWER_TIME_WEIGHT) + wait.mul_f64(ANSWER_TIME_WEIGHT);
+        if wait <= self.parameters.max_normal_wait || now - wait >= self.blocked_until {
+            self.adapt_limit(now, wait);
         }
     }
 
-    /// A wait there, met or told: in ease the limit grows, else it falls.
-    fn seen(&mut self, now: Duration, wait: Duration) {
-        if wait <= self.figures.ease {
-            // Below 1 an ease takes one cut back; above, a full round adds one, within the headroom.
-            let most = (self.in_turn().count() + 1) as f64 + self.figures.headroom;
-            self.limit = (self.limit / CUT).min(self.limit + 1.0 / self.limit).min(most).max(self.limit);
-        } else if now >= self.opens_at {
-            self.cut(now, wait - self.figures.ease);
+    /// Adapts the limit to a wait at the server, measured or reported: it grows under normal load and is cut on
+    /// overload.
+    fn adapt_limit(&mut self, now: Duration, wait: Duration) {
+        if wait <= self.parameters.max_normal_wait {
+            // Below 1, one normal wait undoes one cut; above, a full round of them adds one, within the headroom.
+            let max_limit = (self.ordered_launches().count() + 1) as f64 + self.parameters.headroom;
+            self.limit = (self.limit / LIMIT_CUT_FACTOR)
+                .min(self.limit + 1.0 / self.limit)
+                .min(max_limit)
+                .max(self.limit);
+        } else if now >= self.blocked_until {
+            self.reduce_limit(now, wait - self.parameters.max_normal_wait);
         }
     }
 
-    /// The design: full is zero free until its next report.
-    fn full(&mut self, now: Duration, beyond: Duration) {
-        self.told_free = Some(0.0);
-        self.cut(now, beyond);
+    /// A full server counts as having no free line until its next report.
+    fn mark_full(&mut self, now: Duration, excess: Duration) {
+        self.reported_free_lines = Some(0.0);
+        self.reduce_limit(now, excess);
     }
 
-    /// Strain: the limit falls, and what waits beyond the ease has time to be worked off; chance keeps the
-    /// proxies from coming back as one.
-    fn cut(&mut self, now: Duration, beyond: Duration) {
-        self.limit = (self.limit * CUT).max(LOWEST_LIMIT);
-        self.opens_at = self.opens_at.max(now + beyond.mul_f64(0.5 + self.pcg.share()));
+    /// Cuts the limit and blocks the server while the excess wait is worked off. The time is random, so that the edge
+    /// proxies do not return all at once.
+    fn reduce_limit(&mut self, now: Duration, excess: Duration) {
+        self.limit = (self.limit * LIMIT_CUT_FACTOR).max(MIN_LIMIT);
+        self.blocked_until = self.blocked_until.max(now + excess.mul_f64(0.5 + self.random.share()));
     }
 
-    /// The launches that are still in turn there, oldest first.
-    fn in_turn(&self) -> impl Iterator<Item = &Out> {
-        self.out.iter().filter(|o| o.overtaken.is_none())
+    /// The pending launches that have not been overtaken, oldest first.
+    fn ordered_launches(&self) -> impl Iterator<Item = &PendingLaunch> {
+        self.pending_launches.iter().filter(|o| o.overtaken_at.is_none())
     }
 
-    /// The wait that nearly all answers stay within.
-    fn ordinary(&self) -> Duration {
-        self.usual + self.spread * 4
+    /// The time within which nearly all answers arrive.
+    fn usual_max_answer_time(&self) -> Duration {
+        self.smoothed_answer_time + self.answer_time_spread * ANSWER_TIME_SPREADS
     }
 
-    fn patience(&self) -> Duration {
-        self.figures.silence.max(self.ordinary())
+    /// The time without a response after which the server counts as unresponsive.
+    fn response_timeout(&self) -> Duration {
+        self.parameters.min_response_timeout.max(self.usual_max_answer_time())
     }
 
-    /// When a launch counts as lost: overtaken and past the ordinary wait; or, where nothing is sent again by
-    /// itself, long unanswered without strain.
-    fn lost_at(&self, launch: &Out) -> Duration {
-        match launch.overtaken {
-            // Not in the same breath: its answer may be the next input.
-            Some(at) => (launch.at + self.ordinary()).max(at + self.figures.tick),
-            None if self.limit >= 1.0 && self.figures.surge.is_infinite() => launch.at + self.patience(),
+    /// The time from which a launch counts as lost: once overtaken and past the usual answer time; or, where set-ups
+    /// are not retransmitted, once unanswered for the response time-out without overload.
+    fn lost_from(&self, launch: &PendingLaunch) -> Duration {
+        match launch.overtaken_at {
+            // Not at the same moment: its answer may be the next input.
+            Some(at) => (launch.launched_at + self.usual_max_answer_time()).max(at + self.parameters.tick),
+            None if self.limit >= 1.0 && self.parameters.surge_ratio.is_infinite() => {
+                launch.launched_at + self.response_timeout()
+            }
             None => Duration::MAX,
         }
     }
 
-    fn set_aside(&mut self, now: Duration, why: &str, id: &ServerId, out: &mut dyn Signalling) {
-        if self.trial_at.is_none() {
-            self.trial_at = Some(now + self.next_trial(0.0));
-            let (quiet, there) = (now - self.last_sign, self.out.len());
-            let line = format!("server {} at {} set aside: {why}, {there} out", self.number.0, id.0);
-            out.log(&format!("{line}, last sign {quiet:?} ago"));
+    fn eject(&mut self, now: Duration, why: &str, id: &ServerId, out: &mut dyn Signalling) {
+        if self.next_probe_at.is_none() {
+            self.next_probe_at = Some(now + self.draw_probe_delay(0.0));
+            let (unresponsive_for, pending) = (now - self.last_response_at, self.pending_launches.len());
+            let line = format!("server {} at {} set aside: {why}, {pending} out", self.number.0, id.0);
+            out.log(&format!("{line}, last sign {unresponsive_for:?} ago"));
         }
     }
 
-    /// The share of its capacity that a server just started surely has; none once warm.
-    fn cold_level(&self, now: Duration) -> Option<f64> {
-        let warmed = now.saturating_sub(self.started?).as_secs_f64() / self.figures.warm_after.as_secs_f64();
-        (warmed < 1.0).then_some(1.0 - (1.0 - self.figures.cold_share) * (1.0 - warmed))
+    /// The share of its capacity that a recently started server certainly has; `None` once it is warm.
+    fn cold_capacity_share(&self, now: Duration) -> Option<f64> {
+        let warmed =
+            now.saturating_sub(self.started?).as_secs_f64() / self.parameters.warm_up_time.as_secs_f64();
+        (warmed < 1.0).then_some(1.0 - (1.0 - self.parameters.cold_start_share) * (1.0 - warmed))
     }
 
-    /// Between launches of one proxy to a cold server.
-    fn cold_gap(&self, now: Duration) -> Duration {
-        let Some(level) = self.cold_level(now) else { return Duration::ZERO };
-        // The mean that lies CHANCES of its roots below the most that is chance, budget + 2 x its root + 2.
-        let budget = self.borne.max(LOWEST_RATE) * level * self.figures.cold_multiple;
-        let most = budget + 2.0 * budget.sqrt() + 2.0;
-        let mean = ((most + CHANCES * CHANCES / 4.0).sqrt() - CHANCES / 2.0).powi(2);
-        self.figures.fall_within.mul_f64(self.figures.proxies / mean)
+    /// Interval between launches of one edge proxy to a cold server; zero once it is warm.
+    fn cold_launch_interval(&self, now: Duration) -> Duration {
+        let Some(share) = self.cold_capacity_share(now) else { return Duration::ZERO };
+        // The mean that lies COLD_START_DEVIATIONS of its square roots below the maximum that counts as chance, which
+        // is budget + 2 * sqrt(budget) + 2.
+        let budget = self.sustained_rate.max(MIN_SUSTAINED_RATE_PER_SECOND)
+            * share
+            * self.parameters.overload_multiple_seconds;
+        let max_launches = budget + 2.0 * budget.sqrt() + 2.0;
+        let mean = ((max_launches + COLD_START_DEVIATIONS * COLD_START_DEVIATIONS / 4.0).sqrt()
+            - COLD_START_DEVIATIONS / 2.0)
+            .powi(2);
+        self.parameters.overload_window.mul_f64(self.parameters.proxies / mean)
     }
 
-    /// Between launches of one proxy, where all together are to send this share of what the server has borne.
-    fn gap(&self, share: f64) -> Duration {
-        let told = if self.borne > 0.0 { self.figures.proxies } else { 0.0 };
-        Duration::from_secs_f64(told / (share * self.borne.max(1.0)))
+    /// Interval between launches of one edge proxy if all of them together send this share of the sustained rate;
+    /// zero while that rate is unknown.
+    fn shared_interval(&self, share: f64) -> Duration {
+        let proxies = if self.sustained_rate > 0.0 { self.parameters.proxies } else { 0.0 };
+        Duration::from_secs_f64(proxies / (share * self.sustained_rate.max(1.0)))
     }
 
-    /// To its next trial: chance keeps the proxies from trying as one.
-    fn next_trial(&mut self, least: f64) -> Duration {
-        self.figures.silence.max(self.gap(TRIAL_SHARE).mul_f64(least + self.pcg.share()))
+    /// Delay until the next probe launch, random so that the edge proxies do not probe all at once.
+    fn draw_probe_delay(&mut self, min_intervals: f64) -> Duration {
+        self.parameters
+            .min_response_timeout
+            .max(self.shared_interval(PROBE_RATE_SHARE).mul_f64(min_intervals + self.random.share()))
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! lotussaddle: the admission part of a proxy before shared core servers.
+//! lotussaddle: the admission and routing decisions of an edge proxy in front of shared core servers.
 //!
-//! [`brain`] holds every decision, [`interface`] the words it is spoken to in, [`pcg`] its chance, [`ranked`] a list
-//! it keeps in order.
-//! None of them knows a wire or a clock: the caller brings inputs and the time since the start.
+//! [`brain`] makes every decision, [`interface`] defines the types of its inputs and outputs, [`pcg`] generates its
+//! random numbers, and [`ranked`] is the sorted list behind its waiting queue.
+//! None of them knows a wire or a clock: the caller passes in the inputs and the time since start.
 
 pub mod brain;
 pub mod interface;
