--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -1,5 +1,5 @@
-//! What one input costs the decisions, in time and in heap memory, as the fleet grows tenfold: core servers, edge
-//! proxies in the route plan, and dialogues that wait. `cargo bench --bench fleet`
+//! Cost of an input to the decision module, in time and heap memory, when the number of core servers and of edge proxies
+//! in the route plan grows tenfold. Run with `cargo bench --bench fleet`.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::collections::VecDeque;
@@ -10,31 +10,31 @@
 use lotussaddle::brain::Brain;
 use lotussaddle::interface::*;
 
-/// Counts what is allocated and not yet let go.
-struct Counting;
+/// Allocator that counts the bytes allocated and not yet freed.
+struct CountingAllocator;
 
-static HELD: AtomicUsize = AtomicUsize::new(0);
+static ALLOCATED_BYTES: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: hands on to the system's allocator; the count changes nothing about what it gives.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: every call is passed on to the system allocator unchanged; counting has no effect on its results.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        HELD.fetch_add(layout.size(), Ordering::Relaxed);
+        ALLOCATED_BYTES.fetch_add(layout.size(), Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
-    unsafe fn dealloc(&self, place: *mut u8, layout: Layout) {
-        HELD.fetch_sub(layout.size(), Ordering::Relaxed);
-        unsafe { System.dealloc(place, layout) }
+    unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
+        ALLOCATED_BYTES.fetch_sub(layout.size(), Ordering::Relaxed);
+        unsafe { System.dealloc(pointer, layout) }
     }
 }
 
 #[global_allocator]
-static HEAP: Counting = Counting;
+static HEAP: CountingAllocator = CountingAllocator;
 
-fn held() -> usize {
-    HELD.load(Ordering::Relaxed)
+fn allocated_bytes() -> usize {
+    ALLOCATED_BYTES.load(Ordering::Relaxed)
 }
 
-/// Takes what is decided and keeps the launches.
+/// Records the launches and discards all other effects.
 #[derive(Default)]
 struct Sink {
     launched: VecDeque<(DialogueId, ServerId)>,
@@ -51,7 +51,7 @@
     fn log(&mut self, _: &str) {}
 }
 
-/// Half of the products can be taken by half of the servers alone, as trunk groups have it.
+/// A plan in which only half of the servers can handle half of the products, as with trunk groups.
 fn plan(servers: i64, proxies: u32) -> RoutePlan {
     let product = |n: i64| Product {
         promised: Duration::from_secs(1000),
@@ -80,27 +80,27 @@
     }
 }
 
-/// What the waiting room is like.
+/// State of the waiting queue.
 #[derive(Clone, Copy, PartialEq)]
-enum Room {
-    /// Each dial finds a server.
+enum QueueState {
+    /// Each dialogue finds a server.
     Empty,
-    /// All servers are at their limits; an answer lets one dialogue go.
-    Full,
-    /// All servers are open for a share by lot, and those who wait drew higher lots.
-    Shares,
+    /// All servers are at their limits; each answer releases one dialogue.
+    LimitsReached,
+    /// All servers take a share of the dialogues, and the random ranks of the waiting ones are above it.
+    RanksAboveShare,
 }
 
-const KINDS: [&str; 5] = ["dial", "answer", "report", "list", "alarm"];
+const INPUT_KINDS: [&str; 5] = ["dial", "answer", "report", "list", "timer"];
 
 struct Run {
-    /// Microseconds of each input, by kind.
-    took: [Vec<f64>; 5],
+    /// Microseconds per input, by kind.
+    input_times_us: [Vec<f64>; 5],
     server_bytes: usize,
     waiting_bytes: usize,
 }
 
-fn run(servers: i64, proxies: u32, room: Room, waiting: u64, rounds: u32) -> Run {
+fn run(servers: i64, proxies: u32, queue_state: QueueState, waiting: u64, rounds: u32) -> Run {
     let id = |n: i64| ServerId(Arc::from(format!("core-{n}")));
     let (mut brain, mut sink) = (Brain::new(plan(servers, proxies), 7), Sink::default());
     let mut now = Duration::from_millis(1);
@@ -111,9 +111,9 @@
         started: Duration::ZERO,
     };
     let entries: Vec<ListEntry> = (0..servers).map(entry).collect();
-    let before = held();
+    let before = allocated_bytes();
     brain.server_list_received(now, true, &entries, &mut sink);
-    let server_bytes = (held() - before) / servers as usize;
+    let server_bytes = (allocated_bytes() - before) / servers as usize;
     let arrival = |n: u64, now: Duration| Arrival {
         id: DialogueId(Arc::from(format!("gateway-17-{n}"))),
         key: Some(DialledKey(Arc::from(format!("key-{n}")))),
@@ -132,7 +132,7 @@
         processor_wait: wait.map(Duration::from_millis),
         ..LoadReport::default()
     };
-    if room == Room::Shares {
+    if queue_state == QueueState::RanksAboveShare {
         for _ in 0..12 {
             for n in 0..servers {
                 brain.load_reported(now, &id(n), &report(Some(500)), &mut sink);
@@ -140,32 +140,32 @@
             now += Duration::from_secs(1);
         }
     }
-    let before = held();
-    let mut count = 0;
+    let before = allocated_bytes();
+    let mut arrival_count = 0;
     for _ in 0..waiting + 2 * servers as u64 {
-        brain.dialogue_arrived(now, arrival(count, now), &mut sink);
-        count += 1;
+        brain.dialogue_arrived(now, arrival(arrival_count, now), &mut sink);
+        arrival_count += 1;
     }
-    let waiting_bytes = if waiting > 1000 { (held() - before) / waiting as usize } else { 0 };
-    let mut took: [Vec<f64>; 5] = Default::default();
+    let waiting_bytes = if waiting > 1000 { (allocated_bytes() - before) / waiting as usize } else { 0 };
+    let mut input_times_us: [Vec<f64>; 5] = Default::default();
     for round in 0..rounds {
         now += Duration::from_micros(200);
-        // In an empty room each dial is answered before the next; else one who waits goes with each answer.
+        // With an empty queue each dialogue is answered before the next; else each answer releases a waiting one.
         let answered = sink.launched.pop_front();
         let mut timed = |kind: usize, input: &mut dyn FnMut(&mut Brain, &mut Sink)| {
-            let begun = Instant::now();
+            let started_at = Instant::now();
             input(&mut brain, &mut sink);
-            took[kind].push(begun.elapsed().as_secs_f64() * 1e6);
+            input_times_us[kind].push(started_at.elapsed().as_secs_f64() * 1e6);
         };
         if let Some((dialogue, server)) = answered {
             timed(1, &mut |brain, sink| {
                 brain.dialogue_stands(now, &dialogue, LaunchNumber(0), &server, sink)
             });
         }
-        timed(0, &mut |brain, sink| brain.dialogue_arrived(now, arrival(count, now), sink));
-        count += 1;
+        timed(0, &mut |brain, sink| brain.dialogue_arrived(now, arrival(arrival_count, now), sink));
+        arrival_count += 1;
         let n = i64::from(round) % servers;
-        let wait = (room != Room::Shares).then_some(1);
+        let wait = (queue_state != QueueState::RanksAboveShare).then_some(1);
         timed(2, &mut |brain, sink| brain.load_reported(now, &id(n), &report(wait), sink));
         timed(4, &mut |brain, sink| brain.timer_fired(now, TimerId(0), sink));
         if round % 8 == 0 {
@@ -173,46 +173,47 @@
             timed(3, &mut |brain, sink| brain.server_list_received(now, false, &changed, sink));
         }
     }
-    Run { took, server_bytes, waiting_bytes }
+    Run { input_times_us, server_bytes, waiting_bytes }
 }
 
-fn figures(times: &mut [f64]) -> (f64, f64, f64) {
+/// Mean, 99th percentile and maximum.
+fn summary(times: &mut [f64]) -> (f64, f64, f64) {
     times.sort_by(f64::total_cmp);
-    let Some(worst) = times.last().copied() else { return (0.0, 0.0, 0.0) };
+    let Some(max) = times.last().copied() else { return (0.0, 0.0, 0.0) };
     let mean = times.iter().sum::<f64>() / times.len() as f64;
-    (mean, times[(times.len() * 99 / 100).min(times.len() - 1)], worst)
+    (mean, times[(times.len() * 99 / 100).min(times.len() - 1)], max)
 }
 
 fn main() {
-    // Under `cargo test` it only shows that it runs.
-    let quick = std::env::args().any(|a| a == "--test");
-    let rounds = if quick { 50 } else { 10_000 };
+    // Under `cargo test`, a short run only checks that the bench works.
+    let is_test = std::env::args().any(|a| a == "--test");
+    let rounds = if is_test { 50 } else { 10_000 };
     println!(
-        "microseconds an input: mean / p99 / worst; and, of the mean, the ratio to the fleet a tenth the size"
+        "microseconds per input: mean / p99 / max; and the ratio of the mean to that of the fleet a tenth the size"
     );
-    for (name, room, waiting) in [
-        ("few wait", Room::Empty, 0),
-        ("10,000 wait, servers at their limits", Room::Full, 10_000),
-        ("10,000 wait, servers open for shares", Room::Shares, 10_000),
+    for (name, queue_state, waiting) in [
+        ("few dialogues wait", QueueState::Empty, 0),
+        ("10,000 dialogues wait, servers at their limits", QueueState::LimitsReached, 10_000),
+        ("10,000 dialogues wait, servers take a share", QueueState::RanksAboveShare, 10_000),
     ] {
         println!("{name}");
-        let waiting = if quick { waiting / 100 } else { waiting };
-        let mut small: [f64; 5] = [0.0; 5];
+        let waiting = if is_test { waiting / 100 } else { waiting };
+        let mut means_of_small_fleet: [f64; 5] = [0.0; 5];
         for (servers, proxies) in [(10, 220), (100, 2200)] {
-            let mut run = run(servers, proxies, room, waiting, rounds);
+            let mut run = run(servers, proxies, queue_state, waiting, rounds);
             print!("  {servers:>3} servers, {proxies:>4} proxies:");
-            for (kind, times) in run.took.iter_mut().enumerate() {
-                let (mean, p99, worst) = figures(times);
-                print!("  {} {mean:.2} / {p99:.1} / {worst:.0}", KINDS[kind]);
-                if small[kind] > 0.0 {
-                    print!(" (x{:.1})", mean / small[kind]);
+            for (kind, times) in run.input_times_us.iter_mut().enumerate() {
+                let (mean, p99, max) = summary(times);
+                print!("  {} {mean:.2} / {p99:.1} / {max:.0}", INPUT_KINDS[kind]);
+                if means_of_small_fleet[kind] > 0.0 {
+                    print!(" (x{:.1})", mean / means_of_small_fleet[kind]);
                 }
-                small[kind] = mean;
+                means_of_small_fleet[kind] = mean;
             }
             println!();
-            print!("      {} bytes a server", run.server_bytes);
+            print!("      {} bytes per server", run.server_bytes);
             if run.waiting_bytes > 0 {
-                print!(", {} bytes a waiting dialogue", run.waiting_bytes);
+                print!(", {} bytes per waiting dialogue", run.waiting_bytes);
             }
             println!();
         }
--- a/benches/waiting.rs
+++ b/benches/waiting.rs
@@ -1,5 +1,5 @@
-//! What an input costs the decisions while many dialogues wait: the form with indexes beside the former one, which
-//! walks over all that waits. `cargo bench --bench waiting`
+//! Cost of an input to the decision module while many dialogues wait: the present version with indexes compared with
+//! the former one, which scans all waiting dialogues. Run with `cargo bench --bench waiting`.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -22,7 +22,7 @@
 
 use adapter::FormerBrain;
 
-/// Takes what is decided and keeps the launches.
+/// Records the launches and discards all other effects.
 #[derive(Default)]
 struct Sink {
     launched: std::collections::VecDeque<(DialogueId, ServerId)>,
@@ -92,54 +92,56 @@
             is_retry: false,
             redialled_after_cut: false,
         };
-        let mut count = 0;
+        let mut arrival_count = 0;
         for _ in 0..$waiting + 16 {
-            brain.dialogue_arrived(now, arrival(count, now), &mut sink);
-            count += 1;
+            brain.dialogue_arrived(now, arrival(arrival_count, now), &mut sink);
+            arrival_count += 1;
         }
-        // As many wait all the time: an answer sets one free, and a dial takes its place.
-        let (mut answers, mut dials, mut alarms) = (Duration::ZERO, Duration::ZERO, Duration::ZERO);
+        // The number of waiting dialogues is constant: an answer releases one, and a new dial replaces it.
+        let (mut answers, mut dials, mut timers) = (Duration::ZERO, Duration::ZERO, Duration::ZERO);
         let mut answered = 0u32;
-        let mut worst = Duration::ZERO;
+        let mut max_answer_time = Duration::ZERO;
         for _ in 0..$rounds {
             now += Duration::from_micros(200);
             let Some((dialogue, server)) = sink.launched.pop_front() else { break };
-            let begun = Instant::now();
+            let started_at = Instant::now();
             brain.dialogue_stands(now, &dialogue, LaunchNumber(0), &server, &mut sink);
-            let took = begun.elapsed();
-            (answers, worst, answered) = (answers + took, worst.max(took), answered + 1);
-            let begun = Instant::now();
-            brain.dialogue_arrived(now, arrival(count, now), &mut sink);
-            dials += begun.elapsed();
-            count += 1;
-            let begun = Instant::now();
+            let elapsed = started_at.elapsed();
+            (answers, max_answer_time, answered) =
+                (answers + elapsed, max_answer_time.max(elapsed), answered + 1);
+            let started_at = Instant::now();
+            brain.dialogue_arrived(now, arrival(arrival_count, now), &mut sink);
+            dials += started_at.elapsed();
+            arrival_count += 1;
+            let started_at = Instant::now();
             brain.timer_fired(now, TimerId(0), &mut sink);
-            alarms += begun.elapsed();
+            timers += started_at.elapsed();
         }
-        let each = |sum: Duration| sum.as_secs_f64() * 1e6 / f64::from(answered.max(1));
-        (each(answers), each(dials), each(alarms), worst.as_secs_f64() * 1e6, answered)
+        let mean_us = |sum: Duration| sum.as_secs_f64() * 1e6 / f64::from(answered.max(1));
+        (mean_us(answers), mean_us(dials), mean_us(timers), max_answer_time.as_secs_f64() * 1e6, answered)
     }};
 }
 
 fn main() {
-    // Under `cargo test` it only shows that it runs.
-    let quick = std::env::args().any(|a| a == "--test");
-    println!("microseconds an input, mean (worst answer)");
+    // Under `cargo test`, a short run only checks that the bench works.
+    let is_test = std::env::args().any(|a| a == "--test");
+    println!("microseconds per input, mean (maximum answer)");
     println!(
         "{:>8} {:>28} {:>30}",
-        "waiting", "with indexes: answer dial alarm", "former: answer dial alarm"
+        "waiting", "with indexes: answer dial timer", "former: answer dial timer"
     );
     for waiting in [100u64, 1000, 10_000, 50_000] {
-        if quick && waiting > 100 {
+        if is_test && waiting > 100 {
             break;
         }
-        let runs = if quick { 1 } else { 3 };
+        let runs = if is_test { 1 } else { 3 };
         for _ in 0..runs {
-            let (a, d, t, worst, rounds) = measured!(Brain, waiting, 20_000);
-            let walks = (2_000_000 / waiting).clamp(30, 2000);
-            let (fa, fd, ft, fworst, frounds) = measured!(FormerBrain, waiting, walks);
+            let (answer, dial, timer, max_answer_time, rounds) = measured!(Brain, waiting, 20_000);
+            let former_rounds = (2_000_000 / waiting).clamp(30, 2000);
+            let (former_answer, former_dial, former_timer, former_max_answer_time, former_rounds) =
+                measured!(FormerBrain, waiting, former_rounds);
             println!(
-                "{waiting:>8} {a:>8.2} {d:>6.2} {t:>6.2} ({worst:>7.1}) x{rounds} {fa:>10.1} {fd:>9.1} {ft:>9.1} ({fworst:>7.0}) x{frounds}"
+                "{waiting:>8} {answer:>8.2} {dial:>6.2} {timer:>6.2} ({max_answer_time:>7.1}) x{rounds} {former_answer:>10.1} {former_dial:>9.1} {former_timer:>9.1} ({former_max_answer_time:>7.0}) x{former_rounds}"
             );
         }
     }
--- a/crates/drill/tests/wire.rs
+++ b/crates/drill/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The program on the wire: what is read, what is answered, and what is said of malformed lines.
+//! The adapter as a process: the messages that it reads, its replies, and its errors for malformed lines.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -23,7 +23,8 @@
     program.wait_with_output().expect("the program ends")
 }
 
-const UP: &str = "MARK clockMs=1000.5 frame=1\nSELECT proxyId=3\nENLIST rngSeed=5 conf=CONF\n\
+/// Creates instance 3 with two active servers.
+const START: &str = "MARK clockMs=1000.5 frame=1\nSELECT proxyId=3\nENLIST rngSeed=5 conf=CONF\n\
     REGISTER list=0 elements=2\n\
     ENTRY failureDomain=0 generationHw=0 number=0 weight=1 server=10.0.0.1:5 readiness=active\n\
     ENTRY failureDomain=0 generationHw=0 number=1 weight=1 server=10.0.0.2:5 sinceMs=10.0 readiness=active\n\
@@ -32,15 +33,16 @@
 const ORDER: &str = "ORDER call=751f6a785d3a91c4 grade=0 nameKey=91f03b7c55d20a64 clientDeadlineMs=4000.5 dest=0 \
     units=1 hop=-1\n";
 
-fn answered(lines: &str) -> String {
-    let output = run(&format!("{UP}{lines}"));
+/// Runs the adapter on a started instance and returns its replies, errors and exit status.
+fn output_of(lines: &str) -> String {
+    let output = run(&format!("{START}{lines}"));
     let (reply, error) = (String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
     format!("{reply}{error}{}", output.status)
 }
 
 #[test]
 fn a_dialogue_is_launched_and_stands() {
-    assert_snapshot!(answered(&format!(
+    assert_snapshot!(output_of(&format!(
         "MARK clockMs=1005.5 frame=2\nSELECT proxyId=3\n{ORDER}EOF_BATCH\n\n\
          MARK clockMs=1030 frame=3\nSELECT proxyId=3\nALARM name=0\n\
          STARTED call=751f6a785d3a91c4 durationMs=24.5 server=10.0.0.1:5 n=0\n\
@@ -50,10 +52,10 @@
     )));
 }
 
-/// A list number is used again within a batch, and an instance comes up anew under its number.
+/// A list number is reused within a batch, and an instance restarts under its number.
 #[test]
-fn lists_are_resolved_in_order_and_a_restart_forgets() {
-    assert_snapshot!(answered(&format!(
+fn lists_are_resolved_in_order_and_a_restart_clears_state() {
+    assert_snapshot!(output_of(&format!(
         "MARK clockMs=1005.5 frame=2\nSELECT proxyId=3\nREGISTER list=0 elements=1\n\
          ENTRY number=0 server=10.0.0.7:5 readiness=active\nSYNC form=full generation=2 list=0\n\
          REGISTER list=0 elements=0\nSYNC form=delta generation=3 list=0\n{ORDER}DESTROY\n\
@@ -62,7 +64,7 @@
 }
 
 #[test]
-fn malformed_input_is_named_and_ends_the_program() {
+fn malformed_input_ends_the_program_with_an_error() {
     let batch = |line: &str| format!("MARK clockMs=1005 frame=2\nSELECT proxyId=3\n{line}\n");
     let cases = [
         "SHOUT loud=1".to_string(),
@@ -84,12 +86,12 @@
         batch("SELECT proxyId=4\nALARM name=1"),
         batch("ALARM name=1"),
     ];
-    let said = cases.map(|case| {
-        let output = run(&format!("{UP}{case}"));
+    let errors = cases.map(|case| {
+        let output = run(&format!("{START}{case}"));
         assert!(
             !output.status.success() && String::from_utf8_lossy(&output.stdout).ends_with("DONE frame=1\n")
         );
         String::from_utf8_lossy(&output.stderr).into_owned()
     });
-    assert_snapshot!(said.concat());
+    assert_snapshot!(errors.concat());
 }
--- a/crates/settings/src/plan.rs
+++ b/crates/settings/src/plan.rs
@@ -151,21 +151,21 @@
         .iter()
         .try_for_each(|tenant| check_range("tenants.quotaRps", tenant.quota_rps, 0.0..=1e9))?;
     let mut products = Vec::new();
-    for (place, category) in parsed.categories.iter().enumerate() {
+    for (index, category) in parsed.categories.iter().enumerate() {
         check_range("categories.worth", category.worth, 1e-6..=1e9)?;
         check_range("categories.lateShare", category.late_share, 0.0..=1.0)?;
         products.push(Product {
             promised: checked_millis("promiseMs", category.promise_ms)?,
             mean_duration: checked_millis(
                 "classHoldMs",
-                domain.class_hold_ms.get(place).copied().unwrap_or_default(),
+                domain.class_hold_ms.get(index).copied().unwrap_or_default(),
             )?,
             redial_window: checked_millis("hardLimitMs", category.hard_limit_ms)?,
             gain: category.worth,
             late_share: category.late_share,
             servers: domain
                 .class_cells
-                .get(place)
+                .get(index)
                 .map(|servers| servers.iter().copied().map(ServerNumber).collect()),
         });
     }
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -699,8 +699,8 @@
     /// the quotas is over quota by the difference, and a random draw selects the dialogues that count as over quota.
     fn draw_exceeds_quota(&mut self, tenant: Option<TenantId>) -> bool {
         let Some(TenantId(tenant)) = tenant.filter(|t| t.0 < self.tenant_demands.len()) else { return false };
-        for (place, demand) in self.tenant_demands.iter_mut().enumerate() {
-            demand.demand_share += DEMAND_WEIGHT * (f64::from(place == tenant) - demand.demand_share);
+        for (index, demand) in self.tenant_demands.iter_mut().enumerate() {
+            demand.demand_share += DEMAND_WEIGHT * (f64::from(index == tenant) - demand.demand_share);
         }
         let TenantDemand { quota_share, demand_share } = self.tenant_demands[tenant];
         self.random.share() < 1.0 - quota_share / demand_share
@@ -867,8 +867,8 @@
 
     /// Removes a pending launch and returns when it was sent.
     fn remove_launch(&mut self, id: &DialogueId, launch: LaunchNumber) -> Option<Duration> {
-        let place = self.pending_launches.iter().position(|o| o.dialogue == *id && o.number == launch)?;
-        Some(self.pending_launches.remove(place).launched_at)
+        let index = self.pending_launches.iter().position(|o| o.dialogue == *id && o.number == launch)?;
+        Some(self.pending_launches.remove(index).launched_at)
     }
 
     /// Records an answer, and returns when the launch was sent if it was pending. The answer to a pending launch
--- a/src/ranked.rs
+++ b/src/ranked.rs
@@ -83,12 +83,12 @@
         self.chunks.partition_point(|chunk| chunk.entries.last().is_some_and(|last| last.key < *key))
     }
 
-    /// Inserts a key at its place in the order.
+    /// Inserts a key at its position in the order.
     pub fn insert(&mut self, key: K, random_rank: f64, width: f64) {
         (self.min_random_rank, self.min_width) =
             (self.min_random_rank.min(random_rank), self.min_width.min(width));
-        let place = self.chunk_of(&key).min(self.chunks.len().saturating_sub(1));
-        let Some(chunk) = self.chunks.get_mut(place) else {
+        let index = self.chunk_of(&key).min(self.chunks.len().saturating_sub(1));
+        let Some(chunk) = self.chunks.get_mut(index) else {
             return self.chunks.push(Chunk::new(vec![Entry { key, random_rank, width }]));
         };
         let at = chunk.entries.partition_point(|entry| entry.key < key);
@@ -98,14 +98,14 @@
         if chunk.entries.len() > MAX_CHUNK_ENTRIES {
             let upper = Chunk::new(chunk.entries.split_off(MAX_CHUNK_ENTRIES / 2));
             chunk.recompute_minima();
-            self.chunks.insert(place + 1, upper);
+            self.chunks.insert(index + 1, upper);
         }
     }
 
     /// Removes a key if it is present.
     pub fn remove(&mut self, key: &K) {
-        let place = self.chunk_of(key);
-        let Some(chunk) = self.chunks.get_mut(place) else { return };
+        let index = self.chunk_of(key);
+        let Some(chunk) = self.chunks.get_mut(index) else { return };
         if let Ok(at) = chunk.entries.binary_search_by(|entry| entry.key.cmp(key)) {
             let removed = chunk.entries.remove(at);
             if removed.random_rank <= chunk.min_random_rank || removed.width <= chunk.min_width {
@@ -116,12 +116,12 @@
                 self.min_random_rank =
                     self.chunks.iter().map(|c| c.min_random_rank).fold(f64::INFINITY, f64::min);
             }
-            let chunk = &self.chunks[place];
+            let chunk = &self.chunks[index];
             if chunk.min_width > self.min_width && removed.width <= self.min_width {
                 self.min_width = self.chunks.iter().map(|c| c.min_width).fold(f64::INFINITY, f64::min);
             }
-            if self.chunks[place].entries.is_empty() {
-                self.chunks.remove(place);
+            if self.chunks[index].entries.is_empty() {
+                self.chunks.remove(index);
             }
         }
     }
--- a/tests/both_forms.rs
+++ b/tests/both_forms.rs
@@ -1,6 +1,5 @@
-//! The decisions before and after they got their indexes: random inputs go to both forms, and every decision of the
-//! one must be that of the other, in the same order. `former/brain.rs` is the form that walked over all that waits,
-//! as it was settled on the bench.
+//! Compares the decision module with its former version in `former/brain.rs`, which scans all waiting dialogues instead
+//! of using indexes: given the same random inputs, both must make the same decisions in the same order.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -24,14 +23,14 @@
 
 use adapter::FormerBrain;
 
-/// What was decided, as text; and what a world needs to go on.
+/// The decisions as text, and what the simulation needs to continue.
 #[derive(Default)]
 struct Trace {
     text: String,
     launched: Vec<(DialogueId, ServerId)>,
-    let_go: Vec<DialogueId>,
+    concluded: Vec<DialogueId>,
     cancelled: Vec<(DialogueId, LaunchNumber)>,
-    alarm: Option<Duration>,
+    timer: Option<Duration>,
 }
 
 impl Signalling for Trace {
@@ -39,13 +38,13 @@
         let _ = writeln!(self.text, "launch {} {} {time_out:?}", dialogue.0, server.0);
         self.launched.push((dialogue.clone(), server.clone()));
     }
-    fn refuse(&mut self, dialogue: &DialogueId, come_back: Option<Duration>) {
-        let _ = writeln!(self.text, "refuse {} {come_back:?}", dialogue.0);
-        self.let_go.push(dialogue.clone());
+    fn refuse(&mut self, dialogue: &DialogueId, retry_after: Option<Duration>) {
+        let _ = writeln!(self.text, "refuse {} {retry_after:?}", dialogue.0);
+        self.concluded.push(dialogue.clone());
     }
     fn fail(&mut self, dialogue: &DialogueId) {
         let _ = writeln!(self.text, "fail {}", dialogue.0);
-        self.let_go.push(dialogue.clone());
+        self.concluded.push(dialogue.clone());
     }
     fn cancel(&mut self, dialogue: &DialogueId, launch: LaunchNumber) {
         let _ = writeln!(self.text, "cancel {} {}", dialogue.0, launch.0);
@@ -53,36 +52,37 @@
     }
     fn set_timer(&mut self, _timer: TimerId, after: Duration) {
         let _ = writeln!(self.text, "timer {after:?}");
-        self.alarm = Some(after);
+        self.timer = Some(after);
     }
     fn log(&mut self, line: &str) {
         let _ = writeln!(self.text, "log {line}");
     }
 }
 
-/// A launch that is out in the world.
-struct Out {
+/// A launch without an answer, or one that stands.
+struct SimulatedLaunch {
     dialogue: DialogueId,
     launch: LaunchNumber,
     server: ServerId,
 }
 
-struct Both {
+/// Both versions of the module, and the simulated surroundings that they share.
+struct Comparison {
     now: Duration,
-    new: Brain,
-    old: FormerBrain,
-    chance: Pcg,
-    out: Vec<Out>,
-    standing: Vec<Out>,
-    launches: std::collections::BTreeMap<DialogueId, u32>,
-    alarm: Option<Duration>,
+    present: Brain,
+    former: FormerBrain,
+    random: Pcg,
+    pending: Vec<SimulatedLaunch>,
+    standing: Vec<SimulatedLaunch>,
+    launch_counts: std::collections::BTreeMap<DialogueId, u32>,
+    timer: Option<Duration>,
     inputs: u64,
     decisions: u64,
-    most_waiting: usize,
+    max_waiting: usize,
 }
 
-fn plan(chance: &mut Pcg) -> RoutePlan {
-    let mut pick = |all: &[u64]| all[chance.draw() as usize % all.len()];
+fn plan(random: &mut Pcg) -> RoutePlan {
+    let mut pick = |all: &[u64]| all[random.draw() as usize % all.len()];
     let products = (0..pick(&[1, 2, 3]))
         .map(|n| Product {
             promised: Duration::from_millis(pick(&[300, 800, 1500, 2000])),
@@ -112,108 +112,110 @@
     }
 }
 
-impl Both {
+impl Comparison {
     fn new(seed: u64) -> Self {
-        let mut chance = Pcg::new(seed);
-        let fork = chance.draw();
-        let (one, two) = (plan(&mut Pcg::new(fork.into())), plan(&mut Pcg::new(fork.into())));
+        let mut random = Pcg::new(seed);
+        let fork = random.draw();
+        let (present, former) = (plan(&mut Pcg::new(fork.into())), plan(&mut Pcg::new(fork.into())));
         Self {
             now: Duration::ZERO,
-            new: Brain::new(one, seed),
-            old: FormerBrain::new(two, seed),
-            chance,
-            out: Vec::new(),
+            present: Brain::new(present, seed),
+            former: FormerBrain::new(former, seed),
+            random,
+            pending: Vec::new(),
             standing: Vec::new(),
-            launches: Default::default(),
-            alarm: None,
+            launch_counts: Default::default(),
+            timer: None,
             inputs: 0,
             decisions: 0,
-            most_waiting: 0,
+            max_waiting: 0,
         }
     }
 
-    /// Brings an input to both and compares all that comes of it.
-    fn bring(
-        &mut self, what: &str, new: impl FnOnce(&mut Brain, &mut Trace),
-        old: impl FnOnce(&mut FormerBrain, &mut Trace),
+    /// Passes an input to both versions and compares their decisions.
+    fn compare(
+        &mut self, what: &str, present_input: impl FnOnce(&mut Brain, &mut Trace),
+        former_input: impl FnOnce(&mut FormerBrain, &mut Trace),
     ) {
-        let (mut one, mut two) = (Trace::default(), Trace::default());
-        new(&mut self.new, &mut one);
-        old(&mut self.old, &mut two);
-        assert_eq!(one.text, two.text, "input {} at {:?}: {what}", self.inputs, self.now);
+        let (mut present, mut former) = (Trace::default(), Trace::default());
+        present_input(&mut self.present, &mut present);
+        former_input(&mut self.former, &mut former);
+        assert_eq!(present.text, former.text, "input {} at {:?}: {what}", self.inputs, self.now);
         self.inputs += 1;
-        self.decisions += one.text.lines().filter(|line| !line.starts_with("timer")).count() as u64;
-        for (dialogue, server) in one.launched {
-            let count = self.launches.entry(dialogue.clone()).or_default();
-            self.out.push(Out { dialogue, launch: LaunchNumber(*count), server });
+        self.decisions += present.text.lines().filter(|line| !line.starts_with("timer")).count() as u64;
+        for (dialogue, server) in present.launched {
+            let count = self.launch_counts.entry(dialogue.clone()).or_default();
+            self.pending.push(SimulatedLaunch { dialogue, launch: LaunchNumber(*count), server });
             *count += 1;
         }
-        for id in one.let_go {
-            self.launches.remove(&id);
+        for id in present.concluded {
+            self.launch_counts.remove(&id);
         }
-        if let Some(after) = one.alarm {
-            self.alarm = Some(self.now + after);
+        if let Some(after) = present.timer {
+            self.timer = Some(self.now + after);
         }
-        self.most_waiting = self.most_waiting.max(self.launches.len().saturating_sub(self.out.len()));
+        self.max_waiting = self.max_waiting.max(self.launch_counts.len().saturating_sub(self.pending.len()));
         let now = self.now;
-        for (dialogue, launch) in one.cancelled {
-            if let Some(place) = self.out.iter().position(|o| o.dialogue == dialogue && o.launch == launch) {
-                let out = self.out.swap_remove(place);
-                // Called off at once, or in the moment it stood.
-                let closed = !self.launches.contains_key(&dialogue);
+        for (dialogue, launch) in present.cancelled {
+            if let Some(index) =
+                self.pending.iter().position(|o| o.dialogue == dialogue && o.launch == launch)
+            {
+                let cancelled = self.pending.swap_remove(index);
+                // Cancelled while pending, or at the moment it stood.
+                let closed = !self.launch_counts.contains_key(&dialogue);
                 let outcome = Outcome::Cancelled;
-                self.ends(out, outcome, closed);
+                self.launch_ends(cancelled, outcome, closed);
             }
         }
         assert_eq!(now, self.now);
     }
 
-    fn ends(&mut self, out: Out, outcome: Outcome, closed: bool) {
+    fn launch_ends(&mut self, launch: SimulatedLaunch, outcome: Outcome, closed: bool) {
         let now = self.now;
         let end = || LaunchEnd {
-            dialogue: out.dialogue.clone(),
-            launch: out.launch,
-            server: out.server.clone(),
+            dialogue: launch.dialogue.clone(),
+            launch: launch.launch,
+            server: launch.server.clone(),
             outcome,
             closed,
             report: LoadReport::default(),
         };
-        let (one, two) = (end(), end());
+        let (present, former) = (end(), end());
         if closed {
-            self.launches.remove(&out.dialogue);
+            self.launch_counts.remove(&launch.dialogue);
         }
-        self.bring(
+        self.compare(
             &format!("{outcome:?}"),
-            |b, t| b.launch_ended(now, one, t),
-            |b, t| b.launch_ended(now, two, t),
+            |b, t| b.launch_ended(now, present, t),
+            |b, t| b.launch_ended(now, former, t),
         );
     }
 
     fn draw(&mut self, below: u32) -> usize {
-        (self.chance.draw() % below) as usize
+        (self.random.draw() % below) as usize
     }
 
-    fn list(&mut self, whole: bool) {
+    fn send_list(&mut self, whole: bool) {
         let entries: Vec<ListEntry> = (0..1 + self.draw(5))
             .map(|n| {
-                let listed = [
+                let states = [
                     ServerState::Active,
                     ServerState::Active,
                     ServerState::Active,
                     ServerState::Draining,
                     ServerState::Gone,
                 ];
-                let since = if self.draw(4) == 0 { self.now } else { Duration::ZERO };
+                let started = if self.draw(4) == 0 { self.now } else { Duration::ZERO };
                 ListEntry {
                     server: ServerId(Arc::from(format!("s{}", if whole { n } else { self.draw(7) }))),
                     number: ServerNumber(if whole { n as i64 } else { self.draw(5) as i64 }),
-                    state: if whole { ServerState::Active } else { listed[self.draw(5)] },
-                    started: since,
+                    state: if whole { ServerState::Active } else { states[self.draw(5)] },
+                    started,
                 }
             })
             .collect();
         let now = self.now;
-        self.bring(
+        self.compare(
             "list",
             |b, t| b.server_list_received(now, whole, &entries, t),
             |b, t| b.server_list_received(now, whole, &entries, t),
@@ -221,13 +223,13 @@
     }
 
     fn dial(&mut self, products: u32, tenants: u32) {
-        let name = format!("{:08x}", self.chance.draw());
+        let name = format!("{:08x}", self.random.draw());
         let key = format!("k{}", self.draw(200));
         let (product, first_choice) = (self.draw(products), self.draw(7) as i64);
-        let tenant = (tenants > 0).then(|| TenantId(self.chance.draw() as usize % tenants as usize));
+        let tenant = (tenants > 0).then(|| TenantId(self.random.draw() as usize % tenants as usize));
         let width = [1.0, 1.0, 1.0, 4.0][self.draw(4)];
         let left = Duration::from_millis([5, 50, 400, 1500, 3000][self.draw(5)]);
-        let (again, came_back) = (self.draw(4) == 0, self.draw(10) == 0);
+        let (is_retry, redialled_after_cut) = (self.draw(4) == 0, self.draw(10) == 0);
         let now = self.now;
         let arrival = || Arrival {
             id: DialogueId(Arc::from(name.as_str())),
@@ -238,30 +240,30 @@
             width,
             dialled_at: now,
             cut_off: now + left,
-            is_retry: again,
-            redialled_after_cut: came_back,
+            is_retry,
+            redialled_after_cut,
         };
-        self.launches.insert(arrival().id, 0);
-        self.bring(
+        self.launch_counts.insert(arrival().id, 0);
+        self.compare(
             "dial",
             |b, t| b.dialogue_arrived(now, arrival(), t),
             |b, t| b.dialogue_arrived(now, arrival(), t),
         );
     }
 
-    fn report(&mut self) {
+    fn send_report(&mut self) {
         let id = ServerId(Arc::from(format!("s{}", self.draw(7))));
         let lines = [50.0, 1000.0][self.draw(2)];
         let report = LoadReport {
-            free_lines: (self.draw(2) == 0).then(|| lines * self.chance.share()),
+            free_lines: (self.draw(2) == 0).then(|| lines * self.random.share()),
             total_lines: (self.draw(2) == 0).then_some(lines),
             processor_busy: None,
-            processor_queue: (self.draw(2) == 0).then(|| self.chance.share() * 30.0),
-            processor_wait: (self.draw(3) == 0).then(|| Duration::from_secs_f64(self.chance.share() * 0.8)),
-            rate: (self.draw(3) == 0).then(|| self.chance.share() * 40.0),
+            processor_queue: (self.draw(2) == 0).then(|| self.random.share() * 30.0),
+            processor_wait: (self.draw(3) == 0).then(|| Duration::from_secs_f64(self.random.share() * 0.8)),
+            rate: (self.draw(3) == 0).then(|| self.random.share() * 40.0),
         };
         let now = self.now;
-        self.bring(
+        self.compare(
             "report",
             |b, t| b.load_reported(now, &id, &report, t),
             |b, t| b.load_reported(now, &id, &report, t),
@@ -269,19 +271,19 @@
     }
 
     fn step(&mut self, products: u32, tenants: u32) {
-        // Mostly little time passes; now and then the proxy stands still.
-        let passes = match self.draw(200) {
+        // Inputs mostly follow closely; occasionally the edge proxy is stalled.
+        let elapsed_us = match self.draw(200) {
             0 => 1_500_000,
             1..=20 => 30_000,
             21..=90 => 1000,
             _ => 0,
         };
-        self.now += Duration::from_micros(passes);
-        if self.alarm.is_some_and(|at| at <= self.now) {
-            self.alarm = None;
+        self.now += Duration::from_micros(elapsed_us);
+        if self.timer.is_some_and(|at| at <= self.now) {
+            self.timer = None;
             let now = self.now;
-            self.bring(
-                "alarm",
+            self.compare(
+                "timer",
                 |b, t| b.timer_fired(now, TimerId(0), t),
                 |b, t| b.timer_fired(now, TimerId(0), t),
             );
@@ -289,28 +291,32 @@
         match self.draw(20) {
             0 if self.draw(10) == 0 => {
                 let whole = self.draw(3) == 0;
-                self.list(whole);
+                self.send_list(whole);
             }
-            0 | 1 => self.report(),
+            0 | 1 => self.send_report(),
             2 => {
-                if !self.launches.is_empty() {
-                    let place = self.chance.draw() as usize % self.launches.len();
-                    let id = self.launches.keys().nth(place).cloned().expect("it is there");
-                    self.launches.remove(&id);
+                if !self.launch_counts.is_empty() {
+                    let index = self.random.draw() as usize % self.launch_counts.len();
+                    let id = self.launch_counts.keys().nth(index).cloned().expect("the index is in range");
+                    self.launch_counts.remove(&id);
                     let now = self.now;
-                    self.bring("left", |b, t| b.caller_left(now, &id, t), |b, t| b.caller_left(now, &id, t));
+                    self.compare(
+                        "caller left",
+                        |b, t| b.caller_left(now, &id, t),
+                        |b, t| b.caller_left(now, &id, t),
+                    );
                 }
             }
-            3..=7 if !self.out.is_empty() => {
-                let place = self.chance.draw() as usize % self.out.len();
-                let out = self.out.swap_remove(place);
-                let known = self.launches.contains_key(&out.dialogue);
+            3..=7 if !self.pending.is_empty() => {
+                let index = self.random.draw() as usize % self.pending.len();
+                let launch = self.pending.swap_remove(index);
+                let known = self.launch_counts.contains_key(&launch.dialogue);
                 if known && self.draw(2) == 0 {
-                    self.launches.remove(&out.dialogue);
+                    self.launch_counts.remove(&launch.dialogue);
                     let (now, id, no, server) =
-                        (self.now, out.dialogue.clone(), out.launch, out.server.clone());
-                    self.standing.push(out);
-                    self.bring(
+                        (self.now, launch.dialogue.clone(), launch.launch, launch.server.clone());
+                    self.standing.push(launch);
+                    self.compare(
                         "stands",
                         |b, t| b.dialogue_stands(now, &id, no, &server, t),
                         |b, t| b.dialogue_stands(now, &id, no, &server, t),
@@ -329,13 +335,13 @@
                         NotSent,
                     ];
                     let outcome = all[self.draw(9)];
-                    self.ends(out, outcome, !known);
+                    self.launch_ends(launch, outcome, !known);
                 }
             }
             8 if !self.standing.is_empty() => {
-                let out = self.standing.pop().expect("it stands");
+                let launch = self.standing.pop().expect("a launch stands");
                 let outcome = [Outcome::Ended, Outcome::BrokenOff][self.draw(2)];
-                self.ends(out, outcome, true);
+                self.launch_ends(launch, outcome, true);
             }
             _ => self.dial(products, tenants),
         }
@@ -343,20 +349,20 @@
 }
 
 #[test]
-fn both_forms_decide_alike() {
-    let (mut inputs, mut decisions, mut most_waiting) = (0, 0, 0);
+fn both_versions_make_the_same_decisions() {
+    let (mut inputs, mut decisions, mut max_waiting) = (0, 0, 0);
     for seed in 0..150 {
-        let mut both = Both::new(seed);
+        let mut comparison = Comparison::new(seed);
         let shape = plan(&mut Pcg::new(Pcg::new(seed).draw().into()));
         let (products, tenants) = (shape.products.len() as u32, shape.tenants.len() as u32);
-        both.list(true);
+        comparison.send_list(true);
         for _ in 0..1500 {
-            both.step(products, tenants);
+            comparison.step(products, tenants);
         }
-        (inputs, decisions) = (inputs + both.inputs, decisions + both.decisions);
-        most_waiting = most_waiting.max(both.most_waiting);
+        (inputs, decisions) = (inputs + comparison.inputs, decisions + comparison.decisions);
+        max_waiting = max_waiting.max(comparison.max_waiting);
     }
-    // That much must have happened for the comparison to mean something.
+    // Fewer inputs or decisions would make the comparison meaningless.
     assert!(inputs > 200_000 && decisions > 100_000, "{inputs} inputs, {decisions} decisions");
-    assert!(most_waiting > 100, "{most_waiting} waiting at most");
+    assert!(max_waiting > 100, "at most {max_waiting} dialogues waiting");
 }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Short nights of one edge proxy: what comes in, and the trace of what it decides. Times in milliseconds.
+//! Short scenarios of one edge proxy: its inputs, and a snapshot of its decisions. Times are in milliseconds.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -12,37 +12,41 @@
 struct Trace {
     text: String,
     now: u64,
-    alarm: Option<u64>,
+    timer: Option<u64>,
 }
 
 impl Trace {
-    fn put(&mut self, line: std::fmt::Arguments) {
+    fn push_line(&mut self, line: std::fmt::Arguments) {
         let _ = writeln!(self.text, "{:>6} {line}", self.now);
     }
 }
 
 impl Signalling for Trace {
     fn launch(&mut self, dialogue: &DialogueId, server: &ServerId, time_out: Duration) {
-        self.put(format_args!("launch {} at {} for {}", dialogue.0, server.0, time_out.as_millis()));
+        self.push_line(format_args!("launch {} at {} for {}", dialogue.0, server.0, time_out.as_millis()));
     }
-    fn refuse(&mut self, dialogue: &DialogueId, come_back: Option<Duration>) {
-        self.put(format_args!("refuse {}, come back in {:?}", dialogue.0, come_back.unwrap_or_default()));
+    fn refuse(&mut self, dialogue: &DialogueId, retry_after: Option<Duration>) {
+        self.push_line(format_args!(
+            "refuse {}, retry after {:?}",
+            dialogue.0,
+            retry_after.unwrap_or_default()
+        ));
     }
     fn fail(&mut self, dialogue: &DialogueId) {
-        self.put(format_args!("fail {}", dialogue.0));
+        self.push_line(format_args!("fail {}", dialogue.0));
     }
     fn cancel(&mut self, dialogue: &DialogueId, launch: LaunchNumber) {
-        self.put(format_args!("cancel {} launch {}", dialogue.0, launch.0));
+        self.push_line(format_args!("cancel {} launch {}", dialogue.0, launch.0));
     }
     fn set_timer(&mut self, _timer: TimerId, after: Duration) {
-        self.alarm = Some(self.now + after.as_millis() as u64);
+        self.timer = Some(self.now + after.as_millis() as u64);
     }
     fn log(&mut self, line: &str) {
-        self.put(format_args!("log: {line}"));
+        self.push_line(format_args!("log: {line}"));
     }
 }
 
-struct Night {
+struct Scenario {
     brain: Brain,
     trace: Trace,
 }
@@ -59,12 +63,12 @@
     DialogueId(Arc::from(name))
 }
 
-/// Two products: plain (gain 1) and dear (gain 6). Servers a, b, ... have the numbers 0, 1, ...
-fn night(servers: &str) -> Night {
-    night_of(4, 0, servers)
+/// A scenario with two products, of gain 1 and gain 6, and with servers a, b, ... of numbers 0, 1, ...
+fn scenario(servers: &str) -> Scenario {
+    scenario_with(4, 0, servers)
 }
 
-fn night_of(proxies: u32, resend: u64, servers: &str) -> Night {
+fn scenario_with(proxies: u32, resend_ms: u64, servers: &str) -> Scenario {
     let product = |promised, gain| Product {
         promised: ms(promised),
         mean_duration: ms(8000),
@@ -80,7 +84,7 @@
         over_quota_share: 0.2,
         tick: ms(5),
         release_time: ms(300),
-        resend_after: ms(resend),
+        resend_after: ms(resend_ms),
         max_launches: 4,
         callers_mark_retries: true,
         may_cancel: true,
@@ -90,49 +94,49 @@
         overload_multiple: 2.5,
         overload_window: Duration::from_secs(1),
     };
-    let mut night = Night { brain: Brain::new(plan, 7), trace: Trace::default() };
+    let mut scenario = Scenario { brain: Brain::new(plan, 7), trace: Trace::default() };
     for name in servers.chars() {
-        night.list(&name.to_string(), ServerState::Active, 0);
+        scenario.list_server(&name.to_string(), ServerState::Active, 0);
     }
-    night
+    scenario
 }
 
-impl Night {
-    /// Lets the time pass and the alarms ring.
-    fn at(&mut self, time: u64) -> &mut Self {
-        while let Some(alarm) = self.trace.alarm.filter(|alarm| *alarm <= time) {
-            self.trace.now = alarm;
-            self.trace.alarm = None;
-            self.brain.timer_fired(ms(alarm), TimerId(0), &mut self.trace);
+impl Scenario {
+    /// Advances the clock and fires the timers that are due.
+    fn advance_to(&mut self, time: u64) -> &mut Self {
+        while let Some(timer) = self.trace.timer.filter(|timer| *timer <= time) {
+            self.trace.now = timer;
+            self.trace.timer = None;
+            self.brain.timer_fired(ms(timer), TimerId(0), &mut self.trace);
         }
         self.trace.now = time;
         self
     }
 
-    fn list(&mut self, name: &str, listed: ServerState, since: u64) -> &mut Self {
+    fn list_server(&mut self, name: &str, state: ServerState, started: u64) -> &mut Self {
         let number = ServerNumber(i64::from(name.as_bytes()[0] - b'a'));
-        let entry = ListEntry { server: server(name), number, state: listed, started: ms(since) };
+        let entry = ListEntry { server: server(name), number, state, started: ms(started) };
         self.brain.server_list_received(ms(self.trace.now), false, &[entry], &mut self.trace);
         self
     }
 
-    fn free(&mut self, name: &str, lines: f64) -> &mut Self {
+    fn report_free_lines(&mut self, name: &str, lines: f64) -> &mut Self {
         let report = LoadReport { free_lines: Some(lines), ..LoadReport::default() };
         self.brain.load_reported(ms(self.trace.now), &server(name), &report, &mut self.trace);
         self
     }
 
-    /// So many of a thousand lines are free.
-    fn lines(&mut self, name: &str, free: f64) -> &mut Self {
+    /// Reports `free` of 1000 lines as free, twice within 600 ms, so that a placement rate can be estimated.
+    fn report_lines(&mut self, name: &str, free: f64) -> &mut Self {
         let report =
             LoadReport { free_lines: Some(free), total_lines: Some(1000.0), ..LoadReport::default() };
         self.brain.load_reported(ms(self.trace.now), &server(name), &report, &mut self.trace);
-        self.at(self.trace.now + 600);
+        self.advance_to(self.trace.now + 600);
         self.brain.load_reported(ms(self.trace.now), &server(name), &report, &mut self.trace);
         self
     }
 
-    fn waits(&mut self, name: &str, wait: u64) -> &mut Self {
+    fn report_wait(&mut self, name: &str, wait: u64) -> &mut Self {
         let report = LoadReport { processor_wait: Some(ms(wait)), ..LoadReport::default() };
         self.brain.load_reported(ms(self.trace.now), &server(name), &report, &mut self.trace);
         self
@@ -144,46 +148,48 @@
         self
     }
 
-    fn dial_as(&mut self, name: &str, product: usize, choice: i64, again: bool) -> &mut Self {
-        let arrival = self.arrival(name, product, choice, again);
+    fn dial_product(&mut self, name: &str, product: usize, first_choice: i64, is_retry: bool) -> &mut Self {
+        let arrival = self.arrival(name, product, first_choice, is_retry);
         self.brain.dialogue_arrived(ms(self.trace.now), arrival, &mut self.trace);
         self
     }
 
-    fn arrival(&self, name: &str, product: usize, choice: i64, again: bool) -> Arrival {
+    fn arrival(&self, name: &str, product: usize, first_choice: i64, is_retry: bool) -> Arrival {
         Arrival {
             id: dialogue(name),
             key: Some(DialledKey(Arc::from(&name[..2]))),
             product: ProductId(product),
             tenant: None,
-            first_choice: ServerNumber(choice),
+            first_choice: ServerNumber(first_choice),
             width: 1.0,
             dialled_at: ms(self.trace.now),
             cut_off: ms(self.trace.now + 3000),
-            is_retry: again,
+            is_retry,
             redialled_after_cut: false,
         }
     }
 
-    fn dial(&mut self, name: &str, choice: i64) -> &mut Self {
-        self.dial_as(name, 0, choice, false)
+    fn dial(&mut self, name: &str, first_choice: i64) -> &mut Self {
+        self.dial_product(name, 0, first_choice, false)
     }
 
-    fn stands(&mut self, name: &str, at: &str) -> &mut Self {
-        self.stands_by(name, 0, at)
+    fn first_launch_stands(&mut self, name: &str, at: &str) -> &mut Self {
+        self.launch_stands(name, 0, at)
     }
 
-    fn stands_by(&mut self, name: &str, launch: u32, at: &str) -> &mut Self {
+    fn launch_stands(&mut self, name: &str, launch: u32, at: &str) -> &mut Self {
         let now = ms(self.trace.now);
         self.brain.dialogue_stands(now, &dialogue(name), LaunchNumber(launch), &server(at), &mut self.trace);
         self
     }
 
-    fn ends(&mut self, name: &str, launch: u32, at: &str, outcome: Outcome) -> &mut Self {
-        self.over(name, launch, at, outcome, outcome == Outcome::Ended)
+    fn launch_ends(&mut self, name: &str, launch: u32, at: &str, outcome: Outcome) -> &mut Self {
+        self.launch_ends_with(name, launch, at, outcome, outcome == Outcome::Ended)
     }
 
-    fn over(&mut self, name: &str, launch: u32, at: &str, outcome: Outcome, closed: bool) -> &mut Self {
+    fn launch_ends_with(
+        &mut self, name: &str, launch: u32, at: &str, outcome: Outcome, closed: bool,
+    ) -> &mut Self {
         let end = LaunchEnd {
             dialogue: dialogue(name),
             launch: LaunchNumber(launch),
@@ -196,283 +202,404 @@
         self
     }
 
-    /// Dialogues that stand after the given wait, one each half second.
-    fn calm(&mut self, at: &str, choice: i64, wait: u64, count: u64) -> &mut Self {
+    /// `count` dialogues, one every 500 ms, that stand after the given wait.
+    fn normal_traffic(&mut self, at: &str, first_choice: i64, wait: u64, count: u64) -> &mut Self {
         let begin = self.trace.now;
         for n in 0..count {
-            let name = format!("{at}{choice}-{begin}-{n}");
-            self.at(begin + n * 500).dial(&name, choice).at(begin + n * 500 + wait).stands(&name, at);
+            let name = format!("{at}{first_choice}-{begin}-{n}");
+            self.advance_to(begin + n * 500)
+                .dial(&name, first_choice)
+                .advance_to(begin + n * 500 + wait)
+                .first_launch_stands(&name, at);
         }
         self
     }
 
-    fn told(&mut self) -> String {
+    fn take_trace(&mut self) -> String {
         std::mem::take(&mut self.trace.text)
     }
 }
 
-/// The design: first choice while the estimate covers it, else the most estimated free lines.
+/// A dialogue goes to its first choice while its estimated free lines suffice, else to the server with the most.
 #[test]
 fn first_choice_then_most_free_lines() {
-    let mut night = night("abc");
-    night.free("a", 1.0).free("b", 2.0).free("c", 5.0);
-    night.dial("d1", 0).dial("d2", 0).dial("d3", 1).free("a", 1.0).dial("d4", 0);
-    assert_snapshot!(night.told());
+    let mut scenario = scenario("abc");
+    scenario.report_free_lines("a", 1.0).report_free_lines("b", 2.0).report_free_lines("c", 5.0);
+    scenario.dial("d1", 0).dial("d2", 0).dial("d3", 1).report_free_lines("a", 1.0).dial("d4", 0);
+    assert_snapshot!(scenario.take_trace());
 }
 
-/// Turned back: zero free until its next report, and the dialogue picks again once.
+/// A server that turns a launch back counts as having no free line until its next report, and the dialogue is routed
+/// once more.
 #[test]
-fn turned_back_picks_again_once() {
-    let mut night = night("ab");
-    night.dial("d1", 0).at(30).ends("d1", 0, "a", Outcome::TurnedBack);
-    night.dial("d2", 0).at(60).ends("d1", 1, "b", Outcome::TurnedBack).free("a", 3.0).dial("d3", 0);
-    assert_snapshot!(night.told());
+fn turned_back_dialogue_is_routed_once_more() {
+    let mut scenario = scenario("ab");
+    scenario.dial("d1", 0).advance_to(30).launch_ends("d1", 0, "a", Outcome::TurnedBack);
+    scenario
+        .dial("d2", 0)
+        .advance_to(60)
+        .launch_ends("d1", 1, "b", Outcome::TurnedBack)
+        .report_free_lines("a", 3.0)
+        .dial("d3", 0);
+    assert_snapshot!(scenario.take_trace());
 }
 
-/// More than the limit wait here; what is freed goes to the highest gain, then to the newest.
+/// More dialogues wait than the limit admits; freed capacity goes to the highest gain, then to the newest.
 #[test]
-fn the_waiting_room_serves_gain_then_the_newest() {
-    let mut night = night("a");
-    night
+fn waiting_queue_serves_highest_gain_then_newest() {
+    let mut scenario = scenario("a");
+    scenario
         .dial("d1", 0)
         .dial("d2", 0)
-        .at(5)
+        .advance_to(5)
         .dial("d3", 0)
-        .at(10)
+        .advance_to(10)
         .dial("d4", 0)
-        .at(15)
-        .dial_as("d5", 1, 0, false);
-    night.at(100).stands("d1", "a").at(150).stands("d5", "a").at(2000);
-    assert_snapshot!(night.told());
-}
-
-/// A hung server: set aside, its launches called off and, after the release, sent elsewhere; a trial ends it.
+        .advance_to(15)
+        .dial_product("d5", 1, 0, false);
+    scenario
+        .advance_to(100)
+        .first_launch_stands("d1", "a")
+        .advance_to(150)
+        .first_launch_stands("d5", "a")
+        .advance_to(2000);
+    assert_snapshot!(scenario.take_trace());
+}
+
+/// A server that hangs is ejected; its launches are cancelled and, after the release time, relaunched elsewhere. A
+/// successful probe launch ends the ejection.
 #[test]
-fn a_silent_server_is_set_aside_until_a_trial() {
-    let mut night = night("ab");
-    night.calm("a", 0, 50, 4).told();
-    night.at(3000).dial("d1", 0).at(3460).dial("d2", 0).at(3500).stands("d2", "b");
-    night.at(3905).ends("d1", 0, "a", Outcome::Cancelled).at(4210).stands_by("d1", 1, "b");
-    night.at(4300).dial("d3", 0).at(4400).stands("d3", "a").dial("d4", 0);
-    assert_snapshot!(night.told());
-}
-
-/// A slow server is no hung one: after its late answer the patience with it has doubled.
+fn unresponsive_server_is_ejected_until_a_probe_succeeds() {
+    let mut scenario = scenario("ab");
+    scenario.normal_traffic("a", 0, 50, 4).take_trace();
+    scenario
+        .advance_to(3000)
+        .dial("d1", 0)
+        .advance_to(3460)
+        .dial("d2", 0)
+        .advance_to(3500)
+        .first_launch_stands("d2", "b");
+    scenario
+        .advance_to(3905)
+        .launch_ends("d1", 0, "a", Outcome::Cancelled)
+        .advance_to(4210)
+        .launch_stands("d1", 1, "b");
+    scenario.advance_to(4300).dial("d3", 0).advance_to(4400).first_launch_stands("d3", "a").dial("d4", 0);
+    assert_snapshot!(scenario.take_trace());
+}
+
+/// A slow server is not ejected: its late answer has doubled its response time-out.
 #[test]
-fn slow_is_not_silent() {
-    let mut night = night("a");
-    night.dial("d1", 0).at(600).stands("d1", "a").at(700).dial("d2", 0).at(1500).stands("d2", "a").at(1600);
-    assert_snapshot!(night.told());
+fn slow_server_is_not_ejected() {
+    let mut scenario = scenario("a");
+    scenario
+        .dial("d1", 0)
+        .advance_to(600)
+        .first_launch_stands("d1", "a")
+        .advance_to(700)
+        .dial("d2", 0)
+        .advance_to(1500)
+        .first_launch_stands("d2", "a")
+        .advance_to(1600);
+    assert_snapshot!(scenario.take_trace());
 }
 
-/// A broken set-up waits for the release and shuns that server, which stays in use for others.
+/// After a broken set-up, the dialogue waits for the release time and avoids that server, which stays in use for
+/// others.
 #[test]
-fn a_broken_set_up_shuns_the_server() {
-    let mut night = night("ab");
-    night.dial("d1", 0).at(20).ends("d1", 0, "a", Outcome::BrokenOff).dial("d2", 0).at(400);
-    assert_snapshot!(night.told());
+fn broken_set_up_is_relaunched_at_another_server() {
+    let mut scenario = scenario("ab");
+    scenario
+        .dial("d1", 0)
+        .advance_to(20)
+        .launch_ends("d1", 0, "a", Outcome::BrokenOff)
+        .dial("d2", 0)
+        .advance_to(400);
+    assert_snapshot!(scenario.take_trace());
 }
 
-/// Out of reach twice running is down: set aside, and cold when it answers again before the list tells.
+/// A server that is unreachable twice in a row is ejected, and takes few launches when it answers is_retry before the pool
+/// list shows its restart.
 #[test]
-fn out_of_reach_is_down_and_comes_back_cold() {
-    let mut night = night("ab");
-    night.calm("a", 0, 50, 20).told();
-    night.at(12_000).dial("d1", 0).ends("d1", 0, "a", Outcome::Unreachable);
-    night
+fn unreachable_server_is_ejected_and_returns_cold() {
+    let mut scenario = scenario("ab");
+    scenario.normal_traffic("a", 0, 50, 20).take_trace();
+    scenario.advance_to(12_000).dial("d1", 0).launch_ends("d1", 0, "a", Outcome::Unreachable);
+    scenario
         .dial("d2", 0)
-        .ends("d2", 0, "a", Outcome::Unreachable)
-        .at(12_050)
-        .stands("d1", "b")
-        .stands("d2", "b");
-    night.at(12_600).dial("d3", 0).at(12_650).stands("d3", "a");
-    night.dial("d4", 0).dial("d5", 0).at(12_700).stands("d5", "b").at(13_950);
-    assert_snapshot!(night.told());
+        .launch_ends("d2", 0, "a", Outcome::Unreachable)
+        .advance_to(12_050)
+        .first_launch_stands("d1", "b")
+        .first_launch_stands("d2", "b");
+    scenario.advance_to(12_600).dial("d3", 0).advance_to(12_650).first_launch_stands("d3", "a");
+    scenario.dial("d4", 0).dial("d5", 0).advance_to(12_700).first_launch_stands("d5", "b").advance_to(13_950);
+    assert_snapshot!(scenario.take_trace());
 }
 
-/// A replacement under a known number: launches are spaced by what its forerunner bore.
+/// A replacement server of a known number: launches are spaced by the rate that its previous incarnation sustained.
 #[test]
-fn a_cold_server_gets_spaced_launches() {
-    let mut night = night("a");
-    night.calm("a", 0, 50, 20).told();
-    night.at(20_000).list("a", ServerState::Active, 19_900).dial("d1", 0).dial("d2", 0).dial("d3", 0);
-    night.at(20_050).stands("d1", "a").at(20_900).stands("d2", "a").stands("d3", "a").at(22_000);
-    assert_snapshot!(night.told());
-}
-
-/// Nothing new to a server that drains or is gone, from the very message on.
+fn cold_server_receives_spaced_launches() {
+    let mut scenario = scenario("a");
+    scenario.normal_traffic("a", 0, 50, 20).take_trace();
+    scenario
+        .advance_to(20_000)
+        .list_server("a", ServerState::Active, 19_900)
+        .dial("d1", 0)
+        .dial("d2", 0)
+        .dial("d3", 0);
+    scenario
+        .advance_to(20_050)
+        .first_launch_stands("d1", "a")
+        .advance_to(20_900)
+        .first_launch_stands("d2", "a")
+        .first_launch_stands("d3", "a")
+        .advance_to(22_000);
+    assert_snapshot!(scenario.take_trace());
+}
+
+/// A server that drains or is gone receives no new launch from the moment the list says so.
 #[test]
-fn a_drain_is_kept_at_once() {
-    let mut night = night("ab");
-    night.free("a", 50.0).free("b", 9.0).list("a", ServerState::Draining, 0).dial("d1", 0);
-    night.list("b", ServerState::Gone, 0).dial("d2", 1).at(2000);
-    assert_snapshot!(night.told());
-}
-
-/// Whatever hangs, the answer is given before the cut-off; what comes later changes nothing.
+fn draining_server_receives_no_new_launch() {
+    let mut scenario = scenario("ab");
+    scenario
+        .report_free_lines("a", 50.0)
+        .report_free_lines("b", 9.0)
+        .list_server("a", ServerState::Draining, 0)
+        .dial("d1", 0);
+    scenario.list_server("b", ServerState::Gone, 0).dial("d2", 1).advance_to(2000);
+    assert_snapshot!(scenario.take_trace());
+}
+
+/// Whatever hangs, the caller is answered before the cut-off; events after it have no effect.
 #[test]
-fn the_cut_off_is_kept_and_late_answers_change_nothing() {
-    let mut night = night("a");
-    night.calm("a", 0, 300, 3).told();
-    night.at(2000).dial("d1", 0).at(2400).dial("d2", 0).at(2900).stands("d2", "a").at(6000);
-    night.ends("d1", 0, "a", Outcome::Ended).stands("d1", "a");
-    assert_snapshot!(night.told());
+fn answer_precedes_the_cut_off_and_late_answers_are_ignored() {
+    let mut scenario = scenario("a");
+    scenario.normal_traffic("a", 0, 300, 3).take_trace();
+    scenario
+        .advance_to(2000)
+        .dial("d1", 0)
+        .advance_to(2400)
+        .dial("d2", 0)
+        .advance_to(2900)
+        .first_launch_stands("d2", "a")
+        .advance_to(6000);
+    scenario.launch_ends("d1", 0, "a", Outcome::Ended).first_launch_stands("d1", "a");
+    assert_snapshot!(scenario.take_trace());
 }
 
-/// A further try is measured from its caller's first dial, so a fresh dialogue goes before a late one.
+/// The promised time of a retry runs from its caller's first dial, so that a new dialogue precedes a late one.
 #[test]
-fn a_further_try_is_late_from_its_first_dial() {
-    let mut night = night("a");
-    night.dial("d1", 0).dial("d2", 0).dial("d3", 0).at(390).stands("d1", "a").at(391);
-    night.brain.caller_left(ms(391), &dialogue("d3"), &mut night.trace);
-    night
-        .at(1600)
-        .dial_as("d3-2", 0, 0, true)
+fn promised_time_of_a_retry_runs_from_the_first_dial() {
+    let mut scenario = scenario("a");
+    scenario
+        .dial("d1", 0)
+        .dial("d2", 0)
+        .dial("d3", 0)
+        .advance_to(390)
+        .first_launch_stands("d1", "a")
+        .advance_to(391);
+    scenario.brain.caller_left(ms(391), &dialogue("d3"), &mut scenario.trace);
+    scenario
+        .advance_to(1600)
+        .dial_product("d3-2", 0, 0, true)
         .dial("d4", 0)
-        .stands("d2", "a")
-        .at(1700)
-        .stands("d4", "a")
-        .at(2000);
-    assert_snapshot!(night.told());
+        .first_launch_stands("d2", "a")
+        .advance_to(1700)
+        .first_launch_stands("d4", "a")
+        .advance_to(2000);
+    assert_snapshot!(scenario.take_trace());
 }
 
-/// A launch that later ones overtake was lost on the way: called off, and launched elsewhere in time.
+/// A launch that later ones overtake counts as lost: it is cancelled, and the dialogue is launched elsewhere.
 #[test]
-fn an_overtaken_launch_goes_elsewhere() {
-    let mut night = night("ab");
-    night.calm("a", 0, 50, 4).told();
-    night.at(3000).dial("d1", 0).at(3010).dial("d2", 0).at(3060).stands("d2", "a").at(3200);
-    night.ends("d1", 0, "a", Outcome::Cancelled).at(3550);
-    assert_snapshot!(night.told());
+fn overtaken_launch_is_cancelled_and_relaunched() {
+    let mut scenario = scenario("ab");
+    scenario.normal_traffic("a", 0, 50, 4).take_trace();
+    scenario
+        .advance_to(3000)
+        .dial("d1", 0)
+        .advance_to(3010)
+        .dial("d2", 0)
+        .advance_to(3060)
+        .first_launch_stands("d2", "a")
+        .advance_to(3200);
+    scenario.launch_ends("d1", 0, "a", Outcome::Cancelled).advance_to(3550);
+    assert_snapshot!(scenario.take_trace());
 }
 
-/// One that arrives at or past its cut-off is answered at once and never launched.
+/// A dialogue that arrives at or past its cut-off is answered at once and never launched.
 #[test]
-fn past_its_cut_off_a_dialogue_is_answered_at_once() {
-    let mut night = night("a");
-    night.at(1000).dial("d1", 0).dial_until("d2", 1005).dial_until("d3", 900).at(1100);
-    assert_snapshot!(night.told());
+fn dialogue_past_its_cut_off_is_answered_at_once() {
+    let mut scenario = scenario("a");
+    scenario.advance_to(1000).dial("d1", 0).dial_until("d2", 1005).dial_until("d3", 900).advance_to(1100);
+    assert_snapshot!(scenario.take_trace());
 }
 
-/// Called off in the moment it stood: the end that leaves its answer owed is answered at once.
+/// A launch is cancelled at the moment it stands, so that its caller is still owed an answer, which is given at once.
 #[test]
-fn an_end_that_leaves_the_answer_owed_is_answered() {
-    let mut night = night("a");
-    night.dial("d1", 0).at(40).stands("d1", "a").at(45).ends("d1", 0, "a", Outcome::Cancelled).at(200);
-    assert_snapshot!(night.told());
+fn launch_cancelled_as_it_stood_is_still_answered() {
+    let mut scenario = scenario("a");
+    scenario
+        .dial("d1", 0)
+        .advance_to(40)
+        .first_launch_stands("d1", "a")
+        .advance_to(45)
+        .launch_ends("d1", 0, "a", Outcome::Cancelled)
+        .advance_to(200);
+    assert_snapshot!(scenario.take_trace());
 }
 
-/// A tenant that asks more than its part of the quotas is passed over with the excess, when room is short.
+/// When capacity is short, the excess dialogues of a tenant over quota are served last.
 #[test]
-fn beyond_its_quota_a_tenant_comes_last() {
-    let mut night = night("a");
+fn tenant_over_quota_comes_last() {
+    let mut scenario = scenario("a");
     for n in 0..60 {
         let arrival = Arrival {
             tenant: Some(TenantId(1)),
             dialled_at: ms(n),
-            ..night.arrival(&format!("o{n:02}"), 0, 0, false)
+            ..scenario.arrival(&format!("o{n:02}"), 0, 0, false)
         };
-        night.brain.dialogue_arrived(ms(n), arrival, &mut night.trace);
-        night.at(n).stands(&format!("o{n:02}"), "a");
+        scenario.brain.dialogue_arrived(ms(n), arrival, &mut scenario.trace);
+        scenario.advance_to(n).first_launch_stands(&format!("o{n:02}"), "a");
     }
-    night.told();
-    night.at(100).dial("d1", 0).dial("d2", 0).dial("d3", 0);
+    scenario.take_trace();
+    scenario.advance_to(100).dial("d1", 0).dial("d2", 0).dial("d3", 0);
     for (name, tenant) in [("t0", 0), ("t1", 1), ("t2", 1), ("t3", 1), ("t4", 0)] {
         let tenant = Some(TenantId(tenant));
-        let arrival = Arrival { tenant, dialled_at: ms(110), ..night.arrival(name, 0, 0, false) };
-        night.at(110);
-        night.brain.dialogue_arrived(ms(110), arrival, &mut night.trace);
+        let arrival = Arrival { tenant, dialled_at: ms(110), ..scenario.arrival(name, 0, 0, false) };
+        scenario.advance_to(110);
+        scenario.brain.dialogue_arrived(ms(110), arrival, &mut scenario.trace);
     }
     for (n, name) in ["d1", "d2", "t0", "t4", "t1", "t2", "t3", "d3"].into_iter().enumerate() {
-        night.at(120 + 10 * n as u64).stands(name, "a");
+        scenario.advance_to(120 + 10 * n as u64).first_launch_stands(name, "a");
     }
-    assert_snapshot!(night.told());
+    assert_snapshot!(scenario.take_trace());
 }
 
-/// A server that fails all it is sent, and quickly, would draw everything: sixteen running set it aside, and a
-/// trial that fails keeps it there.
+/// A server that quickly fails every launch would attract all traffic. Sixteen consecutive failures eject it, and a failed
+/// probe launch leaves it ejected.
 #[test]
-fn a_quick_failer_is_set_aside() {
-    let mut night = night("ab");
-    night.free("a", 90.0).free("b", 40.0);
+fn server_that_fails_all_launches_is_ejected() {
+    let mut scenario = scenario("ab");
+    scenario.report_free_lines("a", 90.0).report_free_lines("b", 40.0);
     for n in 0..16 {
         let name = format!("f{n:02}");
-        night.at(5 * n).dial(&name, 0).at(5 * n + 2).ends(&name, 0, "a", Outcome::Fault);
-        night.stands_by(&name, 1, "b");
+        scenario.advance_to(5 * n).dial(&name, 0).advance_to(5 * n + 2).launch_ends(
+            &name,
+            0,
+            "a",
+            Outcome::Fault,
+        );
+        scenario.launch_stands(&name, 1, "b");
     }
-    night.at(90).dial("d4", 0).at(100).stands("d4", "b");
-    night.at(600).dial("d5", 0).at(610).ends("d5", 0, "a", Outcome::Fault).stands_by("d5", 1, "b");
-    night.at(620).dial("d6", 0).stands("d6", "b").at(1600).dial("d7", 0).at(1650).stands("d7", "a");
-    assert_snapshot!(night.told());
-}
-
-/// With 200 proxies, what others turn away comes to a server by turns: not from everyone at once.
+    scenario.advance_to(90).dial("d4", 0).advance_to(100).first_launch_stands("d4", "b");
+    scenario
+        .advance_to(600)
+        .dial("d5", 0)
+        .advance_to(610)
+        .launch_ends("d5", 0, "a", Outcome::Fault)
+        .launch_stands("d5", 1, "b");
+    scenario
+        .advance_to(620)
+        .dial("d6", 0)
+        .first_launch_stands("d6", "b")
+        .advance_to(1600)
+        .dial("d7", 0)
+        .advance_to(1650)
+        .first_launch_stands("d7", "a");
+    assert_snapshot!(scenario.take_trace());
+}
+
+/// With 200 edge proxies, a server receives overflow from them in turns, not from all at once.
 #[test]
-fn overflow_takes_turns_where_proxies_are_many() {
-    let mut night = night_of(200, 0, "ab");
-    night.lines("a", 0.0).lines("b", 400.0);
+fn many_proxies_take_turns_with_overflow() {
+    let mut scenario = scenario_with(200, 0, "ab");
+    scenario.report_lines("a", 0.0).report_lines("b", 400.0);
     for n in 0..8 {
         let name = format!("d{n}");
-        night.at(2000 + 200 * n).dial(&name, 0).stands(&name, "b");
+        scenario.advance_to(2000 + 200 * n).dial(&name, 0).first_launch_stands(&name, "b");
     }
-    assert_snapshot!(night.told());
+    assert_snapshot!(scenario.take_trace());
 }
 
-/// A wait told beyond the ease cuts the limit and rests the server; below 1 it is a share of the dialogues, by
-/// lot over gain, and a wait told in ease gives a cut back.
+/// A reported wait that indicates overload cuts the limit and blocks the server. Below 1 the limit is a share of the
+/// dialogues, selected by random rank; a reported wait under normal load undoes one cut.
 #[test]
-fn a_told_wait_leaves_a_share_by_lot_over_gain() {
-    let mut night = night_of(200, 0, "a");
-    night.lines("a", 400.0).waits("a", 2000).at(4000).waits("a", 2000).at(9000);
+fn reported_overload_admits_a_share_by_random_rank() {
+    let mut scenario = scenario_with(200, 0, "a");
+    scenario
+        .report_lines("a", 400.0)
+        .report_wait("a", 2000)
+        .advance_to(4000)
+        .report_wait("a", 2000)
+        .advance_to(9000);
     for n in 0..6 {
-        night.dial(&format!("p{n}"), 0).stands(&format!("p{n}"), "a");
+        scenario.dial(&format!("p{n}"), 0).first_launch_stands(&format!("p{n}"), "a");
     }
-    night.dial_as("dear", 1, 0, false).stands("dear", "a").waits("a", 10).waits("a", 10).waits("a", 10);
-    assert_snapshot!(night.told());
+    scenario
+        .dial_product("dear", 1, 0, false)
+        .first_launch_stands("dear", "a")
+        .report_wait("a", 10)
+        .report_wait("a", 10)
+        .report_wait("a", 10);
+    assert_snapshot!(scenario.take_trace());
 }
 
-/// Want of lines is no jam: the server rests only until it tells of free lines.
+/// A lack of lines is not an overload: the server is blocked only until it reports free lines.
 #[test]
-fn want_of_lines_rests_a_server_until_its_next_report() {
-    let mut night = night("a");
-    night.dial("d1", 0).at(20).ends("d1", 0, "a", Outcome::NoFreeLine).dial("d2", 0);
-    night.at(60).free("a", 2.0).at(100).stands("d1", "a");
-    assert_snapshot!(night.told());
+fn server_without_free_lines_is_blocked_until_its_next_report() {
+    let mut scenario = scenario("a");
+    scenario.dial("d1", 0).advance_to(20).launch_ends("d1", 0, "a", Outcome::NoFreeLine).dial("d2", 0);
+    scenario.advance_to(60).report_free_lines("a", 2.0).advance_to(100).first_launch_stands("d1", "a");
+    assert_snapshot!(scenario.take_trace());
 }
 
-/// All lines of the number are busy: no other server reaches it either, so it is refused at once.
+/// If all lines of the dialled number are busy, no other server reaches it either, so the dialogue is refused at once.
 #[test]
-fn a_busy_number_is_refused_at_once() {
-    let mut night = night("ab");
-    night.dial("d1", 0).at(20).ends("d1", 0, "a", Outcome::NumberBusy).dial("d2", 0);
-    assert_snapshot!(night.told());
+fn dialogue_to_a_busy_number_is_refused_at_once() {
+    let mut scenario = scenario("ab");
+    scenario.dial("d1", 0).advance_to(20).launch_ends("d1", 0, "a", Outcome::NumberBusy).dial("d2", 0);
+    assert_snapshot!(scenario.take_trace());
 }
 
-/// Trials of 200 proxies at a silent server come far apart; the end of a standing dialogue ends the silence.
+/// The probe launches of 200 edge proxies to an unresponsive server are far apart; the end of a standing dialogue ends
+/// the ejection.
 #[test]
-fn many_proxies_try_a_silent_server_seldom() {
-    let mut night = night_of(200, 0, "a");
-    night
-        .lines("a", 400.0)
+fn many_proxies_rarely_probe_an_unresponsive_server() {
+    let mut scenario = scenario_with(200, 0, "a");
+    scenario
+        .report_lines("a", 400.0)
         .dial("d0", 0)
-        .at(640)
-        .stands("d0", "a")
-        .at(1000)
+        .advance_to(640)
+        .first_launch_stands("d0", "a")
+        .advance_to(1000)
         .dial("d1", 0)
-        .at(2000)
+        .advance_to(2000)
         .dial("d2", 0);
-    night.at(5000).dial("d3", 0).at(6000).ends("d0", 0, "a", Outcome::Ended).dial("d4", 0).at(6100);
-    assert_snapshot!(night.told());
+    scenario
+        .advance_to(5000)
+        .dial("d3", 0)
+        .advance_to(6000)
+        .launch_ends("d0", 0, "a", Outcome::Ended)
+        .dial("d4", 0)
+        .advance_to(6100);
+    assert_snapshot!(scenario.take_trace());
 }
 
-/// Where what waits is sent again, told lines that fill fast cut the limit before any wait is met.
+/// Where waiting set-ups are retransmitted, a fast growth of the lines in use cuts the limit before any wait is
+/// measured.
 #[test]
-fn lines_that_fill_fast_are_a_surge() {
-    let mut night = night_of(200, 500, "a");
-    night.lines("a", 600.0).at(2000).lines("a", 500.0).lines("a", 400.0).lines("a", 300.0);
+fn fast_growth_of_lines_in_use_is_a_traffic_surge() {
+    let mut scenario = scenario_with(200, 500, "a");
+    scenario
+        .report_lines("a", 600.0)
+        .advance_to(2000)
+        .report_lines("a", 500.0)
+        .report_lines("a", 400.0)
+        .report_lines("a", 300.0);
     for n in 0..8 {
         let name = format!("d{n}");
-        night.at(5600 + n).dial(&name, 0).stands(&name, "a");
+        scenario.advance_to(5600 + n).dial(&name, 0).first_launch_stands(&name, "a");
     }
-    assert_snapshot!(night.told());
+    assert_snapshot!(scenario.take_trace());
 }
