--- a/crates/day/src/baseline.rs
+++ b/crates/day/src/baseline.rs
@@ -149,11 +149,11 @@
 }
 
 impl Decisions for Plain {
-    fn rest_until(&mut self, until: Duration) {
+    fn hold_launches_until(&mut self, until: Duration) {
         self.rests_until = until;
     }
 
-    fn listed(&mut self, now: Duration, whole: bool, entries: &[ListEntry], out: &mut dyn Signalling) {
+    fn list_received(&mut self, now: Duration, whole: bool, entries: &[ListEntry], out: &mut dyn Signalling) {
         if whole {
             self.servers.values_mut().for_each(|s| s.active = false);
         }
@@ -167,7 +167,7 @@
         self.settle(now, out);
     }
 
-    fn arrived(&mut self, now: Duration, arrival: Arrival, out: &mut dyn Signalling) {
+    fn dialogue_arrived(&mut self, now: Duration, arrival: Arrival, out: &mut dyn Signalling) {
         let answer_by = arrival.cut_off.saturating_sub(self.plan.tick * 2);
         let due = now.max(self.rests_until).min(answer_by.max(now));
         let asked = Asked {
@@ -183,7 +183,7 @@
         self.settle(now, out);
     }
 
-    fn left(&mut self, now: Duration, id: &DialogueId, out: &mut dyn Signalling) {
+    fn caller_left(&mut self, now: Duration, id: &DialogueId, out: &mut dyn Signalling) {
         if let Some(asked) = self.forget(id)
             && let Some((_, launch)) = asked.at.filter(|_| self.plan.may_cancel)
         {
@@ -192,11 +192,13 @@
         self.settle(now, out);
     }
 
-    fn reported(&mut self, now: Duration, _id: &ServerId, _report: &LoadReport, out: &mut dyn Signalling) {
+    fn load_reported(
+        &mut self, now: Duration, _id: &ServerId, _report: &LoadReport, out: &mut dyn Signalling,
+    ) {
         self.settle(now, out);
     }
 
-    fn stands(
+    fn dialogue_stands(
         &mut self, now: Duration, id: &DialogueId, _launch: LaunchNo, _server: &ServerId,
         out: &mut dyn Signalling,
     ) {
@@ -204,7 +206,7 @@
         self.settle(now, out);
     }
 
-    fn ended(&mut self, now: Duration, end: LaunchEnd, out: &mut dyn Signalling) {
+    fn launch_ended(&mut self, now: Duration, end: LaunchEnd, out: &mut dyn Signalling) {
         let ours = |asked: &Asked| asked.at.as_ref() == Some(&(end.server.clone(), end.launch));
         if !end.closed
             && self.asked.get(&end.dialogue).is_some_and(ours)
@@ -220,7 +222,7 @@
         self.settle(now, out);
     }
 
-    fn alarm(&mut self, now: Duration, _timer: TimerId, out: &mut dyn Signalling) {
+    fn timer_fired(&mut self, now: Duration, _timer: TimerId, out: &mut dyn Signalling) {
         self.alarm_set = false;
         self.settle(now, out);
     }
--- a/crates/day/src/live.rs
+++ b/crates/day/src/live.rs
@@ -94,7 +94,7 @@
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
             list: self.gates[0].address.to_string(),
             seed: Some(self.day.seed ^ (edge as u64 + 1) << 32 ^ self.lives[edge] << 48),
-            limits: Limits { record_within: crate::virt::RECORD_WITHIN, ..Limits::default() },
+            limits: Limits { answer_record_timeout: crate::virt::RECORD_WITHIN, ..Limits::default() },
             store: self.has_store().then(|| StoreSheet { folder: self.disk(edge), mode: Mode::Written }),
             numbers: self.day.numbers.as_ref().map(|numbers| NumbersSheet {
                 folder: self.folder.join("tables"),
--- a/crates/day/src/virt.rs
+++ b/crates/day/src/virt.rs
@@ -8,7 +8,7 @@
 use anyhow::{Result, bail};
 use lotussaddle::brain::Brain;
 use lotussaddle::interface::{DialogueId, RoutePlan};
-use lotussaddle_edge::{Decisions, Edge, Limits, LinkId, Note, Step, Wires};
+use lotussaddle_edge::{Decisions, DialogueStep, Edge, EdgeEffects, Limits, LinkId, LogTopic};
 use lotussaddle_fleet::{Effects, Member, PeerLink, Save, Stored};
 use lotussaddle_judge::{Brief, Judge, Line, Verdict};
 use lotussaddle_numbers::Tables;
@@ -318,8 +318,8 @@
     edge: usize,
 }
 
-impl Wires for Ends<'_> {
-    fn say(&mut self, link: LinkId, message: Message) -> bool {
+impl EdgeEffects for Ends<'_> {
+    fn send(&mut self, link: LinkId, message: Message) -> bool {
         let there = self.nets.links.contains_key(&link.0);
         if there {
             self.nets.deeds.push_back(Deed::Said(link.0, through_the_codec(&message)));
@@ -350,8 +350,8 @@
         }
     }
 
-    fn record(&mut self, dialogue: &DialogueId, step: Step) -> Option<u64> {
-        if !self.nets.remembers || !matches!(step, Step::Answer { .. }) {
+    fn record(&mut self, dialogue: &DialogueId, step: DialogueStep) -> Option<u64> {
+        if !self.nets.remembers || !matches!(step, DialogueStep::Answer { .. }) {
             return None;
         }
         self.nets.records += 1;
@@ -364,7 +364,7 @@
         Some(number)
     }
 
-    fn load(&mut self, name: &str, bases: Vec<Arc<Tables>>) -> bool {
+    fn load_tables(&mut self, name: &str, bases: Vec<Arc<Tables>>) -> bool {
         self.nets.records += 1;
         let number = self.nets.records;
         let at = self.nets.now + Duration::from_millis(3 + number * 13 % 90);
@@ -373,11 +373,11 @@
         true
     }
 
-    fn ask(&mut self, server: usize, datagram: &[u8]) {
+    fn send_look_up(&mut self, server: usize, datagram: &[u8]) {
         self.nets.deeds.push_back(Deed::Asked(self.edge, server, datagram.to_vec()));
     }
 
-    fn log(&mut self, note: Note, line: &str) {
+    fn log(&mut self, note: LogTopic, line: &str) {
         let (at, edge) = (self.nets.now.as_secs_f64(), self.edge);
         self.nets.logs.push(format!("{at:>10.6} edge-{edge} {note:?}: {line}"));
     }
@@ -398,7 +398,7 @@
 impl Default for Play {
     fn default() -> Self {
         Self {
-            limits: Limits { record_within: RECORD_WITHIN, ..Limits::default() },
+            limits: Limits { answer_record_timeout: RECORD_WITHIN, ..Limits::default() },
             remembers: true,
             rests: true,
             tamper: None,
@@ -520,7 +520,7 @@
         self.nets.lives[edge] = seat.life;
         (seat.rate, seat.wall) = self.nets.clocks[edge];
         if self.play.rests {
-            made.rest_until(self.day.plan.release);
+            made.hold_launches_until(self.day.plan.release);
         }
         if let Some(numbers) = &self.day.numbers {
             let wall = numbers.wall.checked_add(self.now).unwrap_or(numbers.wall);
@@ -529,12 +529,12 @@
             if let Some((first, _)) = numbers.generations.first()
                 && let Ok(tables) = numbers.generation(&self.day.plan, first, &[])
             {
-                analysis.begin_with(tables);
+                analysis.set_initial_tables(tables);
             }
-            made.analyse_by(analysis);
+            made.use_number_analysis(analysis);
         }
         for id in &self.nets.recorded[edge] {
-            made.recall(id);
+            made.remember_concluded(id);
         }
         let member = self.day.fleet.as_ref().map(|fleet| {
             let mut members: Vec<String> = (0..self.day.edges).map(|n| format!("edge-{n}")).collect();
--- a/crates/day/tests/virtual_days.rs
+++ b/crates/day/tests/virtual_days.rs
@@ -178,10 +178,10 @@
 
     struct Deaf(Brain);
     impl Decisions for Deaf {
-        fn rest_until(&mut self, until: Duration) {
+        fn hold_launches_until(&mut self, until: Duration) {
             self.0.rest_until(until);
         }
-        fn listed(
+        fn list_received(
             &mut self, now: Duration, whole: bool, entries: &[lotussaddle::interface::ListEntry],
             out: &mut dyn lotussaddle::interface::Signalling,
         ) {
@@ -189,38 +189,38 @@
             let active: Vec<_> = entries.iter().filter(|e| e.listed == Listed::Active).cloned().collect();
             self.0.listed(now, whole, &active, out);
         }
-        fn arrived(
+        fn dialogue_arrived(
             &mut self, now: Duration, arrival: lotussaddle::interface::Arrival,
             out: &mut dyn lotussaddle::interface::Signalling,
         ) {
             self.0.arrived(now, arrival, out);
         }
-        fn left(
+        fn caller_left(
             &mut self, now: Duration, id: &lotussaddle::interface::DialogueId,
             out: &mut dyn lotussaddle::interface::Signalling,
         ) {
             self.0.left(now, id, out);
         }
-        fn reported(
+        fn load_reported(
             &mut self, now: Duration, id: &lotussaddle::interface::ServerId,
             report: &lotussaddle::interface::LoadReport, out: &mut dyn lotussaddle::interface::Signalling,
         ) {
             self.0.reported(now, id, report, out);
         }
-        fn stands(
+        fn dialogue_stands(
             &mut self, now: Duration, id: &lotussaddle::interface::DialogueId,
             launch: lotussaddle::interface::LaunchNo, server: &lotussaddle::interface::ServerId,
             out: &mut dyn lotussaddle::interface::Signalling,
         ) {
             self.0.stands(now, id, launch, server, out);
         }
-        fn ended(
+        fn launch_ended(
             &mut self, now: Duration, end: lotussaddle::interface::LaunchEnd,
             out: &mut dyn lotussaddle::interface::Signalling,
         ) {
             self.0.ended(now, end, out);
         }
-        fn alarm(
+        fn timer_fired(
             &mut self, now: Duration, timer: lotussaddle::interface::TimerId,
             out: &mut dyn lotussaddle::interface::Signalling,
         ) {
@@ -261,7 +261,7 @@
     let (mut caught, mut kills) = (0, 0);
     // The disk stands still for 40 ms now and then; who waits no longer than 20 gives answers that a kill forgets.
     let mut patient = Play::default();
-    patient.limits.record_within = MS * 60;
+    patient.limits.answer_record_timeout = MS * 60;
     for seed in 0..30 {
         let mut day = short(seed, 7);
         (day.net.caller, day.callers.repeats) = (MS * 80, 1.0);
--- a/crates/edge/benches/fleet.rs
+++ b/crates/edge/benches/fleet.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use lotussaddle::interface::*;
-use lotussaddle_edge::{Edge, Limits, LinkId, Note, Wires};
+use lotussaddle_edge::{Edge, EdgeEffects, Limits, LinkId, LogTopic};
 use lotussaddle_trunk::*;
 
 /// Takes all that is said, and keeps the launches.
@@ -17,8 +17,8 @@
     launched: Vec<(DialogueId, LaunchNo, LinkId)>,
 }
 
-impl Wires for Taken {
-    fn say(&mut self, link: LinkId, message: Message) -> bool {
+impl EdgeEffects for Taken {
+    fn send(&mut self, link: LinkId, message: Message) -> bool {
         if let Frame::Launch(launch) = message.frame {
             self.launched.push((launch.dialogue, launch.launch, link));
         }
@@ -30,7 +30,7 @@
         LinkId(self.links)
     }
     fn close(&mut self, _: LinkId, _: &str) {}
-    fn log(&mut self, _: Note, _: &str) {}
+    fn log(&mut self, _: LogTopic, _: &str) {}
 }
 
 fn plan(proxies: u32) -> RoutePlan {
@@ -65,13 +65,17 @@
 /// Microseconds of each input, by kind.
 fn run(callers: u64, cores: u64, proxies: u32, standing: usize, rounds: usize) -> [Vec<f64>; 4] {
     let (mut wires, mut now) = (Taken { links: 1_000_000, ..Taken::default() }, Duration::from_millis(1));
-    let limits =
-        Limits { links: 10_000, fresh: 10_000, dead_after: Duration::from_secs(900), ..Limits::default() };
+    let limits = Limits {
+        max_links: 10_000,
+        max_unidentified_links: 10_000,
+        response_timeout: Duration::from_secs(900),
+        ..Limits::default()
+    };
     let mut edge = Edge::new("edge-0", "list", plan(proxies), 7, limits);
-    edge.alarm(now, &mut wires);
+    edge.timer_fired(now, &mut wires);
     let hello = |role, name: &str| Frame::Hello(Hello::new(role, Arc::from(name))).into();
     let list = wires.begun[0].1;
-    edge.heard(now, list, hello(Role::List, "list"), &mut wires);
+    edge.frame_received(now, list, hello(Role::List, "list"), &mut wires);
     let entry = |n: u64| Entry {
         server: ServerId(Arc::from(format!("core-{n}"))),
         number: ServerNumber(n as i64),
@@ -81,13 +85,18 @@
         age: Duration::ZERO,
     };
     let entries = (0..cores).map(entry).collect();
-    edge.heard(now, list, Frame::List { whole: true, entries }.into(), &mut wires);
+    edge.frame_received(now, list, Frame::List { whole: true, entries }.into(), &mut wires);
     for (name, link) in wires.begun.clone().into_iter().skip(1) {
-        edge.heard(now, link, hello(Role::Core, &name), &mut wires);
+        edge.frame_received(now, link, hello(Role::Core, &name), &mut wires);
     }
     for caller in 0..callers {
-        edge.linked(now, LinkId(caller), &mut wires);
-        edge.heard(now, LinkId(caller), hello(Role::Caller, &format!("gateway-{caller}")), &mut wires);
+        edge.link_opened(now, LinkId(caller), &mut wires);
+        edge.frame_received(
+            now,
+            LinkId(caller),
+            hello(Role::Caller, &format!("gateway-{caller}")),
+            &mut wires,
+        );
     }
     let mut took: [Vec<f64>; 4] = Default::default();
     let mut stands = VecDeque::new();
@@ -115,11 +124,11 @@
             try_of: None,
             dialled: None,
         };
-        timed(0, &mut |edge| edge.heard(now, caller, Frame::Dial(dial.clone()).into(), &mut wires));
+        timed(0, &mut |edge| edge.frame_received(now, caller, Frame::Dial(dial.clone()).into(), &mut wires));
         if let Some((dialogue, launch, link)) = wires.launched.pop() {
             let report = LoadReport { free_lines: Some(1e6), ..LoadReport::default() };
             let stood = Frame::Stood { dialogue: dialogue.clone(), launch, report };
-            timed(1, &mut |edge| edge.heard(now, link, stood.clone().into(), &mut wires));
+            timed(1, &mut |edge| edge.frame_received(now, link, stood.clone().into(), &mut wires));
             stands.push_back((caller, dialogue, launch, link));
         }
         if round >= standing
@@ -128,12 +137,12 @@
             let hang_up = Frame::HangUp { dialogue: dialogue.clone() };
             let ended = Frame::Ended { dialogue, launch, end: End::Released, report: LoadReport::default() };
             timed(2, &mut |edge| {
-                edge.heard(now, caller, hang_up.clone().into(), &mut wires);
-                edge.heard(now, link, ended.clone().into(), &mut wires);
+                edge.frame_received(now, caller, hang_up.clone().into(), &mut wires);
+                edge.frame_received(now, link, ended.clone().into(), &mut wires);
             });
         }
         // Where it is due; a look at all links for silence is among them.
-        timed(3, &mut |edge| edge.alarm(now, &mut wires));
+        timed(3, &mut |edge| edge.timer_fired(now, &mut wires));
         for (kind, time) in times.into_iter().enumerate().filter(|(_, time)| round >= standing && *time > 0.0)
         {
             took[kind].push(time);
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -18,15 +18,15 @@
 use lotussaddle::brain::Brain;
 use lotussaddle::interface::{DialogueId, LaunchNo, RoutePlan};
 
-use crate::hands::{Hands, State};
 use crate::held::{Concluded, Counts, Deadlines, Limits, Pending, Stage};
-use crate::numbers::Numbers;
-use crate::{Decisions, LinkId, Wires};
+use crate::numbers::NumberAnalysis;
+use crate::signalling::{ModuleSignalling, State};
+use crate::{Decisions, EdgeEffects, LinkId};
 
 /// Stands for a launch where a dialogue that was dialled before waits to be decided on.
 const NO_LAUNCH: LaunchNo = LaunchNo(u32::MAX);
 
-/// One edge proxy. Inputs are method calls with the time since the start, effects are calls on [`Wires`].
+/// One edge proxy. Inputs are method calls with the time since the start, effects are calls on [`EdgeEffects`].
 pub struct Edge<D = Brain> {
     name: Arc<str>,
     list: Arc<str>,
@@ -34,7 +34,7 @@
     tenants: usize,
     brain: D,
     state: State,
-    numbers: Option<Box<Numbers>>,
+    numbers: Option<Box<NumberAnalysis>>,
     /// When links are looked at again, and when the list is tried again.
     sweep_at: Duration,
     list_at: Option<Duration>,
@@ -82,18 +82,18 @@
     }
 
     /// From now on numbers that are dialled are analysed.
-    pub fn analyse_by(&mut self, numbers: Numbers) {
+    pub fn use_number_analysis(&mut self, numbers: NumberAnalysis) {
         self.products = numbers.products();
         self.numbers = Some(Box::new(numbers));
     }
 
     /// A former life may have left launches at core servers: until then nothing is launched.
-    pub fn rest_until(&mut self, until: Duration) {
-        self.brain.rest_until(until);
+    pub fn hold_launches_until(&mut self, until: Duration) {
+        self.brain.hold_launches_until(until);
     }
 
     /// The number analysis, where there is one.
-    pub fn numbers(&mut self) -> Option<&mut Numbers> {
+    pub fn number_analysis(&mut self) -> Option<&mut NumberAnalysis> {
         self.numbers.as_deref_mut()
     }
 
@@ -108,7 +108,7 @@
     }
 
     /// When the launch of a dialogue ends by itself, where one is out.
-    pub fn time_out_of(&self, id: &DialogueId) -> Option<Duration> {
+    pub fn launch_deadline(&self, id: &DialogueId) -> Option<Duration> {
         let held = self.state.held.get(id)?;
         if let Stage::Out { until, .. } = held.at { Some(until) } else { None }
     }
@@ -119,47 +119,47 @@
     }
 
     /// What is kept of dialogues beside what is held: on links, in their queues, and answers not yet given.
-    pub fn traces(&self) -> usize {
+    pub fn auxiliary_entries(&self) -> usize {
         let here: usize = self.state.links.values().map(|link| link.dialogues.len()).sum();
         let queued: usize = self.state.servers.values().map(|core| core.queued.len()).sum();
         here + queued + self.state.pending.len() + self.state.ends.len()
     }
 
     /// A dialogue that had its final answer in a former life.
-    pub fn recall(&mut self, dialogue: &DialogueId) {
+    pub fn remember_concluded(&mut self, dialogue: &DialogueId) {
         self.state.concluded.add(self.state.now, dialogue, &self.state.limits);
     }
 
     /// Dialogues that came or went over this link and are still held.
-    pub fn held_on(&self, link: LinkId) -> usize {
+    pub fn dialogues_on_link(&self, link: LinkId) -> usize {
         self.state.links.get(&link).map_or(0, |known| known.dialogues.len())
     }
 
     /// Whether this dialogue is held, and whether it stands.
-    pub fn holds(&self, id: &DialogueId) -> Option<bool> {
+    pub fn dialogue_stands(&self, id: &DialogueId) -> Option<bool> {
         let stands = |at: &Stage| matches!(at, Stage::Standing { .. } | Stage::Releasing { .. });
         self.state.held.get(id).map(|held| stands(&held.at))
     }
 
-    fn hands<'a>(&'a mut self, wires: &'a mut dyn Wires) -> Hands<'a> {
-        Hands { state: &mut self.state, wires }
+    fn signalling<'a>(&'a mut self, effects: &'a mut dyn EdgeEffects) -> ModuleSignalling<'a> {
+        ModuleSignalling { state: &mut self.state, effects }
     }
 
-    /// Hands the module the ends that came of what it did, until there is none.
-    fn hand_over_ends(&mut self, wires: &mut dyn Wires) {
+    /// ModuleSignalling the module the ends that came of what it did, until there is none.
+    fn hand_over_ends(&mut self, effects: &mut dyn EdgeEffects) {
         while let Some(mut end) = self.state.ends.pop_front() {
             end.closed = !self.state.held.contains_key(&end.dialogue);
-            let mut hands = Hands { state: &mut self.state, wires };
-            self.brain.ended(hands.state.now, end, &mut hands);
+            let mut signalling = ModuleSignalling { state: &mut self.state, effects };
+            self.brain.launch_ended(signalling.state.now, end, &mut signalling);
         }
     }
 
     /// Ends every input: the module hears of all ends, and links that could not be written to are closed.
-    fn settle(&mut self, wires: &mut dyn Wires) {
+    fn settle(&mut self, effects: &mut dyn EdgeEffects) {
         loop {
-            self.hand_over_ends(wires);
+            self.hand_over_ends(effects);
             let Some((link, why)) = self.state.broken.pop_front() else { break };
-            self.drop_link(link, why, wires);
+            self.drop_link(link, why, effects);
         }
     }
 }
--- a/crates/edge/src/edge/core_frames.rs
+++ b/crates/edge/src/edge/core_frames.rs
@@ -4,20 +4,21 @@
 use lotussaddle_trunk::{Cause, Extra, Frame, Message};
 
 use super::Edge;
-use crate::hands::Hands;
 use crate::held::Stage;
-use crate::{Decisions, LinkId, Wires};
+use crate::signalling::ModuleSignalling;
+use crate::{Decisions, EdgeEffects, LinkId};
 
 impl<D: Decisions> Edge<D> {
     /// False: a frame that a core server does not send.
     pub(super) fn core_frame(
-        &mut self, link: LinkId, server: &ServerId, frame: Frame, extra: Vec<Extra>, wires: &mut dyn Wires,
+        &mut self, link: LinkId, server: &ServerId, frame: Frame, extra: Vec<Extra>,
+        effects: &mut dyn EdgeEffects,
     ) -> bool {
         match frame {
-            Frame::Report { report } => self.reported(server, &report, wires),
+            Frame::Report { report } => self.reported(server, &report, effects),
             Frame::Stood { dialogue, launch, report } => {
-                self.launch_stood(link, server, dialogue, launch, extra, wires);
-                self.reported(server, &report, wires);
+                self.launch_stood(link, server, dialogue, launch, extra, effects);
+                self.reported(server, &report, effects);
             }
             Frame::TurnedBack { dialogue, launch, cause, report } => {
                 let outcome = match cause {
@@ -26,16 +27,16 @@
                     Cause::NumberBusy => Outcome::NumberBusy,
                     Cause::Fault => Outcome::Fault,
                 };
-                self.launch_ended(link, server, &dialogue, launch, outcome, report, wires);
+                self.launch_ended(link, server, &dialogue, launch, outcome, report, effects);
             }
             Frame::BrokenOff { dialogue, launch, report } => {
-                self.launch_ended(link, server, &dialogue, launch, Outcome::BrokenOff, report, wires);
+                self.launch_ended(link, server, &dialogue, launch, Outcome::BrokenOff, report, effects);
             }
             Frame::Ended { dialogue, launch, end, report } => {
                 if self.is_standing_or_releasing(&dialogue, launch, link) {
-                    self.standing_ended(&dialogue, launch, server, link, end, report, wires);
+                    self.standing_ended(&dialogue, launch, server, link, end, report, effects);
                 } else {
-                    self.launch_ended(link, server, &dialogue, launch, Outcome::BrokenOff, report, wires);
+                    self.launch_ended(link, server, &dialogue, launch, Outcome::BrokenOff, report, effects);
                 }
             }
             _ => return false,
@@ -46,31 +47,31 @@
     /// A server says that a launch stands.
     fn launch_stood(
         &mut self, link: LinkId, server: &ServerId, dialogue: DialogueId, launch: LaunchNo,
-        extra: Vec<Extra>, wires: &mut dyn Wires,
+        extra: Vec<Extra>, effects: &mut dyn EdgeEffects,
     ) {
         if !self.is_out(&dialogue, launch, link) {
             // It crossed a cancel, or comes twice: unless it is the one that stands, its lines go back.
             self.state.counts.strays += 1;
             if !self.is_standing(&dialogue, launch, link) {
-                self.called_off_again(&dialogue, server.clone(), wires);
-                self.hands(wires).say(link, Frame::Release { dialogue, launch });
+                self.called_off_again(&dialogue, server.clone(), effects);
+                self.signalling(effects).say(link, Frame::Release { dialogue, launch });
             }
             return;
         }
-        let mut hands = Hands { state: &mut self.state, wires };
-        hands.launch_over(&dialogue);
-        hands.state.counts.stood += 1;
-        if let Some(caller) = hands.mark_standing(&dialogue, server, launch, link) {
+        let mut signalling = ModuleSignalling { state: &mut self.state, effects };
+        signalling.launch_over(&dialogue);
+        signalling.state.counts.stood += 1;
+        if let Some(caller) = signalling.mark_standing(&dialogue, server, launch, link) {
             let stands = Frame::Stands { dialogue: dialogue.clone(), server: server.clone() };
-            hands.answer(caller, &dialogue, launch, Message { frame: stands, extra });
+            signalling.answer(caller, &dialogue, launch, Message { frame: stands, extra });
         }
-        self.brain.stands(hands.state.now, &dialogue, launch, server, &mut hands);
+        self.brain.dialogue_stands(signalling.state.now, &dialogue, launch, server, &mut signalling);
     }
 
-    pub(super) fn reported(&mut self, server: &ServerId, report: &LoadReport, wires: &mut dyn Wires) {
+    pub(super) fn reported(&mut self, server: &ServerId, report: &LoadReport, effects: &mut dyn EdgeEffects) {
         if *report != LoadReport::default() {
-            let mut hands = Hands { state: &mut self.state, wires };
-            self.brain.reported(hands.state.now, server, report, &mut hands);
+            let mut signalling = ModuleSignalling { state: &mut self.state, effects };
+            self.brain.load_reported(signalling.state.now, server, report, &mut signalling);
         }
     }
 
--- a/crates/edge/src/edge/dialling.rs
+++ b/crates/edge/src/edge/dialling.rs
@@ -6,10 +6,10 @@
 use lotussaddle_trunk::{Dial, Extra, Frame, NotTaken};
 
 use super::{Edge, NO_LAUNCH};
-use crate::hands::Hands;
-use crate::held::{Held, Stage};
+use crate::held::{HeldDialogue, Stage};
 use crate::links::{Link, Peer};
-use crate::{Decisions, LinkId, Step, Wires};
+use crate::signalling::ModuleSignalling;
+use crate::{Decisions, DialogueStep, EdgeEffects, LinkId};
 
 /// More lines than this no dialogue takes.
 const MAX_WIDTH: f64 = 10_000.0;
@@ -26,21 +26,25 @@
 }
 
 impl<D: Decisions> Edge<D> {
-    pub(super) fn dialled(&mut self, link: LinkId, dial: Dial, extra: Vec<Extra>, wires: &mut dyn Wires) {
+    pub(super) fn dialled(
+        &mut self, link: LinkId, dial: Dial, extra: Vec<Extra>, effects: &mut dyn EdgeEffects,
+    ) {
         let id = dial.dialogue.clone();
-        let seeks = match self.admission(link, &dial, wires) {
+        let seeks = match self.admission(link, &dial, effects) {
             Admission::Repeated => return,
             Admission::Declined(why) => {
                 self.state.counts.declined += 1;
-                return self.hands(wires).say(link, Frame::Declined { dialogue: id, why, come_back: None });
+                return self
+                    .signalling(effects)
+                    .say(link, Frame::Declined { dialogue: id, why, come_back: None });
             }
             Admission::Taken { seeks } => seeks,
         };
         self.state.counts.taken += 1;
         let cut_off = self.cut_off_of(link, &dial);
-        let held = Held::of_dial(&dial, link, cut_off, Stage::Waiting, extra);
+        let held = HeldDialogue::of_dial(&dial, link, cut_off, Stage::Waiting, extra);
         self.state.held.insert(id.clone(), held);
-        self.hands(wires).add_to_link(link, &id);
+        self.signalling(effects).add_to_link(link, &id);
         if seeks {
             self.state.counts.sought += 1;
             self.state.deadlines.set(cut_off, &id, NO_LAUNCH);
@@ -49,12 +53,12 @@
             }
             return;
         }
-        wires.record(&id, Step::Taken);
-        self.decide(&dial, wires);
+        effects.record(&id, DialogueStep::Accepted);
+        self.decide(&dial, effects);
     }
 
     /// Whether a dial is taken. Where it may have been dialled before elsewhere, it is asked after on the way.
-    fn admission(&mut self, link: LinkId, dial: &Dial, wires: &mut dyn Wires) -> Admission {
+    fn admission(&mut self, link: LinkId, dial: &Dial, effects: &mut dyn EdgeEffects) -> Admission {
         let id = &dial.dialogue;
         if let Some(held) = self.state.held.get(id) {
             if held.link == link && !matches!(held.at, Stage::Releasing { .. }) {
@@ -67,7 +71,7 @@
         if concluded && !dial.repeat {
             return Admission::Declined(NotTaken::Concluded);
         }
-        if self.state.held.len() >= self.state.limits.dialogues {
+        if self.state.held.len() >= self.state.limits.max_dialogues {
             return Admission::Declined(NotTaken::Full);
         }
         if !self.can_be_read(dial) {
@@ -76,7 +80,7 @@
         if dial.dialled.is_some() && self.numbers.as_ref().is_some_and(|numbers| !numbers.is_ready()) {
             return Admission::Declined(NotTaken::NotReady);
         }
-        let seeks = dial.repeat && wires.seek(id, self.state.now + dial.time_left);
+        let seeks = dial.repeat && effects.look_up_dialogue(id, self.state.now + dial.time_left);
         if concluded && !seeks {
             return Admission::Declined(NotTaken::Concluded);
         }
@@ -101,7 +105,7 @@
     }
 
     /// From now on it is for the module to decide, once its number is analysed.
-    pub(super) fn decide(&mut self, dial: &Dial, wires: &mut dyn Wires) {
+    pub(super) fn decide(&mut self, dial: &Dial, effects: &mut dyn EdgeEffects) {
         let now = self.state.now;
         let id = dial.dialogue.clone();
         let Some(cut_off) = self.state.held.get(&id).map(|held| held.cut_off) else { return };
@@ -114,16 +118,16 @@
             first_choice: dial.first_choice,
             width: dial.width,
             dialled_at: now,
-            cut_off: cut_off.saturating_sub(self.state.limits.record_within).max(now),
+            cut_off: cut_off.saturating_sub(self.state.limits.answer_record_timeout).max(now),
             again: dial.again,
             came_back: dial.came_back,
             key: dial.key.clone(),
         };
         if self.numbers.is_some() && dial.dialled.is_some() {
-            return self.analyse(dial, arrival, wires);
+            return self.analyse(dial, arrival, effects);
         }
-        let mut hands = Hands { state: &mut self.state, wires };
-        self.brain.arrived(now, arrival, &mut hands);
+        let mut signalling = ModuleSignalling { state: &mut self.state, effects };
+        self.brain.dialogue_arrived(now, arrival, &mut signalling);
     }
 
     /// A dialogue that is held is dialled on another link: where it is the same caller's, its former link is
@@ -154,27 +158,27 @@
     }
 
     /// The caller wants no more of this dialogue.
-    pub(super) fn hung_up(&mut self, id: &DialogueId, wires: &mut dyn Wires) {
+    pub(super) fn hung_up(&mut self, id: &DialogueId, effects: &mut dyn EdgeEffects) {
         let now = self.state.now;
         let Some(held) = self.state.held.get_mut(id) else { return };
         match held.at.clone() {
             Stage::Standing { server, launch, link } => {
-                let until = now + self.state.limits.release_within;
+                let until = now + self.state.limits.release_timeout;
                 held.at = Stage::Releasing { server, launch, link, until };
                 self.state.deadlines.set(until, id, launch);
-                self.hands(wires).say(link, Frame::Release { dialogue: id.clone(), launch });
+                self.signalling(effects).say(link, Frame::Release { dialogue: id.clone(), launch });
             }
             Stage::Releasing { .. } => {}
             at => {
                 self.state.counts.left += 1;
-                self.drop_unanswered(id, &at, wires);
+                self.drop_unanswered(id, &at, effects);
             }
         }
     }
 
     /// Lets go of a dialogue that has no answer yet, and withdraws it from whoever works on it; gives its caller's link.
     pub(super) fn drop_unanswered(
-        &mut self, id: &DialogueId, at: &Stage, wires: &mut dyn Wires,
+        &mut self, id: &DialogueId, at: &Stage, effects: &mut dyn EdgeEffects,
     ) -> Option<LinkId> {
         match at {
             Stage::Sought(_) | Stage::Barred(..) => self.clear_sought_deadline(id, at),
@@ -184,11 +188,11 @@
                 }
             }
             Stage::Waiting | Stage::Out { .. } => {
-                let mut hands = Hands { state: &mut self.state, wires };
-                self.brain.left(hands.state.now, id, &mut hands);
+                let mut signalling = ModuleSignalling { state: &mut self.state, effects };
+                self.brain.caller_left(signalling.state.now, id, &mut signalling);
             }
             Stage::Standing { .. } | Stage::Releasing { .. } => return None,
         }
-        self.hands(wires).conclude(id).map(|(link, _)| link)
+        self.signalling(effects).conclude(id).map(|(link, _)| link)
     }
 }
--- a/crates/edge/src/edge/frames.rs
+++ b/crates/edge/src/edge/frames.rs
@@ -6,46 +6,48 @@
 
 use super::Edge;
 use crate::links::Peer;
-use crate::{Decisions, LinkId, Wires};
+use crate::{Decisions, EdgeEffects, LinkId};
 
 impl<D: Decisions> Edge<D> {
     /// A message has come in on a link.
-    pub fn heard(&mut self, now: Duration, link: LinkId, message: Message, wires: &mut dyn Wires) {
+    pub fn frame_received(
+        &mut self, now: Duration, link: LinkId, message: Message, effects: &mut dyn EdgeEffects,
+    ) {
         self.state.now = now;
         // After a stall, what timed out meanwhile has timed out, though its answer lies in the queue.
-        self.expire_deadlines(wires);
-        self.numbers_due(wires);
+        self.expire_deadlines(effects);
+        self.numbers_due(effects);
         let Some(known) = self.state.links.get_mut(&link) else { return };
         (known.heard, known.asked) = (now, false);
         match (&known.kind, known.greeted, message.frame) {
-            (_, _, Frame::Ping { nonce }) => self.hands(wires).say(link, Frame::Pong { nonce }),
+            (_, _, Frame::Ping { nonce }) => self.signalling(effects).say(link, Frame::Pong { nonce }),
             (_, _, Frame::Pong { .. }) => {}
-            (_, _, Frame::Bye { why }) => self.drop_link(link, &format!("said good-bye: {why}"), wires),
-            (_, false, Frame::Hello(hello)) => self.greeted(link, hello, wires),
-            (_, false, _) => self.drop_link(link, "spoke before it said hello", wires),
-            (Peer::Caller(_), true, Frame::Dial(dial)) => self.dialled(link, dial, message.extra, wires),
+            (_, _, Frame::Bye { why }) => self.drop_link(link, &format!("said good-bye: {why}"), effects),
+            (_, false, Frame::Hello(hello)) => self.greeted(link, hello, effects),
+            (_, false, _) => self.drop_link(link, "spoke before it said hello", effects),
+            (Peer::Caller(_), true, Frame::Dial(dial)) => self.dialled(link, dial, message.extra, effects),
             (Peer::Caller(_), true, Frame::HangUp { dialogue }) => {
                 if self.state.pending.answer_link(&dialogue).is_some_and(|answers| *answers == link) {
                     self.state.pending.drop_of(&dialogue);
                 }
                 if self.state.held.get(&dialogue).is_some_and(|held| held.link == link) {
-                    self.hung_up(&dialogue, wires);
+                    self.hung_up(&dialogue, effects);
                 }
             }
             (Peer::Core(server), true, frame) => {
                 let server = server.clone();
-                if !self.core_frame(link, &server, frame, message.extra, wires) {
-                    self.drop_link(link, "said what is not a core server's to say", wires);
+                if !self.core_frame(link, &server, frame, message.extra, effects) {
+                    self.drop_link(link, "said what is not a core server's to say", effects);
                 }
             }
-            (Peer::List, true, Frame::List { whole, entries }) => self.listed(whole, entries, wires),
-            (Peer::List, true, Frame::Tables { serial, order }) => self.ordered(link, serial, order, wires),
-            _ => self.drop_link(link, "said what is not its to say", wires),
+            (Peer::List, true, Frame::List { whole, entries }) => self.listed(whole, entries, effects),
+            (Peer::List, true, Frame::Tables { serial, order }) => self.ordered(link, serial, order, effects),
+            _ => self.drop_link(link, "said what is not its to say", effects),
         }
-        self.settle(wires);
+        self.settle(effects);
     }
 
-    fn greeted(&mut self, link: LinkId, hello: Hello, wires: &mut dyn Wires) {
+    fn greeted(&mut self, link: LinkId, hello: Hello, effects: &mut dyn EdgeEffects) {
         let known = self.state.links.get_mut(&link).expect("it was looked up");
         let wrong = match (&known.kind, hello.role) {
             _ if hello.version != VERSION => Some(format!("speaks version {}, not {VERSION}", hello.version)),
@@ -60,7 +62,7 @@
             (_, role) => Some(format!("is a {role:?}")),
         };
         if let Some(wrong) = wrong {
-            return self.drop_link(link, &wrong, wires);
+            return self.drop_link(link, &wrong, effects);
         }
         known.greeted = true;
         if let Some(sent_at) = hello.sent_at {
@@ -70,9 +72,9 @@
             Peer::Caller(_) => {
                 self.state.fresh.retain(|fresh| *fresh != link);
                 let hello = Hello::new(Role::Edge, self.name.clone());
-                self.hands(wires).say(link, Frame::Hello(hello));
+                self.signalling(effects).say(link, Frame::Hello(hello));
             }
-            Peer::Core(_) => self.send_queued(link, wires),
+            Peer::Core(_) => self.send_queued(link, effects),
             Peer::List | Peer::Fresh => {}
         }
     }
--- a/crates/edge/src/edge/launch_ends.rs
+++ b/crates/edge/src/edge/launch_ends.rs
@@ -6,23 +6,23 @@
 use lotussaddle_trunk::{End, Frame};
 
 use super::Edge;
-use crate::hands::Hands;
 use crate::held::Stage;
-use crate::{Decisions, LinkId, Step, Wires};
+use crate::signalling::ModuleSignalling;
+use crate::{Decisions, DialogueStep, EdgeEffects, LinkId};
 
 impl<D: Decisions> Edge<D> {
     /// A launch on this link has ended with this outcome, which no frame tells.
     #[expect(clippy::too_many_arguments)]
-    pub fn launch_came_to(
+    pub fn launch_outcome_reported(
         &mut self, now: Duration, link: LinkId, id: &DialogueId, launch: LaunchNo, outcome: Outcome,
-        report: LoadReport, wires: &mut dyn Wires,
+        report: LoadReport, effects: &mut dyn EdgeEffects,
     ) {
         self.state.now = now;
-        self.expire_deadlines(wires);
+        self.expire_deadlines(effects);
         if let Some(server) = self.server_of(link) {
-            self.launch_ended(link, &server, id, launch, outcome, report, wires);
+            self.launch_ended(link, &server, id, launch, outcome, report, effects);
         }
-        self.settle(wires);
+        self.settle(effects);
     }
 
     /// A launch on this link is over that has stood, or may have, though no answer came: its end is owed to the caller. What
@@ -31,48 +31,50 @@
     /// `launch` is the one that is out there. None: the end came of a former launch, which timed out, was called off or
     /// lost its connection before; whatever is out by now is called off.
     #[expect(clippy::too_many_arguments)]
-    pub fn over_unheard(
+    pub fn unanswered_launch_ended(
         &mut self, now: Duration, link: LinkId, id: &DialogueId, launch: Option<LaunchNo>, end: End,
-        report: LoadReport, wires: &mut dyn Wires,
+        report: LoadReport, effects: &mut dyn EdgeEffects,
     ) {
         self.state.now = now;
-        self.expire_deadlines(wires);
-        let Some(server) = self.server_of(link) else { return self.settle(wires) };
+        self.expire_deadlines(effects);
+        let Some(server) = self.server_of(link) else { return self.settle(effects) };
         let out = launch.filter(|launch| self.is_out(id, *launch, link));
         if let Some(launch) = out {
-            let mut hands = Hands { state: &mut self.state, wires };
-            hands.launch_over(id);
-            hands.fail(id);
+            let mut signalling = ModuleSignalling { state: &mut self.state, effects };
+            signalling.launch_over(id);
+            signalling.fail(id);
             let outcome = if end == End::Cut { Outcome::BrokenOff } else { Outcome::Ended };
             let end = LaunchEnd { dialogue: id.clone(), launch, server, outcome, closed: true, report };
-            self.brain.ended(now, end, &mut hands);
+            self.brain.launch_ended(now, end, &mut signalling);
         } else {
-            if self.has_former_launch(id) {
-                let mut hands = Hands { state: &mut self.state, wires };
-                self.brain.left(now, id, &mut hands);
-                hands.fail(id);
+            if self.has_previous_launch(id) {
+                let mut signalling = ModuleSignalling { state: &mut self.state, effects };
+                self.brain.caller_left(now, id, &mut signalling);
+                signalling.fail(id);
             }
             self.state.counts.strays += 1;
-            self.reported(&server, &report, wires);
+            self.reported(&server, &report, effects);
         }
-        self.settle(wires);
+        self.settle(effects);
     }
 
     /// A launch on this link has answered after it was called off: its server had not read that yet. The release time of a
     /// dialogue that waits for its next launch counts from now on.
-    pub fn stood_after_give_up(
-        &mut self, now: Duration, link: LinkId, id: &DialogueId, wires: &mut dyn Wires,
+    pub fn stood_after_cancel(
+        &mut self, now: Duration, link: LinkId, id: &DialogueId, effects: &mut dyn EdgeEffects,
     ) {
         self.state.now = now;
-        self.expire_deadlines(wires);
+        self.expire_deadlines(effects);
         if let Some(server) = self.server_of(link) {
-            self.called_off_again(id, server, wires);
+            self.called_off_again(id, server, effects);
         }
-        self.settle(wires);
+        self.settle(effects);
     }
 
     /// Tells the module, and whoever keeps a copy of the dialogue, that its last launch was out until now.
-    pub(super) fn called_off_again(&mut self, id: &DialogueId, server: ServerId, wires: &mut dyn Wires) {
+    pub(super) fn called_off_again(
+        &mut self, id: &DialogueId, server: ServerId, effects: &mut dyn EdgeEffects,
+    ) {
         let Some(held) = self.state.held.get(id) else { return };
         if !matches!(held.at, Stage::Waiting) || held.launches == 0 {
             return;
@@ -85,13 +87,13 @@
             closed: false,
             report: LoadReport::default(),
         };
-        let mut hands = Hands { state: &mut self.state, wires };
-        hands.back(id, true);
-        self.brain.ended(hands.state.now, end, &mut hands);
+        let mut signalling = ModuleSignalling { state: &mut self.state, effects };
+        signalling.back(id, true);
+        self.brain.launch_ended(signalling.state.now, end, &mut signalling);
     }
 
     /// Whether a dialogue that has no answer yet had a launch that is not out any more.
-    pub fn has_former_launch(&self, id: &DialogueId) -> bool {
+    pub fn has_previous_launch(&self, id: &DialogueId) -> bool {
         self.state.held.get(id).is_some_and(|held| match held.at {
             Stage::Waiting => held.launches > 0,
             Stage::Out { .. } => held.launches > 1,
@@ -101,12 +103,12 @@
 
     /// A dialogue that stands, or is being released, at this link's server is over, whichever launch of it that was.
     /// False: none is held there.
-    pub fn over(
+    pub fn standing_dialogue_ended(
         &mut self, now: Duration, link: LinkId, id: &DialogueId, end: End, report: LoadReport,
-        wires: &mut dyn Wires,
+        effects: &mut dyn EdgeEffects,
     ) -> bool {
         self.state.now = now;
-        self.expire_deadlines(wires);
+        self.expire_deadlines(effects);
         let at = self.state.held.get(id).map(|held| &held.at);
         let launch = match at {
             Some(
@@ -115,24 +117,24 @@
             _ => return false,
         };
         if let Some(server) = self.server_of(link) {
-            self.standing_ended(id, launch, &server, link, end, report, wires);
+            self.standing_ended(id, launch, &server, link, end, report, effects);
         }
-        self.settle(wires);
+        self.settle(effects);
         true
     }
 
     #[expect(clippy::too_many_arguments)]
     pub(super) fn launch_ended(
         &mut self, link: LinkId, server: &ServerId, id: &DialogueId, launch: LaunchNo, outcome: Outcome,
-        report: LoadReport, wires: &mut dyn Wires,
+        report: LoadReport, effects: &mut dyn EdgeEffects,
     ) {
         if !self.is_out(id, launch, link) {
             self.state.counts.strays += 1;
-            return self.reported(server, &report, wires);
+            return self.reported(server, &report, effects);
         }
-        let mut hands = Hands { state: &mut self.state, wires };
-        hands.launch_over(id);
-        hands.back(id, matches!(outcome, Outcome::BrokenOff | Outcome::TimedOut | Outcome::CalledOff));
+        let mut signalling = ModuleSignalling { state: &mut self.state, effects };
+        signalling.launch_over(id);
+        signalling.back(id, matches!(outcome, Outcome::BrokenOff | Outcome::TimedOut | Outcome::CalledOff));
         let end = LaunchEnd {
             dialogue: id.clone(),
             launch,
@@ -141,32 +143,32 @@
             closed: false,
             report,
         };
-        self.brain.ended(hands.state.now, end, &mut hands);
+        self.brain.launch_ended(signalling.state.now, end, &mut signalling);
     }
 
     /// A dialogue that stood is over, by its caller's release or without.
     #[expect(clippy::too_many_arguments)]
     pub(super) fn standing_ended(
         &mut self, id: &DialogueId, launch: LaunchNo, server: &ServerId, link: LinkId, end: End,
-        report: LoadReport, wires: &mut dyn Wires,
+        report: LoadReport, effects: &mut dyn EdgeEffects,
     ) {
-        let mut hands = Hands { state: &mut self.state, wires };
-        if let Some(known) = hands.state.links.get_mut(&link) {
+        let mut signalling = ModuleSignalling { state: &mut self.state, effects };
+        if let Some(known) = signalling.state.links.get_mut(&link) {
             known.dialogues.remove(id);
         }
-        let at = hands.state.held.get(id).map(|held| held.at.clone());
+        let at = signalling.state.held.get(id).map(|held| held.at.clone());
         match at {
             Some(Stage::Releasing { until, .. }) => {
-                hands.state.deadlines.unset(until, id, launch);
-                hands.conclude(id);
-                hands.wires.record(id, Step::Over);
+                signalling.state.deadlines.unset(until, id, launch);
+                signalling.conclude(id);
+                signalling.effects.record(id, DialogueStep::Ended);
             }
-            Some(Stage::Standing { .. }) if end == End::Cut => hands.cut(id),
+            Some(Stage::Standing { .. }) if end == End::Cut => signalling.cut(id),
             Some(Stage::Standing { .. }) => {
-                if let Some((caller, _)) = hands.conclude(id) {
-                    hands.wires.record(id, Step::Over);
-                    hands.flush(id);
-                    hands.say(caller, Frame::Over { dialogue: id.clone(), end });
+                if let Some((caller, _)) = signalling.conclude(id) {
+                    signalling.effects.record(id, DialogueStep::Ended);
+                    signalling.flush(id);
+                    signalling.say(caller, Frame::Over { dialogue: id.clone(), end });
                 }
             }
             _ => return,
@@ -174,6 +176,6 @@
         let outcome = if end == End::Cut { Outcome::BrokenOff } else { Outcome::Ended };
         let end =
             LaunchEnd { dialogue: id.clone(), launch, server: server.clone(), outcome, closed: true, report };
-        self.brain.ended(hands.state.now, end, &mut hands);
+        self.brain.launch_ended(signalling.state.now, end, &mut signalling);
     }
 }
--- a/crates/edge/src/edge/number_analysis.rs
+++ b/crates/edge/src/edge/number_analysis.rs
@@ -1,4 +1,4 @@
-//! Numbers that are dialled: their analysis, look-ups, and the tables it goes by.
+//! NumberAnalysis that are dialled: their analysis, look-ups, and the tables it goes by.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,69 +8,76 @@
 use lotussaddle_trunk::{Dial, Frame, TablesOrder};
 
 use super::Edge;
-use crate::hands::Hands;
 use crate::held::Stage;
 use crate::links::Peer;
 use crate::numbers::Analysed;
-use crate::{Decisions, LinkId, Note, Wires};
+use crate::signalling::ModuleSignalling;
+use crate::{Decisions, EdgeEffects, LinkId, LogTopic};
 
 impl<D: Decisions> Edge<D> {
     /// A datagram of a look-up server.
-    pub fn replied(&mut self, now: Duration, server: usize, datagram: &[u8], wires: &mut dyn Wires) {
+    pub fn look_up_reply_received(
+        &mut self, now: Duration, server: usize, datagram: &[u8], effects: &mut dyn EdgeEffects,
+    ) {
         self.state.now = now;
         if let Some(numbers) = &mut self.numbers {
-            numbers.replied(now, server, datagram, wires);
+            numbers.replied(now, server, datagram, effects);
         }
-        self.expire_deadlines(wires);
-        self.numbers_due(wires);
-        self.settle(wires);
+        self.expire_deadlines(effects);
+        self.numbers_due(effects);
+        self.settle(effects);
     }
 
-    /// What came of `Wires::load`.
-    pub fn loaded(
-        &mut self, now: Duration, name: &str, tables: Result<Arc<Tables>, String>, wires: &mut dyn Wires,
+    /// What came of `EdgeEffects::load`.
+    pub fn tables_loaded(
+        &mut self, now: Duration, name: &str, tables: Result<Arc<Tables>, String>,
+        effects: &mut dyn EdgeEffects,
     ) {
         self.state.now = now;
         if let Some(numbers) = &mut self.numbers {
             if let Err(why) = &tables {
-                wires.log(Note::Link, &format!("generation {name} is not taken:\n{why}"));
+                effects.log(LogTopic::Link, &format!("generation {name} is not taken:\n{why}"));
             }
-            numbers.loaded(now, name, tables, wires);
+            numbers.loaded(now, name, tables, effects);
         }
-        self.numbers_due(wires);
-        self.settle(wires);
+        self.numbers_due(effects);
+        self.settle(effects);
     }
 
-    /// An order about tables, from elsewhere than the list; `Wires::tabled` tells what came of it.
-    pub fn order_tables(&mut self, now: Duration, serial: u64, order: TablesOrder, wires: &mut dyn Wires) {
+    /// An order about tables, from elsewhere than the list; `EdgeEffects::tabled` tells what came of it.
+    pub fn order_tables(
+        &mut self, now: Duration, serial: u64, order: TablesOrder, effects: &mut dyn EdgeEffects,
+    ) {
         self.state.now = now;
         match &mut self.numbers {
-            Some(numbers) => numbers.ordered(now, serial, order, wires),
-            None => wires.tabled(serial, Some("numbers are not analysed here")),
+            Some(numbers) => numbers.ordered(now, serial, order, effects),
+            None => effects.tables_order_done(serial, Some("numbers are not analysed here")),
         }
-        self.numbers_due(wires);
-        self.settle(wires);
+        self.numbers_due(effects);
+        self.settle(effects);
     }
 
     /// An order about tables came from the list.
-    pub(super) fn ordered(&mut self, link: LinkId, serial: u64, order: TablesOrder, wires: &mut dyn Wires) {
+    pub(super) fn ordered(
+        &mut self, link: LinkId, serial: u64, order: TablesOrder, effects: &mut dyn EdgeEffects,
+    ) {
         let now = self.state.now;
         match &mut self.numbers {
-            Some(numbers) => numbers.ordered(now, serial, order, wires),
+            Some(numbers) => numbers.ordered(now, serial, order, effects),
             None => {
                 let why = Some(Arc::from("numbers are not analysed here"));
-                self.hands(wires).say(link, Frame::Tabled { serial, in_force: 0, name: None, why });
+                self.signalling(effects).say(link, Frame::Tabled { serial, in_force: 0, name: None, why });
             }
         }
-        self.numbers_due(wires);
+        self.numbers_due(effects);
     }
 
-    pub(super) fn analyse(&mut self, dial: &Dial, arrival: Arrival, wires: &mut dyn Wires) {
+    pub(super) fn analyse(&mut self, dial: &Dial, arrival: Arrival, effects: &mut dyn EdgeEffects) {
         let Some(numbers) = &mut self.numbers else { return };
         self.state.counts.analysed += 1;
         let id = arrival.id.clone();
-        match numbers.begin(self.state.now, dial, arrival, wires) {
-            Some(found) => self.analysed(found, wires),
+        match numbers.begin(self.state.now, dial, arrival, effects) {
+            Some(found) => self.analysed(found, effects),
             None => {
                 self.state.counts.looked_up += 1;
                 if let Some(held) = self.state.held.get_mut(&id) {
@@ -81,48 +88,48 @@
     }
 
     /// Has generations taken apart that nobody needs any more.
-    pub(super) fn let_go_of_tables(&mut self, wires: &mut dyn Wires) {
+    pub(super) fn let_go_of_tables(&mut self, effects: &mut dyn EdgeEffects) {
         let gone = self.numbers.as_mut().map(|numbers| numbers.generations.take_gone()).unwrap_or_default();
         if !gone.is_empty() {
-            wires.let_go(gone);
+            effects.drop_tables(gone);
         }
     }
 
     /// What is due of tables and look-ups, and what came of look-ups meanwhile.
-    pub(super) fn numbers_due(&mut self, wires: &mut dyn Wires) {
+    pub(super) fn numbers_due(&mut self, effects: &mut dyn EdgeEffects) {
         let Some(numbers) = &mut self.numbers else { return };
-        let (found, unanswered) = numbers.due(self.state.now, wires);
+        let (found, unanswered) = numbers.due(self.state.now, effects);
         let said = numbers.take_said();
         self.state.counts.unanswered += unanswered;
         for found in found {
-            self.analysed(found, wires);
-            self.hand_over_ends(wires);
+            self.analysed(found, effects);
+            self.hand_over_ends(effects);
         }
         if !said.is_empty() {
-            self.tell_of_tables(said, wires);
+            self.tell_of_tables(said, effects);
         }
     }
 
     /// Tells the list, where its link is up, and the shell what came of orders about tables.
-    fn tell_of_tables(&mut self, said: Vec<Frame>, wires: &mut dyn Wires) {
+    fn tell_of_tables(&mut self, said: Vec<Frame>, effects: &mut dyn EdgeEffects) {
         let list = self.state.links.iter().find(|(_, link)| matches!(link.kind, Peer::List) && link.greeted);
         let list = list.map(|(id, _)| *id);
         for said in said {
             if let Frame::Tabled { serial, in_force, name, why } = &said {
-                wires.tabled(*serial, why.as_deref());
+                effects.tables_order_done(*serial, why.as_deref());
                 let (name, why) = (name.as_deref().unwrap_or("-"), why.as_deref().unwrap_or("done"));
-                wires.log(
-                    Note::Mode,
+                effects.log(
+                    LogTopic::Mode,
                     &format!("tables: order {serial} on {name}: {why}; in force is swap {in_force}"),
                 );
             }
             if let Some(list) = list {
-                self.hands(wires).say(list, said);
+                self.signalling(effects).say(list, said);
             }
         }
     }
 
-    fn analysed(&mut self, (mut arrival, found): Analysed, wires: &mut dyn Wires) {
+    fn analysed(&mut self, (mut arrival, found): Analysed, effects: &mut dyn EdgeEffects) {
         let Some(held) = self.state.held.get_mut(&arrival.id) else { return };
         held.at = Stage::Waiting;
         match found {
@@ -136,13 +143,13 @@
                 if let Some(first) = route.first {
                     arrival.first_choice = ServerNumber(first);
                 }
-                let mut hands = Hands { state: &mut self.state, wires };
-                self.brain.arrived(hands.state.now, arrival, &mut hands);
+                let mut signalling = ModuleSignalling { state: &mut self.state, effects };
+                self.brain.dialogue_arrived(signalling.state.now, arrival, &mut signalling);
             }
             Err(_) => {
                 self.state.counts.barred += 1;
-                let mut hands = self.hands(wires);
-                hands.refuse(&arrival.id, None);
+                let mut signalling = self.signalling(effects);
+                signalling.refuse(&arrival.id, None);
             }
         }
     }
--- a/crates/edge/src/edge/server_list.rs
+++ b/crates/edge/src/edge/server_list.rs
@@ -6,33 +6,35 @@
 use lotussaddle_trunk::Entry;
 
 use super::Edge;
-use crate::hands::Hands;
 use crate::links::CoreServer;
-use crate::{Decisions, LinkId, Note, Wires};
+use crate::signalling::ModuleSignalling;
+use crate::{Decisions, EdgeEffects, LinkId, LogTopic};
 
 /// Core servers known at once; beyond it a new one of the list is left out, and the log says so.
 const MAX_SERVERS: usize = 10_000;
 
 impl<D: Decisions> Edge<D> {
     /// A list has come, whole or with the entries that changed.
-    pub(super) fn listed(&mut self, whole: bool, entries: Vec<Entry>, wires: &mut dyn Wires) {
+    pub(super) fn listed(&mut self, whole: bool, entries: Vec<Entry>, effects: &mut dyn EdgeEffects) {
         if whole {
             self.state.servers.values_mut().for_each(|core| core.listed = Listed::Gone);
         }
-        let (known, replaced_links) = self.take_in(entries, wires);
+        let (known, replaced_links) = self.take_in(entries, effects);
         for entry in &known {
             if entry.listed == Listed::Active {
-                self.hands(wires).link_to(&entry.server);
+                self.signalling(effects).link_to(&entry.server);
             }
         }
-        let mut hands = Hands { state: &mut self.state, wires };
-        self.brain.listed(hands.state.now, whole, &known, &mut hands);
-        self.return_queued_of_inactive(wires);
-        self.remove_gone(replaced_links, wires);
+        let mut signalling = ModuleSignalling { state: &mut self.state, effects };
+        self.brain.list_received(signalling.state.now, whole, &known, &mut signalling);
+        self.return_queued_of_inactive(effects);
+        self.remove_gone(replaced_links, effects);
     }
 
     /// Takes the entries in, up to the bound; gives what the module is to know of them, and the links to former lives.
-    fn take_in(&mut self, entries: Vec<Entry>, wires: &mut dyn Wires) -> (Vec<ListEntry>, Vec<LinkId>) {
+    fn take_in(
+        &mut self, entries: Vec<Entry>, effects: &mut dyn EdgeEffects,
+    ) -> (Vec<ListEntry>, Vec<LinkId>) {
         let mut known = Vec::new();
         let mut replaced_links = Vec::new();
         let mut left_out = 0;
@@ -48,7 +50,7 @@
         if left_out > 0 {
             let line =
                 format!("{left_out} servers of the list are left out: {MAX_SERVERS} are known already");
-            wires.log(Note::Mode, &line);
+            effects.log(LogTopic::Mode, &line);
         }
         (known, replaced_links)
     }
@@ -79,24 +81,24 @@
     }
 
     /// What waits for the link of a server that drains is not sent there when the link is up.
-    fn return_queued_of_inactive(&mut self, wires: &mut dyn Wires) {
+    fn return_queued_of_inactive(&mut self, effects: &mut dyn EdgeEffects) {
         let leaving = self.state.servers.iter_mut().filter(|(_, core)| core.listed != Listed::Active);
         let returned: Vec<_> = leaving
             .flat_map(|(id, core)| std::mem::take(&mut core.queued).into_iter().map(|d| (d, id.clone())))
             .collect();
         for (dialogue, server) in returned {
-            self.server_unreachable(&dialogue, &server, wires);
+            self.server_unreachable(&dialogue, &server, effects);
         }
     }
 
     /// Ends links on which nothing is left of those to former lives and to servers that are gone, and forgets the latter.
-    fn remove_gone(&mut self, mut unused_links: Vec<LinkId>, wires: &mut dyn Wires) {
+    fn remove_gone(&mut self, mut unused_links: Vec<LinkId>, effects: &mut dyn EdgeEffects) {
         let gone = self.state.servers.iter().filter(|(_, core)| core.listed == Listed::Gone);
         let gone: Vec<ServerId> = gone.map(|(id, _)| id.clone()).collect();
         unused_links.extend(gone.iter().filter_map(|id| self.state.servers.get(id)?.link));
         for link in unused_links {
             if self.state.links.get(&link).is_some_and(|known| known.dialogues.is_empty()) {
-                self.drop_link(link, "its server is gone from the list", wires);
+                self.drop_link(link, "its server is gone from the list", effects);
             }
         }
         for id in gone {
--- a/crates/edge/src/edge/takeover.rs
+++ b/crates/edge/src/edge/takeover.rs
@@ -6,77 +6,84 @@
 use lotussaddle_trunk::{Dial, End, Frame, NotTaken};
 
 use super::{Edge, NO_LAUNCH};
-use crate::held::{Deferred, Held, Stage};
-use crate::{Decisions, Found, LinkId, Wires};
+use crate::held::{Deferred, HeldDialogue, Stage};
+use crate::{Decisions, EdgeEffects, LinkId, PriorOutcome};
 
 impl<D: Decisions> Edge<D> {
-    /// What `Wires::seek` came to.
-    pub fn found(&mut self, now: Duration, id: &DialogueId, found: Found, wires: &mut dyn Wires) {
+    /// What `EdgeEffects::seek` came to.
+    pub fn prior_outcome_found(
+        &mut self, now: Duration, id: &DialogueId, found: PriorOutcome, effects: &mut dyn EdgeEffects,
+    ) {
         self.state.now = now;
-        self.expire_deadlines(wires);
+        self.expire_deadlines(effects);
         let at = self.state.held.get(id).map(|held| held.at.clone());
-        let Some(Stage::Sought(dial)) = at else { return self.settle(wires) };
+        let Some(Stage::Sought(dial)) = at else { return self.settle(effects) };
         let held = self.state.held.get_mut(id).expect("it was looked up");
         let (caller, cut_off) = (held.link, held.cut_off);
         self.state.deadlines.unset(cut_off, id, NO_LAUNCH);
         match found {
-            Found::Free { not_before } if not_before > now => {
+            PriorOutcome::Free { launch_not_before: not_before } if not_before > now => {
                 held.at = Stage::Barred(dial, not_before);
                 self.state.deadlines.set(not_before.min(cut_off), id, NO_LAUNCH);
             }
-            Found::Free { .. } => {
+            PriorOutcome::Free { .. } => {
                 held.at = Stage::Waiting;
-                self.decide(&dial, wires);
+                self.decide(&dial, effects);
             }
-            Found::Answered(frame) => {
+            PriorOutcome::Answered(frame) => {
                 self.state.counts.recognised += 1;
-                let mut hands = self.hands(wires);
-                hands.conclude(id);
-                hands.say(caller, frame);
+                let mut signalling = self.signalling(effects);
+                signalling.conclude(id);
+                signalling.say(caller, frame);
+            }
+            PriorOutcome::Stands { server, launch } => {
+                self.resume_standing(id, caller, server, launch, effects)
             }
-            Found::Stands { server, launch } => self.resume_standing(id, caller, server, launch, wires),
-            Found::Concluded => {
-                let mut hands = self.hands(wires);
-                hands.conclude(id);
-                hands.state.counts.declined += 1;
+            PriorOutcome::Concluded => {
+                let mut signalling = self.signalling(effects);
+                signalling.conclude(id);
+                signalling.state.counts.declined += 1;
                 let why = NotTaken::Concluded;
-                hands.say(caller, Frame::Declined { dialogue: id.clone(), why, come_back: None });
+                signalling.say(caller, Frame::Declined { dialogue: id.clone(), why, come_back: None });
+            }
+            PriorOutcome::Unresolved { retry_after: come_back } => {
+                self.decline_sought(id, come_back, effects)
             }
-            Found::Unsure { come_back } => self.decline_sought(id, come_back, wires),
         }
-        self.settle(wires);
+        self.settle(effects);
     }
 
     /// It stands at that server, and goes on here; where the server cannot be reached, it is not taken.
     fn resume_standing(
-        &mut self, id: &DialogueId, caller: LinkId, server: ServerId, launch: LaunchNo, wires: &mut dyn Wires,
+        &mut self, id: &DialogueId, caller: LinkId, server: ServerId, launch: LaunchNo,
+        effects: &mut dyn EdgeEffects,
     ) {
-        let Some(link) = self.hands(wires).link_to(&server) else {
-            return self.decline_sought(id, None, wires);
+        let Some(link) = self.signalling(effects).link_to(&server) else {
+            return self.decline_sought(id, None, effects);
         };
         self.state.counts.recognised += 1;
-        let mut hands = self.hands(wires);
-        hands.mark_standing(id, &server, launch, link);
-        hands.say(caller, Frame::Stands { dialogue: id.clone(), server });
+        let mut signalling = self.signalling(effects);
+        signalling.mark_standing(id, &server, launch, link);
+        signalling.say(caller, Frame::Stands { dialogue: id.clone(), server });
     }
 
     /// What came of a dialogue dialled before cannot be told: it was never taken here.
     pub(super) fn decline_sought(
-        &mut self, id: &DialogueId, come_back: Option<Duration>, wires: &mut dyn Wires,
+        &mut self, id: &DialogueId, come_back: Option<Duration>, effects: &mut dyn EdgeEffects,
     ) {
-        let mut hands = self.hands(wires);
-        if let Some(held) = hands.drop_held(id) {
-            hands.state.counts.unsure += 1;
+        let mut signalling = self.signalling(effects);
+        if let Some(held) = signalling.drop_held(id) {
+            signalling.state.counts.unsure += 1;
             let frame = Frame::Declined { dialogue: id.clone(), why: NotTaken::Unsure, come_back };
-            hands.say(held.link, frame);
+            signalling.say(held.link, frame);
         }
     }
 
     /// Another edge proxy has this dialogue now: nothing more of it is sent here, and what is out is called off. Mostly its caller has
     /// dialled it again there; one that still waits here hears that it may ask again what came of it.
-    pub fn replaced(&mut self, now: Duration, id: &DialogueId, wires: &mut dyn Wires) {
+    pub fn dialogue_replaced(&mut self, now: Duration, id: &DialogueId, effects: &mut dyn EdgeEffects) {
         self.state.now = now;
-        self.expire_deadlines(wires);
+        self.expire_deadlines(effects);
         let at = self.state.held.get(id).map(|held| held.at.clone());
         let deferred = self.state.pending.drop_of(id);
         let mut waits = match deferred {
@@ -86,25 +93,27 @@
         match at {
             None => {}
             Some(at @ (Stage::Standing { .. } | Stage::Releasing { .. })) => {
-                self.drop_replaced_standing(id, &at, waits.is_none(), wires);
+                self.drop_replaced_standing(id, &at, waits.is_none(), effects);
             }
             Some(at) => {
                 self.state.counts.replaced += 1;
-                waits = self.drop_unanswered(id, &at, wires);
+                waits = self.drop_unanswered(id, &at, effects);
             }
         }
         if let Some(link) = waits {
             self.state.counts.unsure += 1;
             let frame = Frame::Declined { dialogue: id.clone(), why: NotTaken::Unsure, come_back: None };
-            self.hands(wires).say(link, frame);
+            self.signalling(effects).say(link, frame);
         }
         // It is not concluded as far as its caller is concerned, who may yet dial it here again.
         self.state.concluded.remove(id);
-        self.settle(wires);
+        self.settle(effects);
     }
 
     /// Lets go of one that stood; `told`: its caller has heard so, and hears now that it is cut.
-    fn drop_replaced_standing(&mut self, id: &DialogueId, at: &Stage, told: bool, wires: &mut dyn Wires) {
+    fn drop_replaced_standing(
+        &mut self, id: &DialogueId, at: &Stage, told: bool, effects: &mut dyn EdgeEffects,
+    ) {
         if let Stage::Releasing { launch, until, .. } = at {
             self.state.deadlines.unset(*until, id, *launch);
         }
@@ -114,9 +123,9 @@
             known.dialogues.remove(id);
         }
         self.state.counts.replaced += 1;
-        let mut hands = self.hands(wires);
-        if let (Some(held), true, Stage::Standing { .. }) = (hands.drop_held(id), told, at) {
-            hands.say(held.link, Frame::Over { dialogue: id.clone(), end: End::Cut });
+        let mut signalling = self.signalling(effects);
+        if let (Some(held), true, Stage::Standing { .. }) = (signalling.drop_held(id), told, at) {
+            signalling.say(held.link, Frame::Over { dialogue: id.clone(), end: End::Cut });
         }
     }
 
@@ -132,29 +141,29 @@
 
     /// A dialogue stands at that server already, placed by a former life of this edge proxy: no answer is owed for
     /// it. False: it is not taken, since the server is not known here or too much is held.
-    pub fn stands_there(
-        &mut self, now: Duration, link: LinkId, dial: &Dial, server: &ServerId, wires: &mut dyn Wires,
+    pub fn adopt_standing(
+        &mut self, now: Duration, link: LinkId, dial: &Dial, server: &ServerId, effects: &mut dyn EdgeEffects,
     ) -> bool {
         self.state.now = now;
-        self.expire_deadlines(wires);
+        self.expire_deadlines(effects);
         let id = &dial.dialogue;
         let taken = if self.state.held.contains_key(id) {
             true
-        } else if self.state.held.len() < self.state.limits.dialogues
-            && let Some(there) = self.hands(wires).link_to(server)
+        } else if self.state.held.len() < self.state.limits.max_dialogues
+            && let Some(there) = self.signalling(effects).link_to(server)
         {
             let at = Stage::Standing { server: server.clone(), launch: LaunchNo(0), link: there };
-            let mut held = Held::of_dial(dial, link, now, at, Vec::new());
+            let mut held = HeldDialogue::of_dial(dial, link, now, at, Vec::new());
             held.launches = 1;
             self.state.held.insert(id.clone(), held);
-            let mut hands = self.hands(wires);
-            hands.add_to_link(link, id);
-            hands.add_to_link(there, id);
+            let mut signalling = self.signalling(effects);
+            signalling.add_to_link(link, id);
+            signalling.add_to_link(there, id);
             true
         } else {
             false
         };
-        self.settle(wires);
+        self.settle(effects);
         taken
     }
 }
--- a/crates/edge/src/edge/timers.rs
+++ b/crates/edge/src/edge/timers.rs
@@ -6,10 +6,10 @@
 use lotussaddle_trunk::End;
 
 use super::Edge;
-use crate::hands::Hands;
 use crate::held::Stage;
 use crate::links::{Link, Peer};
-use crate::{Decisions, Wires};
+use crate::signalling::ModuleSignalling;
+use crate::{Decisions, EdgeEffects};
 
 /// How often links are looked at for silence.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
@@ -23,69 +23,69 @@
         dues.into_iter().flatten().fold(self.sweep_at, Duration::min)
     }
 
-    /// What `Wires::record` gave this number is remembered.
-    pub fn recorded(&mut self, now: Duration, number: u64, wires: &mut dyn Wires) {
+    /// What `EdgeEffects::record` gave this number is remembered.
+    pub fn step_recorded(&mut self, now: Duration, number: u64, effects: &mut dyn EdgeEffects) {
         self.state.now = now;
         // After a stall, what timed out meanwhile has timed out, and is not sent any more.
-        self.expire_deadlines(wires);
+        self.expire_deadlines(effects);
         if let Some((id, deferred)) = self.state.pending.take(number) {
-            self.hands(wires).go_on(id, deferred, true);
+            self.signalling(effects).go_on(id, deferred, true);
         }
-        self.settle(wires);
+        self.settle(effects);
     }
 
     /// The time given by `next_due` has come.
-    pub fn alarm(&mut self, now: Duration, wires: &mut dyn Wires) {
+    pub fn timer_fired(&mut self, now: Duration, effects: &mut dyn EdgeEffects) {
         self.state.now = now;
-        self.expire_deadlines(wires);
-        self.numbers_due(wires);
+        self.expire_deadlines(effects);
+        self.numbers_due(effects);
         while let Some((id, deferred)) = self.state.pending.overdue(now) {
-            self.hands(wires).go_on(id, deferred, false);
-            self.hand_over_ends(wires);
+            self.signalling(effects).go_on(id, deferred, false);
+            self.hand_over_ends(effects);
         }
         if self.state.alarm.is_some_and(|at| at <= now) {
             self.state.alarm = None;
-            let mut hands = Hands { state: &mut self.state, wires };
-            self.brain.alarm(now, TimerId(0), &mut hands);
+            let mut signalling = ModuleSignalling { state: &mut self.state, effects };
+            self.brain.timer_fired(now, TimerId(0), &mut signalling);
         }
         if self.list_at.is_some_and(|at| at <= now) {
             self.list_at = None;
-            let link = wires.connect(&self.list);
+            let link = effects.connect(&self.list);
             self.state.links.insert(link, Link::new(Peer::List, now));
         }
         if self.sweep_at <= now {
             self.sweep_at = now + SWEEP_INTERVAL;
-            self.sweep(wires);
-            self.let_go_of_tables(wires);
+            self.sweep(effects);
+            self.let_go_of_tables(effects);
         }
-        self.settle(wires);
+        self.settle(effects);
     }
 
     /// Ends every launch, search and release whose deadline has passed.
-    pub(super) fn expire_deadlines(&mut self, wires: &mut dyn Wires) {
+    pub(super) fn expire_deadlines(&mut self, effects: &mut dyn EdgeEffects) {
         while let Some((id, launch)) = self.state.deadlines.pop(self.state.now) {
-            self.timed_out(&id, launch, wires);
-            self.hand_over_ends(wires);
+            self.timed_out(&id, launch, effects);
+            self.hand_over_ends(effects);
         }
     }
 
-    fn timed_out(&mut self, id: &DialogueId, launch: LaunchNo, wires: &mut dyn Wires) {
+    fn timed_out(&mut self, id: &DialogueId, launch: LaunchNo, effects: &mut dyn EdgeEffects) {
         let Some(held) = self.state.held.get(id) else { return };
         match held.at.clone() {
             Stage::Out { server, launch: out, .. } if out == launch => {
-                let mut hands = self.hands(wires);
-                hands.call_off(id, launch);
-                hands.end(id, launch, &server, Outcome::TimedOut);
+                let mut signalling = self.signalling(effects);
+                signalling.call_off(id, launch);
+                signalling.end(id, launch, &server, Outcome::TimedOut);
             }
-            Stage::Sought(_) => self.decline_sought(id, None, wires),
+            Stage::Sought(_) => self.decline_sought(id, None, effects),
             Stage::Barred(dial, _) => {
                 if let Some(held) = self.state.held.get_mut(id) {
                     held.at = Stage::Waiting;
                 }
-                self.decide(&dial, wires);
+                self.decide(&dial, effects);
             }
             Stage::Releasing { server, launch: out, link, .. } if out == launch => {
-                self.standing_ended(id, launch, &server, link, End::Released, LoadReport::default(), wires);
+                self.standing_ended(id, launch, &server, link, End::Released, LoadReport::default(), effects);
             }
             _ => {}
         }
--- a/crates/edge/src/held.rs
+++ b/crates/edge/src/held.rs
@@ -13,53 +13,53 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// Dialogues held at once, standing ones included; beyond it a dial is declined.
-    pub dialogues: usize,
+    pub max_dialogues: usize,
     /// Links of callers; beyond it a new one is closed.
-    pub links: usize,
+    pub max_links: usize,
     /// Links that have not said hello; beyond it the oldest of them is closed.
-    pub fresh: usize,
+    pub max_unidentified_links: usize,
     /// How long a link may take to say hello.
-    pub hello_within: Duration,
+    pub hello_timeout: Duration,
     /// A link that said nothing for so long is asked whether it is there ...
-    pub ask_after: Duration,
+    pub ping_after: Duration,
     /// ... and closed when it has said nothing for so long.
-    pub dead_after: Duration,
+    pub response_timeout: Duration,
     /// Launches that wait for one link to come up.
-    pub queued: usize,
+    pub max_queued_launches: usize,
     /// How long a link to a core server or list may take to come up.
-    pub connect_within: Duration,
+    pub connect_timeout: Duration,
     /// Concluded dialogues that are remembered, so that a repeat is not taken as new ...
-    pub remembered: usize,
+    pub max_concluded: usize,
     /// ... and for how long.
-    pub remember_for: Duration,
+    pub concluded_retention: Duration,
     /// How long the end of a released dialogue is awaited.
-    pub release_within: Duration,
+    pub release_timeout: Duration,
     /// How long an answer waits until it is recorded; then it is given all the same. So much time is kept back from
     /// each dialogue's cut-off. Zero where nothing is recorded.
-    pub record_within: Duration,
+    pub answer_record_timeout: Duration,
     /// How long a launch waits until it is recorded; zero: it does not wait ...
-    pub launch_within: Duration,
+    pub launch_record_timeout: Duration,
     /// ... and then it is not sent, but goes on to the module as one that could not be; else it is sent all the same.
-    pub launch_strictly: bool,
+    pub withhold_unrecorded_launches: bool,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            dialogues: 200_000,
-            links: 2_000,
-            fresh: 512,
-            hello_within: Duration::from_secs(2),
-            ask_after: Duration::from_secs(1),
-            dead_after: Duration::from_secs(5),
-            queued: 1_000,
-            connect_within: Duration::from_millis(500),
-            remembered: 200_000,
-            remember_for: Duration::from_secs(60),
-            release_within: Duration::from_secs(5),
-            record_within: Duration::ZERO,
-            launch_within: Duration::ZERO,
-            launch_strictly: false,
+            max_dialogues: 200_000,
+            max_links: 2_000,
+            max_unidentified_links: 512,
+            hello_timeout: Duration::from_secs(2),
+            ping_after: Duration::from_secs(1),
+            response_timeout: Duration::from_secs(5),
+            max_queued_launches: 1_000,
+            connect_timeout: Duration::from_millis(500),
+            max_concluded: 200_000,
+            concluded_retention: Duration::from_secs(60),
+            release_timeout: Duration::from_secs(5),
+            answer_record_timeout: Duration::ZERO,
+            launch_record_timeout: Duration::ZERO,
+            withhold_unrecorded_launches: false,
         }
     }
 }
@@ -132,7 +132,7 @@
 /// The number to be dialled on, and where it has moved to.
 pub type Numbered = (Arc<str>, Option<Arc<str>>);
 
-pub struct Held {
+pub struct HeldDialogue {
     /// The caller's link.
     pub link: LinkId,
     /// When the caller gives this try up.
@@ -148,7 +148,7 @@
     pub extra: Box<[Extra]>,
 }
 
-impl Held {
+impl HeldDialogue {
     /// A dialogue as it was dialled, with no launch yet.
     pub fn of_dial(dial: &Dial, link: LinkId, cut_off: Duration, at: Stage, extra: Vec<Extra>) -> Self {
         Self {
@@ -181,7 +181,7 @@
         self.known.insert(id.clone(), now);
         self.in_order.push_back((now, id.clone()));
         while let Some((since, oldest)) = self.in_order.front()
-            && (self.in_order.len() > limits.remembered || *since + limits.remember_for <= now)
+            && (self.in_order.len() > limits.max_concluded || *since + limits.concluded_retention <= now)
         {
             if self.known.get(oldest) == Some(since) {
                 self.known.remove(oldest);
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,20 +1,20 @@
 //! One edge proxy: dialogues taken, launches out, links up, and the decisions that it owns.
 //!
 //! It never touches a socket, a clock, a thread or a file: each input is a call on [`Edge`] with the time since
-//! the start, each effect a call on [`Wires`]. It decides nothing about routes, limits or further launches;
+//! the start, each effect a call on [`EdgeEffects`]. It decides nothing about routes, limits or further launches;
 //! that is `lotussaddle::brain`. Start reading at [`Edge`].
 
 mod decisions;
 mod edge;
-mod hands;
 mod held;
 mod links;
 mod numbers;
+mod signalling;
 
 pub use decisions::Decisions;
 pub use edge::Edge;
 pub use held::{Counts, Limits};
-pub use numbers::Numbers;
+pub use numbers::NumberAnalysis;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,7 +30,7 @@
 
 /// Whom a line of the log is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum LogTopic {
     /// The module changed its mode.
     Mode,
     /// A link came up or went.
@@ -40,8 +40,8 @@
 /// How a dialogue went on, for whoever keeps it past the end of this process. What is sent or said next may wait for
 /// that: a launch, an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Step<'a> {
-    Taken,
+pub enum DialogueStep<'a> {
+    Accepted,
     /// A launch is to be sent, and ends by itself at that time.
     Launch {
         server: &'a ServerId,
@@ -49,8 +49,8 @@
         until: Duration,
     },
     /// No launch is out any more, and it does not stand; in doubt: the last one may be set up for a release time yet.
-    Back {
-        doubt: bool,
+    LaunchReturned {
+        outcome_unknown: bool,
     },
     /// A final answer is to be given; where it stands, at this launch.
     Answer {
@@ -58,14 +58,14 @@
         launch: LaunchNo,
     },
     /// It stood, and is over.
-    Over,
+    Ended,
 }
 
 /// What was found of a dialogue that was dialled before.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Found {
+pub enum PriorOutcome {
     /// It is to be decided on here, and not to be launched before.
-    Free { not_before: Duration },
+    Free { launch_not_before: Duration },
     /// It has had this final answer, and does not stand.
     Answered(Frame),
     /// It stands there, and belongs to this edge proxy now.
@@ -73,37 +73,37 @@
     /// It stood, and is over.
     Concluded,
     /// Who would know is not reached, or it cannot be taken up in its time.
-    Unsure { come_back: Option<Duration> },
+    Unresolved { retry_after: Option<Duration> },
 }
 
 /// All that an edge proxy does to the world. None of it waits.
-pub trait Wires {
+pub trait EdgeEffects {
     /// Queues a message; false where the queue is full or the link gone: then nothing was queued.
-    fn say(&mut self, link: LinkId, message: Message) -> bool;
+    fn send(&mut self, link: LinkId, message: Message) -> bool;
     /// Begins a link; `Edge::connected` or `Edge::lost` tells what came of it.
     fn connect(&mut self, address: &str) -> LinkId;
     /// Ends a link at once; no input of it comes any more.
     fn close(&mut self, link: LinkId, why: &str);
-    fn log(&mut self, note: Note, line: &str);
+    fn log(&mut self, note: LogTopic, line: &str);
     /// Has it kept, past the end of this process, that a dialogue has come so far: by a disk, by others, or by both.
     /// `Edge::recorded` tells by this number when it is. None: nobody keeps it, or not now; nothing waits for it.
-    fn record(&mut self, _dialogue: &DialogueId, _step: Step) -> Option<u64> {
+    fn record(&mut self, _dialogue: &DialogueId, _step: DialogueStep) -> Option<u64> {
         None
     }
     /// Finds out what is known elsewhere of a dialogue that was dialled before, whose caller gives it up at that time;
     /// `Edge::found` tells. False: there is nobody to ask.
-    fn seek(&mut self, _dialogue: &DialogueId, _cut_off: Duration) -> bool {
+    fn look_up_dialogue(&mut self, _dialogue: &DialogueId, _cut_off: Duration) -> bool {
         false
     }
     /// Has a generation of tables read and checked; `Edge::loaded` tells what came of it. A change is read on one of
     /// these. False: not now.
-    fn load(&mut self, _name: &str, _bases: Vec<Arc<Tables>>) -> bool {
+    fn load_tables(&mut self, _name: &str, _bases: Vec<Arc<Tables>>) -> bool {
         false
     }
     /// What came of an order about tables; `why`: it was not carried out.
-    fn tabled(&mut self, _serial: u64, _why: Option<&str>) {}
+    fn tables_order_done(&mut self, _serial: u64, _why: Option<&str>) {}
     /// Sends a datagram to a look-up server, by its number.
-    fn ask(&mut self, _server: usize, _datagram: &[u8]) {}
+    fn send_look_up(&mut self, _server: usize, _datagram: &[u8]) {}
     /// Takes generations apart that nobody needs, which may take a while: not here.
-    fn let_go(&mut self, _tables: Vec<Arc<Tables>>) {}
+    fn drop_tables(&mut self, _tables: Vec<Arc<Tables>>) {}
 }
--- a/crates/edge/src/numbers.rs
+++ b/crates/edge/src/numbers.rs
@@ -1,4 +1,4 @@
-//! Numbers on their way to the module: which generation is in force, which dialogues wait for a look-up, and what
+//! NumberAnalysis on their way to the module: which generation is in force, which dialogues wait for a look-up, and what
 //! both come to. What may wait how long is decided in `portability::Patience`, where a number leads in `numbers`.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -10,7 +10,7 @@
 use lotussaddle_portability::{Asked, Client, Outcome, Outside, Patience, Plan, Wait};
 use lotussaddle_trunk::{Dial, Frame, TablesOrder};
 
-use crate::Wires;
+use crate::EdgeEffects;
 
 /// Orders that wait until a generation is read; beyond it an order is answered with a no.
 const MOST_ORDERS: usize = 256;
@@ -18,7 +18,7 @@
 const MOST_WHY: usize = 100;
 
 /// What an edge proxy has to know of its plan to analyse numbers.
-pub struct Numbers {
+pub struct NumberAnalysis {
     /// Promised times, by product.
     promised: Vec<Duration>,
     groups: usize,
@@ -63,16 +63,16 @@
 
 pub type Analysed = (Arrival, Result<Found, Refusal>);
 
-/// The client's datagrams, by the wires.
-struct Datagrams<'a>(&'a mut dyn Wires);
+/// The client's datagrams, by the effects.
+struct Datagrams<'a>(&'a mut dyn EdgeEffects);
 
 impl Outside for Datagrams<'_> {
     fn send(&mut self, server: usize, bytes: &[u8]) {
-        self.0.ask(server, bytes);
+        self.0.send_look_up(server, bytes);
     }
 }
 
-impl Numbers {
+impl NumberAnalysis {
     /// `look_ups`: none where nothing is looked up, and what would be goes on unanswered at once.
     pub fn new(
         promised: Vec<Duration>, groups: usize, wall: Timestamp, look_ups: Option<(Plan, u64)>,
@@ -94,7 +94,7 @@
     }
 
     /// A generation that is in force from the start on.
-    pub fn begin_with(&mut self, tables: Arc<Tables>) {
+    pub fn set_initial_tables(&mut self, tables: Arc<Tables>) {
         self.generations.begin_with(tables);
     }
 
@@ -113,7 +113,7 @@
     }
 
     /// The machine's clock says so; it may be set while this runs.
-    pub fn set_wall(&mut self, now: Duration, wall: Timestamp) {
+    pub fn set_wall_clock(&mut self, now: Duration, wall: Timestamp) {
         self.wall = wall.checked_sub(now).unwrap_or(wall);
     }
 
@@ -131,13 +131,13 @@
     }
 
     /// Dialogues that wait for a look-up.
-    pub fn asking(&self) -> usize {
+    pub fn pending_look_ups(&self) -> usize {
         self.asking.len()
     }
 
     /// Begins to analyse a number; none: its look-up is out.
     pub fn begin(
-        &mut self, now: Duration, dial: &Dial, arrival: Arrival, wires: &mut dyn Wires,
+        &mut self, now: Duration, dial: &Dial, arrival: Arrival, effects: &mut dyn EdgeEffects,
     ) -> Option<Analysed> {
         let dialled = dial.dialled.as_deref().unwrap_or_default();
         let Some(tables) = self.generations.in_force().cloned() else {
@@ -157,7 +157,7 @@
         self.waiter += 1;
         let (waiter, tenant) = (self.waiter, dial.tenant.map_or(u32::MAX, u32::from));
         let asked = match &mut self.client {
-            Some(client) => client.ask(now, tenant, number, waiter, &mut Datagrams(wires)),
+            Some(client) => client.ask(now, tenant, number, waiter, &mut Datagrams(effects)),
             None => Asked::Never,
         };
         let step = match (asked, patience.wait(now)) {
@@ -214,14 +214,14 @@
         Some(asking)
     }
 
-    pub fn replied(&mut self, now: Duration, server: usize, datagram: &[u8], wires: &mut dyn Wires) {
+    pub fn replied(&mut self, now: Duration, server: usize, datagram: &[u8], effects: &mut dyn EdgeEffects) {
         if let Some(client) = &mut self.client {
-            client.heard(now, server, datagram, &mut Datagrams(wires));
+            client.heard(now, server, datagram, &mut Datagrams(effects));
         }
     }
 
     /// Dialogues whose look-up has come to something or is waited for no longer, and how many of the latter.
-    pub fn due(&mut self, now: Duration, wires: &mut dyn Wires) -> (Vec<Analysed>, u64) {
+    pub fn due(&mut self, now: Duration, effects: &mut dyn EdgeEffects) -> (Vec<Analysed>, u64) {
         let wall = self.wall(now);
         for swapped in self.generations.alarm(now, wall) {
             self.tell(swapped);
@@ -231,7 +231,7 @@
         let mut told = Vec::new();
         if let Some(client) = &mut self.client {
             if client.next_due().is_some_and(|due| due <= now) {
-                client.alarm(now, &mut Datagrams(wires));
+                client.alarm(now, &mut Datagrams(effects));
             }
             told = client.take_told();
         }
@@ -266,7 +266,7 @@
 
     // Generations
 
-    pub fn ordered(&mut self, now: Duration, serial: u64, order: TablesOrder, wires: &mut dyn Wires) {
+    pub fn ordered(&mut self, now: Duration, serial: u64, order: TablesOrder, effects: &mut dyn EdgeEffects) {
         if self.orders.len() >= MOST_ORDERS {
             let why = "too many orders wait";
             return self.say(serial, None, Some(why.into()));
@@ -282,10 +282,10 @@
             TablesOrder::Drop { of } => Waiting::Order(Order::Drop { of }),
         };
         self.orders.push_back((serial, waiting));
-        self.run_orders(now, wires);
+        self.run_orders(now, effects);
     }
 
-    fn run_orders(&mut self, now: Duration, wires: &mut dyn Wires) {
+    fn run_orders(&mut self, now: Duration, effects: &mut dyn EdgeEffects) {
         while self.reading.is_none()
             && let Some((serial, waiting)) = self.orders.pop_front()
         {
@@ -298,7 +298,7 @@
                 Waiting::Load(name) => {
                     self.generations.used(serial);
                     let bases = self.generations.all();
-                    if wires.load(&name, bases) {
+                    if effects.load_tables(&name, bases) {
                         self.reading = Some((serial, name));
                     } else {
                         self.say(serial, Some(&name), Some("tables cannot be read now".into()));
@@ -314,7 +314,8 @@
     }
 
     pub fn loaded(
-        &mut self, now: Duration, name: &str, tables: Result<Arc<Tables>, String>, wires: &mut dyn Wires,
+        &mut self, now: Duration, name: &str, tables: Result<Arc<Tables>, String>,
+        effects: &mut dyn EdgeEffects,
     ) {
         let awaited = self.reading.take_if(|(_, awaited)| **awaited == *name);
         let serial = awaited.map_or(0, |(serial, _)| serial);
@@ -325,7 +326,7 @@
             }
             Err(why) => self.say(serial, Some(name), Some(why)),
         }
-        self.run_orders(now, wires);
+        self.run_orders(now, effects);
     }
 
     fn tell(&mut self, swapped: Swapped) {
--- a/crates/edge/src/hands.rs
+++ b/crates/edge/src/signalling.rs
@@ -6,15 +6,15 @@
 use lotussaddle::interface::*;
 use lotussaddle_trunk::{End, Frame, Launch, Message};
 
-use crate::held::{Concluded, Counts, Deadlines, Deferred, Held, Limits, Pending, Stage};
+use crate::held::{Concluded, Counts, Deadlines, Deferred, HeldDialogue, Limits, Pending, Stage};
 use crate::links::{CoreServer, Link, Peer};
-use crate::{LinkId, Note, Step, Wires};
+use crate::{DialogueStep, EdgeEffects, LinkId, LogTopic};
 
 /// All that an edge proxy holds beside the decisions.
 pub struct State {
     pub limits: Limits,
     pub now: Duration,
-    pub held: HashMap<DialogueId, Held>,
+    pub held: HashMap<DialogueId, HeldDialogue>,
     pub links: BTreeMap<LinkId, Link>,
     pub fresh: VecDeque<LinkId>,
     pub callers: usize,
@@ -31,20 +31,20 @@
     pub pending: Pending,
 }
 
-/// State and wires, lent to the module for one input.
-pub struct Hands<'a> {
+/// State and effects, lent to the module for one input.
+pub struct ModuleSignalling<'a> {
     pub state: &'a mut State,
-    pub wires: &'a mut dyn Wires,
+    pub effects: &'a mut dyn EdgeEffects,
 }
 
-impl Hands<'_> {
+impl ModuleSignalling<'_> {
     /// A link that cannot take a message is given up: what was to be said is not to be lost in silence.
     pub fn say(&mut self, link: LinkId, frame: Frame) {
         self.tell(link, frame.into());
     }
 
     pub fn tell(&mut self, link: LinkId, message: Message) {
-        if !self.wires.say(link, message) {
+        if !self.effects.send(link, message) {
             self.state.broken.push_back((link, "its queue is full"));
         }
     }
@@ -55,14 +55,14 @@
         &mut self, (link, cut_off): (LinkId, Duration), dialogue: &DialogueId, launch: LaunchNo,
         message: Message,
     ) {
-        match self.wires.record(dialogue, Step::Answer { answer: &message.frame, launch }) {
+        match self.effects.record(dialogue, DialogueStep::Answer { answer: &message.frame, launch }) {
             // After a stall there may be no time to wait for it.
             Some(number) if self.state.now < cut_off => {
-                let by = cut_off.min(self.state.now + self.state.limits.record_within);
+                let by = cut_off.min(self.state.now + self.state.limits.answer_record_timeout);
                 self.state.pending.add(by, number, dialogue, Deferred::Answer { link, message });
             }
             _ => {
-                self.state.counts.unrecorded += u64::from(!self.state.limits.record_within.is_zero());
+                self.state.counts.unrecorded += u64::from(!self.state.limits.answer_record_timeout.is_zero());
                 self.tell(link, message);
             }
         }
@@ -83,7 +83,7 @@
                 self.state.counts.unrecorded += u64::from(!kept);
                 self.tell(link, message);
             }
-            Deferred::Launch(launch) if !kept && self.state.limits.launch_strictly => {
+            Deferred::Launch(launch) if !kept && self.state.limits.withhold_unrecorded_launches => {
                 self.state.counts.withheld += 1;
                 let server = self.state.held.get(&id).and_then(|held| match &held.at {
                     Stage::Out { server, launch: out, .. } if *out == launch => Some(server.clone()),
@@ -102,11 +102,11 @@
 
     /// No launch of it is out any more, and it does not stand.
     pub fn back(&mut self, id: &DialogueId, doubt: bool) {
-        self.wires.record(id, Step::Back { doubt });
+        self.effects.record(id, DialogueStep::LaunchReturned { outcome_unknown: doubt });
     }
 
     /// Takes out a dialogue that is over for its caller.
-    pub fn drop_held(&mut self, id: &DialogueId) -> Option<Held> {
+    pub fn drop_held(&mut self, id: &DialogueId) -> Option<HeldDialogue> {
         let held = self.state.held.remove(id)?;
         if let Some(link) = self.state.links.get_mut(&held.link) {
             link.dialogues.remove(id);
@@ -169,7 +169,7 @@
         };
         let link = self.link_to(&server);
         let up = link.filter(|link| self.state.links.get(link).is_some_and(|l| l.greeted));
-        let limit = self.state.limits.queued;
+        let limit = self.state.limits.max_queued_launches;
         let sent = match up {
             Some(link) => self.send_launch(dialogue, link),
             None => self.state.servers.get_mut(&server).is_some_and(|core| {
@@ -201,7 +201,7 @@
             routing: held.number.as_ref().and_then(|number| number.1.clone()),
             owner: None,
         });
-        if !self.wires.say(link, Message { frame, extra: held.extra.to_vec() }) {
+        if !self.effects.send(link, Message { frame, extra: held.extra.to_vec() }) {
             return false;
         }
         *over = Some(link);
@@ -214,7 +214,7 @@
     pub fn link_to(&mut self, id: &ServerId) -> Option<LinkId> {
         let core = self.state.servers.get_mut(id)?;
         if core.link.is_none() {
-            let link = self.wires.connect(&core.address);
+            let link = self.effects.connect(&core.address);
             core.link = Some(link);
             self.state.links.insert(link, Link::new(Peer::Core(id.clone()), self.state.now));
         }
@@ -262,28 +262,28 @@
     pub fn cut(&mut self, id: &DialogueId) {
         self.state.counts.cut += 1;
         if let Some((link, _)) = self.conclude(id) {
-            self.wires.record(id, Step::Over);
+            self.effects.record(id, DialogueStep::Ended);
             self.flush(id);
             self.say(link, Frame::Over { dialogue: id.clone(), end: End::Cut });
         }
     }
 }
 
-impl Signalling for Hands<'_> {
+impl Signalling for ModuleSignalling<'_> {
     fn launch(&mut self, dialogue: &DialogueId, server: &ServerId, time_out: Duration) {
         let until = self.state.now + time_out;
         let Some(held) = self.state.held.get_mut(dialogue) else { return };
         // Rule 2 is the module's to keep; whoever decides otherwise is not helped to break it.
         if held.at != Stage::Waiting {
             let line = format!("a launch of {} is not sent: it is {:?}", dialogue.0, held.at);
-            return self.wires.log(Note::Mode, &line);
+            return self.effects.log(LogTopic::Mode, &line);
         }
         let launch = LaunchNo(held.launches);
         held.launches += 1;
         held.at = Stage::Out { server: server.clone(), launch, until, link: None };
         self.state.deadlines.set(until, dialogue, launch);
-        let within = self.state.limits.launch_within;
-        match self.wires.record(dialogue, Step::Launch { server, launch, until }) {
+        let within = self.state.limits.launch_record_timeout;
+        match self.effects.record(dialogue, DialogueStep::Launch { server, launch, until }) {
             Some(number) if !within.is_zero() => {
                 let by = until.min(self.state.now + within);
                 self.state.pending.add(by, number, dialogue, Deferred::Launch(launch));
@@ -324,6 +324,6 @@
     }
 
     fn log(&mut self, line: &str) {
-        self.wires.log(Note::Mode, line);
+        self.effects.log(LogTopic::Mode, line);
     }
 }
--- a/crates/edge/tests/hard_cases.rs
+++ b/crates/edge/tests/hard_cases.rs
@@ -7,7 +7,7 @@
 
 use insta::assert_snapshot;
 use lotussaddle::interface::*;
-use lotussaddle_edge::{Edge, Found, Limits, LinkId, Note, Step, Wires};
+use lotussaddle_edge::{DialogueStep, Edge, EdgeEffects, Limits, LinkId, LogTopic, PriorOutcome};
 use lotussaddle_trunk::*;
 
 fn ms(time: u64) -> Duration {
@@ -42,8 +42,8 @@
     }
 }
 
-impl Wires for Trace {
-    fn say(&mut self, link: LinkId, message: Message) -> bool {
+impl EdgeEffects for Trace {
+    fn send(&mut self, link: LinkId, message: Message) -> bool {
         if self.closed.contains(&link) || self.full.contains(&link) {
             return false;
         }
@@ -77,15 +77,15 @@
         self.put(format!("close {}: {why}", link.0));
     }
 
-    fn record(&mut self, dialogue: &DialogueId, step: Step) -> Option<u64> {
-        if !self.keeps && !matches!(step, Step::Answer { .. }) {
+    fn record(&mut self, dialogue: &DialogueId, step: DialogueStep) -> Option<u64> {
+        if !self.keeps && !matches!(step, DialogueStep::Answer { .. }) {
             return None;
         }
         let number = self.records? + 1;
         self.records = Some(number);
         let what = match step {
-            Step::Answer { .. } => String::new(),
-            Step::Launch { server, launch, until } => {
+            DialogueStep::Answer { .. } => String::new(),
+            DialogueStep::Launch { server, launch, until } => {
                 format!(" to {} no {} until {}", server.0, launch.0, until.as_millis())
             }
             other => format!(" {other:?}"),
@@ -94,13 +94,13 @@
         Some(number)
     }
 
-    fn seek(&mut self, dialogue: &DialogueId, _: Duration) -> bool {
+    fn look_up_dialogue(&mut self, dialogue: &DialogueId, _: Duration) -> bool {
         self.put(format!("seek {}", dialogue.0));
         self.keeps
     }
 
-    fn log(&mut self, note: Note, line: &str) {
-        if note == Note::Mode {
+    fn log(&mut self, note: LogTopic, line: &str) {
+        if note == LogTopic::Mode {
             self.put(format!("log: {line}"));
         }
     }
@@ -185,7 +185,7 @@
 
     fn list_up(&mut self, servers: &str) -> &mut Self {
         let list = self.link_to("list");
-        self.edge.connected(ms(self.trace.now), list, &mut self.trace);
+        self.edge.link_connected(ms(self.trace.now), list, &mut self.trace);
         self.hears(list, hello(Role::List, "list"));
         let entries = servers.chars().map(|c| c.to_string());
         let entries = entries.map(|name| entry(&name, &name, Listed::Active, 0)).collect();
@@ -198,7 +198,7 @@
 
     fn core_up(&mut self, name: &str) -> &mut Self {
         let link = self.link_to(name);
-        self.edge.connected(ms(self.trace.now), link, &mut self.trace);
+        self.edge.link_connected(ms(self.trace.now), link, &mut self.trace);
         self.hears(link, hello(Role::Core, name))
     }
 
@@ -207,7 +207,7 @@
     }
 
     fn caller(&mut self, link: u64, name: &str) -> &mut Self {
-        self.edge.linked(ms(self.trace.now), LinkId(link), &mut self.trace);
+        self.edge.link_opened(ms(self.trace.now), LinkId(link), &mut self.trace);
         self.hears(LinkId(link), hello(Role::Caller, name))
     }
 
@@ -216,7 +216,7 @@
         while self.edge.next_due() <= ms(time) {
             let due = self.edge.next_due().max(ms(self.trace.now));
             self.trace.now = due.as_millis() as u64;
-            self.edge.alarm(due, &mut self.trace);
+            self.edge.timer_fired(due, &mut self.trace);
         }
         self.trace.now = time;
         self
@@ -229,7 +229,7 @@
     }
 
     fn hears(&mut self, link: LinkId, frame: Frame) -> &mut Self {
-        self.edge.heard(ms(self.trace.now), link, frame.into(), &mut self.trace);
+        self.edge.frame_received(ms(self.trace.now), link, frame.into(), &mut self.trace);
         self
     }
 
@@ -257,7 +257,7 @@
     }
 
     fn loses(&mut self, link: LinkId) -> &mut Self {
-        self.edge.lost(ms(self.trace.now), link, "closed by its peer", &mut self.trace);
+        self.edge.link_closed(ms(self.trace.now), link, "closed by its peer", &mut self.trace);
         self
     }
 
@@ -350,7 +350,7 @@
     // Another machine under the old id, elsewhere: the old link ends what is out on it.
     b.lists(false, vec![entry("a", "a2", Listed::Active, 1)]).at(60);
     let new = b.link_to("a2");
-    b.edge.connected(ms(60), new, &mut b.trace);
+    b.edge.link_connected(ms(60), new, &mut b.trace);
     b.hears(new, hello(Role::Core, "a")).at(200).dials(100, "d3", 0).at(210);
     b.hears(former, Frame::Stood { dialogue: id("d1"), launch: LaunchNo(0), report: LoadReport::default() });
     b.at(220).loses(former).at(230);
@@ -369,7 +369,7 @@
 #[test]
 fn a_dial_that_lay_in_a_socket_has_lost_that_time() {
     let mut b = Bench::new("a");
-    b.edge.linked(ms(10), LinkId(101), &mut b.trace);
+    b.edge.link_opened(ms(10), LinkId(101), &mut b.trace);
     // By the caller's clock 500 ms later than here.
     let hello = Hello { sent_at: Some(ms(509)), ..Hello::new(Role::Caller, Arc::from("x")) };
     b.hears(LinkId(101), Frame::Hello(hello));
@@ -440,7 +440,7 @@
         (6, vec![hello(Role::Caller, "x"), Frame::Bye { why: Arc::from("done") }]),
         (7, vec![]),
     ] {
-        b.edge.linked(ms(b.trace.now), LinkId(200 + link), &mut b.trace);
+        b.edge.link_opened(ms(b.trace.now), LinkId(200 + link), &mut b.trace);
         for frame in frames {
             b.hears(LinkId(200 + link), frame);
         }
@@ -473,7 +473,7 @@
     let mut b = Bench::new("a");
     let extra = vec![Extra { tag: 200, value: vec![1, 2, 3] }];
     let message = Message { frame: Frame::Dial(dial("d1", 0, 1000)), extra };
-    b.edge.heard(ms(10), LinkId(100), message, &mut b.trace);
+    b.edge.frame_received(ms(10), LinkId(100), message, &mut b.trace);
     assert_snapshot!(b.trace());
 }
 
@@ -503,8 +503,8 @@
     let mut b = Bench::new("a");
     b.trace.quiet = true;
     for n in 0..5000 {
-        b.edge.linked(ms(b.trace.now), LinkId(1000 + n), &mut b.trace);
-        assert!(b.edge.sizes().1 <= 3 + Limits::default().fresh, "bounded at every moment");
+        b.edge.link_opened(ms(b.trace.now), LinkId(1000 + n), &mut b.trace);
+        assert!(b.edge.sizes().1 <= 3 + Limits::default().max_unidentified_links, "bounded at every moment");
     }
     b.trace.quiet = false;
     b.dials(100, "d1", 0).at(20).stood("a", "d1", 0);
@@ -516,11 +516,12 @@
 
 #[test]
 fn bounds_hold_and_their_answers_are_said() {
-    let mut b = Bench::bare(Limits { dialogues: 2, links: 2, queued: 1, ..Limits::default() });
+    let mut b =
+        Bench::bare(Limits { max_dialogues: 2, max_links: 2, max_queued_launches: 1, ..Limits::default() });
     b.trace.quiet = true;
     b.at(0).list_up("a").caller(100, "x").caller(101, "y");
     b.trace.quiet = false;
-    b.edge.linked(ms(0), LinkId(102), &mut b.trace);
+    b.edge.link_opened(ms(0), LinkId(102), &mut b.trace);
     b.dials(100, "d1", 0).dials(100, "d2", 0).dials(101, "d3", 0);
     assert_snapshot!(b.trace());
 }
@@ -528,7 +529,7 @@
 impl Bench {
     /// With a store that takes its time; answers wait 20 ms for it at most.
     fn recording(servers: &str) -> Self {
-        let mut b = Self::bare(Limits { record_within: ms(20), ..Limits::default() });
+        let mut b = Self::bare(Limits { answer_record_timeout: ms(20), ..Limits::default() });
         b.trace.quiet = true;
         b.at(0).list_up(servers).caller(100, "gateway").at(10);
         (b.trace.quiet, b.trace.records) = (false, Some(0));
@@ -536,7 +537,7 @@
     }
 
     fn recorded(&mut self, number: u64) -> &mut Self {
-        self.edge.recorded(ms(self.trace.now), number, &mut self.trace);
+        self.edge.step_recorded(ms(self.trace.now), number, &mut self.trace);
         self
     }
 }
@@ -577,7 +578,7 @@
 #[test]
 fn what_was_answered_in_a_former_life_is_declined() {
     let mut b = Bench::recording("a");
-    b.edge.recall(&id("d1"));
+    b.edge.remember_concluded(&id("d1"));
     b.dials(100, "d1", 0).dials(100, "d2", 0);
     assert_snapshot!(b.trace());
 }
@@ -586,7 +587,7 @@
 #[test]
 fn a_proxy_that_rests_launches_nothing_and_keeps_nobody_too_long() {
     let mut b = Bench::new("ab");
-    b.edge.rest_until(ms(300));
+    b.edge.hold_launches_until(ms(300));
     b.dials(100, "d1", 1).dials(100, "d2", 0);
     b.hears(LinkId(100), Frame::Dial(dial("d3", 0, 200)));
     b.at(100).hangs_up(100, "d2");
@@ -631,10 +632,10 @@
     b.trace.quiet = true;
     b.at(0);
     let list = b.link_to("list");
-    b.edge.admitted(ms(0), list, &mut b.trace);
+    b.edge.link_trusted(ms(0), list, &mut b.trace);
     b.hears(list, Frame::List { whole: true, entries: vec![entry("a", "a", Listed::Active, 0)] });
-    b.edge.linked(ms(0), LinkId(100), &mut b.trace);
-    b.edge.admitted(ms(0), LinkId(100), &mut b.trace);
+    b.edge.link_opened(ms(0), LinkId(100), &mut b.trace);
+    b.edge.link_trusted(ms(0), LinkId(100), &mut b.trace);
     b.trace.quiet = false;
     b
 }
@@ -645,25 +646,33 @@
     b.dials(100, "d1", 0);
     assert_eq!(b.trace(), "", "it waits for the link");
     let link = b.link_to("a");
-    b.edge.admitted(ms(0), link, &mut b.trace);
+    b.edge.link_trusted(ms(0), link, &mut b.trace);
     b.stood("a", "d1", 0).at(20_000);
     let lines: Vec<&str> = b.trace().lines().filter(|line| line.contains("d1")).collect();
     assert_eq!(lines, ["     0 to 2: launch d1 no 0 for 1.5s", "     0 to 100: d1 stands at a"]);
     assert!(!b.trace().contains("Ping") && b.trace.closed.is_empty(), "{}", b.trace());
-    assert_eq!(b.edge.held_on(link), 1);
+    assert_eq!(b.edge.dialogues_on_link(link), 1);
 }
 
 #[test]
 fn a_launch_and_a_standing_dialogue_may_end_without_a_frame() {
     let mut b = vouched();
     let link = b.link_to("a");
-    b.edge.admitted(ms(0), link, &mut b.trace);
+    b.edge.link_trusted(ms(0), link, &mut b.trace);
     b.dials(100, "d1", 0).at(10);
     let report = LoadReport::default;
     let at = |b: &Bench| ms(b.trace.now);
     // Another launch than the one that is out, and one on another link, end nothing.
-    b.edge.launch_came_to(at(&b), link, &id("d1"), LaunchNo(7), Outcome::NotSent, report(), &mut b.trace);
-    b.edge.launch_came_to(
+    b.edge.launch_outcome_reported(
+        at(&b),
+        link,
+        &id("d1"),
+        LaunchNo(7),
+        Outcome::NotSent,
+        report(),
+        &mut b.trace,
+    );
+    b.edge.launch_outcome_reported(
         at(&b),
         LinkId(9),
         &id("d1"),
@@ -673,35 +682,50 @@
         &mut b.trace,
     );
     assert_eq!(b.edge.counts().launches, 1);
-    b.edge.launch_came_to(at(&b), link, &id("d1"), LaunchNo(0), Outcome::NotSent, report(), &mut b.trace);
+    b.edge.launch_outcome_reported(
+        at(&b),
+        link,
+        &id("d1"),
+        LaunchNo(0),
+        Outcome::NotSent,
+        report(),
+        &mut b.trace,
+    );
     assert_eq!(b.edge.counts().launches, 2, "what never left goes again at once: {}", b.trace());
     assert!(
-        !b.edge.over(at(&b), link, &id("d1"), End::Released, report(), &mut b.trace),
+        !b.edge.standing_dialogue_ended(at(&b), link, &id("d1"), End::Released, report(), &mut b.trace),
         "it does not stand"
     );
     b.stood("a", "d1", 1).at(500);
-    assert!(!b.edge.over(at(&b), LinkId(9), &id("d1"), End::Cut, report(), &mut b.trace));
-    assert!(b.edge.over(at(&b), link, &id("d1"), End::Cut, report(), &mut b.trace));
+    assert!(!b.edge.standing_dialogue_ended(at(&b), LinkId(9), &id("d1"), End::Cut, report(), &mut b.trace));
+    assert!(b.edge.standing_dialogue_ended(at(&b), link, &id("d1"), End::Cut, report(), &mut b.trace));
     assert!(b.trace().ends_with("to 100: d1 over: Cut\n"), "{}", b.trace());
-    assert_eq!((b.edge.sizes().0, b.edge.traces()), (0, 0));
+    assert_eq!((b.edge.sizes().0, b.edge.auxiliary_entries()), (0, 0));
 }
 
 #[test]
 fn a_dialogue_that_stands_already_is_held_without_an_answer() {
     let mut b = vouched();
     let link = b.link_to("a");
-    b.edge.admitted(ms(0), link, &mut b.trace);
+    b.edge.link_trusted(ms(0), link, &mut b.trace);
     let there = |b: &mut Bench, name: &str, server: &str| {
         let server = ServerId(Arc::from(server));
-        b.edge.stands_there(ms(b.trace.now), LinkId(100), &dial(name, 0, 1000), &server, &mut b.trace)
+        b.edge.adopt_standing(ms(b.trace.now), LinkId(100), &dial(name, 0, 1000), &server, &mut b.trace)
     };
     assert!(there(&mut b, "d1", "a") && there(&mut b, "d1", "a"));
     assert!(!there(&mut b, "d2", "z"), "no such server is known");
-    assert_eq!((b.trace(), b.edge.sizes().0, b.edge.held_on(link)), ("", 1, 1));
+    assert_eq!((b.trace(), b.edge.sizes().0, b.edge.dialogues_on_link(link)), ("", 1, 1));
     b.hangs_up(100, "d1");
     assert!(b.trace().contains("release d1"), "{}", b.trace());
-    b.edge.over(ms(b.trace.now), link, &id("d1"), End::Released, LoadReport::default(), &mut b.trace);
-    assert_eq!((b.edge.sizes().0, b.edge.traces()), (0, 0));
+    b.edge.standing_dialogue_ended(
+        ms(b.trace.now),
+        link,
+        &id("d1"),
+        End::Released,
+        LoadReport::default(),
+        &mut b.trace,
+    );
+    assert_eq!((b.edge.sizes().0, b.edge.auxiliary_entries()), (0, 0));
     // With its server lost it is cut like any other.
     assert!(there(&mut b, "d3", "a"));
     b.loses(link);
@@ -710,10 +734,14 @@
 
 impl Bench {
     /// Every step is kept by somebody, launches and answers wait 20 ms for it at most.
-    fn kept(servers: &str, launch_strictly: bool) -> Self {
+    fn kept(servers: &str, withhold_unrecorded_launches: bool) -> Self {
         let within = ms(20);
-        let limits =
-            Limits { record_within: within, launch_within: within, launch_strictly, ..Limits::default() };
+        let limits = Limits {
+            answer_record_timeout: within,
+            launch_record_timeout: within,
+            withhold_unrecorded_launches,
+            ..Limits::default()
+        };
         let mut b = Self::bare(limits);
         b.trace.quiet = true;
         b.at(0).list_up(servers).caller(100, "gateway").at(10);
@@ -725,13 +753,13 @@
         self.hears(LinkId(link), Frame::Dial(Dial { repeat: true, ..dial(name, 0, 3000) }))
     }
 
-    fn found(&mut self, name: &str, found: Found) -> &mut Self {
-        self.edge.found(ms(self.trace.now), &id(name), found, &mut self.trace);
+    fn found(&mut self, name: &str, found: PriorOutcome) -> &mut Self {
+        self.edge.prior_outcome_found(ms(self.trace.now), &id(name), found, &mut self.trace);
         self
     }
 
     fn replaced(&mut self, name: &str) -> &mut Self {
-        self.edge.replaced(ms(self.trace.now), &id(name), &mut self.trace);
+        self.edge.dialogue_replaced(ms(self.trace.now), &id(name), &mut self.trace);
         self
     }
 }
@@ -742,7 +770,7 @@
     b.dials(100, "d1", 0).at(15).recorded(2).at(30).stood("a", "d1", 0).recorded(3).at(40);
     b.hangs_up(100, "d1").ended("a", "d1", 0, End::Released);
     assert_snapshot!(b.trace());
-    assert_eq!((b.edge.sizes().0, b.edge.traces()), (0, 0));
+    assert_eq!((b.edge.sizes().0, b.edge.auxiliary_entries()), (0, 0));
 }
 
 #[test]
@@ -774,7 +802,7 @@
     b.dials(100, "d1", 0).at(15).recorded(2).at(30);
     let (link, given_up_at) = (b.link_to("a"), b.trace.now);
     let report = LoadReport::default();
-    b.edge.launch_came_to(
+    b.edge.launch_outcome_reported(
         ms(given_up_at),
         link,
         &id("d1"),
@@ -783,7 +811,7 @@
         report,
         &mut b.trace,
     );
-    let backs = |b: &Bench| b.trace().matches("d1 Back { doubt: true }").count();
+    let backs = |b: &Bench| b.trace().matches("d1 LaunchReturned { outcome_unknown: true }").count();
     assert_eq!(backs(&b), 1, "{}", b.trace());
     b.at(given_up_at + 200).stood("a", "d1", 0);
     assert_eq!(backs(&b), 2, "{}", b.trace());
@@ -797,8 +825,12 @@
 fn a_launch_called_off_while_it_waits_is_never_sent() {
     let mut b = Bench::kept("a", false);
     b.dials(100, "d1", 0).at(12).hangs_up(100, "d1").recorded(2).at(60);
-    assert!(!b.trace().contains("launch") && b.trace().contains("Back { doubt: false }"), "{}", b.trace());
-    assert_eq!((b.edge.sizes().0, b.edge.traces()), (0, 0));
+    assert!(
+        !b.trace().contains("launch") && b.trace().contains("LaunchReturned { outcome_unknown: false }"),
+        "{}",
+        b.trace()
+    );
+    assert_eq!((b.edge.sizes().0, b.edge.auxiliary_entries()), (0, 0));
     // Nor after a stall that outlasts it.
     b.dials(100, "d2", 0).stalls_until(4000).recorded(5);
     assert!(!b.trace().contains("launch d2"), "{}", b.trace());
@@ -806,33 +838,33 @@
 
 #[test]
 fn what_was_dialled_before_is_sought_and_what_is_found_is_done() {
-    let dialled = |found: Found| {
+    let dialled = |found: PriorOutcome| {
         let mut b = Bench::kept("a", false);
         b.repeats(100, "d1").at(20);
         assert!(b.trace().ends_with("seek d1\n"), "{}", b.trace());
-        b.found("d1", found).found("d1", Found::Concluded).at(25);
+        b.found("d1", found).found("d1", PriorOutcome::Concluded).at(25);
         b
     };
-    let b = dialled(Found::Free { not_before: ms(5) });
+    let b = dialled(PriorOutcome::Free { launch_not_before: ms(5) });
     assert!(b.trace().contains("20 record 1: d1 to a no 0"), "{}", b.trace());
-    let mut b = dialled(Found::Free { not_before: ms(220) });
+    let mut b = dialled(PriorOutcome::Free { launch_not_before: ms(220) });
     b.at(219);
     assert!(!b.trace().contains("record"), "{}", b.trace());
     b.at(221);
     assert!(b.trace().contains("220 record 1: d1 to a no 0"), "{}", b.trace());
-    let mut b = dialled(Found::Answered(Frame::Refused { dialogue: id("d1"), come_back: None }));
+    let mut b = dialled(PriorOutcome::Answered(Frame::Refused { dialogue: id("d1"), come_back: None }));
     assert!(b.trace().ends_with("to 100: d1 refused\n"), "{}", b.trace());
     b.dials(100, "d1", 0);
     assert!(b.trace().ends_with("d1 declined: Concluded\n"), "{}", b.trace());
-    let mut b = dialled(Found::Stands { server: ServerId(Arc::from("a")), launch: LaunchNo(3) });
+    let mut b = dialled(PriorOutcome::Stands { server: ServerId(Arc::from("a")), launch: LaunchNo(3) });
     assert!(b.trace().ends_with("to 100: d1 stands at a\n"), "{}", b.trace());
     b.hangs_up(100, "d1").ended("a", "d1", 3, End::Released);
     assert!(b.trace().contains("release d1 no 3"), "{}", b.trace());
-    assert_eq!((b.edge.sizes().0, b.edge.traces()), (0, 0));
-    let b = dialled(Found::Concluded);
+    assert_eq!((b.edge.sizes().0, b.edge.auxiliary_entries()), (0, 0));
+    let b = dialled(PriorOutcome::Concluded);
     assert!(b.trace().ends_with("d1 declined: Concluded\n"), "{}", b.trace());
     // It was never taken, so it may come again, and is asked for again.
-    let mut b = dialled(Found::Unsure { come_back: Some(ms(500)) });
+    let mut b = dialled(PriorOutcome::Unresolved { retry_after: Some(ms(500)) });
     assert!(b.trace().ends_with("d1 declined: Unsure\n"), "{}", b.trace());
     b.repeats(100, "d1");
     assert!(b.trace().ends_with("seek d1\n"), "{}", b.trace());
@@ -843,18 +875,18 @@
     let mut b = Bench::kept("a", false);
     b.repeats(100, "d1").at(3009);
     assert!(!b.trace().contains("declined"));
-    b.at(3011).found("d1", Found::Free { not_before: ms(0) }).at(3100);
+    b.at(3011).found("d1", PriorOutcome::Free { launch_not_before: ms(0) }).at(3100);
     assert!(b.trace().ends_with("d1 declined: Unsure\n"), "{}", b.trace());
     // Whoever hangs up meanwhile leaves nothing behind, sought or barred.
     for barred in [false, true] {
         b.repeats(100, "d2");
         if barred {
-            b.found("d2", Found::Free { not_before: ms(9000) });
+            b.found("d2", PriorOutcome::Free { launch_not_before: ms(9000) });
         }
         let later = b.trace.now + 4000;
         b.hangs_up(100, "d2").at(later);
     }
-    assert_eq!((b.edge.sizes().0, b.edge.traces()), (0, 0));
+    assert_eq!((b.edge.sizes().0, b.edge.auxiliary_entries()), (0, 0));
     assert!(!b.trace().contains("launch"), "{}", b.trace());
 }
 
@@ -900,7 +932,7 @@
         assert!(of_it.iter().all(silent), "{stage}: {of_it:?}");
         let words = of_it.iter().filter(|line| over(line) || ask(line)).count();
         assert_eq!(words, usize::from(stage < 4), "{stage}: {of_it:?}");
-        assert_eq!((b.edge.sizes().0, b.edge.traces()), (0, 0), "{stage}");
+        assert_eq!((b.edge.sizes().0, b.edge.auxiliary_entries()), (0, 0), "{stage}");
         assert_eq!(b.edge.counts().replaced, 1);
         // Its caller may dial it here again.
         b.repeats(100, "d1");
--- a/crates/edge/tests/numbers.rs
+++ b/crates/edge/tests/numbers.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::*;
-use lotussaddle_edge::{Edge, Limits, LinkId, Note, Numbers, Wires};
+use lotussaddle_edge::{Edge, EdgeEffects, Limits, LinkId, LogTopic, NumberAnalysis};
 use lotussaddle_numbers::{Group, Known, Loaded, Tables, Timestamp, no_lines};
 use lotussaddle_portability::{Plan, answer, question_of};
 use lotussaddle_sheet::Sheet;
@@ -29,8 +29,8 @@
     gone: Vec<String>,
 }
 
-impl Wires for Trace {
-    fn say(&mut self, link: LinkId, message: Message) -> bool {
+impl EdgeEffects for Trace {
+    fn send(&mut self, link: LinkId, message: Message) -> bool {
         self.said.push((link, message.frame));
         true
     }
@@ -40,15 +40,15 @@
         LinkId(self.links)
     }
     fn close(&mut self, _link: LinkId, _why: &str) {}
-    fn log(&mut self, _note: Note, _line: &str) {}
-    fn load(&mut self, name: &str, bases: Vec<Arc<Tables>>) -> bool {
+    fn log(&mut self, _note: LogTopic, _line: &str) {}
+    fn load_tables(&mut self, name: &str, bases: Vec<Arc<Tables>>) -> bool {
         self.loading.push((name.into(), bases));
         true
     }
-    fn ask(&mut self, server: usize, datagram: &[u8]) {
+    fn send_look_up(&mut self, server: usize, datagram: &[u8]) {
         self.asked.push((server, datagram.to_vec()));
     }
-    fn let_go(&mut self, tables: Vec<Arc<Tables>>) {
+    fn drop_tables(&mut self, tables: Vec<Arc<Tables>>) {
         self.gone.extend(tables.iter().map(|tables| tables.name.clone()));
     }
 }
@@ -160,11 +160,11 @@
     fn with(look_ups: Plan) -> Self {
         let mut edge = Edge::new("edge-0", "list", plan(), 7, Limits::default());
         let wall: Timestamp = "2026-12-31T22:59:50Z".parse().unwrap();
-        edge.analyse_by(Numbers::new(vec![ms(1500); 2], 2, wall, Some((look_ups, 1))));
+        edge.use_number_analysis(NumberAnalysis::new(vec![ms(1500); 2], 2, wall, Some((look_ups, 1))));
         let mut bench = Self { edge, trace: Trace::default(), now: 0 };
         bench.at(0);
         let list = bench.link_to("list");
-        bench.edge.connected(ms(0), list, &mut bench.trace);
+        bench.edge.link_connected(ms(0), list, &mut bench.trace);
         bench.hears(list, Frame::Hello(Hello::new(Role::List, "list".into())));
         let entries = (0..4).map(|n| Entry {
             server: ServerId(Arc::from(format!("core-{n}"))),
@@ -178,11 +178,11 @@
         for n in 0..4 {
             let name = format!("core-{n}");
             let link = bench.link_to(&name);
-            bench.edge.connected(ms(0), link, &mut bench.trace);
+            bench.edge.link_connected(ms(0), link, &mut bench.trace);
             bench.hears(link, Frame::Hello(Hello::new(Role::Core, name.as_str().into())));
         }
         for (link, name) in [(100, "gateway"), (101, "gateway")] {
-            bench.edge.linked(ms(0), LinkId(link), &mut bench.trace);
+            bench.edge.link_opened(ms(0), LinkId(link), &mut bench.trace);
             bench.hears(LinkId(link), Frame::Hello(Hello::new(Role::Caller, name.into())));
         }
         bench.at(10);
@@ -191,7 +191,7 @@
 
     fn new() -> Self {
         let mut bench = Self::without_tables();
-        bench.edge.numbers().unwrap().begin_with(tables("old").unwrap());
+        bench.edge.number_analysis().unwrap().set_initial_tables(tables("old").unwrap());
         bench
     }
 
@@ -203,14 +203,14 @@
         while self.edge.next_due() <= ms(time) {
             let due = self.edge.next_due().max(ms(self.now));
             self.now = due.as_millis() as u64;
-            self.edge.alarm(due, &mut self.trace);
+            self.edge.timer_fired(due, &mut self.trace);
         }
         self.now = time;
         self
     }
 
     fn hears(&mut self, link: LinkId, frame: Frame) -> &mut Self {
-        self.edge.heard(ms(self.now), link, frame.into(), &mut self.trace);
+        self.edge.frame_received(ms(self.now), link, frame.into(), &mut self.trace);
         self
     }
 
@@ -227,7 +227,7 @@
         let asked = question_of(&asked, "e164.arpa").unwrap().0;
         let rule = [(1, 1, "u", "E2U+pstn:tel", "!^.*$!tel:+49;npdi;rn=+49999!", ".")];
         let reply = answer(&asked, moved.then_some(&rule[..]), 60);
-        self.edge.replied(ms(self.now), server, &reply, &mut self.trace);
+        self.edge.look_up_reply_received(ms(self.now), server, &reply, &mut self.trace);
         self
     }
 
@@ -239,7 +239,7 @@
     /// All generations asked for are read.
     fn reads(&mut self) -> &mut Self {
         for (name, _bases) in std::mem::take(&mut self.trace.loading) {
-            self.edge.loaded(ms(self.now), &name, tables(&name), &mut self.trace);
+            self.edge.tables_loaded(ms(self.now), &name, tables(&name), &mut self.trace);
         }
         self
     }
@@ -321,13 +321,13 @@
     let mut b = Bench::new();
     b.dials("d1", "089333").at(50);
     b.hears(LinkId(100), Frame::HangUp { dialogue: id("d1") });
-    assert_eq!((b.edge.sizes().0, b.edge.numbers().unwrap().asking()), (0, 0));
+    assert_eq!((b.edge.sizes().0, b.edge.number_analysis().unwrap().pending_look_ups()), (0, 0));
     b.at(60).replies(0, true).at(2000);
     assert_eq!(b.said_of("d1"), Vec::<&Frame>::new());
-    assert_eq!((b.edge.sizes().0, b.edge.numbers().unwrap().asking()), (0, 0));
+    assert_eq!((b.edge.sizes().0, b.edge.number_analysis().unwrap().pending_look_ups()), (0, 0));
     // Its link going does the same.
     b.dials("d2", "089444").at(2050);
-    b.edge.lost(ms(2050), LinkId(100), "closed by its peer", &mut b.trace);
+    b.edge.link_closed(ms(2050), LinkId(100), "closed by its peer", &mut b.trace);
     b.at(5000);
     assert_eq!(b.said_of("d2"), Vec::<&Frame>::new());
     assert_eq!(b.edge.sizes().0, 0);
@@ -414,23 +414,23 @@
 fn at_midnight_by_hand_and_with_thousands_of_look_ups_out() {
     // Servers that hang are asked all the same, so that all wait until their patience ends.
     let mut b = Bench::with(Plan { breaks: false, ..Plan::default() });
-    b.edge.numbers().unwrap().begin_with(tables("old").unwrap());
+    b.edge.number_analysis().unwrap().set_initial_tables(tables("old").unwrap());
     // A swap timed for 200 ms from now, and 3,000 dialogues whose look-ups are out by then.
     b.swaps(1, "new", 200);
     for n in 0..3000 {
         b.dials(&format!("d{n}"), &format!("089{n:06}"));
     }
-    assert!(b.edge.numbers().unwrap().asking() > 2900);
+    assert!(b.edge.number_analysis().unwrap().pending_look_ups() > 2900);
     b.at(209);
     // By hand, at the very moment: back to the old one, which is "old" still, and then undone.
     b.orders(4, TablesOrder::Swap { name: "old".into(), after: ms(1) }).at(210);
     assert_eq!(b.tabled().iter().filter(|(s, f, _)| s == f).map(|(s, ..)| *s).collect::<Vec<_>>(), [2, 4]);
     b.orders(5, TablesOrder::Undo { of: 4, to: Some("new".into()) });
-    assert_eq!(b.edge.numbers().unwrap().generations.in_force().unwrap().name, "new");
+    assert_eq!(b.edge.number_analysis().unwrap().generations.in_force().unwrap().name, "new");
     b.dials("late", "089333");
     assert_eq!(by(&b.launches("late")[0]), "new");
     // What was asked goes on by the old one, all of it.
-    let before = b.edge.numbers().unwrap().generations.alive();
+    let before = b.edge.number_analysis().unwrap().generations.alive();
     assert_eq!(before, 2);
     for question in 0..b.trace.asked.len().min(16) {
         b.replies(question, true);
@@ -441,8 +441,8 @@
             assert_eq!(by(first), "old", "d{n}");
         }
     }
-    assert_eq!(b.edge.numbers().unwrap().asking(), 0);
-    assert_eq!(b.edge.numbers().unwrap().generations.alive(), 1, "nobody holds the old one any more");
+    assert_eq!(b.edge.number_analysis().unwrap().pending_look_ups(), 0);
+    assert_eq!(b.edge.number_analysis().unwrap().generations.alive(), 1, "nobody holds the old one any more");
 }
 
 #[test]
--- a/crates/edge/tests/stages.rs
+++ b/crates/edge/tests/stages.rs
@@ -1,14 +1,14 @@
 //! One dialogue at each stage of its way through setup, and all that can befall it there, in virtual time before the
 //! stand-in of a core server. Whatever happens: one answer at most, none after the cut-off or a hang-up, never two
 //! launches out, none within the release after one in doubt, and in the end nothing is held in the module, the edge
-//! proxy or the core servers. Numbers that are looked up have their stages in `numbers.rs`.
+//! proxy or the core servers. NumberAnalysis that are looked up have their stages in `numbers.rs`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
 
 use lotussaddle::interface::*;
-use lotussaddle_edge::{Edge, Limits, LinkId, Note, Step, Wires};
+use lotussaddle_edge::{DialogueStep, Edge, EdgeEffects, Limits, LinkId, LogTopic};
 use lotussaddle_standin::{CoreFigures, CoreServer, Floor, Reports, Strain};
 use lotussaddle_trunk::*;
 
@@ -123,8 +123,8 @@
     }
 }
 
-impl Wires for Net {
-    fn say(&mut self, link: LinkId, message: Message) -> bool {
+impl EdgeEffects for Net {
+    fn send(&mut self, link: LinkId, message: Message) -> bool {
         if self.closed.contains(&link) {
             return false;
         }
@@ -175,8 +175,8 @@
         self.in_doubt(link);
     }
 
-    fn record(&mut self, _: &DialogueId, step: Step) -> Option<u64> {
-        if !matches!(step, Step::Answer { .. }) {
+    fn record(&mut self, _: &DialogueId, step: DialogueStep) -> Option<u64> {
+        if !matches!(step, DialogueStep::Answer { .. }) {
             return None;
         }
         let number = self.records? + 1;
@@ -185,7 +185,7 @@
         Some(number)
     }
 
-    fn log(&mut self, _: Note, _: &str) {}
+    fn log(&mut self, _: LogTopic, _: &str) {}
 }
 
 /// What a core server says on a link goes to the edge proxy.
@@ -269,8 +269,8 @@
 impl World {
     fn new(may_cancel: bool, records: bool) -> Self {
         let limits = Limits {
-            record_within: if records { MS * 20 } else { Duration::ZERO },
-            release_within: MS * 500,
+            answer_record_timeout: if records { MS * 20 } else { Duration::ZERO },
+            release_timeout: MS * 500,
             ..Limits::default()
         };
         let edge = Edge::new("edge-0", "list", plan(may_cancel), 7, limits);
@@ -283,14 +283,14 @@
     fn begin(&mut self, up: bool) {
         self.until(MS);
         let list = self.net.list.expect("the list is asked first");
-        self.edge(|edge, now, net| edge.connected(now, list, net));
+        self.edge(|edge, now, net| edge.link_connected(now, list, net));
         self.heard(list, Frame::Hello(Hello::new(Role::List, Arc::from("list"))));
         self.lists(Listed::Active);
         if up {
             self.cores_up();
         }
         for caller in [100, 101] {
-            self.edge(|edge, now, net| edge.linked(now, LinkId(caller), net));
+            self.edge(|edge, now, net| edge.link_opened(now, LinkId(caller), net));
             self.heard(LinkId(caller), Frame::Hello(Hello::new(Role::Caller, Arc::from("gateway"))));
         }
     }
@@ -303,7 +303,7 @@
         open.retain(|link, _| !self.net.closed.contains(link));
         for (link, name) in open {
             self.cores.get_mut(name).expect("a or b").linked(link.0, &mut Ends(&mut self.net));
-            self.edge(|edge, now, net| edge.connected(now, link, net));
+            self.edge(|edge, now, net| edge.link_connected(now, link, net));
         }
         let soon = self.net.now + MS * 8;
         self.until(soon);
@@ -339,7 +339,7 @@
         {
             self.net.in_doubt(link);
         }
-        self.edge(|edge, now, net| edge.heard(now, link, frame.into(), net));
+        self.edge(|edge, now, net| edge.frame_received(now, link, frame.into(), net));
     }
 
     fn dials(&mut self, link: u64, time_left: Duration) {
@@ -380,12 +380,14 @@
                         let core = self.cores.get_mut(name).expect("a or b");
                         core.heard(now, link.0, frame.into(), &mut Ends(&mut self.net));
                     }
-                    Happens::Recorded(number) => self.edge(|edge, now, net| edge.recorded(now, number, net)),
+                    Happens::Recorded(number) => {
+                        self.edge(|edge, now, net| edge.step_recorded(now, number, net))
+                    }
                 }
             } else if !still {
                 self.edge(|edge, now, net| {
                     if edge.next_due() <= now {
-                        edge.alarm(now, net);
+                        edge.timer_fired(now, net);
                     }
                 });
             }
@@ -407,7 +409,7 @@
     fn lose(&mut self, link: LinkId) {
         self.net.closed.insert(link);
         self.net.in_doubt(link);
-        self.edge(|edge, now, net| edge.lost(now, link, "broken", net));
+        self.edge(|edge, now, net| edge.link_closed(now, link, "broken", net));
         let now = self.net.now;
         for core in self.cores.values_mut() {
             core.lost(now, link.0);
@@ -424,7 +426,7 @@
     /// Brings the dialogue to a stage.
     fn reach(&mut self, stage: Stage) {
         if stage == Resting {
-            self.edge.as_mut().expect("it runs").rest_until(RELEASE);
+            self.edge.as_mut().expect("it runs").hold_launches_until(RELEASE);
         }
         self.begin(stage != Queued);
         self.until(MS * 20);
@@ -481,7 +483,7 @@
             TimeOut => {
                 self.net.mute = true;
                 let Some((launch, link)) = self.net.out else { return };
-                let due = self.edge.as_ref().expect("it runs").time_out_of(&id()).expect("it is out");
+                let due = self.edge.as_ref().expect("it runs").launch_deadline(&id()).expect("it is out");
                 // The module gives up before; not where the proxy stands still until then.
                 self.pass(due, true);
                 let report = LoadReport::default();
@@ -564,11 +566,11 @@
         }
         if let Some(edge) = &self.edge {
             let (dialogues, _, out, _) = edge.decisions().sizes();
-            if (edge.sizes().0, edge.traces(), dialogues, out) != (0, 0, 0, 0) {
+            if (edge.sizes().0, edge.auxiliary_entries(), dialogues, out) != (0, 0, 0, 0) {
                 self.net.wrong.push(format!(
                     "left over: {} held, {} traces, in the module {dialogues} dialogues, {out} out",
                     edge.sizes().0,
-                    edge.traces()
+                    edge.auxiliary_entries()
                 ));
             }
         }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -83,10 +83,10 @@
             untold: dialogues,
             ends: 1024,
             edge: Limits {
-                dialogues,
-                links: 1,
-                remembered: (memory / 32 / 200).min(100_000),
-                remember_for: Duration::from_secs(30),
+                max_dialogues: dialogues,
+                max_links: 1,
+                max_concluded: (memory / 32 / 200).min(100_000),
+                concluded_retention: Duration::from_secs(30),
                 ..Limits::default()
             },
         }
--- a/crates/platform/src/desk.rs
+++ b/crates/platform/src/desk.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::{DialogueId, LaunchNo, LoadReport, Outcome};
-use lotussaddle_edge::{LinkId, Note, Wires};
+use lotussaddle_edge::{EdgeEffects, LinkId, LogTopic};
 use lotussaddle_trunk::{End, Frame, Launch, Message, NotTaken};
 
 use crate::codec::{self, Cutter, Tag, ToCaller, cause, code, kind};
@@ -379,9 +379,9 @@
     net: &'a mut dyn Net,
 }
 
-impl Wires for Hands<'_> {
+impl EdgeEffects for Hands<'_> {
     /// Always true: what cannot be said comes back as an end, or as a caller's connection that is lost.
-    fn say(&mut self, link: LinkId, message: Message) -> bool {
+    fn send(&mut self, link: LinkId, message: Message) -> bool {
         let (desk, net) = (&mut *self.desk, &mut *self.net);
         match message.frame {
             Frame::Launch(launch) => desk.set_up(net, link, launch, &message.extra),
@@ -439,7 +439,7 @@
         self.desk.end_life(self.net, link);
     }
 
-    fn log(&mut self, _note: Note, line: &str) {
+    fn log(&mut self, _note: LogTopic, line: &str) {
         self.net.log(line);
     }
 }
--- a/crates/platform/src/sessions.rs
+++ b/crates/platform/src/sessions.rs
@@ -73,9 +73,9 @@
     /// Takes in what is known at the start. Once, before any other input.
     pub fn begin(&mut self, now: Duration, net: &mut dyn Net) {
         self.desk.now = now;
-        self.edge.linked(now, CALLERS, &mut self.desk.hands(net));
-        self.edge.admitted(now, CALLERS, &mut self.desk.hands(net));
-        self.edge.alarm(now, &mut self.desk.hands(net)); // It begins its link to the list.
+        self.edge.link_opened(now, CALLERS, &mut self.desk.hands(net));
+        self.edge.link_trusted(now, CALLERS, &mut self.desk.hands(net));
+        self.edge.timer_fired(now, &mut self.desk.hands(net)); // It begins its link to the list.
         self.settle(net);
         for event in std::mem::take(&mut self.known) {
             self.event(event, net);
@@ -107,7 +107,7 @@
     /// The time given by `next_due` has come.
     pub fn alarm(&mut self, now: Duration, net: &mut dyn Net) {
         self.desk.now = now;
-        self.edge.alarm(now, &mut self.desk.hands(net));
+        self.edge.timer_fired(now, &mut self.desk.hands(net));
         self.settle(net);
         if self.sweep_at <= now {
             self.sweep_at = now + SWEEP;
@@ -239,12 +239,12 @@
         let now = self.desk.now;
         loop {
             if let Some(link) = self.desk.to_admit.pop() {
-                self.edge.admitted(now, link, &mut self.desk.hands(net));
+                self.edge.link_trusted(now, link, &mut self.desk.hands(net));
             } else if let Some(over) = self.desk.overs.pop_front() {
                 let LaunchOver { link, tag, launch, outcome } = over;
                 let report = LoadReport::default();
                 let hands = &mut self.desk.hands(net);
-                self.edge.launch_came_to(now, link, &name(tag), launch, outcome, report, hands);
+                self.edge.launch_outcome_reported(now, link, &name(tag), launch, outcome, report, hands);
             } else if let Some(socket) = self.desk.jammed.pop() {
                 net.close(socket, Ending::Now);
                 self.core_lost(socket, false, "it reads nothing", net);
--- a/crates/platform/src/sessions/callers.rs
+++ b/crates/platform/src/sessions/callers.rs
@@ -101,7 +101,7 @@
         let Some(caller) = self.desk.callers.get_mut(&socket) else { return };
         caller.wrongs += 1;
         let enough = caller.wrongs >= MOST_WRONGS;
-        let free = wrong.tag.filter(|tag| self.edge.holds(&name(*tag)).is_none());
+        let free = wrong.tag.filter(|tag| self.edge.dialogue_stands(&name(*tag)).is_none());
         if let Some(tag) = free {
             let said = ToCaller::Finish { cause: cause::UNUSABLE, wait_ms: None };
             self.desk.tell(net, socket, tag, said);
@@ -124,7 +124,7 @@
             return self.wrong(socket, wrong("no known first choice"), net);
         }
         let id = name(tag);
-        if self.edge.holds(&id).is_some() {
+        if self.edge.dialogue_stands(&id).is_some() {
             if start.at.is_none() {
                 self.wrong(socket, wrong("a call that is in already"), net);
             }
@@ -154,7 +154,7 @@
             }
             let server = ServerId(Arc::from(server));
             let hands = &mut self.desk.hands(net);
-            if self.edge.stands_there(now, CALLERS, &dial, &server, hands) {
+            if self.edge.adopt_standing(now, CALLERS, &dial, &server, hands) {
                 self.desk.calls.insert(tag, call(false));
                 self.desk.stands(tag);
             } else {
@@ -174,12 +174,12 @@
         }
         let extra = vec![Extra { tag: code::DESCRIPTION, value: start.description.into_bytes() }];
         let message = Message { frame: Frame::Dial(dial), extra };
-        self.edge.heard(now, CALLERS, message, &mut self.desk.hands(net));
+        self.edge.frame_received(now, CALLERS, message, &mut self.desk.hands(net));
     }
 
     /// A set-up is given up on its own connection, a call that stands on any.
     pub(super) fn caller_finishes(&mut self, socket: SocketId, tag: Tag, net: &mut dyn Net) {
-        match self.edge.holds(&name(tag)) {
+        match self.edge.dialogue_stands(&name(tag)) {
             Some(false) if self.desk.calls.get(&tag).is_none_or(|call| call.caller != socket) => {
                 self.wrong(socket, Wrong { tag: Some(tag), why: "a set-up of another connection" }, net);
             }
@@ -204,7 +204,7 @@
 
     pub(super) fn hang_up(&mut self, tag: Tag, net: &mut dyn Net) {
         let message = Frame::HangUp { dialogue: name(tag) }.into();
-        self.edge.heard(self.desk.now, CALLERS, message, &mut self.desk.hands(net));
+        self.edge.frame_received(self.desk.now, CALLERS, message, &mut self.desk.hands(net));
         self.desk.drop_call(tag);
     }
 
--- a/crates/platform/src/sessions/lives.rs
+++ b/crates/platform/src/sessions/lives.rs
@@ -54,7 +54,8 @@
             kind::FINISH => self.core_finishes(socket, link, message, report, net),
             kind::FINISHED => {
                 let id = name(message.tag);
-                if self.edge.holds(&id) == Some(true) && !self.desk.calls.contains_key(&message.tag) {
+                if self.edge.dialogue_stands(&id) == Some(true) && !self.desk.calls.contains_key(&message.tag)
+                {
                     self.over(link, message.tag, End::Released, report, net);
                 }
                 Ok(())
@@ -92,7 +93,7 @@
         core.open.remove(&tag);
         let extra = vec![Extra { tag: code::DESCRIPTION, value: description.to_vec() }];
         let frame = Frame::Stood { dialogue: name(tag), launch, report };
-        self.edge.heard(now, link, Message { frame, extra }, &mut self.desk.hands(net));
+        self.edge.frame_received(now, link, Message { frame, extra }, &mut self.desk.hands(net));
         Ok(())
     }
 
@@ -104,7 +105,7 @@
         }
         self.desk.finish(net, socket, tag);
         let now = self.desk.now;
-        self.edge.stood_after_give_up(now, link, &name(tag), &mut self.desk.hands(net));
+        self.edge.stood_after_cancel(now, link, &name(tag), &mut self.desk.hands(net));
     }
 
     /// The server at which the call is set up, or stands.
@@ -125,14 +126,24 @@
             let (now, id) = (self.desk.now, name(tag));
             let hands = &mut self.desk.hands(net);
             match refusal(cause, note) {
-                Some(outcome) => self.edge.launch_came_to(now, link, &id, launch, outcome, report, hands),
+                Some(outcome) => {
+                    self.edge.launch_outcome_reported(now, link, &id, launch, outcome, report, hands)
+                }
                 None => {
-                    self.edge.over_unheard(now, link, &id, Some(launch), end_of(cause), report, hands);
+                    self.edge.unanswered_launch_ended(
+                        now,
+                        link,
+                        &id,
+                        Some(launch),
+                        end_of(cause),
+                        report,
+                        hands,
+                    );
                 }
             }
             return Ok(());
         }
-        if refusal(cause, note).is_none() && self.edge.has_former_launch(&name(tag)) {
+        if refusal(cause, note).is_none() && self.edge.has_previous_launch(&name(tag)) {
             self.former_launch_is_over(socket, link, tag, end_of(cause), report, net);
             return Ok(());
         }
@@ -161,14 +172,22 @@
             core.called_off_is_over(tag);
         }
         let now = self.desk.now;
-        self.edge.over_unheard(now, link, &name(tag), None, end, report, &mut self.desk.hands(net));
+        self.edge.unanswered_launch_ended(
+            now,
+            link,
+            &name(tag),
+            None,
+            end,
+            report,
+            &mut self.desk.hands(net),
+        );
     }
 
     /// What stood there is over; what is not held may be told of yet by a caller.
     pub(super) fn over(&mut self, link: LinkId, tag: Tag, end: End, report: LoadReport, net: &mut dyn Net) {
         let (now, id) = (self.desk.now, name(tag));
-        if self.edge.over(now, link, &id, end, report, &mut self.desk.hands(net))
-            || self.edge.holds(&id).is_some()
+        if self.edge.standing_dialogue_ended(now, link, &id, end, report, &mut self.desk.hands(net))
+            || self.edge.dialogue_stands(&id).is_some()
         {
             return;
         }
@@ -197,7 +216,7 @@
             return;
         }
         life.report = (now, text.to_owned());
-        self.edge.heard(now, link, Frame::Report { report }.into(), &mut self.desk.hands(net));
+        self.edge.frame_received(now, link, Frame::Report { report }.into(), &mut self.desk.hands(net));
     }
 
     pub(super) fn core_lost(&mut self, socket: SocketId, refused: bool, why: &str, net: &mut dyn Net) {
@@ -227,7 +246,7 @@
         let sockets = &self.desk.lives[&link].sockets;
         let none_up = !sockets.iter().any(|s| self.desk.cores.get(s).is_some_and(|core| core.up));
         self.settle(net);
-        if refused && none_up && self.edge.held_on(link) > 0 {
+        if refused && none_up && self.edge.dialogues_on_link(link) > 0 {
             self.life_over(link, "nobody listens there", net);
         }
     }
@@ -236,7 +255,7 @@
     pub(super) fn life_over(&mut self, link: LinkId, why: &str, net: &mut dyn Net) {
         self.desk.end_life(net, link);
         let now = self.desk.now;
-        self.edge.lost(now, link, why, &mut self.desk.hands(net));
+        self.edge.link_closed(now, link, why, &mut self.desk.hands(net));
         self.settle(net);
     }
 
@@ -262,7 +281,7 @@
         }
         let links: Vec<LinkId> = self.desk.lives.keys().copied().collect();
         for link in links {
-            let held = self.edge.held_on(link);
+            let held = self.edge.dialogues_on_link(link);
             let Some(life) = self.desk.lives.get(&link) else { continue };
             let up =
                 life.sockets.iter().filter(|s| self.desk.cores.get(s).is_some_and(|core| core.up)).count();
--- a/crates/platform/src/sessions/watch.rs
+++ b/crates/platform/src/sessions/watch.rs
@@ -41,7 +41,7 @@
         }
         if let Some(list) = self.desk.list {
             let frame = Frame::List { whole: members.whole, entries: entries.clone() };
-            self.edge.heard(now, list, frame.into(), &mut self.desk.hands(net));
+            self.edge.frame_received(now, list, frame.into(), &mut self.desk.hands(net));
         }
         for life in self.desk.lives.values_mut() {
             match entries.iter().find(|entry| *entry.server.0 == *life.host) {
--- a/crates/serve/src/logs.rs
+++ b/crates/serve/src/logs.rs
@@ -3,7 +3,7 @@
 use std::thread;
 
 use crossbeam_channel::{Sender, bounded};
-use lotussaddle_edge::{Counts, Note};
+use lotussaddle_edge::{Counts, LogTopic};
 use tracing_subscriber::EnvFilter;
 
 /// Lines that wait to be written; beyond it they are dropped and counted.
@@ -30,7 +30,7 @@
 }
 
 pub enum LogLine {
-    Said(Note, String),
+    Said(LogTopic, String),
     Counts(Box<Counts>, (usize, usize, usize)),
     /// Of a member: counts, copies held, writes that some peer has not acknowledged.
     Fleet(Box<lotussaddle_fleet::Counts>, usize, u64),
@@ -47,8 +47,12 @@
         thread::Builder::new().name("log".into()).spawn(move || {
             while let Ok(line) = lines.recv() {
                 match line {
-                    LogLine::Said(Note::Mode, line) => tracing::info!(edge = name, kind = "mode", "{line}"),
-                    LogLine::Said(Note::Link, line) => tracing::info!(edge = name, kind = "link", "{line}"),
+                    LogLine::Said(LogTopic::Mode, line) => {
+                        tracing::info!(edge = name, kind = "mode", "{line}")
+                    }
+                    LogLine::Said(LogTopic::Link, line) => {
+                        tracing::info!(edge = name, kind = "link", "{line}")
+                    }
                     LogLine::Counts(c, (held, links, remembered)) => tracing::info!(
                         edge = name,
                         kind = "counts",
@@ -109,7 +113,7 @@
             self.dropped += 1;
         } else if self.dropped > 0 {
             let line = format!("{} lines of the log were dropped", self.dropped);
-            if self.to.try_send(LogLine::Said(Note::Link, line)).is_ok() {
+            if self.to.try_send(LogLine::Said(LogTopic::Link, line)).is_ok() {
                 self.dropped = 0;
             }
         }
--- a/crates/serve/src/proxy.rs
+++ b/crates/serve/src/proxy.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::{DialogueId, ServerId};
-use lotussaddle_edge::{Decisions, Edge, Found, LinkId, Note, Step, Wires};
+use lotussaddle_edge::{Decisions, DialogueStep, Edge, EdgeEffects, LinkId, LogTopic, PriorOutcome};
 use lotussaddle_fleet::{Effects, Finding, Member, PeerLink, Verdict};
 use lotussaddle_numbers::Tables;
 use lotussaddle_trunk::{Answer, Frame, Message};
@@ -77,18 +77,18 @@
 /// The edge's wires, with the member listening.
 struct Listening<'a> {
     now: Duration,
-    wires: &'a mut dyn Wires,
+    wires: &'a mut dyn EdgeEffects,
     member: Option<&'a mut Member>,
     tickets: &'a mut Tickets,
     closed: Vec<LinkId>,
 }
 
-impl Wires for Listening<'_> {
-    fn say(&mut self, link: LinkId, mut message: Message) -> bool {
+impl EdgeEffects for Listening<'_> {
+    fn send(&mut self, link: LinkId, mut message: Message) -> bool {
         if let (Frame::Launch(launch), Some(member)) = (&mut message.frame, &self.member) {
             launch.owner = member.owner_of(&launch.dialogue);
         }
-        self.wires.say(link, message)
+        self.wires.send(link, message)
     }
 
     fn connect(&mut self, address: &str) -> LinkId {
@@ -100,47 +100,49 @@
         self.wires.close(link, why);
     }
 
-    fn log(&mut self, note: Note, line: &str) {
+    fn log(&mut self, note: LogTopic, line: &str) {
         self.wires.log(note, line);
     }
 
-    fn record(&mut self, dialogue: &DialogueId, step: Step) -> Option<u64> {
+    fn record(&mut self, dialogue: &DialogueId, step: DialogueStep) -> Option<u64> {
         let disk = self.wires.record(dialogue, step);
         let members = self.member.as_mut().and_then(|member| tell(member, self.now, dialogue, step));
         self.tickets.add(disk, members)
     }
 
-    fn seek(&mut self, dialogue: &DialogueId, cut_off: Duration) -> bool {
+    fn look_up_dialogue(&mut self, dialogue: &DialogueId, cut_off: Duration) -> bool {
         let Some(member) = &mut self.member else { return false };
         member.seek(self.now, dialogue, cut_off);
         true
     }
 
-    fn tabled(&mut self, serial: u64, why: Option<&str>) {
+    fn tables_order_done(&mut self, serial: u64, why: Option<&str>) {
         if let Some(member) = &mut self.member {
             member.tabled(self.now, serial, why);
         }
     }
 
-    fn load(&mut self, name: &str, bases: Vec<Arc<Tables>>) -> bool {
-        self.wires.load(name, bases)
+    fn load_tables(&mut self, name: &str, bases: Vec<Arc<Tables>>) -> bool {
+        self.wires.load_tables(name, bases)
     }
 
-    fn ask(&mut self, server: usize, datagram: &[u8]) {
-        self.wires.ask(server, datagram);
+    fn send_look_up(&mut self, server: usize, datagram: &[u8]) {
+        self.wires.send_look_up(server, datagram);
     }
 
-    fn let_go(&mut self, tables: Vec<Arc<Tables>>) {
-        self.wires.let_go(tables);
+    fn drop_tables(&mut self, tables: Vec<Arc<Tables>>) {
+        self.wires.drop_tables(tables);
     }
 }
 
-fn tell(member: &mut Member, now: Duration, id: &DialogueId, step: Step) -> Option<u64> {
+fn tell(member: &mut Member, now: Duration, id: &DialogueId, step: DialogueStep) -> Option<u64> {
     match step {
-        Step::Taken => member.taken(now, id),
-        Step::Launch { server, launch, until } => return member.launch(now, id, server, launch, until),
-        Step::Back { doubt } => member.back(now, id, doubt),
-        Step::Answer { answer, launch } => {
+        DialogueStep::Accepted => member.taken(now, id),
+        DialogueStep::Launch { server, launch, until } => {
+            return member.launch(now, id, server, launch, until);
+        }
+        DialogueStep::LaunchReturned { outcome_unknown: doubt } => member.back(now, id, doubt),
+        DialogueStep::Answer { answer, launch } => {
             let answer = match answer {
                 Frame::Stands { server, .. } => Answer::Stands { server: server.clone() },
                 Frame::Refused { come_back, .. } => Answer::Refused { come_back: *come_back },
@@ -148,7 +150,7 @@
             };
             return member.answer(now, id, &answer, launch);
         }
-        Step::Over => member.over(now, id),
+        DialogueStep::Ended => member.over(now, id),
     }
     None
 }
@@ -177,7 +179,8 @@
     }
 
     fn with_edge<T>(
-        &mut self, now: Duration, wires: &mut dyn Wires, act: impl FnOnce(&mut Edge<D>, &mut dyn Wires) -> T,
+        &mut self, now: Duration, wires: &mut dyn EdgeEffects,
+        act: impl FnOnce(&mut Edge<D>, &mut dyn EdgeEffects) -> T,
     ) -> T {
         let member = self.member.as_deref_mut();
         let mut listening = Listening { now, wires, member, tickets: &mut self.tickets, closed: Vec::new() };
@@ -199,31 +202,31 @@
 
     // Inputs of the edge proxy
 
-    pub fn linked(&mut self, now: Duration, link: LinkId, wires: &mut dyn Wires) {
-        self.with_edge(now, wires, |edge, wires| edge.linked(now, link, wires));
+    pub fn linked(&mut self, now: Duration, link: LinkId, wires: &mut dyn EdgeEffects) {
+        self.with_edge(now, wires, |edge, wires| edge.link_opened(now, link, wires));
         self.settle(now, wires);
     }
 
-    pub fn connected(&mut self, now: Duration, link: LinkId, wires: &mut dyn Wires) {
-        self.with_edge(now, wires, |edge, wires| edge.connected(now, link, wires));
+    pub fn connected(&mut self, now: Duration, link: LinkId, wires: &mut dyn EdgeEffects) {
+        self.with_edge(now, wires, |edge, wires| edge.link_connected(now, link, wires));
         self.settle(now, wires);
     }
 
-    pub fn lost(&mut self, now: Duration, link: LinkId, why: &str, wires: &mut dyn Wires) {
+    pub fn lost(&mut self, now: Duration, link: LinkId, why: &str, wires: &mut dyn EdgeEffects) {
         self.core_gone(link);
-        self.with_edge(now, wires, |edge, wires| edge.lost(now, link, why, wires));
+        self.with_edge(now, wires, |edge, wires| edge.link_closed(now, link, why, wires));
         self.settle(now, wires);
     }
 
     pub fn heard(
-        &mut self, now: Duration, link: LinkId, message: Message, wires: &mut dyn Wires,
+        &mut self, now: Duration, link: LinkId, message: Message, wires: &mut dyn EdgeEffects,
         effects: &mut dyn Effects,
     ) {
         let core = self.cores.get(&link).filter(|_| self.member.is_some()).cloned();
         match (message.frame, core) {
             (Frame::Audit(audit), Some(server)) => {
                 let (edge, member) = (&self.edge, self.member.as_mut().expect("it was looked for"));
-                let held = |id: &DialogueId| edge.holds(id) == Some(true);
+                let held = |id: &DialogueId| edge.dialogue_stands(id) == Some(true);
                 member.core_said(now, &server, audit, &held, effects);
             }
             (frame, core) => {
@@ -234,8 +237,8 @@
                 }
                 let greets = matches!(frame, Frame::Hello(_));
                 let message = Message { frame, extra: message.extra };
-                self.with_edge(now, wires, |edge, wires| edge.heard(now, link, message, wires));
-                if greets && let Some(server) = self.edge.core_at(link) {
+                self.with_edge(now, wires, |edge, wires| edge.frame_received(now, link, message, wires));
+                if greets && let Some(server) = self.edge.connected_core(link) {
                     self.cores.insert(link, server.clone());
                     if let Some(member) = &mut self.member {
                         member.core_up(now, &server);
@@ -246,9 +249,9 @@
         self.settle(now, wires);
     }
 
-    pub fn alarm(&mut self, now: Duration, wires: &mut dyn Wires, effects: &mut dyn Effects) {
+    pub fn alarm(&mut self, now: Duration, wires: &mut dyn EdgeEffects, effects: &mut dyn Effects) {
         if self.edge.next_due() <= now {
-            self.with_edge(now, wires, |edge, wires| edge.alarm(now, wires));
+            self.with_edge(now, wires, |edge, wires| edge.timer_fired(now, wires));
         }
         if let Some(member) = self.member.as_mut().filter(|member| member.next_due() <= now) {
             member.alarm(now, effects);
@@ -257,23 +260,24 @@
         self.settle(now, wires);
     }
 
-    /// What `Wires::record` of the shell was given this number for is on disk.
-    pub fn recorded(&mut self, now: Duration, number: u64, wires: &mut dyn Wires) {
+    /// What `EdgeEffects::record` of the shell was given this number for is on disk.
+    pub fn recorded(&mut self, now: Duration, number: u64, wires: &mut dyn EdgeEffects) {
         if let Some(ticket) = self.tickets.kept(true, number) {
-            self.with_edge(now, wires, |edge, wires| edge.recorded(now, ticket, wires));
+            self.with_edge(now, wires, |edge, wires| edge.step_recorded(now, ticket, wires));
         }
         self.settle(now, wires);
     }
 
     pub fn loaded(
-        &mut self, now: Duration, name: &str, tables: Result<Arc<Tables>, String>, wires: &mut dyn Wires,
+        &mut self, now: Duration, name: &str, tables: Result<Arc<Tables>, String>,
+        wires: &mut dyn EdgeEffects,
     ) {
-        self.with_edge(now, wires, |edge, wires| edge.loaded(now, name, tables, wires));
+        self.with_edge(now, wires, |edge, wires| edge.tables_loaded(now, name, tables, wires));
         self.settle(now, wires);
     }
 
-    pub fn replied(&mut self, now: Duration, server: usize, datagram: &[u8], wires: &mut dyn Wires) {
-        self.with_edge(now, wires, |edge, wires| edge.replied(now, server, datagram, wires));
+    pub fn replied(&mut self, now: Duration, server: usize, datagram: &[u8], wires: &mut dyn EdgeEffects) {
+        self.with_edge(now, wires, |edge, wires| edge.look_up_reply_received(now, server, datagram, wires));
         self.settle(now, wires);
     }
 
@@ -286,7 +290,7 @@
     }
 
     pub fn peer_connected(
-        &mut self, now: Duration, link: PeerLink, wires: &mut dyn Wires, effects: &mut dyn Effects,
+        &mut self, now: Duration, link: PeerLink, wires: &mut dyn EdgeEffects, effects: &mut dyn Effects,
     ) {
         if let Some(member) = &mut self.member {
             member.connected(now, link, effects);
@@ -295,7 +299,7 @@
     }
 
     pub fn peer_heard(
-        &mut self, now: Duration, link: PeerLink, frame: Frame, wires: &mut dyn Wires,
+        &mut self, now: Duration, link: PeerLink, frame: Frame, wires: &mut dyn EdgeEffects,
         effects: &mut dyn Effects,
     ) {
         if let Some(member) = &mut self.member {
@@ -305,7 +309,8 @@
     }
 
     pub fn peer_lost(
-        &mut self, now: Duration, link: PeerLink, why: &str, wires: &mut dyn Wires, effects: &mut dyn Effects,
+        &mut self, now: Duration, link: PeerLink, why: &str, wires: &mut dyn EdgeEffects,
+        effects: &mut dyn Effects,
     ) {
         if let Some(member) = &mut self.member {
             member.lost(now, link, why, effects);
@@ -315,7 +320,8 @@
 
     /// What `Effects::save` was given this number for is on disk, or could not be.
     pub fn saved(
-        &mut self, now: Duration, number: u64, well: bool, wires: &mut dyn Wires, effects: &mut dyn Effects,
+        &mut self, now: Duration, number: u64, well: bool, wires: &mut dyn EdgeEffects,
+        effects: &mut dyn Effects,
     ) {
         if let Some(member) = &mut self.member {
             member.saved(now, number, well, effects);
@@ -336,7 +342,7 @@
     }
 
     /// The end of a turn: what came up in it is sent to peers.
-    pub fn flush(&mut self, now: Duration, wires: &mut dyn Wires, effects: &mut dyn Effects) {
+    pub fn flush(&mut self, now: Duration, wires: &mut dyn EdgeEffects, effects: &mut dyn Effects) {
         let Some(member) = &mut self.member else { return };
         member.flush(now, effects);
         // What duties have for the edge comes up only here.
@@ -362,7 +368,7 @@
     }
 
     /// What came of one for the other, until nothing is left.
-    fn settle(&mut self, now: Duration, wires: &mut dyn Wires) {
+    fn settle(&mut self, now: Duration, wires: &mut dyn EdgeEffects) {
         loop {
             let findings = match &mut self.member {
                 Some(member) => member.findings(),
@@ -377,29 +383,30 @@
         }
     }
 
-    fn apply(&mut self, now: Duration, finding: Finding, wires: &mut dyn Wires) {
+    fn apply(&mut self, now: Duration, finding: Finding, wires: &mut dyn EdgeEffects) {
         match finding {
             Finding::Kept(number) => {
                 if let Some(ticket) = self.tickets.kept(false, number) {
-                    self.with_edge(now, wires, |edge, wires| edge.recorded(now, ticket, wires));
+                    self.with_edge(now, wires, |edge, wires| edge.step_recorded(now, ticket, wires));
                 }
             }
             Finding::Found(id, verdict) => self.found(now, &id, verdict, wires),
             Finding::Replaced(id) => {
-                self.with_edge(now, wires, |edge, wires| edge.replaced(now, &id, wires));
+                self.with_edge(now, wires, |edge, wires| edge.dialogue_replaced(now, &id, wires));
             }
             Finding::Tables(serial, order) => {
                 self.with_edge(now, wires, |edge, wires| edge.order_tables(now, serial, order, wires));
             }
             Finding::LetGo(id) => {
-                self.with_edge(now, wires, |edge, wires| edge.replaced(now, &id, wires));
+                self.with_edge(now, wires, |edge, wires| edge.dialogue_replaced(now, &id, wires));
                 if let Some(member) = &mut self.member {
                     member.let_go(now, &id);
                 }
             }
             Finding::ToCore(server, frame) => {
-                let told = self
-                    .with_edge(now, wires, |edge, wires| edge.pass_on(now, &server, frame.clone(), wires));
+                let told = self.with_edge(now, wires, |edge, wires| {
+                    edge.send_to_core(now, &server, frame.clone(), wires)
+                });
                 if let Some(member) = self.member.as_mut().filter(|_| !told) {
                     member.unreached(now, &frame);
                 }
@@ -407,29 +414,29 @@
         }
     }
 
-    fn found(&mut self, now: Duration, id: &DialogueId, verdict: Verdict, wires: &mut dyn Wires) {
+    fn found(&mut self, now: Duration, id: &DialogueId, verdict: Verdict, wires: &mut dyn EdgeEffects) {
         let mut stood = None;
         let found = match verdict {
-            Verdict::Free { not_before } => Found::Free { not_before },
-            Verdict::Answered(answer) => Found::Answered(match answer {
+            Verdict::Free { not_before } => PriorOutcome::Free { launch_not_before: not_before },
+            Verdict::Answered(answer) => PriorOutcome::Answered(match answer {
                 Answer::Stands { server } => Frame::Stands { dialogue: id.clone(), server },
                 Answer::Refused { come_back } => Frame::Refused { dialogue: id.clone(), come_back },
                 Answer::Failed => Frame::Failed { dialogue: id.clone() },
             }),
             Verdict::Stands { server, launch } => {
                 stood = Some((server.clone(), launch));
-                Found::Stands { server, launch }
+                PriorOutcome::Stands { server, launch }
             }
-            Verdict::Concluded => Found::Concluded,
-            Verdict::Unsure { come_back } => Found::Unsure { come_back: Some(come_back) },
+            Verdict::Concluded => PriorOutcome::Concluded,
+            Verdict::Unsure { come_back } => PriorOutcome::Unresolved { retry_after: Some(come_back) },
         };
-        self.with_edge(now, wires, |edge, wires| edge.found(now, id, found, wires));
+        self.with_edge(now, wires, |edge, wires| edge.prior_outcome_found(now, id, found, wires));
         // Its caller left meanwhile: what stands there is released.
         if let Some((server, launch)) = stood
-            && self.edge.holds(id) != Some(true)
+            && self.edge.dialogue_stands(id) != Some(true)
         {
             let release = Frame::Release { dialogue: id.clone(), launch };
-            self.with_edge(now, wires, |edge, wires| edge.pass_on(now, &server, release, wires));
+            self.with_edge(now, wires, |edge, wires| edge.send_to_core(now, &server, release, wires));
             if let Some(member) = &mut self.member {
                 member.over(now, id);
             }
--- a/crates/serve/src/run.rs
+++ b/crates/serve/src/run.rs
@@ -11,7 +11,7 @@
 use crossbeam_channel::{Receiver, bounded, never, select};
 use lotussaddle::brain::Brain;
 use lotussaddle::interface::{DialogueId, RoutePlan};
-use lotussaddle_edge::{Decisions, Edge, LinkId, Note, Step, Wires};
+use lotussaddle_edge::{Decisions, DialogueStep, Edge, EdgeEffects, LinkId, LogTopic};
 use lotussaddle_fleet::{Effects, Member, PeerLink, Save, Stored};
 use lotussaddle_links::{Bounds, Gate, Happening, Hub, Token};
 use lotussaddle_numbers::{Tables, Timestamp};
@@ -59,7 +59,7 @@
 }
 
 impl Shared {
-    fn log(&self, note: Note, line: &str) {
+    fn log(&self, note: LogTopic, line: &str) {
         self.log.borrow_mut().put(LogLine::Said(note, line.into()));
     }
 }
@@ -78,8 +78,8 @@
     look_ups: Option<LookUps>,
 }
 
-impl Wires for Sockets {
-    fn say(&mut self, link: LinkId, message: Message) -> bool {
+impl EdgeEffects for Sockets {
+    fn send(&mut self, link: LinkId, message: Message) -> bool {
         self.hub.say(Token(link.0), message)
     }
 
@@ -91,32 +91,32 @@
         bye(&mut self.hub, Token(link.0), why);
     }
 
-    fn record(&mut self, dialogue: &DialogueId, step: Step) -> Option<u64> {
+    fn record(&mut self, dialogue: &DialogueId, step: DialogueStep) -> Option<u64> {
         match step {
-            Step::Answer { answer, .. } => {
+            DialogueStep::Answer { answer, .. } => {
                 self.shared.records.borrow_mut().as_mut()?.record(dialogue, answer)
             }
             _ => None,
         }
     }
 
-    fn load(&mut self, name: &str, bases: Vec<Arc<Tables>>) -> bool {
+    fn load_tables(&mut self, name: &str, bases: Vec<Arc<Tables>>) -> bool {
         self.loader.as_ref().is_some_and(|loader| loader.load(name, bases))
     }
 
-    fn ask(&mut self, server: usize, datagram: &[u8]) {
+    fn send_look_up(&mut self, server: usize, datagram: &[u8]) {
         if let Some(look_ups) = &self.look_ups {
             look_ups.ask(server, datagram);
         }
     }
 
-    fn let_go(&mut self, tables: Vec<Arc<Tables>>) {
+    fn drop_tables(&mut self, tables: Vec<Arc<Tables>>) {
         if let Some(loader) = &mut self.loader {
             loader.let_go(tables);
         }
     }
 
-    fn log(&mut self, note: Note, line: &str) {
+    fn log(&mut self, note: LogTopic, line: &str) {
         self.shared.log(note, line);
     }
 }
@@ -146,7 +146,7 @@
     }
 
     fn log(&mut self, line: &str) {
-        self.shared.log(Note::Link, &format!("fleet: {line}"));
+        self.shared.log(LogTopic::Link, &format!("fleet: {line}"));
     }
 
     fn has_disk(&self) -> bool {
@@ -170,7 +170,7 @@
 ) -> Result<()> {
     // A write beyond the largest file that is allowed is to fail like any other, not to end the process.
     let _ = signal_hook::flag::register(SIGXFSZ, Arc::default());
-    let bounds = Bounds { connect_within: sheet.limits.connect_within, ..Bounds::default() };
+    let bounds = Bounds { connect_within: sheet.limits.connect_timeout, ..Bounds::default() };
     let (hub, happenings) = Hub::new(bounds.clone()).context("no thread to begin links")?;
     let gate =
         Gate::open(&hub, 0, sheet.listen).with_context(|| format!("cannot listen at {}", sheet.listen))?;
@@ -179,7 +179,7 @@
     let decisions = |plan| decisions(plan, seed);
     let mut edge = Edge::with(&sheet.name, &sheet.list, sheet.plan.plan(), sheet.limits.clone(), decisions);
     // Whether there was a former life is not known; that a launch of it may be out yet, is.
-    edge.rest_until(sheet.plan.release);
+    edge.hold_launches_until(sheet.plan.release);
     let log = Log::begin(sheet.name.clone()).context("no thread for the log")?;
     let shared = Shared { log: Rc::new(RefCell::new(log)), records: Rc::default() };
     let mut wires = Sockets { hub, shared: shared.clone(), loader: None, look_ups: None };
@@ -189,9 +189,9 @@
         let mut analysis = sheet.plan.numbers(Timestamp::now(), look_ups);
         if let Some(start) = &numbers.start {
             let tables = read_generation(&numbers.folder, start, &sheet.plan.known(), &[]);
-            analysis.begin_with(tables.map_err(|mistakes| anyhow::anyhow!("{mistakes}"))?);
+            analysis.set_initial_tables(tables.map_err(|mistakes| anyhow::anyhow!("{mistakes}"))?);
         }
-        edge.analyse_by(analysis);
+        edge.use_number_analysis(analysis);
         let (loader, done) =
             Loader::begin(numbers.folder.clone(), sheet.plan.known()).context("no thread for tables")?;
         (wires.loader, read) = (Some(loader), done);
@@ -204,13 +204,16 @@
     let (mut made, mut stored) = (never(), Stored::default());
     if let Some(store) = &sheet.store {
         let wall = Wall { off: clocks.wall };
-        let (records, found, told) = Records::open(store, sheet.limits.remember_for, wall)?;
-        found.answered.iter().for_each(|id| edge.recall(id));
+        let (records, found, told) = Records::open(store, sheet.limits.concluded_retention, wall)?;
+        found.answered.iter().for_each(|id| edge.remember_concluded(id));
         let copies = found.member.copies.len();
         let line =
             format!("the store remembers {} answered dialogues, {copies} copies", found.answered.len());
-        shared.log(Note::Link, &line);
-        found.refused.iter().for_each(|why| shared.log(Note::Link, &format!("refused, not trusted: {why}")));
+        shared.log(LogTopic::Link, &line);
+        found
+            .refused
+            .iter()
+            .for_each(|why| shared.log(LogTopic::Link, &format!("refused, not trusted: {why}")));
         *shared.records.borrow_mut() = Some(records);
         (made, stored) = (told, found.member);
     }
@@ -240,7 +243,7 @@
         println!("peers {}", gate.address);
     }
     let _ = std::io::stdout().flush();
-    shared.log(Note::Link, &format!("listening at {}", gate.address));
+    shared.log(LogTopic::Link, &format!("listening at {}", gate.address));
     let start = Instant::now();
     let mut shell = Shell { proxy, wires, effects, shared, start, rate: clocks.rate, ends_by: None };
     shell.run(&Inputs { happenings, peers, made, read, replies, ends });
@@ -297,7 +300,7 @@
         let mut busy = false;
         loop {
             if self.ends_by.is_some_and(|by| self.proxy.is_done() || self.now() >= by) {
-                self.shared.log(Note::Link, "ends, as it was told");
+                self.shared.log(LogTopic::Link, "ends, as it was told");
                 return;
             }
             let wait = if busy { Duration::ZERO } else { self.proxy.next_due().saturating_sub(self.now()) };
@@ -374,8 +377,8 @@
 
     fn tell_counts(&mut self, now: Duration) {
         // The machine's clock may have been set.
-        if let Some(numbers) = self.proxy.edge_mut().numbers() {
-            numbers.set_wall(now, Timestamp::now());
+        if let Some(numbers) = self.proxy.edge_mut().number_analysis() {
+            numbers.set_wall_clock(now, Timestamp::now());
         }
         let edge = self.proxy.edge();
         let counts = LogLine::Counts(Box::new(edge.counts().clone()), edge.sizes());
@@ -403,7 +406,7 @@
             && self.shared.records.borrow_mut().take().is_some()
         {
             let line = format!("the store fails, answers are given without a record: {error}");
-            self.shared.log(Note::Link, &line);
+            self.shared.log(LogTopic::Link, &line);
         }
         let now = self.now();
         let (wires, effects) = (&mut self.wires, &mut self.effects);
--- a/crates/serve/src/sheet.rs
+++ b/crates/serve/src/sheet.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::{Product, RoutePlan, ServerNumber, Tenant};
-use lotussaddle_edge::{Limits, Numbers};
+use lotussaddle_edge::{Limits, NumberAnalysis};
 use lotussaddle_fleet::{DutyPlan, Plan};
 use lotussaddle_numbers::{Group, Known, Timestamp};
 use lotussaddle_sheet::{Block, Mistakes, Node, Sheet, spelled};
@@ -157,7 +157,7 @@
             let mut limits = limits;
             let store = root.maybe("store").map(|node| {
                 let block = node.block();
-                limits.record_within = block.time("within", MS..=S, Some(MS * 20));
+                limits.answer_record_timeout = block.time("within", MS..=S, Some(MS * 20));
                 let mode = match block.text("mode", Some("written")).as_str() {
                     "written" => Mode::Written,
                     "synced" => Mode::Synced,
@@ -204,21 +204,21 @@
             out,
             "limits {{\n  dialogues {}\n  links {}\n  fresh {}\n  queued {}\n  remembered {}\n  hello-within {:?}\n  \
              ask-after {:?}\n  dead-after {:?}\n  connect-within {:?}\n  remember-for {:?}\n  release-within {:?}\n}}",
-            l.dialogues,
-            l.links,
-            l.fresh,
-            l.queued,
-            l.remembered,
-            spelled(l.hello_within),
-            spelled(l.ask_after),
-            spelled(l.dead_after),
-            spelled(l.connect_within),
-            spelled(l.remember_for),
-            spelled(l.release_within),
+            l.max_dialogues,
+            l.max_links,
+            l.max_unidentified_links,
+            l.max_queued_launches,
+            l.max_concluded,
+            spelled(l.hello_timeout),
+            spelled(l.ping_after),
+            spelled(l.response_timeout),
+            spelled(l.connect_timeout),
+            spelled(l.concluded_retention),
+            spelled(l.release_timeout),
         );
         if let Some(store) = &self.store {
             let mode = if store.mode == Mode::Synced { "synced" } else { "written" };
-            let (folder, within) = (store.folder.display().to_string(), spelled(l.record_within));
+            let (folder, within) = (store.folder.display().to_string(), spelled(l.answer_record_timeout));
             let _ = writeln!(out, "store {{ folder {folder:?}; mode {mode:?}; within {within:?}; }}");
         }
         if let Some(numbers) = &self.numbers {
@@ -362,10 +362,11 @@
     /// Launches and answers wait for copies as they wait for the disk.
     pub fn bound(&self, limits: &mut Limits) {
         if self.before_launch > 0 {
-            (limits.launch_within, limits.launch_strictly) = (self.within, self.strictly);
+            (limits.launch_record_timeout, limits.withhold_unrecorded_launches) =
+                (self.within, self.strictly);
         }
         if self.before_answer > 0 {
-            limits.record_within = limits.record_within.max(self.within);
+            limits.answer_record_timeout = limits.answer_record_timeout.max(self.within);
         }
     }
 
@@ -506,17 +507,17 @@
     let count = |name, most, usual: usize| block.whole(name, 1..=most, Some(usual as u64)) as usize;
     let time = |name, usual| block.time(name, MS..=HOUR, Some(usual));
     Limits {
-        dialogues: count("dialogues", 10_000_000, usual.dialogues),
-        links: count("links", 10_000, usual.links),
-        fresh: count("fresh", 10_000, usual.fresh),
-        queued: count("queued", 100_000, usual.queued),
-        remembered: count("remembered", 10_000_000, usual.remembered),
-        hello_within: time("hello-within", usual.hello_within),
-        ask_after: time("ask-after", usual.ask_after),
-        dead_after: time("dead-after", usual.dead_after),
-        connect_within: time("connect-within", usual.connect_within),
-        remember_for: time("remember-for", usual.remember_for),
-        release_within: time("release-within", usual.release_within),
+        max_dialogues: count("dialogues", 10_000_000, usual.max_dialogues),
+        max_links: count("links", 10_000, usual.max_links),
+        max_unidentified_links: count("fresh", 10_000, usual.max_unidentified_links),
+        max_queued_launches: count("queued", 100_000, usual.max_queued_launches),
+        max_concluded: count("remembered", 10_000_000, usual.max_concluded),
+        hello_timeout: time("hello-within", usual.hello_timeout),
+        ping_after: time("ask-after", usual.ping_after),
+        response_timeout: time("dead-after", usual.response_timeout),
+        connect_timeout: time("connect-within", usual.connect_timeout),
+        concluded_retention: time("remember-for", usual.concluded_retention),
+        release_timeout: time("release-within", usual.release_timeout),
         ..usual
     }
 }
@@ -664,13 +665,13 @@
     /// Numbers are analysed by these promised times and groups.
     pub fn numbers(
         &self, wall: Timestamp, look_ups: Option<(lotussaddle_portability::Plan, u64)>,
-    ) -> Numbers {
+    ) -> NumberAnalysis {
         let promised = self.products.iter().map(|product| product.promised).collect();
-        Numbers::new(promised, self.groups.len(), wall, look_ups)
+        NumberAnalysis::new(promised, self.groups.len(), wall, look_ups)
     }
 
     /// The module knows each product once without a trunk group, and once for each of them
-    /// (`Numbers::module_product`): what can take a dialogue is the core servers of both.
+    /// (`NumberAnalysis::module_product`): what can take a dialogue is the core servers of both.
     pub fn plan(&self) -> RoutePlan {
         let products = self.products.iter().flat_map(|p| {
             let all = p.cores.clone();
