--- a/crates/cli/src/fleets.rs
+++ b/crates/cli/src/fleets.rs
@@ -9,7 +9,7 @@
 use anyhow::{Context, Result, bail};
 use clap::{Args, Subcommand};
 use lotussaddle::interface::DialogueId;
-use lotussaddle_replica::Copy;
+use lotussaddle_replica::Replica;
 use lotussaddle_store::{RealDisk, look};
 use lotussaddle_trunk::{Decoder, Frame, Hello, Message, Peer, Role};
 use serde_json::Value;
@@ -193,8 +193,8 @@
     })?;
     found.refused.iter().for_each(|why| eprintln!("refused: {why}"));
     let now = Duration::ZERO;
-    let copies = found.member.copies.iter().map(|sent| (&sent.dialogue, Copy::received(now, sent)));
-    let copies: Vec<(&DialogueId, Copy)> = copies.collect();
+    let copies = found.member.copies.iter().map(|sent| (&sent.dialogue, Replica::from_update(now, sent)));
+    let copies: Vec<(&DialogueId, Replica)> = copies.collect();
     let each = || copies.iter().map(|(id, copy)| (*id, copy));
     // The store knows places in the group, not names.
     Ok(match what {
--- a/crates/fleet/benches/copies.rs
+++ b/crates/fleet/benches/copies.rs
@@ -5,18 +5,18 @@
 use std::time::{Duration, Instant};
 
 use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
-use lotussaddle_replica::{Book, Bounds, Differing, Group};
+use lotussaddle_replica::{RangeDifference, ReplicaGroup, ReplicaLimits, ReplicaTable};
 use lotussaddle_trunk::{Answer, Decoder, Frame, Message, Peer, Reached};
 
 const FORGET: Duration = Duration::from_secs(3600);
 
-fn book(me: u16) -> Book {
-    let mut book = Book::new(
+fn book(me: u16) -> ReplicaTable {
+    let mut book = ReplicaTable::new(
         me,
-        Group::new(["edge-0", "edge-1", "edge-2"], 2),
-        Bounds { most: 4_000_000, forget: FORGET },
+        ReplicaGroup::new(["edge-0", "edge-1", "edge-2"], 2),
+        ReplicaLimits { max_replicas: 4_000_000, retention: FORGET },
     );
-    book.begin_life(Duration::ZERO, 1 << 24 | u64::from(me));
+    book.begin_incarnation(Duration::ZERO, 1 << 24 | u64::from(me));
     book
 }
 
@@ -25,7 +25,7 @@
 }
 
 /// Dialogues that stand, as their owner wrote them.
-fn filled(count: usize) -> Book {
+fn filled(count: usize) -> ReplicaTable {
     let mut book = book(0);
     let server = ServerId(Arc::from("core-0"));
     for n in 0..count {
@@ -51,16 +51,16 @@
     (decoder.frame().expect("whole").expect("right").frame, bytes.len())
 }
 
-fn catch_up(from: &Book, to: &mut Book) -> (usize, usize) {
+fn catch_up(from: &ReplicaTable, to: &mut ReplicaTable) -> (usize, usize) {
     let (mut cursor, mut bytes, mut pieces) = (0, 0, 0);
     loop {
-        let (copies, next) = from.piece(Duration::ZERO, 1, cursor);
+        let (copies, next) = from.snapshot_chunk(Duration::ZERO, 1, cursor);
         // In frames of the usual length.
         for part in copies.chunks(256) {
             let frame = Frame::Peer(Peer::Copies { life: 1, first: 0, copies: part.to_vec() });
             let (frame, length) = over_the_wire(frame);
             let Frame::Peer(Peer::Copies { copies, .. }) = frame else { unreachable!("as it was sent") };
-            to.take(Duration::ZERO, &copies);
+            to.merge_received(Duration::ZERO, &copies);
             bytes += length;
         }
         pieces += 1;
@@ -72,37 +72,48 @@
 }
 
 /// Bytes said until both know what differs and have it, and rounds.
-fn compare(a: &mut Book, b: &mut Book) -> (usize, usize, usize) {
+fn compare(a: &mut ReplicaTable, b: &mut ReplicaTable) -> (usize, usize, usize) {
     let now = Duration::ZERO;
     let (mut bytes, mut rounds, mut mended) = (0, 0, 0);
-    let (level, from, sums) = a.top(1);
-    let mut said = vec![(true, Differing::Below(level, from, sums))];
+    let (level, from, sums) = a.top_digests(1);
+    let mut said = vec![(true, RangeDifference::Subranges(level, from, sums))];
     while !said.is_empty() {
         rounds += 1;
         let mut next = Vec::new();
         for (by_a, differing) in said {
             let (listener, speaker) = if by_a { (&mut *b, 0) } else { (&mut *a, 1) };
             match differing {
-                Differing::Below(level, from, sums) => {
+                RangeDifference::Subranges(level, from, sums) => {
                     bytes += over_the_wire(Frame::Peer(Peer::Sums { level, from, sums: sums.clone() })).1;
-                    let found = listener.compare(speaker, level, from, &sums);
+                    let found = listener.compare_ranges(speaker, level, from, &sums);
                     next.extend(found.into_iter().map(|differing| (!by_a, differing)));
                 }
-                Differing::Range(range, prints) => {
+                RangeDifference::Leaf(range, prints) => {
                     let frame = Frame::Peer(Peer::Prints { range, prints: prints.clone() });
                     bytes += over_the_wire(frame).1;
-                    let repair = listener.look(now, speaker, 1 << 24 | u64::from(speaker), range, &prints);
+                    let repair = listener.compare_dialogues(
+                        now,
+                        speaker,
+                        1 << 24 | u64::from(speaker),
+                        range,
+                        &prints,
+                    );
                     let wanted = {
-                        bytes += over_the_wire(Frame::Peer(Peer::Want { ids: repair.want.clone() })).1;
-                        if by_a { a.wanted(now, 1, &repair.want) } else { b.wanted(now, 0, &repair.want) }
+                        bytes += over_the_wire(Frame::Peer(Peer::Want { ids: repair.to_request.clone() })).1;
+                        if by_a {
+                            a.requested_replicas(now, 1, &repair.to_request)
+                        } else {
+                            b.requested_replicas(now, 0, &repair.to_request)
+                        }
                     };
-                    mended += wanted.len() + repair.send.len();
+                    mended += wanted.len() + repair.to_send.len();
                     let to_listener = Frame::Peer(Peer::Copies { life: 1, first: 0, copies: wanted.clone() });
-                    let back = Frame::Peer(Peer::Copies { life: 1, first: 0, copies: repair.send.clone() });
+                    let back =
+                        Frame::Peer(Peer::Copies { life: 1, first: 0, copies: repair.to_send.clone() });
                     bytes += over_the_wire(to_listener).1 + over_the_wire(back).1;
                     let (listener, speaker) = if by_a { (&mut *b, &mut *a) } else { (&mut *a, &mut *b) };
-                    listener.take(now, &wanted);
-                    speaker.take(now, &repair.send);
+                    listener.merge_received(now, &wanted);
+                    speaker.merge_received(now, &repair.to_send);
                 }
             }
         }
--- a/crates/fleet/src/duties.rs
+++ b/crates/fleet/src/duties.rs
@@ -7,8 +7,11 @@
 use std::time::Duration;
 
 use lotussaddle::interface::ServerId;
-use lotussaddle_lease::{self as lease, Fence, Kept, Lease, NOBODY, Number, Out, Seat, Word};
-use lotussaddle_replica::{Group, digest};
+use lotussaddle_lease::{
+    self as lease, DutyAssignment, Effect, Fence, FencingToken, Lease, LeaseMessage, NO_MEMBER,
+    PersistedState,
+};
+use lotussaddle_replica::{ReplicaGroup, digest};
 use lotussaddle_trunk::{Act, TablesOrder};
 use serde_json::{Value, json};
 
@@ -124,15 +127,22 @@
 impl Duties {
     /// `kept` is what the disk has.
     pub fn new(
-        now: Duration, me: u16, group: &Group, plan: &DutyPlan, unclaimed: Duration,
+        now: Duration, me: u16, group: &ReplicaGroup, plan: &DutyPlan, unclaimed: Duration,
         (kept, fence): (Option<&[u8]>, Option<&[u8]>), chance: u64,
     ) -> Self {
         // Spread over the members: each duty has an order of its own.
-        let ranks = NAMES.iter().map(|name| group.ranked(digest(&[b"duty", name.as_bytes()]))).collect();
-        let kept: Option<Kept> = kept.and_then(|bytes| postcard::from_bytes(bytes).ok());
-        let members = group.members() as u16;
-        let kept = kept.filter(|kept| !kept.table.is_odd(members));
-        let plan = lease::Plan { me, members, voters: plan.voters.clone(), ranks, lease: plan.lease };
+        let ranks =
+            NAMES.iter().map(|name| group.ranked_members(digest(&[b"duty", name.as_bytes()]))).collect();
+        let kept: Option<PersistedState> = kept.and_then(|bytes| postcard::from_bytes(bytes).ok());
+        let members = group.member_count() as u16;
+        let kept = kept.filter(|kept| !kept.table.is_malformed(members));
+        let plan = lease::Plan {
+            self_member: me,
+            member_count: members,
+            voters: plan.voters.clone(),
+            preferred_holders: ranks,
+            lease_duration: plan.lease,
+        };
         Self {
             me,
             lease: Lease::new(now, plan, kept, chance),
@@ -149,23 +159,23 @@
 
     pub fn lives(&mut self, now: Duration, life: u64) {
         self.life = life;
-        self.lease.lives(now, life);
+        self.lease.set_incarnation(now, life);
     }
 
     pub fn is_older(&mut self, now: Duration) {
-        self.lease.is_older(now);
+        self.lease.mark_state_stale(now);
     }
 
     /// Under which act a duty may be done now; none: it is not this member's.
     pub fn act(&self, now: Duration, duty: Duty) -> Option<Act> {
-        let number = self.lease.holds(now, duty)?;
+        let number = self.lease.held_token(now, duty)?;
         Some(Act { duty: duty.0, number: number.0, member: self.me, life: self.life })
     }
 
     /// A word came from a member; false: it cannot be read.
     pub fn heard(&mut self, now: Duration, from: u16, word: &[u8]) -> bool {
-        let Ok(word) = postcard::from_bytes::<Word>(word) else { return false };
-        self.lease.heard(now, from, word);
+        let Ok(word) = postcard::from_bytes::<LeaseMessage>(word) else { return false };
+        self.lease.message_received(now, from, word);
         true
     }
 
@@ -174,8 +184,8 @@
     /// # Errors
     /// It is not to be done, since this number was seen.
     pub fn admits(&mut self, act: &Act) -> Result<bool, u64> {
-        let (duty, number) = (Duty(act.duty), Number(act.number));
-        self.fence.admits(duty, number, act.member, act.life).map_err(|refused| refused.highest.0)
+        let (duty, number) = (Duty(act.duty), FencingToken(act.number));
+        self.fence.admit(duty, number, act.member, act.life).map_err(|refused| refused.highest.0)
     }
 
     /// What is kept of numbers that were seen.
@@ -186,7 +196,7 @@
     /// A receiver refused an act of this member's.
     pub fn refused(&mut self, now: Duration, duty: u16, highest: u64) {
         self.note(now, format!("{}: an act was refused, number {highest} was seen", name_of(Duty(duty))));
-        self.lease.refused(now, Duty(duty), Number(highest));
+        self.lease.token_refused(now, Duty(duty), FencingToken(highest));
     }
 
     pub fn ordered(&mut self, order: u64, keep: u64) {
@@ -196,30 +206,30 @@
     /// The disk has had all orders up to this one, or could not have them.
     pub fn saved(&mut self, now: Duration, order: u64, well: bool) {
         if let Some(keep) = self.orders.remove(&order) {
-            self.lease.kept(now, keep, well);
+            self.lease.state_persisted(now, keep, well);
         }
     }
 
     pub fn kept(&mut self, now: Duration, keep: u64, well: bool) {
-        self.lease.kept(now, keep, well);
+        self.lease.state_persisted(now, keep, well);
     }
 
     /// An operator wants a duty to go elsewhere.
     pub fn hand_over(&mut self, now: Duration, duty: Duty, to: Option<u16>) {
-        self.lease.wants(now, Word::Move { duty, to });
+        self.lease.send_to_leader(now, LeaseMessage::MoveDuty { duty, to });
     }
 
     pub fn change_voters(&mut self, now: Duration, voters: Vec<u16>) {
-        self.lease.wants(now, Word::Voters { voters });
+        self.lease.send_to_leader(now, LeaseMessage::ChangeVoters { voters });
     }
 
     /// This process is to end: what it holds goes to others first.
     pub fn end(&mut self, now: Duration) {
-        self.lease.end(now);
+        self.lease.shut_down(now);
     }
 
     pub fn is_done(&self) -> bool {
-        self.lease.is_done()
+        self.lease.is_shut_down()
     }
 
     pub fn next_due(&self) -> Duration {
@@ -229,19 +239,19 @@
 
     pub fn alarm(&mut self, now: Duration, cores: &BTreeSet<ServerId>) {
         if self.lease.next_due() <= now {
-            self.lease.alarm(now);
+            self.lease.timer_fired(now);
         }
         if let Some(act) = self.act(now, CIRCUITS)
             && let Some((Step::Check(server), mark)) = self.circuits.step(now, cores)
         {
             self.checks.push(DutyAction::Check(act, server));
-            self.lease.mark(now, CIRCUITS, mark);
+            self.lease.report_checkpoint(now, CIRCUITS, mark);
         }
     }
 
     /// Who holds a duty, as far as is known here.
     pub fn holder(&self, duty: Duty) -> Option<u16> {
-        self.lease.table().seat(duty).map(|seat| seat.member).filter(|member| *member != NOBODY)
+        self.lease.table().assignment(duty).map(|seat| seat.member).filter(|member| *member != NO_MEMBER)
     }
 
     /// A generation is wanted in force on all; false: the duty is not held here, or too many wait.
@@ -262,7 +272,7 @@
         let mut orders = Vec::new();
         for next in self.publish.next(now, &heard()) {
             match next {
-                Next::Mark(mark) => drop(self.lease.mark(now, PUBLISH, mark)),
+                Next::Mark(mark) => drop(self.lease.report_checkpoint(now, PUBLISH, mark)),
                 Next::Send(member, serial, order) => orders.push((member, act, serial, order)),
             }
         }
@@ -271,23 +281,23 @@
 
     /// How far a duty has come, for whoever follows and for operators.
     pub fn mark(&mut self, now: Duration, duty: Duty, mark: String) {
-        self.lease.mark(now, duty, mark.into_bytes());
+        self.lease.report_checkpoint(now, duty, mark.into_bytes());
     }
 
     /// What has come of all inputs since it was asked last.
     pub fn outs(&mut self, now: Duration) -> Vec<DutyAction> {
         let mut actions = std::mem::take(&mut self.checks);
-        for out in self.lease.outs() {
+        for out in self.lease.take_effects() {
             match out {
-                Out::Say(to, word) => {
+                Effect::Send(to, word) => {
                     let word = postcard::to_allocvec(&word).expect("words are plain");
                     actions.push(DutyAction::Say(to, word));
                 }
-                Out::Keep(number, kept) => {
+                Effect::Persist(number, kept) => {
                     let kept = postcard::to_allocvec(&kept).expect("votes and tables are plain");
                     actions.push(DutyAction::Keep(number, kept));
                 }
-                Out::Began(duty, number, mark) => {
+                Effect::DutyAcquired(duty, number, mark) => {
                     self.since.insert(duty, now);
                     if duty == CIRCUITS {
                         self.circuits.begins(now, &mark);
@@ -298,7 +308,7 @@
                     self.note(now, line.clone());
                     actions.push(DutyAction::Log(line));
                 }
-                Out::Lost(duty, number, why) => {
+                Effect::DutyLost(duty, number, why) => {
                     self.since.remove(&duty);
                     if duty == CIRCUITS {
                         self.circuits.ends();
@@ -310,9 +320,9 @@
                     self.note(now, line.clone());
                     actions.push(DutyAction::Log(line));
                 }
-                Out::Marked(duty, _) if duty == PUBLISH => self.publish.marked(now),
-                Out::Marked(..) => {}
-                Out::Log(line) => {
+                Effect::CheckpointCommitted(duty, _) if duty == PUBLISH => self.publish.marked(now),
+                Effect::CheckpointCommitted(..) => {}
+                Effect::Log(line) => {
                     self.note(now, line.clone());
                     actions.push(DutyAction::Log(format!("duties: {line}")));
                 }
@@ -332,37 +342,39 @@
     pub fn status(&self, now: Duration, names: &[String]) -> Value {
         let status = self.lease.status(now);
         let name = |member: u16| names.get(usize::from(member)).cloned();
-        let seat = |seat: &Seat| {
+        let seat = |seat: &DutyAssignment| {
             json!({
                 "duty": name_of(seat.duty),
-                "holder": name(seat.member).filter(|_| seat.member != NOBODY),
-                "start": start_of(seat.life),
-                "number": seat.number.0,
-                "why": format!("{:?}", seat.why).to_lowercase(),
+                "holder": name(seat.member).filter(|_| seat.member != NO_MEMBER),
+                "start": start_of(seat.incarnation),
+                "number": seat.token.0,
+                "why": format!("{:?}", seat.reason).to_lowercase(),
                 "last_step": if seat.duty == PUBLISH {
-                    Publish::told(&seat.mark)
+                    Publish::told(&seat.checkpoint)
                 } else {
-                    String::from_utf8_lossy(&seat.mark).into_owned()
+                    String::from_utf8_lossy(&seat.checkpoint).into_owned()
                 },
             })
         };
         let since = |duty: &Duty| self.since.get(duty).map(|at| now.saturating_sub(*at).as_millis() as u64);
-        let held =
-            status.holds.iter().map(|(duty, _)| json!({ "duty": name_of(*duty), "for_ms": since(duty) }));
+        let held = status
+            .held_duties
+            .iter()
+            .map(|(duty, _)| json!({ "duty": name_of(*duty), "for_ms": since(duty) }));
         let held: Vec<Value> = held.collect();
         let voters: Vec<Option<String>> = status.table.voters.iter().map(|voter| name(*voter)).collect();
         let events: Vec<Value> = (self.events.iter())
             .map(|(at, what)| json!({ "ago_ms": now.saturating_sub(*at).as_millis() as u64, "what": what }))
             .collect();
         json!({
-            "chair": status.chair.and_then(name),
+            "chair": status.leader.and_then(name),
             "term": status.term.count(),
-            "votes": status.sound,
-            "agreed": status.agreed == status.table.id,
+            "votes": status.is_consistent,
+            "agreed": status.committed_table == status.table.id,
             "voters": voters,
-            "duties": status.table.seats.iter().map(seat).collect::<Vec<_>>(),
+            "duties": status.table.assignments.iter().map(seat).collect::<Vec<_>>(),
             "held_here": held,
-            "lease_left_ms": status.left.as_millis() as u64,
+            "lease_left_ms": status.lease_remaining.as_millis() as u64,
             "events": events,
         })
     }
--- a/crates/fleet/src/member/background.rs
+++ b/crates/fleet/src/member/background.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lotussaddle_chores::ChoreId;
-use lotussaddle_replica::print;
+use lotussaddle_replica::fingerprint;
 
 use super::Member;
 use super::batches::FRAME;
@@ -33,7 +33,7 @@
         let slice = self.chores.next(now, pressed)?;
         match slice.chore {
             FORGET => {
-                let gone = self.book.forget(now, SLICE);
+                let gone = self.book.expire(now, SLICE);
                 self.counts.forgotten += gone.len() as u64;
                 self.changed.extend(gone);
             }
@@ -69,16 +69,16 @@
         let mut actions = Vec::new();
         let mut next = None;
         let life = self.lives.mine();
-        for (looks, (id, copy)) in self.book.from(from).enumerate() {
+        for (looks, (id, copy)) in self.book.iter_from(from).enumerate() {
             if looks >= SLICE {
-                next = Some(print(id));
+                next = Some(fingerprint(id));
                 break;
             }
             if !copy.owner().is_some_and(|owner| self.takeovers.is_ended(owner)) {
                 continue;
             }
             let live = |member: u16| !self.view.gone(member);
-            let first = self.book.group().candidates(print(id)).iter().find(|member| live(*member));
+            let first = self.book.group().candidates(fingerprint(id)).iter().find(|member| live(*member));
             actions.extend(self.takeovers.look(now, id, copy, first, life));
         }
         self.look_from = next;
--- a/crates/fleet/src/member/confirmations.rs
+++ b/crates/fleet/src/member/confirmations.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::DialogueId;
-use lotussaddle_replica::Copy;
+use lotussaddle_replica::Replica;
 use lotussaddle_trunk::{Answer, Reached};
 
 use super::Member;
@@ -94,12 +94,12 @@
     pub(super) fn unconfirmed(&mut self) {
         while let Some(id) = self.confirmations.overdue(self.now) {
             let Some(verdict) = self.confirmations.remove(&id) else { break };
-            if !self.plan.strictly && self.book.is_mine(&id) {
+            if !self.plan.strictly && self.book.owns_dialogue(&id) {
                 self.findings.push(Finding::Found(id, verdict));
                 continue;
             }
-            if let (Verdict::Stands { server, launch }, true) = (verdict, self.book.is_mine(&id))
-                && let Some(owner) = self.book.get(&id).and_then(Copy::owner)
+            if let (Verdict::Stands { server, launch }, true) = (verdict, self.book.owns_dialogue(&id))
+                && let Some(owner) = self.book.get(&id).and_then(Replica::owner)
             {
                 self.takeovers.keep(self.now, &id, server, owner, launch);
             }
@@ -110,7 +110,7 @@
 
     /// Writes that are kept by as many as was asked for.
     pub(super) fn are_kept(&mut self) {
-        for ticket in self.book.done() {
+        for ticket in self.book.take_completed_writes() {
             match self.confirmations.dialogue_of(ticket) {
                 Some(id) => {
                     let verdict = self.confirmations.remove(&id);
--- a/crates/fleet/src/member/core_servers.rs
+++ b/crates/fleet/src/member/core_servers.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
-use lotussaddle_replica::Copy;
+use lotussaddle_replica::Replica;
 use lotussaddle_trunk::{Audit, Frame, HeldLine, Reached};
 
 use super::Member;
@@ -49,10 +49,13 @@
                 let kept: BTreeSet<DialogueId> =
                     lines.iter().map(|line| line.dialogue.clone()).filter(|id| self.is_coming(id)).collect();
                 let whose = |line: &HeldLine| {
-                    if line.owner.member == me && line.owner.life == book.life() && held(&line.dialogue) {
+                    if line.owner.member == me
+                        && line.owner.life == book.incarnation()
+                        && held(&line.dialogue)
+                    {
                         return LineOf::Held;
                     }
-                    let owner = book.get(&line.dialogue).and_then(Copy::owner);
+                    let owner = book.get(&line.dialogue).and_then(Replica::owner);
                     match kept.contains(&line.dialogue) || owner.is_some_and(|owner| owner > line.owner) {
                         true => LineOf::Claimed,
                         false => LineOf::Nobody,
@@ -72,7 +75,7 @@
                 self.do_takeover_actions(actions);
             }
             Audit::Moved { dialogue, by, .. } => {
-                self.book.replaced(now, &dialogue, by);
+                self.book.write_refused(now, &dialogue, by);
                 self.takeovers.drop_of(&dialogue);
                 self.findings.push(Finding::Replaced(dialogue));
             }
@@ -123,7 +126,7 @@
                 }
                 TakeoverAction::Own { dialogue, owner, server, launch } => {
                     self.counts.taken_over += 1;
-                    self.book.claim(self.now, &dialogue, owner, &Copy::default());
+                    self.book.claim(self.now, &dialogue, owner, &Replica::default());
                     let reached = Reached::Stands { server, launch };
                     self.write(&dialogue, reached, Duration::ZERO, None, self.now, 0);
                 }
@@ -132,7 +135,7 @@
                     self.findings.push(Finding::ToCore(server, Frame::Release { dialogue, launch }));
                 }
                 TakeoverAction::Over { dialogue, owner } => {
-                    self.book.claim(self.now, &dialogue, owner, &Copy::default());
+                    self.book.claim(self.now, &dialogue, owner, &Replica::default());
                     self.write(&dialogue, Reached::Over, Duration::ZERO, None, self.now, 0);
                 }
                 TakeoverAction::What { server, serial, member, life, after } => {
--- a/crates/fleet/src/member/dispatch.rs
+++ b/crates/fleet/src/member/dispatch.rs
@@ -57,14 +57,14 @@
                 self.view.saved(member, saved);
                 for Replaced { dialogue, by } in replaced {
                     self.goes(&dialogue);
-                    if self.book.replaced(self.now, &dialogue, by) {
+                    if self.book.write_refused(self.now, &dialogue, by) {
                         self.counts.replaced += 1;
                         self.takeovers.drop_of(&dialogue);
                         self.changed.insert(dialogue.clone());
                         self.findings.push(Finding::Replaced(dialogue));
                     }
                 }
-                self.book.kept(member, up_to);
+                self.book.replica_acknowledged(member, up_to);
                 self.are_kept();
             }
             Peer::Resume { life, have, snapshot } if life == self.lives.mine() => {
--- a/crates/fleet/src/member/incarnations.rs
+++ b/crates/fleet/src/member/incarnations.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use lotussaddle_replica::Reading;
+use lotussaddle_replica::ReplicaReading;
 use lotussaddle_trunk::{Audit, Frame, Owner, Peer};
 
 use super::Member;
@@ -82,11 +82,11 @@
     }
 
     pub(super) fn begin_life(&mut self, life: u64, fresh: bool, effects: &mut dyn Effects) {
-        let first = self.book.life() == 0;
+        let first = self.book.incarnation() == 0;
         self.fresh = fresh && first;
         if !fresh && first && !self.book.is_empty() {
             // What the disk had is older than what was written in the life before.
-            let dropped = self.book.drop_others();
+            let dropped = self.book.drop_not_owned();
             let why = self.lives.why_older();
             effects.log(&format!("{why}: its {dropped} copies are not all that was kept, and are let go"));
         }
@@ -99,16 +99,16 @@
         }
         // By their own clocks, peers know how long this member was away: the clock on the wall may have been set in between.
         if let Some(away) = self.away.take().filter(|_| first) {
-            self.book.age(self.now, away);
+            self.book.age_restored(self.now, away);
         }
         effects.log(&format!("life {} begins", start_of(life)));
-        self.book.begin_life(self.now, life);
+        self.book.begin_incarnation(self.now, life);
         // What stands goes on under this life: its core servers are told, or it would pass for what the former one left, or, where
         // it was launched before this process had a life, end with its link.
-        let standing = self.book.each().filter_map(|(id, copy)| {
+        let standing = self.book.iter().filter_map(|(id, copy)| {
             let owner = copy.owner().filter(|owner| (owner.member, owner.life) == (self.plan.me, life))?;
             match copy.reading() {
-                Reading::Stands { server, .. } => Some((server.clone(), id.clone(), owner)),
+                ReplicaReading::Stands { server, .. } => Some((server.clone(), id.clone(), owner)),
                 _ => None,
             }
         });
--- a/crates/fleet/src/member/links.rs
+++ b/crates/fleet/src/member/links.rs
@@ -200,7 +200,7 @@
         if self.lives.told(member, yours, saved) {
             self.overtaken(effects);
         } else if still.is_some() && self.lives.mine() > 0 {
-            let dropped = self.book.drop_others();
+            let dropped = self.book.drop_not_owned();
             effects.log(&format!("this clock stood still: {dropped} copies let go, a new life begins"));
             self.lives.renew();
             self.end_life(effects);
--- a/crates/fleet/src/member/mod.rs
+++ b/crates/fleet/src/member/mod.rs
@@ -24,7 +24,7 @@
 
 use lotussaddle::interface::{DialogueId, ServerId};
 use lotussaddle_chores::{Budget, Chores};
-use lotussaddle_replica::{Book, Bounds};
+use lotussaddle_replica::{ReplicaLimits, ReplicaTable};
 use lotussaddle_trunk::{Cursor, Owner, Peer};
 
 use crate::duties::Duties;
@@ -52,7 +52,7 @@
     view: MembershipView,
     lives: Lives,
     peers: Peers,
-    book: Book,
+    book: ReplicaTable,
     redials: Redials,
     takeovers: Takeovers,
     duties: Option<Duties>,
@@ -103,7 +103,11 @@
     /// A member that starts at `now` with what its disk had stored; `chance` is drawn from the system.
     pub fn new(now: Duration, plan: Plan, stored: Stored, chance: u64) -> Self {
         let (me, members) = (plan.me, plan.members.len());
-        let book = Book::new(me, plan.group(), Bounds { most: plan.most, forget: plan.forget });
+        let book = ReplicaTable::new(
+            me,
+            plan.group(),
+            ReplicaLimits { max_replicas: plan.most, retention: plan.forget },
+        );
         let mut chores = Chores::new(Budget::default());
         for (chore, priority) in [(FORGET, 1), (LOOK, 2), (PIECES, 3), (REPAIR, 1)] {
             chores.add(chore, priority);
@@ -163,7 +167,7 @@
             counts: Counts::default(),
             plan,
         };
-        stored.copies.iter().for_each(|copy| member.book.recall(now, copy));
+        stored.copies.iter().for_each(|copy| member.book.restore(now, copy));
         member
     }
 
@@ -182,7 +186,7 @@
     }
 
     /// Its own dialogues and the copies that it holds for others.
-    pub fn book(&self) -> &Book {
+    pub fn book(&self) -> &ReplicaTable {
         &self.book
     }
 
--- a/crates/fleet/src/member/own_dialogues.rs
+++ b/crates/fleet/src/member/own_dialogues.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
-use lotussaddle_replica::Written;
+use lotussaddle_replica::WriteResult;
 use lotussaddle_trunk::{Answer, Owner, Reached};
 
 use super::Member;
@@ -21,10 +21,12 @@
         let written = self.book.write(self.now, id, reached, bar, answer, base, wait);
         self.changed.insert(id.clone());
         match written {
-            Written::Waits => Some(ticket),
+            WriteResult::Pending => Some(ticket),
             // While it has no life nobody can acknowledge anything.
-            Written::Goes => (acks > 0 && self.plan.strictly && self.lives.mine() == 0).then_some(ticket),
-            Written::Replaced(_) => {
+            WriteResult::Immediate => {
+                (acks > 0 && self.plan.strictly && self.lives.mine() == 0).then_some(ticket)
+            }
+            WriteResult::Replaced(_) => {
                 self.counts.replaced += 1;
                 self.findings.push(Finding::Replaced(id.clone()));
                 Some(ticket) // Which is never told: nothing is sent or said.
@@ -36,7 +38,7 @@
     pub fn taken(&mut self, now: Duration, id: &DialogueId) {
         self.now = now;
         // One that was asked for is this member's already.
-        if !self.book.is_mine(id) || self.book.get(id).is_some_and(|copy| !copy.is_open()) {
+        if !self.book.owns_dialogue(id) || self.book.get(id).is_some_and(|copy| !copy.is_open()) {
             self.write(id, Reached::Taken, Duration::ZERO, None, now, 0);
         }
     }
@@ -54,7 +56,7 @@
     /// A launch came back without a result; `doubt`: its core server may have it all the same.
     pub fn back(&mut self, now: Duration, id: &DialogueId, doubt: bool) {
         self.now = now;
-        if self.book.is_mine(id) {
+        if self.book.owns_dialogue(id) {
             let bar = if doubt { now + self.plan.release } else { Duration::ZERO };
             self.write(id, Reached::Taken, bar, None, now, 0);
         }
@@ -76,7 +78,7 @@
     /// A dialogue is over.
     pub fn over(&mut self, now: Duration, id: &DialogueId) {
         self.now = now;
-        if self.book.is_mine(id) {
+        if self.book.owns_dialogue(id) {
             self.write(id, Reached::Over, Duration::ZERO, None, now, 0);
         }
     }
@@ -84,13 +86,13 @@
     /// What launches of this dialogue bear, so that its core server knows whose it is; none where nobody is to take it over.
     pub fn owner_of(&self, id: &DialogueId) -> Option<Owner> {
         let owner = self.book.get(id)?.owner()?;
-        (self.lives.mine() > 0 && self.book.is_mine(id)).then_some(owner)
+        (self.lives.mine() > 0 && self.book.owns_dialogue(id)).then_some(owner)
     }
 
     /// A dialogue of this member is another's now, who may never come for what stands.
     pub(super) fn goes(&mut self, id: &DialogueId) {
         let Some(copy) = self.book.get(id) else { return };
-        let servers = copy.parts().iter().filter_map(|part| match &part.reached {
+        let servers = copy.owner_states().iter().filter_map(|part| match &part.progress {
             Reached::Stands { server, .. } if part.owner.member == self.plan.me => Some(server),
             _ => None,
         });
--- a/crates/fleet/src/member/repair.rs
+++ b/crates/fleet/src/member/repair.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use lotussaddle_replica::Differing;
+use lotussaddle_replica::RangeDifference;
 use lotussaddle_trunk::{Frame, Peer};
 
 use super::Member;
@@ -51,7 +51,7 @@
     pub(super) fn compare(&mut self) {
         for member in self.plan.me + 1..self.plan.members.len() as u16 {
             if self.peers.to(member).is_some() && self.incoming[usize::from(member)].synced {
-                let (level, from, sums) = self.book.top(member);
+                let (level, from, sums) = self.book.top_digests(member);
                 self.to_say.push((member, Peer::Sums { level, from, sums }));
             }
         }
@@ -62,24 +62,25 @@
         let mut copies = Vec::new();
         match step {
             RepairStep::Sums(level, from, sums) => {
-                for differing in self.book.compare(member, level, from, &sums) {
+                for differing in self.book.compare_ranges(member, level, from, &sums) {
                     let peer = match differing {
-                        Differing::Below(level, from, sums) => Peer::Sums { level, from, sums },
-                        Differing::Range(range, prints) => Peer::Prints { range, prints },
+                        RangeDifference::Subranges(level, from, sums) => Peer::Sums { level, from, sums },
+                        RangeDifference::Leaf(range, prints) => Peer::Prints { range, prints },
                     };
                     self.tell(link, Frame::Peer(peer), effects);
                 }
             }
             RepairStep::Prints(range, prints) => {
                 let life = self.view.life(member);
-                let repair = self.book.look(self.now, member, life, range, &prints);
-                self.counts.repaired += (repair.send.len() + repair.want.len() + repair.dropped) as u64;
-                if !repair.want.is_empty() {
-                    self.tell(link, Frame::Peer(Peer::Want { ids: repair.want }), effects);
+                let repair = self.book.compare_dialogues(self.now, member, life, range, &prints);
+                self.counts.repaired +=
+                    (repair.to_send.len() + repair.to_request.len() + repair.dropped_count) as u64;
+                if !repair.to_request.is_empty() {
+                    self.tell(link, Frame::Peer(Peer::Want { ids: repair.to_request }), effects);
                 }
-                copies = repair.send;
+                copies = repair.to_send;
             }
-            RepairStep::Want(ids) => copies = self.book.wanted(self.now, member, &ids),
+            RepairStep::Want(ids) => copies = self.book.requested_replicas(self.now, member, &ids),
         }
         for copies in in_frames(copies).into_iter().filter(|copies| !copies.is_empty()) {
             self.counts.copies_sent += copies.len() as u64;
--- a/crates/fleet/src/member/saves.rs
+++ b/crates/fleet/src/member/saves.rs
@@ -137,7 +137,7 @@
         }
         let now = self.now;
         let copies = changed.into_iter().map(|id| {
-            let copy = self.book.get(&id).map(|copy| copy_bytes(&copy.sent(now, &id)));
+            let copy = self.book.get(&id).map(|copy| copy_bytes(&copy.to_update(now, &id)));
             Save::Copy(id, copy)
         });
         let copies: Vec<Save> = copies.collect();
--- a/crates/fleet/src/member/search.rs
+++ b/crates/fleet/src/member/search.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::DialogueId;
-use lotussaddle_replica::{Copy, Reading, print};
+use lotussaddle_replica::{Replica, ReplicaReading, fingerprint};
 use lotussaddle_trunk::{Audit, CopySent, Frame, Owner, Peer, Reached};
 
 use super::Member;
@@ -37,29 +37,33 @@
         }
         // What this member owns nobody else has gone on with, or its writes will be refused. What stood is asked for all the same:
         // it is not held here any more.
-        let own = self.book.get(id).filter(|_| self.book.is_mine(id)).map(Copy::reading);
+        let own = self.book.get(id).filter(|_| self.book.owns_dialogue(id)).map(Replica::reading);
         let verdict = match own {
-            Some(Reading::Answered(answer)) => Some(Verdict::Answered(answer.clone())),
-            Some(Reading::Over) => Some(Verdict::Concluded),
-            Some(Reading::Open { bar, .. }) if bar > now && bar + self.plan.release >= cut_off => {
+            Some(ReplicaReading::Answered(answer)) => Some(Verdict::Answered(answer.clone())),
+            Some(ReplicaReading::Ended) => Some(Verdict::Concluded),
+            Some(ReplicaReading::Open { blocked_until: bar, .. })
+                if bar > now && bar + self.plan.release >= cut_off =>
+            {
                 Some(Verdict::Unsure { come_back: bar - now })
             }
-            Some(Reading::Open { bar, .. }) => Some(Verdict::Free { not_before: bar.max(now) }),
-            Some(Reading::Stands { .. }) | None => None,
+            Some(ReplicaReading::Open { blocked_until: bar, .. }) => {
+                Some(Verdict::Free { not_before: bar.max(now) })
+            }
+            Some(ReplicaReading::Stands { .. }) | None => None,
         };
         if let Some(verdict) = verdict {
             return self.confirm(id.clone(), verdict);
         }
         self.takeovers.drop_of(id);
-        let print = print(id);
+        let print = fingerprint(id);
         let candidates: Vec<u16> = self.book.group().candidates(print).iter().collect();
         let known = self.book.get(id).cloned().unwrap_or_default();
         let round = known.owner().map_or(0, |owner| owner.round) + 1;
         let owner = Owner { round, member: self.plan.me, life: self.lives.mine() };
         let mut knows = candidates.contains(&self.plan.me) && self.caught_up();
         if candidates.contains(&self.plan.me) {
-            self.book.asked(now, id, owner);
-            knows &= self.book.promised(id, owner);
+            self.book.claim_requested(now, id, owner);
+            knows &= self.book.has_claim(id, owner);
         }
         let (peers, view) = (&self.peers, &self.view);
         let reached = |member: u16| is_reached(peers, view, now, member);
@@ -99,7 +103,7 @@
         }
         let actions = self.redials.beaten(&id, owner);
         self.do_redial_actions(actions);
-        if self.book.is_mine(&id) && self.book.get(&id).and_then(Copy::owner) < Some(owner) {
+        if self.book.owns_dialogue(&id) && self.book.get(&id).and_then(Replica::owner) < Some(owner) {
             // What is out is called off first, so that the answer says how long it is in doubt.
             let waits = self.lets.entry(id.clone()).or_default();
             waits.push((member, serial, owner));
@@ -111,8 +115,8 @@
     }
 
     pub(super) fn answer_asked(&mut self, member: u16, serial: u64, id: &DialogueId, owner: Owner) {
-        let (higher, copy) = self.book.asked(self.now, id, owner);
-        let sure = higher.is_none() && self.caught_up() && self.book.promised(id, owner);
+        let (higher, copy) = self.book.claim_requested(self.now, id, owner);
+        let sure = higher.is_none() && self.caught_up() && self.book.has_claim(id, owner);
         self.changed.insert(id.clone());
         // A promise that a kill undoes is none: it is kept before it is said.
         if self.known.len() < MOST_KNOWN {
@@ -125,13 +129,13 @@
     ) {
         let Some((id, owner)) = self.redials.of(serial) else { return };
         let id = id.clone();
-        let copy = copy.filter(|copy| copy.dialogue == id).map(|copy| Copy::received(self.now, copy));
-        let candidate = self.book.group().candidates(print(&id)).contains(self.plan.me);
+        let copy = copy.filter(|copy| copy.dialogue == id).map(|copy| Replica::from_update(self.now, copy));
+        let candidate = self.book.group().candidates(fingerprint(&id)).contains(self.plan.me);
         let knows = candidate && self.caught_up();
         if let (true, Some(higher)) = (candidate, higher) {
             // This member promises itself the higher claim that it is about to make.
             let owner = Owner { round: owner.round.max(higher.round + 1), ..owner };
-            self.book.asked(self.now, &id, owner);
+            self.book.claim_requested(self.now, &id, owner);
         }
         let (peers, view, now) = (&self.peers, &self.view, self.now);
         let reached = |member: u16| is_reached(peers, view, now, member);
--- a/crates/fleet/src/member/streams.rs
+++ b/crates/fleet/src/member/streams.rs
@@ -1,7 +1,7 @@
 //! Replication streams: copies sent and received in order, and the snapshots that precede a stream.
 
 use lotussaddle::interface::DialogueId;
-use lotussaddle_replica::{Copy, News};
+use lotussaddle_replica::{MergeResult, Replica};
 use lotussaddle_trunk::{CopySent, Cursor, Frame, Peer, Replaced};
 
 use super::Member;
@@ -63,7 +63,7 @@
         &mut self, member: u16, cursor: Cursor, next: Option<u64>, copies: &[CopySent],
         effects: &mut dyn Effects,
     ) {
-        let news = self.book.take(self.now, copies);
+        let news = self.book.merge_received(self.now, copies);
         self.counts.pieces += 1;
         self.news(news, effects);
         let incoming = &mut self.incoming[usize::from(member)];
@@ -82,7 +82,7 @@
     pub(super) fn copies_came(
         &mut self, member: u16, life: u64, first: u64, copies: &[CopySent], effects: &mut dyn Effects,
     ) {
-        let news = self.book.take(self.now, copies);
+        let news = self.book.merge_received(self.now, copies);
         let replaced = self.news(news, effects);
         let incoming = &mut self.incoming[usize::from(member)];
         if first == 0 || life != incoming.life {
@@ -103,15 +103,15 @@
     }
 
     /// What came of copies: those that were refused are given back.
-    fn news(&mut self, news: News, effects: &mut dyn Effects) -> Vec<Replaced> {
+    fn news(&mut self, news: MergeResult, effects: &mut dyn Effects) -> Vec<Replaced> {
         self.counts.copies_taken += news.changed.len() as u64;
-        self.counts.copies_refused += news.refused as u64;
-        for id in &news.differ {
+        self.counts.copies_refused += news.rejected_count as u64;
+        for id in &news.answer_conflicts {
             self.counts.differ += 1;
-            let answers = self.book.get(id).map(Copy::answers).unwrap_or_default();
+            let answers = self.book.get(id).map(Replica::answers).unwrap_or_default();
             effects.log(&format!("dialogue {} has two different answers: {answers:?}", id.0));
         }
-        for (id, _) in news.lost {
+        for (id, _) in news.ownership_lost {
             self.counts.replaced += 1;
             self.goes(&id);
             self.takeovers.drop_of(&id);
@@ -119,7 +119,7 @@
         }
         if self.takeovers.any_ended() {
             let left = |id: &DialogueId| {
-                self.book.get(id).and_then(Copy::owner).is_some_and(|o| self.takeovers.is_ended(o))
+                self.book.get(id).and_then(Replica::owner).is_some_and(|o| self.takeovers.is_ended(o))
             };
             let look = news.changed.iter().any(left);
             self.takeovers.look_again |= look;
@@ -130,7 +130,7 @@
 
     pub(super) fn send_piece(&mut self, member: u16, cursor: Cursor, effects: &mut dyn Effects) {
         let Some(link) = self.peers.to(member) else { return };
-        let (copies, next) = self.book.piece(self.now, member, cursor.from);
+        let (copies, next) = self.book.snapshot_chunk(self.now, member, cursor.from);
         let life = self.lives.mine();
         let mut frames = in_frames(copies);
         let last = frames.pop().unwrap_or_default();
@@ -148,7 +148,7 @@
             return;
         }
         for member in 0..self.plan.members.len() as u16 {
-            if self.resumed[usize::from(member)] && self.book.stream(member).waits() {
+            if self.resumed[usize::from(member)] && self.book.stream(member).has_unsent() {
                 self.send_stream(member, effects);
             }
         }
@@ -156,10 +156,10 @@
 
     fn send_stream(&mut self, member: u16, effects: &mut dyn Effects) {
         let Some(link) = self.peers.to(member) else { return };
-        if self.book.stream(member).overrun() {
+        if self.book.stream(member).is_overrun() {
             return self.close(link, "too far behind: it begins anew with a snapshot", effects);
         }
-        let Some((mut first, copies)) = self.book.next_copies(self.now, member, A_TURN) else { return };
+        let Some((mut first, copies)) = self.book.next_updates(self.now, member, A_TURN) else { return };
         let life = self.lives.mine();
         for copies in in_frames(copies) {
             let count = copies.len() as u64;
@@ -176,7 +176,7 @@
         (0..self.plan.members.len() as u16).any(|member| {
             self.resumed[usize::from(member)]
                 && self.peers.to(member).is_some()
-                && self.book.stream(member).waits()
+                && self.book.stream(member).has_unsent()
         })
     }
 }
--- a/crates/fleet/src/member/timers.rs
+++ b/crates/fleet/src/member/timers.rs
@@ -115,7 +115,7 @@
             let (group, plan, me) = (self.book.group(), &self.plan, self.plan.me);
             let is_successor_of = |member: u16| {
                 let print = digest(&[SUCCESSOR_SEED, plan.members[usize::from(member)].as_bytes()]);
-                group.ranked(print).into_iter().find(|member| live(*member)) == Some(me)
+                group.ranked_members(print).into_iter().find(|member| live(*member)) == Some(me)
             };
             // One that hears no majority cannot tell who is gone.
             if self.view.with_majority() {
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lotussaddle_membership::Overlay;
-use lotussaddle_replica::{Group, Ranks, digest};
+use lotussaddle_replica::{RankedMembers, ReplicaGroup, digest};
 
 use crate::duties::DutyPlan;
 
@@ -71,10 +71,10 @@
 
 impl Plan {
     /// The most copies that may be asked for.
-    pub const MOST_COPIES: usize = Ranks::MOST - 1;
+    pub const MOST_COPIES: usize = RankedMembers::MAX - 1;
 
-    pub fn group(&self) -> Group {
-        Group::new(self.members.iter().map(String::as_str), self.copies)
+    pub fn group(&self) -> ReplicaGroup {
+        ReplicaGroup::new(self.members.iter().map(String::as_str), self.copies)
     }
 
     /// Of all that must agree.
--- a/crates/fleet/src/redial.rs
+++ b/crates/fleet/src/redial.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
-use lotussaddle_replica::{Copy, Group, Reading, print};
+use lotussaddle_replica::{Replica, ReplicaGroup, ReplicaReading, fingerprint};
 use lotussaddle_trunk::{Answer, Owner};
 
 use crate::membership_view::MemberSet;
@@ -55,7 +55,7 @@
     Claim {
         dialogue: DialogueId,
         owner: Owner,
-        found: Copy,
+        found: Replica,
     },
     /// Whether it still stands there only its core server knows.
     Adopt {
@@ -72,7 +72,7 @@
     pub reached: &'a dyn Fn(u16) -> bool,
     /// This member is a candidate, and would know.
     pub knows: bool,
-    pub known: Copy,
+    pub known: Replica,
     pub owner: Owner,
     pub cut_off: Duration,
 }
@@ -93,14 +93,14 @@
     /// Candidates that would know, and have promised.
     sure: MemberSet,
     candidates: Vec<u16>,
-    found: Copy,
+    found: Replica,
     tries: u32,
     phase: Phase,
 }
 
 pub struct Redials {
     me: u16,
-    group: Group,
+    group: ReplicaGroup,
     /// Acknowledgements that a launch waits for.
     awaited: usize,
     within: Duration,
@@ -115,11 +115,12 @@
 impl Redials {
     /// `come_back`: when one that is not sure may be asked again; `release`: less time than that is of no use for a launch.
     pub fn new(
-        me: u16, group: Group, awaited: usize, within: Duration, come_back: Duration, release: Duration,
+        me: u16, group: ReplicaGroup, awaited: usize, within: Duration, come_back: Duration,
+        release: Duration,
     ) -> Self {
         Self {
             me,
-            awaited: awaited.min(group.copies()),
+            awaited: awaited.min(group.replica_count()),
             group,
             within,
             come_back,
@@ -141,23 +142,24 @@
 
     /// Of the candidates so many must answer, whoever owned it.
     fn of_candidates(&self) -> usize {
-        (self.group.copies() + 2 - self.awaited).min(self.group.copies() + 1)
+        (self.group.replica_count() + 2 - self.awaited).min(self.group.replica_count() + 1)
     }
 
     /// Of the holders of a known owner so many.
     fn of_holders(&self) -> usize {
-        (self.group.copies() + 1 - self.awaited).max(self.awaited)
+        (self.group.replica_count() + 1 - self.awaited).max(self.awaited)
     }
 
     fn is_enough(&self, id: &DialogueId, ask: &Ask) -> bool {
         let sure =
             |members: &mut dyn Iterator<Item = u16>| members.filter(|member| ask.sure.has(*member)).count();
-        let print = print(id);
+        let print = fingerprint(id);
         sure(&mut self.group.candidates(print).into_iter()) >= self.of_candidates()
-            || ask.found.writer().is_some_and(|writer| {
+            || ask.found.last_writer().is_some_and(|writer| {
                 // Whoever claimed it after that may have written where its own copies lie, which none of the others know.
                 let mine = |owner: Owner| (owner.member, owner.life) == (ask.owner.member, ask.owner.life);
-                let later = ask.found.parts().iter().map(|part| part.owner).filter(|owner| *owner > writer);
+                let later =
+                    ask.found.owner_states().iter().map(|part| part.owner).filter(|owner| *owner > writer);
                 later
                     .filter(|owner| !mine(*owner))
                     .chain([writer])
@@ -184,7 +186,7 @@
             open: MemberSet::default(),
             asked: MemberSet::default(),
             sure: MemberSet::default(),
-            candidates: self.group.candidates(print(id)).iter().collect(),
+            candidates: self.group.candidates(fingerprint(id)).iter().collect(),
             found: begin.known,
             tries: 0,
             phase: Phase::Asking,
@@ -244,7 +246,7 @@
     #[expect(clippy::too_many_arguments)]
     pub fn answered(
         &mut self, now: Duration, serial: u64, from: u16, sure: bool, higher: Option<Owner>,
-        copy: Option<&Copy>, reached: &dyn Fn(u16) -> bool, knows: bool,
+        copy: Option<&Replica>, reached: &dyn Fn(u16) -> bool, knows: bool,
     ) -> Vec<RedialAction> {
         let Some(id) = self.serials.get(&serial).cloned() else { return Vec::new() };
         let Some(mut ask) = self.asks.remove(&id) else { return Vec::new() };
@@ -300,13 +302,13 @@
             return vec![self.unsure(id)];
         }
         let claim = RedialAction::Claim { dialogue: id.clone(), owner: ask.owner, found: ask.found.clone() };
-        let since = ask.found.launched_since().filter(|bar| *bar > now);
+        let since = ask.found.newer_launch_until().filter(|bar| *bar > now);
         let verdict = match ask.found.reading() {
             // What a later owner did not go by counts only once nothing may come of its launch any more.
             _ if since.is_some() => Verdict::Unsure { come_back: since.unwrap_or(now) - now },
-            Reading::Answered(answer) => Verdict::Answered(answer.clone()),
-            Reading::Over => Verdict::Concluded,
-            Reading::Stands { server, .. } => {
+            ReplicaReading::Answered(answer) => Verdict::Answered(answer.clone()),
+            ReplicaReading::Ended => Verdict::Concluded,
+            ReplicaReading::Stands { server, .. } => {
                 let adopt =
                     RedialAction::Adopt { server: server.clone(), dialogue: id.clone(), owner: ask.owner };
                 ask.phase = Phase::Adopting;
@@ -317,10 +319,12 @@
                 return vec![claim, adopt];
             }
             // Whose bar leaves it no time is told so at once.
-            Reading::Open { bar, .. } if bar > now && bar + self.release >= ask.cut_off => {
+            ReplicaReading::Open { blocked_until: bar, .. }
+                if bar > now && bar + self.release >= ask.cut_off =>
+            {
                 Verdict::Unsure { come_back: bar - now }
             }
-            Reading::Open { bar, .. } => Verdict::Free { not_before: bar.max(now) },
+            ReplicaReading::Open { blocked_until: bar, .. } => Verdict::Free { not_before: bar.max(now) },
         };
         vec![claim, RedialAction::Say(id.clone(), verdict)]
     }
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::DialogueId;
-use lotussaddle_replica::{Copy, Reading};
+use lotussaddle_replica::{Replica, ReplicaReading};
 use lotussaddle_trunk::{Frame, Owner, Peer, Reached};
 use serde_json::{Value, json};
 
@@ -22,12 +22,12 @@
 }
 
 /// One copy in words.
-pub fn copy_text(now: Duration, id: &DialogueId, copy: &Copy, names: &[String]) -> Value {
+pub fn copy_text(now: Duration, id: &DialogueId, copy: &Replica, names: &[String]) -> Value {
     let parts: Vec<Value> = copy
-        .parts()
+        .owner_states()
         .iter()
         .map(|part| {
-            let (reached, server, launch) = match &part.reached {
+            let (reached, server, launch) = match &part.progress {
                 Reached::Taken => ("taken", None, None),
                 Reached::Out { server, launch } => ("out", Some(server), Some(launch)),
                 Reached::Stands { server, launch } => ("stands", Some(server), Some(launch)),
@@ -39,16 +39,16 @@
                 "reached": reached,
                 "server": server.map(|server| server.0.to_string()),
                 "launch": launch.map(|launch| launch.0),
-                "barred_ms": part.bar.saturating_sub(now).as_millis() as u64,
+                "barred_ms": part.blocked_until.saturating_sub(now).as_millis() as u64,
             })
         })
         .collect();
     let reading = match copy.reading() {
-        Reading::Answered(_) => "answered",
-        Reading::Over => "over",
-        Reading::Stands { .. } => "stands",
-        Reading::Open { bar, .. } if bar > now => "barred",
-        Reading::Open { .. } => "open",
+        ReplicaReading::Answered(_) => "answered",
+        ReplicaReading::Ended => "over",
+        ReplicaReading::Stands { .. } => "stands",
+        ReplicaReading::Open { blocked_until: bar, .. } if bar > now => "barred",
+        ReplicaReading::Open { .. } => "open",
     };
     let given = copy.answers().iter();
     let answers: Vec<Value> =
@@ -58,14 +58,14 @@
 
 /// Dialogues with two different final answers.
 pub fn differ<'a>(
-    now: Duration, copies: impl Iterator<Item = (&'a DialogueId, &'a Copy)>, names: &[String],
+    now: Duration, copies: impl Iterator<Item = (&'a DialogueId, &'a Replica)>, names: &[String],
 ) -> Value {
-    let differing = copies.filter(|(_, copy)| copy.differs()).take(MOST_LISTED);
+    let differing = copies.filter(|(_, copy)| copy.has_conflicting_answers()).take(MOST_LISTED);
     json!(differing.map(|(id, copy)| copy_text(now, id, copy, names)).collect::<Vec<_>>())
 }
 
 /// One dialogue, or null where nothing is known of it.
-pub fn show(now: Duration, id: &DialogueId, copy: Option<&Copy>, names: &[String]) -> Value {
+pub fn show(now: Duration, id: &DialogueId, copy: Option<&Replica>, names: &[String]) -> Value {
     copy.map_or(Value::Null, |copy| copy_text(now, id, copy, names))
 }
 
@@ -96,7 +96,7 @@
             "member": plan.members.get(usize::from(plan.me)),
             "members": members,
             "copies": self.book().len(),
-            "lag": self.book().lag(),
+            "lag": self.book().max_lag(),
             "kept_for_callers": kept,
             "asked_for": asked,
             "counts": {
@@ -166,7 +166,7 @@
             }
             Some(("voters", rest)) => self.ordered_voters(rest),
             Some(("hand-over", rest)) => self.ordered_over(rest),
-            None if what == "differ" => differ(now, self.book().each(), names),
+            None if what == "differ" => differ(now, self.book().iter(), names),
             Some(("show", id)) => {
                 let id = DialogueId(id.into());
                 show(now, &id, self.book().get(&id), names)
--- a/crates/fleet/src/takeovers.rs
+++ b/crates/fleet/src/takeovers.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
-use lotussaddle_replica::{Copy, Reading};
+use lotussaddle_replica::{Replica, ReplicaReading};
 use lotussaddle_trunk::{HeldLine, Owner};
 
 /// Dialogues being taken over at once; those beyond it wait for the next look.
@@ -210,9 +210,9 @@
 
     /// Looks at a copy: is it this member's to take over? `first`: the first of those who may hold copies that is there.
     pub fn look(
-        &mut self, now: Duration, id: &DialogueId, copy: &Copy, first: Option<u16>, life: u64,
+        &mut self, now: Duration, id: &DialogueId, copy: &Replica, first: Option<u16>, life: u64,
     ) -> Option<TakeoverAction> {
-        let Reading::Stands { server, .. } = copy.reading() else { return None };
+        let ReplicaReading::Stands { server, .. } = copy.reading() else { return None };
         let top = copy.owner().filter(|owner| self.is_ended(*owner))?;
         if first != Some(self.me)
             || self.orphans.len() >= MOST_ADOPTING * 2
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -365,9 +365,9 @@
     /// A dialogue of which member 0 is a candidate, the members that keep copies of it, and one that does not.
     fn dialogue(&self) -> (DialogueId, Vec<usize>, usize) {
         let group = self.plan.group();
-        let candidates = |id: &DialogueId| group.candidates(lotussaddle_replica::print(id));
+        let candidates = |id: &DialogueId| group.candidates(lotussaddle_replica::fingerprint(id));
         let id = (0..).map(|n| id(&format!("d{n}"))).find(|id| candidates(id).contains(0)).unwrap();
-        let holders = group.holders(lotussaddle_replica::print(&id), 0).map(usize::from).collect();
+        let holders = group.holders(lotussaddle_replica::fingerprint(&id), 0).map(usize::from).collect();
         let other = (1..self.members.len()).find(|place| !candidates(&id).contains(*place as u16));
         (id.clone(), holders, other.unwrap_or(1))
     }
@@ -451,7 +451,7 @@
     net.heal();
     // Both are known at the other holder: that it stood by one's word, and that another has launched it since.
     let copy = net.member(holders[1]).book().get(&d).unwrap().clone();
-    assert!(copy.launched_since().is_some(), "{copy:?}");
+    assert!(copy.newer_launch_until().is_some(), "{copy:?}");
     net.kill(holders[0]);
     net.seek(other, &d);
     net.run(ms(60));
@@ -504,7 +504,7 @@
         .into_iter()
         .map(|place| {
             let copy = net.member(place).book().get(&d).expect("it is known").clone();
-            assert!(copy.differs() && copy.answers().len() == 2, "{copy:?}");
+            assert!(copy.has_conflicting_answers() && copy.answers().len() == 2, "{copy:?}");
             lotussaddle_fleet::show(now, &d, Some(&copy), &[])["reads"].to_string()
         })
         .collect();
@@ -656,7 +656,7 @@
     net.run(ms(3000));
     assert_eq!(net.member(1).book().len(), 3000);
     assert!(net.member(1).caught_up() && (11..100).contains(&breaks), "{breaks}");
-    let reached = net.member(1).book().get(&id("d7")).unwrap().parts()[0].reached.clone();
+    let reached = net.member(1).book().get(&id("d7")).unwrap().owner_states()[0].progress.clone();
     assert_eq!(reached, Reached::Over);
 }
 
@@ -666,7 +666,7 @@
     let group = net.plan.group();
     let d = (0..)
         .map(|n| id(&format!("d{n}")))
-        .find(|id| group.holders(lotussaddle_replica::print(id), 0).eq([1]));
+        .find(|id| group.holders(lotussaddle_replica::fingerprint(id), 0).eq([1]));
     let d = d.unwrap();
     net.slow.insert(1);
     net.launches(0, &d, ms(1000));
@@ -803,7 +803,7 @@
         let group = self.plan.group();
         let holds = |id: &DialogueId| {
             group
-                .holders(lotussaddle_replica::print(id), owner as u16)
+                .holders(lotussaddle_replica::fingerprint(id), owner as u16)
                 .any(|place| usize::from(place) == holder)
         };
         (0..).map(|n| id(&format!("d{n}"))).find(holds).expect("one of many")
--- a/crates/fleet/tests/unit/duties.rs
+++ b/crates/fleet/tests/unit/duties.rs
@@ -1,6 +1,6 @@
 //! Tests of the module `duties`, with access to its private items.
 
-use lotussaddle_lease::{Back, Beat, Give, Mark, Table, TableId, Term};
+use lotussaddle_lease::{Checkpoint, HandOver, Heartbeat, HeartbeatReply, Table, TableId, Term};
 
 use super::*;
 
@@ -9,36 +9,50 @@
 }
 
 /// Words of all kinds, with what a peer may put into them.
-fn words() -> Vec<Word> {
-    let (term, number) = (Term(7 << 32 | 1 << 16), Number(9));
+fn words() -> Vec<LeaseMessage> {
+    let (term, number) = (Term(7 << 32 | 1 << 16), FencingToken(9));
     let table = TableId { term, version: 3 };
-    let seat =
-        Seat { duty: SWEEP, member: 1, life: 5, number, why: lease::Why::Free, mark: b"core-1".to_vec() };
-    let whole = Table { id: table, voters: vec![0, 1, 2], highest: number, seats: vec![seat] };
-    let back = Back {
+    let seat = DutyAssignment {
+        duty: SWEEP,
+        member: 1,
+        incarnation: 5,
+        token: number,
+        reason: lease::ChangeReason::Free,
+        checkpoint: b"core-1".to_vec(),
+    };
+    let whole = Table { id: table, voters: vec![0, 1, 2], highest_token: number, assignments: vec![seat] };
+    let back = HeartbeatReply {
         term,
-        serial: 1,
+        heartbeat_serial: 1,
         table,
-        number: 4,
-        life: 5,
-        willing: true,
-        gives: vec![Give { duty: SWEEP, number, to: Some(2) }],
-        marks: vec![Mark { duty: CIRCUITS, number, mark: vec![1, 2, 3] }],
-        refused: vec![(SWEEP, Number(u64::MAX))],
+        reply_number: 4,
+        incarnation: 5,
+        accepts_duties: true,
+        hand_overs: vec![HandOver { duty: SWEEP, token: number, to: Some(2) }],
+        checkpoints: vec![Checkpoint { duty: CIRCUITS, token: number, data: vec![1, 2, 3] }],
+        refused_tokens: vec![(SWEEP, FencingToken(u64::MAX))],
     };
     let (give, whole_of) = (vec![(SWEEP, number)], Some(whole.clone()));
     vec![
-        Word::Try { above: term, table },
-        Word::Would { above: term, yes: true, known: Term(u64::MAX) },
-        Word::Ask { term, table },
-        Word::Vote { term, yes: true, known: term, newer: Some(whole.clone()) },
-        Word::Beat(Beat { term, serial: 2, table, agreed: true, lent: 1, give, whole: whole_of }),
-        Word::Back(back),
-        Word::Resigns { term },
-        Word::Lost,
-        Word::Have { term, sound: true, table: whole },
-        Word::Move { duty: SWEEP, to: Some(2) },
-        Word::Voters { voters: vec![0, 1, 4] },
+        LeaseMessage::PreVoteRequest { above_term: term, table },
+        LeaseMessage::PreVoteReply { above_term: term, granted: true, highest_term: Term(u64::MAX) },
+        LeaseMessage::VoteRequest { term, table },
+        LeaseMessage::VoteReply { term, granted: true, highest_term: term, newer_table: Some(whole.clone()) },
+        LeaseMessage::Heartbeat(Heartbeat {
+            term,
+            serial: 2,
+            table,
+            is_committed: true,
+            lease_from_reply: 1,
+            duties_to_release: give,
+            full_table: whole_of,
+        }),
+        LeaseMessage::HeartbeatReply(back),
+        LeaseMessage::LeaderResigned { term },
+        LeaseMessage::StateLost,
+        LeaseMessage::StateReply { term, is_consistent: true, table: whole },
+        LeaseMessage::MoveDuty { duty: SWEEP, to: Some(2) },
+        LeaseMessage::ChangeVoters { voters: vec![0, 1, 4] },
     ]
 }
 
@@ -46,7 +60,7 @@
 #[test]
 fn words_that_are_cut_or_changed_end_nothing() {
     let names: Vec<String> = (0..5).map(|n| format!("edge-{n}")).collect();
-    let group = Group::new(names.iter().map(String::as_str), 2);
+    let group = ReplicaGroup::new(names.iter().map(String::as_str), 2);
     let plan = DutyPlan { voters: vec![0, 1, 2], lease: ms(400) };
     let (mut read, mut refused) = (0, 0);
     let mut duties = Duties::new(ms(0), 0, &group, &plan, ms(500), (None, None), 1);
--- a/crates/fleet/tests/unit/redial.rs
+++ b/crates/fleet/tests/unit/redial.rs
@@ -11,14 +11,14 @@
 }
 
 /// Of five members, with two copies.
-fn group() -> Group {
-    Group::new(["a", "b", "c", "d", "e"], 2)
+fn group() -> ReplicaGroup {
+    ReplicaGroup::new(["a", "b", "c", "d", "e"], 2)
 }
 
 /// Member 4 asks; candidates are 1, 2 and 3 in some order.
 fn id() -> DialogueId {
     let wanted = |id: &DialogueId| {
-        let mut candidates: Vec<u16> = group().candidates(print(id)).iter().collect();
+        let mut candidates: Vec<u16> = group().candidates(fingerprint(id)).iter().collect();
         candidates.sort_unstable();
         candidates == [1, 2, 3]
     };
@@ -29,8 +29,8 @@
     Owner { round, member, life: 1 }
 }
 
-fn written(owner: Owner, reached: Reached, bar: u64) -> Copy {
-    let mut copy = Copy::default();
+fn written(owner: Owner, reached: Reached, bar: u64) -> Replica {
+    let mut copy = Replica::default();
     copy.write(owner, reached, ms(bar), ms(60_000));
     copy
 }
@@ -40,11 +40,11 @@
 }
 
 /// Launches wait for both copies: two of the candidates must answer.
-fn asks(reached: &dyn Fn(u16) -> bool, known: Copy) -> (Redials, Vec<RedialAction>) {
+fn asks(reached: &dyn Fn(u16) -> bool, known: Replica) -> (Redials, Vec<RedialAction>) {
     asks_with(2, reached, known)
 }
 
-fn asks_with(awaited: usize, reached: &dyn Fn(u16) -> bool, known: Copy) -> (Redials, Vec<RedialAction>) {
+fn asks_with(awaited: usize, reached: &dyn Fn(u16) -> bool, known: Replica) -> (Redials, Vec<RedialAction>) {
     let mut redials = Redials::new(4, group(), awaited, ms(60), ms(1000), ms(300));
     let begin = Begin { reached, knows: false, known, owner: owner(1, 4), cut_off: ms(3000) };
     let actions = redials.begin(ms(0), &id(), begin);
@@ -79,7 +79,7 @@
 
 #[test]
 fn nobody_knows_it_and_it_is_free_at_once() {
-    let (mut redials, actions) = asks(&all, Copy::default());
+    let (mut redials, actions) = asks(&all, Replica::default());
     assert_eq!(asked(&actions), [1, 2, 3]);
     let n = serial(&actions);
     for from in [1, 2] {
@@ -93,10 +93,10 @@
 
 #[test]
 fn too_few_that_can_answer_are_seen_at_once_or_at_the_end_of_the_time() {
-    let (redials, actions) = asks(&|member| member == 2, Copy::default());
+    let (redials, actions) = asks(&|member| member == 2, Replica::default());
     assert_eq!((said(&actions), redials.len()), (Some(UNSURE), 0));
     // One answers, the second does not know all, the third is silent.
-    let (mut redials, actions) = asks(&all, Copy::default());
+    let (mut redials, actions) = asks(&all, Replica::default());
     let n = serial(&actions);
     redials.answered(ms(1), n, 1, true, None, None, &all, false);
     redials.answered(ms(1), n, 2, false, None, None, &all, false);
@@ -108,12 +108,12 @@
 
 #[test]
 fn enough_have_answered_when_the_time_ends() {
-    let (mut redials, actions) = asks(&all, Copy::default());
+    let (mut redials, actions) = asks(&all, Replica::default());
     let n = serial(&actions);
     redials.answered(ms(1), n, 1, true, None, None, &all, false);
     redials.answered(ms(1), n, 1, true, None, None, &all, false);
     assert_eq!(said(&redials.alarm(ms(60))), Some(UNSURE), "one that answers twice counts once");
-    let (mut redials, actions) = asks(&all, Copy::default());
+    let (mut redials, actions) = asks(&all, Replica::default());
     let n = serial(&actions);
     redials.answered(ms(1), n, 1, true, None, None, &all, false);
     redials.answered(ms(1), n, 2, true, None, None, &all, false);
@@ -122,15 +122,15 @@
 
 #[test]
 fn whoever_claimed_it_later_is_asked_for_at_its_own_holders() {
-    let ranked: Vec<u16> = group().candidates(print(&id())).iter().collect();
+    let ranked: Vec<u16> = group().candidates(fingerprint(&id())).iter().collect();
     let (first, others) = (ranked[0], &ranked[1..]);
     let without_first = |member: u16| member != first;
     // The holders of the first candidate, who wrote last, are the others; those of member 0, who claimed it, the first two.
     let verdict = |claimed: Option<Owner>| {
         let out = Reached::Out { server: server(), launch: LaunchNo(0) };
         let mut copy = written(owner(0, first), out, 0);
-        claimed.iter().for_each(|owner| copy.merge(&Copy::claimed(*owner, ms(60_000))));
-        let (mut redials, actions) = asks_with(1, &without_first, Copy::default());
+        claimed.iter().for_each(|owner| copy.merge(&Replica::claimed(*owner, ms(60_000))));
+        let (mut redials, actions) = asks_with(1, &without_first, Replica::default());
         let n = serial(&actions);
         for member in others {
             let actions = redials.answered(ms(1), n, *member, true, None, Some(&copy), &without_first, false);
@@ -148,17 +148,17 @@
 
 #[test]
 fn what_is_found_is_said() {
-    let found = |copy: Copy| {
-        let (mut redials, actions) = asks(&|member| member < 3, Copy::default());
+    let found = |copy: Replica| {
+        let (mut redials, actions) = asks(&|member| member < 3, Replica::default());
         let n = serial(&actions);
         redials.answered(ms(1), n, 1, true, None, None, &|member| member < 3, false);
         redials.answered(ms(1), n, 2, true, None, Some(&copy), &|member| member < 3, false)
     };
     let mut refused = written(owner(0, 9), Reached::Over, 0);
-    refused.answered(owner(0, 0), &Answer::Refused { come_back: None });
+    refused.record_answer(owner(0, 0), &Answer::Refused { come_back: None });
     assert_eq!(said(&found(refused)), Some(Verdict::Answered(Answer::Refused { come_back: None })));
     let mut over = written(owner(0, 9), Reached::Over, 0);
-    over.answered(owner(0, 0), &Answer::Stands { server: server() });
+    over.record_answer(owner(0, 0), &Answer::Stands { server: server() });
     assert_eq!(said(&found(over)), Some(Verdict::Concluded));
     let out = Reached::Out { server: server(), launch: LaunchNo(0) };
     assert_eq!(
@@ -172,7 +172,7 @@
 
 #[test]
 fn its_owner_is_asked_once_it_is_known_and_calls_its_launch_off() {
-    let (mut redials, actions) = asks(&all, Copy::default());
+    let (mut redials, actions) = asks(&all, Replica::default());
     let n = serial(&actions);
     let out = Reached::Out { server: server(), launch: LaunchNo(0) };
     let copy = written(owner(0, 7), out, 2500);
@@ -196,7 +196,7 @@
 
 #[test]
 fn a_higher_claim_is_gone_over_a_few_times_and_a_lost_one_says_so() {
-    let (mut redials, actions) = asks(&all, Copy::default());
+    let (mut redials, actions) = asks(&all, Replica::default());
     let mut n = serial(&actions);
     for round in [5, 7] {
         let actions = redials.answered(ms(1), n, 1, true, Some(owner(round, 8)), None, &all, false);
@@ -209,7 +209,7 @@
         redials.answered(ms(1), n, 1, true, Some(owner(9, 8)), None, &all, false),
         [RedialAction::Say(id(), UNSURE)]
     );
-    let (mut redials, _) = asks(&all, Copy::default());
+    let (mut redials, _) = asks(&all, Replica::default());
     assert_eq!(redials.beaten(&id(), owner(0, 9)), []);
     assert_eq!(redials.beaten(&id(), owner(1, 9)), [RedialAction::Say(id(), UNSURE)]);
     assert!(redials.is_empty());
@@ -219,7 +219,7 @@
 fn what_stands_is_adopted_at_its_core_server_or_is_over() {
     let stands = written(owner(0, 9), Reached::Stands { server: server(), launch: LaunchNo(2) }, 0);
     let adopting = || {
-        let (mut redials, actions) = asks(&|member| member < 3, Copy::default());
+        let (mut redials, actions) = asks(&|member| member < 3, Replica::default());
         let n = serial(&actions);
         redials.answered(ms(1), n, 1, true, None, Some(&stands), &|member| member < 3, false);
         let actions = redials.answered(ms(1), n, 2, true, None, None, &|member| member < 3, false);
@@ -249,29 +249,29 @@
     let out = Reached::Out { server: server(), launch: LaunchNo(0) };
     let copy = written(owner(0, 1), out, 500);
     let dead = |member: u16| member != 1;
-    let (mut redials, actions) = asks_with(1, &dead, Copy::default());
+    let (mut redials, actions) = asks_with(1, &dead, Replica::default());
     assert_eq!(asked(&actions), [2, 3]);
     let n = serial(&actions);
     redials.answered(ms(1), n, 2, true, None, Some(&copy), &dead, false);
     let actions = redials.answered(ms(1), n, 3, true, None, None, &dead, false);
     assert_eq!(said(&actions), Some(Verdict::Free { not_before: ms(500) }));
     // Nothing is found, and the third may have been the one that acknowledged it.
-    let (mut redials, actions) = asks_with(1, &dead, Copy::default());
+    let (mut redials, actions) = asks_with(1, &dead, Replica::default());
     let n = serial(&actions);
     redials.answered(ms(1), n, 2, true, None, None, &dead, false);
     let actions = redials.answered(ms(1), n, 3, true, None, None, &dead, false);
     assert_eq!(said(&actions), Some(UNSURE));
     // Nor where its owner is another one, and the dead one holds a copy.
-    let (mut redials, actions) = asks_with(1, &dead, Copy::default());
+    let (mut redials, actions) = asks_with(1, &dead, Replica::default());
     let n = serial(&actions);
     let copy = written(owner(0, 0), Reached::Taken, 0);
     redials.answered(ms(1), n, 2, true, None, Some(&copy), &dead, false);
     redials.answered(ms(1), n, 3, true, None, None, &dead, false);
     let actions = redials.answered(ms(1), n, 0, true, None, Some(&copy), &dead, false);
-    let holders: Vec<u16> = group().holders(print(&id()), 0).collect();
+    let holders: Vec<u16> = group().holders(fingerprint(&id()), 0).collect();
     assert_eq!(said(&actions) == Some(UNSURE), holders.contains(&1), "{holders:?}");
     assert_eq!(
-        asks_with(1, &|member| member == 2, Copy::default()).1,
+        asks_with(1, &|member| member == 2, Replica::default()).1,
         [RedialAction::Say(id(), UNSURE)],
         "too few at once"
     );
@@ -279,10 +279,10 @@
 
 #[test]
 fn one_of_two_decides_by_itself_what_it_holds_a_copy_of() {
-    let mut redials = Redials::new(1, Group::new(["a", "b"], 1), 1, ms(60), ms(1000), ms(300));
+    let mut redials = Redials::new(1, ReplicaGroup::new(["a", "b"], 1), 1, ms(60), ms(1000), ms(300));
     let copy = written(owner(0, 0), Reached::Taken, 0);
     let begin =
         |known| Begin { reached: &|_| false, knows: true, known, owner: owner(1, 1), cut_off: ms(3000) };
     assert_eq!(said(&redials.begin(ms(0), &id(), begin(copy))), Some(Verdict::Free { not_before: ms(0) }));
-    assert_eq!(said(&redials.begin(ms(0), &id(), begin(Copy::default()))), Some(UNSURE));
+    assert_eq!(said(&redials.begin(ms(0), &id(), begin(Replica::default()))), Some(UNSURE));
 }
--- a/crates/fleet/tests/unit/takeovers.rs
+++ b/crates/fleet/tests/unit/takeovers.rs
@@ -22,10 +22,10 @@
     Owner { round, member, life }
 }
 
-fn standing(owner: Owner) -> Copy {
-    let mut copy = Copy::default();
+fn standing(owner: Owner) -> Replica {
+    let mut copy = Replica::default();
     let reached = Reached::Stands { server: server("s"), launch: LaunchNo(1) };
-    copy.write(owner, reached, ms(0), lotussaddle_replica::for_ever());
+    copy.write(owner, reached, ms(0), lotussaddle_replica::no_expiry());
     copy
 }
 
--- a/crates/lease/src/clock.rs
+++ b/crates/lease/src/clock.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 /// Two clocks that run at rates up to a twentieth from true still agree by these: what one may count on ...
-pub fn short(span: Duration) -> Duration {
+pub fn shortened_for_drift(span: Duration) -> Duration {
     span - span / 16
 }
 
 /// ... and what another has to wait.
-pub fn long(span: Duration) -> Duration {
+pub fn extended_for_drift(span: Duration) -> Duration {
     span + span / 8
 }
--- a/crates/lease/src/ids.rs
+++ b/crates/lease/src/ids.rs
@@ -30,7 +30,7 @@
 
 /// A fencing number: it goes up with each holder of any duty, and is never used for two.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Number(pub u64);
+pub struct FencingToken(pub u64);
 
 /// Which table: of the chair of a term, its so-manieth.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/lease/src/chair.rs
+++ b/crates/lease/src/leader.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use crate::clock::{long, short};
-use crate::ids::{Duty, Number, TableId, Term};
+use crate::clock::{extended_for_drift, shortened_for_drift};
+use crate::ids::{Duty, FencingToken, TableId, Term};
+use crate::messages::{Checkpoint, HandOver, Heartbeat, HeartbeatReply};
 use crate::plan::Plan;
-use crate::table::{MOST_MARK, NOBODY, Table, Why};
-use crate::words::{Back, Beat, Give, Mark};
+use crate::table::{ChangeReason, MAX_CHECKPOINT_BYTES, NO_MEMBER, Table};
 
 /// Beats whose time of sending is remembered; an answer to an older one counts for nothing.
 const MOST_SENT: usize = 64;
@@ -30,11 +30,11 @@
     former_until: Duration,
     strikes: u32,
     passed_until: Duration,
-    gives: BTreeMap<Duty, Give>,
-    refused: BTreeMap<Duty, Number>,
+    gives: BTreeMap<Duty, HandOver>,
+    refused: BTreeMap<Duty, FencingToken>,
 }
 
-pub(crate) struct Chair {
+pub(crate) struct Leadership {
     pub term: Term,
     pub began: Duration,
     serial: u64,
@@ -43,7 +43,7 @@
     /// A majority keeps the table.
     pub agreed: bool,
     pub beat_at: Duration,
-    marks: BTreeMap<Duty, Mark>,
+    marks: BTreeMap<Duty, Checkpoint>,
     /// What operators want, and until when it is tried.
     moves: BTreeMap<Duty, (Option<u16>, Duration)>,
     voters: Option<Vec<u16>>,
@@ -51,21 +51,21 @@
 
 impl Seen {
     fn is_there(&self, now: Duration, plan: &Plan) -> bool {
-        self.hears_at.is_some_and(|at| now < at + plan.lease / 2)
+        self.hears_at.is_some_and(|at| now < at + plan.lease_duration / 2)
     }
 }
 
-impl Chair {
+impl Leadership {
     /// Nobody knows what was lent before: it may run for a whole lease yet.
     pub fn new(now: Duration, term: Term, plan: &Plan) -> Self {
-        let until = now + long(plan.lease);
+        let until = now + extended_for_drift(plan.lease_duration);
         let seen = Seen { lent_until: until, former_until: until, ..Seen::default() };
         Self {
             term,
             began: now,
             serial: 0,
             sent: VecDeque::new(),
-            seen: vec![seen; usize::from(plan.members)],
+            seen: vec![seen; usize::from(plan.member_count)],
             agreed: false,
             beat_at: now,
             marks: BTreeMap::new(),
@@ -79,40 +79,46 @@
         let mut heard: Vec<Duration> =
             table.voters.iter().filter_map(|voter| self.seen.get(usize::from(*voter))?.hears_at).collect();
         heard.sort_unstable_by(|a, b| b.cmp(a));
-        heard.get(table.majority() - 1).map_or(Duration::ZERO, |at| *at + short(promise))
+        heard.get(table.majority() - 1).map_or(Duration::ZERO, |at| *at + shortened_for_drift(promise))
     }
 
     /// An answer. False: it is an old one.
-    pub fn heard(&mut self, now: Duration, from: u16, back: Back, plan: &Plan) -> bool {
+    pub fn heard(&mut self, now: Duration, from: u16, back: HeartbeatReply, plan: &Plan) -> bool {
         let Some(seen) = self.seen.get_mut(usize::from(from)) else { return false };
-        if back.life < seen.life || back.life == seen.life && back.number <= seen.back {
+        if back.incarnation < seen.life || back.incarnation == seen.life && back.reply_number <= seen.back {
             return false;
         }
-        if back.life > seen.life {
+        if back.incarnation > seen.life {
             // What was lent to the process before runs on.
             let former_until = seen.former_until.max(seen.lent_until);
             // A life that is heard for the first time in this term may be the one that holds what the table says.
             let lent_until = if seen.life == 0 { seen.lent_until } else { Duration::ZERO };
             let (strikes, passed_until) = (seen.strikes, seen.passed_until);
-            *seen =
-                Seen { life: back.life, former_until, lent_until, strikes, passed_until, ..Seen::default() };
+            *seen = Seen {
+                life: back.incarnation,
+                former_until,
+                lent_until,
+                strikes,
+                passed_until,
+                ..Seen::default()
+            };
         }
-        (seen.back, seen.back_at, seen.willing) = (back.number, Some(now), back.willing);
-        if let Some((_, at)) = self.sent.iter().find(|(sent, _)| *sent == back.serial) {
+        (seen.back, seen.back_at, seen.willing) = (back.reply_number, Some(now), back.accepts_duties);
+        if let Some((_, at)) = self.sent.iter().find(|(sent, _)| *sent == back.heartbeat_serial) {
             seen.hears_at = seen.hears_at.max(Some(*at));
         }
-        (seen.serial, seen.table) = (seen.serial.max(back.serial), back.table);
-        let give = |give: Give| (give.duty, give);
-        seen.gives = back.gives.into_iter().take(plan.ranks.len()).map(give).collect();
-        let marks = back.marks.into_iter().filter(|mark| mark.mark.len() <= MOST_MARK);
-        self.marks.extend(marks.take(plan.ranks.len()).map(|mark| (mark.duty, mark)));
-        seen.refused = back.refused.into_iter().take(plan.ranks.len()).collect();
+        (seen.serial, seen.table) = (seen.serial.max(back.heartbeat_serial), back.table);
+        let give = |give: HandOver| (give.duty, give);
+        seen.gives = back.hand_overs.into_iter().take(plan.preferred_holders.len()).map(give).collect();
+        let marks = back.checkpoints.into_iter().filter(|mark| mark.data.len() <= MAX_CHECKPOINT_BYTES);
+        self.marks.extend(marks.take(plan.preferred_holders.len()).map(|mark| (mark.duty, mark)));
+        seen.refused = back.refused_tokens.into_iter().take(plan.preferred_holders.len()).collect();
         true
     }
 
     pub fn wants(&mut self, now: Duration, duty: Duty, to: Option<u16>, plan: &Plan) {
-        if usize::from(duty.0) < plan.ranks.len() {
-            self.moves.insert(duty, (to, now + plan.lease));
+        if usize::from(duty.0) < plan.preferred_holders.len() {
+            self.moves.insert(duty, (to, now + plan.lease_duration));
         }
     }
 
@@ -130,7 +136,9 @@
 
     fn next_for(&self, now: Duration, duty: Duty, but: u16, wanted: Option<u16>, plan: &Plan) -> Option<u16> {
         let fit = |member: &u16| *member != but && self.is_fit(now, *member, plan);
-        wanted.filter(fit).or_else(|| plan.ranks.get(usize::from(duty.0))?.iter().copied().find(fit))
+        wanted
+            .filter(fit)
+            .or_else(|| plan.preferred_holders.get(usize::from(duty.0))?.iter().copied().find(fit))
     }
 
     /// Whether a majority keeps the table; true: only now.
@@ -143,16 +151,16 @@
 
     /// The table that is to follow the one that is agreed on, if another is to.
     pub fn decide(&mut self, now: Duration, table: &Table, plan: &Plan) -> Option<Table> {
-        if !self.agreed || now >= self.until(table, plan.promise()) {
+        if !self.agreed || now >= self.until(table, plan.vote_lock_duration()) {
             return None;
         }
         let mut next = table.clone();
         for (duty, mark) in std::mem::take(&mut self.marks) {
-            let seat = next.seat_mut(duty).filter(|seat| seat.number == mark.number);
-            seat.into_iter().for_each(|seat| seat.mark.clone_from(&mark.mark));
+            let seat = next.assignment_mut(duty).filter(|seat| seat.token == mark.token);
+            seat.into_iter().for_each(|seat| seat.checkpoint.clone_from(&mark.data));
         }
         self.moves.retain(|_, (_, until)| now < *until);
-        for place in 0..plan.ranks.len() {
+        for place in 0..plan.preferred_holders.len() {
             self.decide_on(now, Duty(place as u16), &mut next, plan);
         }
         if next == *table {
@@ -168,26 +176,28 @@
 
     fn decide_on(&mut self, now: Duration, duty: Duty, next: &mut Table, plan: &Plan) {
         let wanted = self.moves.get(&duty).and_then(|(to, _)| *to);
-        let Some(seat) = next.seat(duty).filter(|seat| seat.member != NOBODY) else {
+        let Some(seat) = next.assignment(duty).filter(|seat| seat.member != NO_MEMBER) else {
             // At first all get a moment to answer, or whoever answers first would have everything.
             let all = self.seen.iter().all(|seen| seen.hears_at.is_some());
-            let may = all || now >= self.began + plan.beat();
-            if let Some(member) = self.next_for(now, duty, NOBODY, wanted, plan).filter(|_| may) {
-                next.give(duty, member, self.seen[usize::from(member)].life, Why::Free);
+            let may = all || now >= self.began + plan.heartbeat_interval();
+            if let Some(member) = self.next_for(now, duty, NO_MEMBER, wanted, plan).filter(|_| may) {
+                next.assign(duty, member, self.seen[usize::from(member)].life, ChangeReason::Free);
             }
             return;
         };
-        let (holder, life, number) = (seat.member, seat.life, seat.number);
+        let (holder, life, number) = (seat.member, seat.incarnation, seat.token);
         let seen = &self.seen[usize::from(holder)];
-        let given = seen.gives.get(&duty).filter(|give| give.number == number && seen.life == life).copied();
+        let given = seen.gives.get(&duty).filter(|give| give.token == number && seen.life == life).copied();
         if let Some(give) = given {
             self.moves.remove(&duty);
             let to = self.next_for(now, duty, holder, wanted.or(give.to), plan);
             match to {
-                Some(member) => next.give(duty, member, self.seen[usize::from(member)].life, Why::Given),
+                Some(member) => {
+                    next.assign(duty, member, self.seen[usize::from(member)].life, ChangeReason::Given)
+                }
                 None => {
                     // Its holder has let go; nobody is there to take it.
-                    next.give(duty, NOBODY, 0, Why::Given);
+                    next.assign(duty, NO_MEMBER, 0, ChangeReason::Given);
                 }
             }
             return;
@@ -196,8 +206,8 @@
         if let Some(highest) =
             seen.refused.get(&duty).filter(|highest| **highest >= number && seen.life == life)
         {
-            next.highest = next.highest.max(*highest);
-            return next.give(duty, holder, life, Why::Refused);
+            next.highest_token = next.highest_token.max(*highest);
+            return next.assign(duty, holder, life, ChangeReason::Refused);
         }
         // By its lease it may hold it still.
         let until = if seen.life == life { seen.lent_until } else { seen.former_until };
@@ -205,18 +215,19 @@
             return;
         }
         let restarted = seen.life > life;
-        if let Some(member) = self.next_for(now, duty, if restarted { NOBODY } else { holder }, wanted, plan)
+        if let Some(member) =
+            self.next_for(now, duty, if restarted { NO_MEMBER } else { holder }, wanted, plan)
         {
             if !restarted {
                 let seen = &mut self.seen[usize::from(holder)];
-                if now >= seen.passed_until + plan.lease * MOST_PASSED {
+                if now >= seen.passed_until + plan.lease_duration * MOST_PASSED {
                     seen.strikes = 0;
                 }
                 seen.strikes = (seen.strikes * 2).clamp(1, MOST_PASSED);
-                seen.passed_until = now + plan.lease * seen.strikes;
+                seen.passed_until = now + plan.lease_duration * seen.strikes;
             }
-            let why = if restarted { Why::Restarted } else { Why::Silent };
-            next.give(duty, member, self.seen[usize::from(member)].life, why);
+            let why = if restarted { ChangeReason::Restarted } else { ChangeReason::Silent };
+            next.assign(duty, member, self.seen[usize::from(member)].life, why);
         }
     }
 
@@ -224,7 +235,7 @@
     fn next_voters(&mut self, table: &Table, plan: &Plan) -> Vec<u16> {
         let Some(wanted) = &self.voters else { return table.voters.clone() };
         let mut next = table.voters.clone();
-        if let Some(more) = wanted.iter().find(|voter| **voter < plan.members && !next.contains(voter)) {
+        if let Some(more) = wanted.iter().find(|voter| **voter < plan.member_count && !next.contains(voter)) {
             next.push(*more);
         } else if let Some(place) = next.iter().position(|voter| !wanted.contains(voter)) {
             next.remove(place);
@@ -235,20 +246,28 @@
     }
 
     /// The beat for a member; its leases are counted by it.
-    pub fn beat(&mut self, now: Duration, to: u16, table: &Table, plan: &Plan) -> Beat {
-        let lends = self.agreed && now < self.until(table, plan.promise());
+    pub fn beat(&mut self, now: Duration, to: u16, table: &Table, plan: &Plan) -> Heartbeat {
+        let lends = self.agreed && now < self.until(table, plan.vote_lock_duration());
         let seen = &mut self.seen[usize::from(to)];
         let mut lent = 0;
         // Nothing is lent to one that does not hear: it could not know, and its time would never end.
         if let Some(at) = seen.back_at.filter(|_| lends && seen.is_there(now, plan)) {
             lent = seen.back;
-            seen.lent_until = seen.lent_until.max(at + long(plan.lease));
+            seen.lent_until = seen.lent_until.max(at + extended_for_drift(plan.lease_duration));
         }
-        let moved = self.moves.keys().filter_map(|duty| table.seat(*duty));
-        let give = moved.filter(|seat| seat.member == to).map(|seat| (seat.duty, seat.number)).collect();
+        let moved = self.moves.keys().filter_map(|duty| table.assignment(*duty));
+        let give = moved.filter(|seat| seat.member == to).map(|seat| (seat.duty, seat.token)).collect();
         let whole = (seen.table != table.id).then(|| table.clone());
         let (term, serial) = (self.term, self.serial);
-        Beat { term, serial, table: table.id, agreed: self.agreed, lent, give, whole }
+        Heartbeat {
+            term,
+            serial,
+            table: table.id,
+            is_committed: self.agreed,
+            lease_from_reply: lent,
+            duties_to_release: give,
+            full_table: whole,
+        }
     }
 
     /// Beats that go out together bear one number, and the time before they go.
--- a/crates/lease/src/lease/messages.rs
+++ b/crates/lease/src/lease/dispatch.rs
@@ -2,70 +2,78 @@
 
 use std::time::Duration;
 
-use super::interface::Out;
+use super::interface::Effect;
 use super::{Lease, Role};
 use crate::ids::Term;
-use crate::words::Word;
+use crate::messages::LeaseMessage;
 
 pub(super) enum Owed {
-    Say(u16, Word),
+    Send(u16, LeaseMessage),
     /// Its own vote.
     Own(Term),
 }
 
 impl Lease {
-    pub(super) fn take(&mut self, from: u16, word: Word) {
+    pub(super) fn take(&mut self, from: u16, word: LeaseMessage) {
         match word {
-            Word::Try { above, table } => {
-                let yes = self.voter.would(self.now, above, table) && !self.is_chair() && self.life > 0;
-                let known = self.known.max(self.voter.kept.term);
-                self.say(from, Word::Would { above, yes, known });
+            LeaseMessage::PreVoteRequest { above_term: above, table } => {
+                let yes = self.voter.would(self.now, above, table) && !self.is_leader() && self.life > 0;
+                let known = self.known.max(self.voter.state.term);
+                self.say(
+                    from,
+                    LeaseMessage::PreVoteReply { above_term: above, granted: yes, highest_term: known },
+                );
             }
-            Word::Would { above, yes, known } => {
+            LeaseMessage::PreVoteReply { above_term: above, granted: yes, highest_term: known } => {
                 self.known = self.known.max(known);
                 if let Role::Tries { yes: all, .. } = &mut self.role
                     && yes
-                    && above == self.voter.kept.term
+                    && above == self.voter.state.term
                     && !all.contains(&from)
                 {
                     all.push(from);
                     self.tried();
                 }
             }
-            Word::Ask { term, table } => self.asked(from, term, table),
-            Word::Vote { term, yes, known, newer } => self.vote_came(from, term, yes, known, newer),
-            Word::Beat(beat) => self.beat_came(from, beat),
-            Word::Back(back) => self.back_came(from, back),
-            Word::Resigns { term } => {
+            LeaseMessage::VoteRequest { term, table } => self.asked(from, term, table),
+            LeaseMessage::VoteReply { term, granted: yes, highest_term: known, newer_table: newer } => {
+                self.vote_came(from, term, yes, known, newer)
+            }
+            LeaseMessage::Heartbeat(beat) => self.beat_came(from, beat),
+            LeaseMessage::HeartbeatReply(back) => self.back_came(from, back),
+            LeaseMessage::LeaderResigned { term } => {
                 if self.chair == Some((from, term)) {
                     (self.chair, self.resigned) = (None, term);
                     self.voter.free(self.now);
-                    self.try_at = self.now + self.plan.beat().mul_f64(self.part());
+                    self.try_at = self.now + self.plan.heartbeat_interval().mul_f64(self.part());
                 }
             }
-            Word::Lost => {
-                let (term, sound) = (self.voter.kept.term, self.voter.sound && self.life > 0);
-                self.say(from, Word::Have { term, sound, table: self.table().clone() });
+            LeaseMessage::StateLost => {
+                let (term, sound) = (self.voter.state.term, self.voter.is_consistent && self.life > 0);
+                self.say(
+                    from,
+                    LeaseMessage::StateReply { term, is_consistent: sound, table: self.table().clone() },
+                );
             }
-            Word::Have { term, sound, table } => {
-                if !self.voter.sound && !table.is_odd(self.plan.members) {
+            LeaseMessage::StateReply { term, is_consistent: sound, table } => {
+                if !self.voter.is_consistent && !table.is_malformed(self.plan.member_count) {
                     self.known = self.known.max(term);
                     self.voter.has(from, term, sound, table);
                     self.recovers();
                 }
             }
-            Word::Move { duty, to } => {
-                if let Role::Chairs(chair) = &mut self.role {
+            LeaseMessage::MoveDuty { duty, to } => {
+                if let Role::Leads(chair) = &mut self.role {
                     chair.wants(self.now, duty, to, &self.plan);
                     self.beats();
                 }
             }
-            Word::Voters { voters } => {
+            LeaseMessage::ChangeVoters { voters } => {
                 let odd = voters.iter().enumerate().any(|(n, voter)| voters[..n].contains(voter));
                 let odd = odd
                     || ![3, 5, 7].contains(&voters.len())
-                    || voters.iter().any(|v| *v >= self.plan.members);
-                if let Role::Chairs(chair) = &mut self.role
+                    || voters.iter().any(|v| *v >= self.plan.member_count);
+                if let Role::Leads(chair) = &mut self.role
                     && !odd
                 {
                     chair.wants_voters(voters);
@@ -75,18 +83,18 @@
         }
     }
 
-    pub(super) fn say(&mut self, to: u16, word: Word) {
-        if to == self.plan.me {
+    pub(super) fn say(&mut self, to: u16, word: LeaseMessage) {
+        if to == self.plan.self_member {
             self.own.push_back(word);
         } else {
-            self.out.push(Out::Say(to, word));
+            self.out.push(Effect::Send(to, word));
         }
     }
 
-    pub(super) fn say_voters(&mut self, word: &Word) {
+    pub(super) fn say_voters(&mut self, word: &LeaseMessage) {
         for voter in self.table().voters.clone() {
-            if voter != self.plan.me {
-                self.out.push(Out::Say(voter, word.clone()));
+            if voter != self.plan.self_member {
+                self.out.push(Effect::Send(voter, word.clone()));
             }
         }
     }
@@ -94,7 +102,7 @@
     /// What it said to itself, until nothing is left. Each word brings at most one more, but for a table that changes.
     pub(super) fn settle(&mut self) {
         while let Some(word) = self.own.pop_front() {
-            self.take(self.plan.me, word);
+            self.take(self.plan.self_member, word);
         }
         self.due = self.next_due();
     }
@@ -104,11 +112,11 @@
         self.keeps += 1;
         self.owed.insert(self.keeps, owed);
         self.keeping.insert(self.keeps, self.table().id);
-        self.out.push(Out::Keep(self.keeps, self.voter.kept.clone()));
+        self.out.push(Effect::Persist(self.keeps, self.voter.state.clone()));
     }
 
-    /// What [`Out::Keep`] was given this number for is on disk; or could not be, and is not counted on.
-    pub fn kept(&mut self, now: Duration, number: u64, well: bool) {
+    /// What [`Effect::Persist`] was given this number for is on disk; or could not be, and is not counted on.
+    pub fn state_persisted(&mut self, now: Duration, number: u64, well: bool) {
         self.now = now;
         let later = self.owed.split_off(&(number + 1));
         let owed = std::mem::replace(&mut self.owed, later);
@@ -120,13 +128,13 @@
             }
             for owed in owed.into_values().flatten() {
                 match owed {
-                    Owed::Say(to, word) => self.say(to, word),
-                    Owed::Own(term) => self.voted(self.plan.me, term),
+                    Owed::Send(to, word) => self.say(to, word),
+                    Owed::Own(term) => self.voted(self.plan.self_member, term),
                 }
             }
             self.say_back();
         } else {
-            self.again_at = Some(now + self.plan.lease / 2);
+            self.again_at = Some(now + self.plan.lease_duration / 2);
         }
         self.settle();
     }
--- a/crates/lease/src/lease/election.rs
+++ b/crates/lease/src/lease/election.rs
@@ -1,14 +1,14 @@
 //! Election: a trial vote, a vote that is kept on disk, and the end of a candidacy or a term.
 
-use super::interface::Out;
-use super::messages::Owed;
+use super::dispatch::Owed;
+use super::interface::Effect;
 use super::{Lease, Role};
-use crate::chair::Chair;
-use crate::chance::draw;
-use crate::clock::long;
+use crate::clock::extended_for_drift;
 use crate::ids::{TableId, Term};
+use crate::leader::Leadership;
+use crate::messages::LeaseMessage;
+use crate::random::draw;
 use crate::table::Table;
-use crate::words::Word;
 
 impl Lease {
     /// A part of one, drawn: those who would try at once are spread by it.
@@ -17,23 +17,27 @@
     }
 
     pub(super) fn waits_to_try(&mut self) {
-        let promise = self.plan.promise();
-        self.try_at = self.now + long(promise) + promise.mul_f64(self.part() / 2.0);
+        let promise = self.plan.vote_lock_duration();
+        self.try_at = self.now + extended_for_drift(promise) + promise.mul_f64(self.part() / 2.0);
     }
 
     pub(super) fn try_it(&mut self) {
         self.waits_to_try();
-        if !self.table().is_voter(self.plan.me) || !self.voter.sound || self.ending || self.life == 0 {
+        if !self.table().is_voter(self.plan.self_member)
+            || !self.voter.is_consistent
+            || self.ending
+            || self.life == 0
+        {
             return;
         }
         // What others know is known here too, before it asks.
-        self.voter.kept.term = self.voter.kept.term.max(self.known);
+        self.voter.state.term = self.voter.state.term.max(self.known);
         if self.voter.is_promised(self.now) {
             return;
         }
-        let at = self.now + self.plan.promise() / 2;
-        self.role = Role::Tries { yes: vec![self.plan.me], at };
-        let word = Word::Try { above: self.voter.kept.term, table: self.table().id };
+        let at = self.now + self.plan.vote_lock_duration() / 2;
+        self.role = Role::Tries { yes: vec![self.plan.self_member], at };
+        let word = LeaseMessage::PreVoteRequest { above_term: self.voter.state.term, table: self.table().id };
         self.say_voters(&word);
         self.tried();
     }
@@ -44,17 +48,17 @@
             return;
         }
         let drawn = draw(&mut self.chance);
-        let term = self.voter.kept.term.max(self.known).next(self.plan.me, drawn);
+        let term = self.voter.state.term.max(self.known).next(self.plan.self_member, drawn);
         let table = self.table().id;
         if self.voter.vote(self.now, term, table).is_none() {
             return;
         }
         self.known = self.known.max(term);
-        let at = self.now + self.plan.promise();
+        let at = self.now + self.plan.vote_lock_duration();
         self.role = Role::Asks { term, yes: Vec::new(), at };
-        let word = Word::Ask { term, table };
-        let others = self.table().voters.iter().filter(|voter| **voter != self.plan.me);
-        let mut owed: Vec<Owed> = others.map(|voter| Owed::Say(*voter, word.clone())).collect();
+        let word = LeaseMessage::VoteRequest { term, table };
+        let others = self.table().voters.iter().filter(|voter| **voter != self.plan.self_member);
+        let mut owed: Vec<Owed> = others.map(|voter| Owed::Send(*voter, word.clone())).collect();
         owed.push(Owed::Own(term));
         self.keep(owed);
     }
@@ -65,14 +69,19 @@
         // Whether its disk is older than what it said is known once its life is agreed on.
         let given = if self.life > 0 { self.voter.vote(self.now, term, table) } else { None };
         let known = self.known;
-        let vote = Word::Vote { term, yes: given.is_some(), known, newer };
+        let vote = LeaseMessage::VoteReply {
+            term,
+            granted: given.is_some(),
+            highest_term: known,
+            newer_table: newer,
+        };
         match given {
             None => self.say(from, vote),
             Some(_) => {
                 self.step_down("another is voted for");
                 self.waits_to_try();
                 // A vote is kept before it is said; one that was given before may be on its way to the disk yet.
-                self.keep(vec![Owed::Say(from, vote)]);
+                self.keep(vec![Owed::Send(from, vote)]);
             }
         }
     }
@@ -80,10 +89,10 @@
     pub(super) fn vote_came(&mut self, from: u16, term: Term, yes: bool, known: Term, newer: Option<Table>) {
         self.known = self.known.max(known);
         if let Some(table) =
-            newer.filter(|table| !table.is_odd(self.plan.members) && table.id > self.table().id)
+            newer.filter(|table| !table.is_malformed(self.plan.member_count) && table.id > self.table().id)
         {
             // With this it may be elected another time.
-            self.voter.kept.table = table;
+            self.voter.state.table = table;
             self.keep(Vec::new());
         }
         if yes {
@@ -91,7 +100,7 @@
         }
         let outvoted = match &self.role {
             Role::Asks { term: mine, .. } => *mine == term,
-            Role::Chairs(chair) => known > chair.term,
+            Role::Leads(chair) => known > chair.term,
             _ => false,
         };
         if outvoted {
@@ -109,21 +118,21 @@
         }
         yes.push(from);
         // Its own vote has to be kept as well.
-        if yes.len() < majority || !yes.contains(&self.plan.me) {
+        if yes.len() < majority || !yes.contains(&self.plan.self_member) {
             return;
         }
         let term = *term;
-        self.out.push(Out::Log(format!("chair of term {}", term.count())));
-        self.role = Role::Chairs(Box::new(Chair::new(self.now, term, &self.plan)));
+        self.out.push(Effect::Log(format!("chair of term {}", term.count())));
+        self.role = Role::Leads(Box::new(Leadership::new(self.now, term, &self.plan)));
         // What was known is said again under this term: only what is agreed under it counts.
-        self.voter.kept.table.id = TableId { term, version: 1 };
+        self.voter.state.table.id = TableId { term, version: 1 };
         self.keep(Vec::new());
         self.beats();
     }
 
     pub(super) fn step_down(&mut self, why: &str) {
-        if self.is_chair() {
-            self.out.push(Out::Log(format!("chair no more: {why}")));
+        if self.is_leader() {
+            self.out.push(Effect::Log(format!("chair no more: {why}")));
         }
         if !matches!(self.role, Role::Follows) {
             self.role = Role::Follows;
@@ -132,8 +141,8 @@
     }
 
     pub(super) fn recovers(&mut self) {
-        if self.voter.recovers(self.now, self.plan.me) {
-            self.out.push(Out::Log("votes again: others have told what was lost".into()));
+        if self.voter.recovers(self.now, self.plan.self_member) {
+            self.out.push(Effect::Log("votes again: others have told what was lost".into()));
             self.keep(Vec::new());
             self.waits_to_try();
         }
--- a/crates/lease/src/lease/interface.rs
+++ b/crates/lease/src/lease/interface.rs
@@ -2,22 +2,22 @@
 
 use std::time::Duration;
 
-use crate::ids::{Duty, Number, TableId, Term};
+use crate::ids::{Duty, FencingToken, TableId, Term};
+use crate::messages::LeaseMessage;
 use crate::table::Table;
-use crate::voter::Kept;
-use crate::words::Word;
+use crate::voter::PersistedState;
 
 /// What is to be done, and what has come of it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
-    Say(u16, Word),
-    /// Is to be kept on disk; [`Lease::kept`] is told by the number.
-    Keep(u64, Kept),
+pub enum Effect {
+    Send(u16, LeaseMessage),
+    /// Is to be kept on disk; [`Lease::state_persisted`] is told by the number.
+    Persist(u64, PersistedState),
     /// This member holds a duty, under this number; what its holders have done so far.
-    Began(Duty, Number, Vec<u8>),
-    Lost(Duty, Number, &'static str),
+    DutyAcquired(Duty, FencingToken, Vec<u8>),
+    DutyLost(Duty, FencingToken, &'static str),
     /// A mark under this number is agreed on: whoever follows goes on from it.
-    Marked(Duty, Number),
+    CheckpointCommitted(Duty, FencingToken),
     Log(String),
 }
 
@@ -25,11 +25,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Status {
     pub term: Term,
-    pub chair: Option<u16>,
+    pub leader: Option<u16>,
     pub table: Table,
-    pub agreed: TableId,
-    pub sound: bool,
-    pub holds: Vec<(Duty, Number)>,
+    pub committed_table: TableId,
+    pub is_consistent: bool,
+    pub held_duties: Vec<(Duty, FencingToken)>,
     /// How much of the lease is left.
-    pub left: Duration,
+    pub lease_remaining: Duration,
 }
--- a/crates/lease/src/lease/mod.rs
+++ b/crates/lease/src/lease/mod.rs
@@ -3,24 +3,24 @@
 //! This module has the state, its construction and what time brings; each role has a module of its own. All are methods of
 //! [`Lease`].
 
+mod dispatch;
 mod election;
 mod holding;
 mod interface;
 mod leading;
-mod messages;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use crate::chair::Chair;
-use crate::ids::{Duty, Number, TableId, Term};
+use crate::ids::{Duty, FencingToken, TableId, Term};
+use crate::leader::Leadership;
+use crate::messages::{Checkpoint, HandOver, LeaseMessage};
 use crate::plan::Plan;
-use crate::table::{MOST_DUTIES, MOST_VOTERS, Seat, Table};
-use crate::voter::{Kept, Voter};
-use crate::words::{Give, Mark, Word};
-use messages::Owed;
+use crate::table::{DutyAssignment, MAX_DUTIES, MAX_VOTERS, Table};
+use crate::voter::{PersistedState, Voter};
+use dispatch::Owed;
 
-pub use interface::{Out, Status};
+pub use interface::{Effect, Status};
 
 enum Role {
     Follows,
@@ -34,7 +34,7 @@
         yes: Vec<u16>,
         at: Duration,
     },
-    Chairs(Box<Chair>),
+    Leads(Box<Leadership>),
 }
 
 /// One member of a group that holds duties by lease: a state machine without I/O.
@@ -68,10 +68,10 @@
     back_at: Duration,
     lease_until: Duration,
     agreed: TableId,
-    held: BTreeMap<Duty, Number>,
-    gives: BTreeMap<Duty, Give>,
-    marks: BTreeMap<Duty, Mark>,
-    refused: BTreeMap<Duty, Number>,
+    held: BTreeMap<Duty, FencingToken>,
+    gives: BTreeMap<Duty, HandOver>,
+    marks: BTreeMap<Duty, Checkpoint>,
+    refused: BTreeMap<Duty, FencingToken>,
     willing: bool,
     shy_until: Duration,
     late: (u32, Duration),
@@ -79,21 +79,22 @@
     /// A holder looks at the clock so often at least, so that it sees when it falls behind.
     tick_at: Duration,
     ending: bool,
-    out: Vec<Out>,
+    out: Vec<Effect>,
     /// Said to itself: its chair, voter and holder speak as if to others.
-    own: VecDeque<Word>,
+    own: VecDeque<LeaseMessage>,
 }
 
 impl Lease {
     /// `kept` is what the disk has; none where it has nothing, or where it is known to be older than what was said. `chance` is drawn
     /// from the system.
-    pub fn new(now: Duration, mut plan: Plan, kept: Option<Kept>, chance: u64) -> Self {
-        plan.ranks.truncate(MOST_DUTIES);
-        plan.voters.truncate(MOST_VOTERS);
-        let voter = Voter::new(now, kept, plan.voters.clone(), plan.promise(), plan.lease);
-        let durable = voter.kept.table.id;
+    pub fn new(now: Duration, mut plan: Plan, kept: Option<PersistedState>, chance: u64) -> Self {
+        plan.preferred_holders.truncate(MAX_DUTIES);
+        plan.voters.truncate(MAX_VOTERS);
+        let voter =
+            Voter::new(now, kept, plan.voters.clone(), plan.vote_lock_duration(), plan.lease_duration);
+        let durable = voter.state.table.id;
         let mut lease = Self {
-            known: voter.kept.term,
+            known: voter.state.term,
             try_at: now,
             voter,
             now,
@@ -133,35 +134,35 @@
     }
 
     /// Whether this member is elected.
-    pub fn is_chair(&self) -> bool {
-        matches!(self.role, Role::Chairs(_))
+    pub fn is_leader(&self) -> bool {
+        matches!(self.role, Role::Leads(_))
     }
 
     /// The table of duties that this member keeps.
     pub fn table(&self) -> &Table {
-        &self.voter.kept.table
+        &self.voter.state.table
     }
 
     /// How things stand, for operators.
     pub fn status(&self, now: Duration) -> Status {
         Status {
-            term: self.voter.kept.term,
-            chair: self.chair.map(|(chair, _)| chair),
+            term: self.voter.state.term,
+            leader: self.chair.map(|(chair, _)| chair),
             table: self.table().clone(),
-            agreed: self.agreed,
-            sound: self.voter.sound,
-            holds: self.held.iter().map(|(duty, number)| (*duty, *number)).collect(),
-            left: self.lease_until.saturating_sub(now),
+            committed_table: self.agreed,
+            is_consistent: self.voter.is_consistent,
+            held_duties: self.held.iter().map(|(duty, number)| (*duty, *number)).collect(),
+            lease_remaining: self.lease_until.saturating_sub(now),
         }
     }
 
     /// Takes what is to be done since the last call.
-    pub fn outs(&mut self) -> Vec<Out> {
+    pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.out)
     }
 
     /// This process is in a life that its peers agree is new; zero: in none, and it holds nothing until it is.
-    pub fn lives(&mut self, now: Duration, life: u64) {
+    pub fn set_incarnation(&mut self, now: Duration, life: u64) {
         self.now = now;
         if self.life != life {
             self.life = life;
@@ -175,28 +176,29 @@
     }
 
     /// The disk turned out to be older than what this member had said: it votes for nobody until others have told.
-    pub fn is_older(&mut self, now: Duration) {
-        if std::mem::replace(&mut self.voter.sound, false) {
+    pub fn mark_state_stale(&mut self, now: Duration) {
+        if std::mem::replace(&mut self.voter.is_consistent, false) {
             let voters = self.plan.voters.clone();
-            let kept = std::mem::take(&mut self.voter.kept);
-            self.voter = Voter::new(now, None, voters, self.plan.promise(), self.plan.lease);
+            let kept = std::mem::take(&mut self.voter.state);
+            self.voter =
+                Voter::new(now, None, voters, self.plan.vote_lock_duration(), self.plan.lease_duration);
             // What it has may be told to whoever has less; it is not counted.
-            self.voter.kept = kept;
+            self.voter.state = kept;
             self.step_down("its disk is older than what it said");
         }
     }
 
     /// A message came from a member.
-    pub fn heard(&mut self, now: Duration, from: u16, word: Word) {
+    pub fn message_received(&mut self, now: Duration, from: u16, word: LeaseMessage) {
         self.now = now;
-        if from < self.plan.members {
+        if from < self.plan.member_count {
             self.take(from, word);
         }
         self.settle();
     }
 
     /// This process is to end: it holds nothing more, and is no chair once others have what it held.
-    pub fn end(&mut self, now: Duration) {
+    pub fn shut_down(&mut self, now: Duration) {
         self.now = now;
         self.ending = true;
         self.shed("its process is to end");
@@ -204,13 +206,14 @@
     }
 
     /// Nothing of it is left that others would wait for.
-    pub fn is_done(&self) -> bool {
-        let mine = |seat: &Seat| seat.member == self.plan.me && seat.life == self.life;
-        self.ending && !self.is_chair() && !self.table().seats.iter().any(mine)
+    pub fn is_shut_down(&self) -> bool {
+        let mine =
+            |seat: &DutyAssignment| seat.member == self.plan.self_member && seat.incarnation == self.life;
+        self.ending && !self.is_leader() && !self.table().assignments.iter().any(mine)
     }
 
     /// An operator wants a duty to go elsewhere, or another set of voters: whoever is the chair is told.
-    pub fn wants(&mut self, now: Duration, word: Word) {
+    pub fn send_to_leader(&mut self, now: Duration, word: LeaseMessage) {
         self.now = now;
         if let Some((chair, _)) = self.chair {
             self.say(chair, word);
@@ -223,18 +226,18 @@
         let role = match &self.role {
             Role::Follows => self.try_at,
             Role::Tries { at, .. } | Role::Asks { at, .. } => *at,
-            Role::Chairs(chair) => chair.next_due(),
+            Role::Leads(chair) => chair.next_due(),
         };
-        let lost = if self.voter.sound { Duration::MAX } else { self.ask_lost_at };
+        let lost = if self.voter.is_consistent { Duration::MAX } else { self.ask_lost_at };
         let lease = if self.held.is_empty() { Duration::MAX } else { self.lease_until.min(self.tick_at) };
         role.min(lost).min(lease).min(self.back_at).min(self.again_at.unwrap_or(Duration::MAX))
     }
 
     /// The time given by [`Lease::next_due`] has come.
-    pub fn alarm(&mut self, now: Duration) {
+    pub fn timer_fired(&mut self, now: Duration) {
         self.now = now;
         self.is_late();
-        self.tick_at = now + self.plan.beat();
+        self.tick_at = now + self.plan.heartbeat_interval();
         if !self.held.is_empty() && now >= self.lease_until {
             self.drop_all("its lease ran out");
         }
@@ -248,11 +251,11 @@
         if self.back_at <= now {
             self.say_back();
         }
-        if !self.voter.sound && self.ask_lost_at <= now {
-            self.ask_lost_at = now + self.plan.beat();
+        if !self.voter.is_consistent && self.ask_lost_at <= now {
+            self.ask_lost_at = now + self.plan.heartbeat_interval();
             // Those who do not vote may know what all voters have lost.
-            let others = (0..self.plan.members).filter(|member| *member != self.plan.me);
-            self.out.extend(others.map(|member| Out::Say(member, Word::Lost)));
+            let others = (0..self.plan.member_count).filter(|member| *member != self.plan.self_member);
+            self.out.extend(others.map(|member| Effect::Send(member, LeaseMessage::StateLost)));
             self.recovers();
         }
         match &mut self.role {
@@ -261,7 +264,7 @@
                 self.role = Role::Follows;
                 self.waits_to_try();
             }
-            Role::Chairs(_) => self.chairs(),
+            Role::Leads(_) => self.chairs(),
             _ => {}
         }
         self.settle();
--- a/crates/lease/src/words.rs
+++ b/crates/lease/src/messages.rs
@@ -2,105 +2,105 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ids::{Duty, Number, TableId, Term};
+use crate::ids::{Duty, FencingToken, TableId, Term};
 use crate::table::Table;
 
 /// The chair is there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     pub term: Term,
     pub serial: u64,
     pub table: TableId,
     /// A majority keeps that table.
-    pub agreed: bool,
+    pub is_committed: bool,
     /// The last answer of the receiver that was had: its lease runs from when it sent that one. Zero: nothing is lent.
-    pub lent: u64,
+    pub lease_from_reply: u64,
     /// Duties that the receiver is to give up.
-    pub give: Vec<(Duty, Number)>,
+    pub duties_to_release: Vec<(Duty, FencingToken)>,
     /// Where the receiver has another one.
-    pub whole: Option<Table>,
+    pub full_table: Option<Table>,
 }
 
 /// An answer to a beat, and by itself where there is something to give or to mark.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Back {
+pub struct HeartbeatReply {
     pub term: Term,
     /// The last beat that was heard.
-    pub serial: u64,
+    pub heartbeat_serial: u64,
     /// The table that is kept here.
     pub table: TableId,
     /// Of this answer: leases are lent by it.
-    pub number: u64,
-    pub life: u64,
+    pub reply_number: u64,
+    pub incarnation: u64,
     /// It takes duties.
-    pub willing: bool,
-    pub gives: Vec<Give>,
-    pub marks: Vec<Mark>,
+    pub accepts_duties: bool,
+    pub hand_overs: Vec<HandOver>,
+    pub checkpoints: Vec<Checkpoint>,
     /// The highest numbers that receivers told where they refused an act of what the table says is this member's.
-    pub refused: Vec<(Duty, Number)>,
+    pub refused_tokens: Vec<(Duty, FencingToken)>,
 }
 
 /// A duty is given up; to somebody, or to whoever is next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Give {
+pub struct HandOver {
     pub duty: Duty,
-    pub number: Number,
+    pub token: FencingToken,
     pub to: Option<u16>,
 }
 
 /// How far a holder has come.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Mark {
+pub struct Checkpoint {
     pub duty: Duty,
-    pub number: Number,
-    pub mark: Vec<u8>,
+    pub token: FencingToken,
+    pub data: Vec<u8>,
 }
 
 /// A message between two members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum LeaseMessage {
     /// Would I be voted for in a term above this one, with this table?
-    Try {
-        above: Term,
+    PreVoteRequest {
+        above_term: Term,
         table: TableId,
     },
     /// `known`: the highest term known to whoever answers.
-    Would {
-        above: Term,
-        yes: bool,
-        known: Term,
+    PreVoteReply {
+        above_term: Term,
+        granted: bool,
+        highest_term: Term,
     },
     /// A vote for this term, which is the sender's.
-    Ask {
+    VoteRequest {
         term: Term,
         table: TableId,
     },
-    Vote {
+    VoteReply {
         term: Term,
-        yes: bool,
-        known: Term,
-        newer: Option<Table>,
+        granted: bool,
+        highest_term: Term,
+        newer_table: Option<Table>,
     },
-    Beat(Beat),
-    Back(Back),
+    Heartbeat(Heartbeat),
+    HeartbeatReply(HeartbeatReply),
     /// The chair of this term is none any more: nobody need wait for it.
-    Resigns {
+    LeaderResigned {
         term: Term,
     },
     /// A voter has lost what it kept: what do others have?
-    Lost,
+    StateLost,
     /// `sound`: the sender has not lost it too.
-    Have {
+    StateReply {
         term: Term,
-        sound: bool,
+        is_consistent: bool,
         table: Table,
     },
     /// For the chair: this duty is to go there; or this is to be the set of voters.
-    Move {
+    MoveDuty {
         duty: Duty,
         to: Option<u16>,
     },
-    Voters {
+    ChangeVoters {
         voters: Vec<u16>,
     },
 }
--- a/crates/lease/src/table.rs
+++ b/crates/lease/src/table.rs
@@ -3,20 +3,20 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ids::{Duty, Number, TableId};
+use crate::ids::{Duty, FencingToken, TableId};
 
 /// Bytes of a mark at most.
-pub const MOST_MARK: usize = 256;
+pub const MAX_CHECKPOINT_BYTES: usize = 256;
 /// Duties and voters at most.
-pub const MOST_DUTIES: usize = 128;
-pub const MOST_VOTERS: usize = 7;
+pub const MAX_DUTIES: usize = 128;
+pub const MAX_VOTERS: usize = 7;
 
 /// Stands for a member where nobody could take a duty that was given up.
-pub const NOBODY: u16 = u16::MAX;
+pub const NO_MEMBER: u16 = u16::MAX;
 
-/// Why a duty changed hands last.
+/// ChangeReason a duty changed hands last.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Why {
+pub enum ChangeReason {
     /// Nobody had it.
     #[default]
     Free,
@@ -32,14 +32,14 @@
 
 /// One duty and its holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seat {
+pub struct DutyAssignment {
     pub duty: Duty,
     pub member: u16,
-    pub life: u64,
-    pub number: Number,
-    pub why: Why,
+    pub incarnation: u64,
+    pub token: FencingToken,
+    pub reason: ChangeReason,
     /// What its holders have done so far, in their own words.
-    pub mark: Vec<u8>,
+    pub checkpoint: Vec<u8>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -47,18 +47,18 @@
     pub id: TableId,
     pub voters: Vec<u16>,
     /// The highest number that was given, or that a receiver told of.
-    pub highest: Number,
+    pub highest_token: FencingToken,
     /// In the order of duties.
-    pub seats: Vec<Seat>,
+    pub assignments: Vec<DutyAssignment>,
 }
 
 impl Table {
-    pub fn seat(&self, duty: Duty) -> Option<&Seat> {
-        self.seats.iter().find(|seat| seat.duty == duty)
+    pub fn assignment(&self, duty: Duty) -> Option<&DutyAssignment> {
+        self.assignments.iter().find(|seat| seat.duty == duty)
     }
 
-    pub fn seat_mut(&mut self, duty: Duty) -> Option<&mut Seat> {
-        self.seats.iter_mut().find(|seat| seat.duty == duty)
+    pub fn assignment_mut(&mut self, duty: Duty) -> Option<&mut DutyAssignment> {
+        self.assignments.iter_mut().find(|seat| seat.duty == duty)
     }
 
     pub fn majority(&self) -> usize {
@@ -70,27 +70,32 @@
     }
 
     /// Gives a duty to a member, under a number that nobody had. Its marks stay.
-    pub fn give(&mut self, duty: Duty, member: u16, life: u64, why: Why) {
-        self.highest.0 = self.highest.0.saturating_add(1);
-        let (number, mark) =
-            (self.highest, self.seat(duty).map(|seat| seat.mark.clone()).unwrap_or_default());
-        self.seats.retain(|seat| seat.duty != duty);
-        let place = self.seats.partition_point(|seat| seat.duty < duty);
-        self.seats.insert(place, Seat { duty, member, life, number, why, mark });
+    pub fn assign(&mut self, duty: Duty, member: u16, life: u64, why: ChangeReason) {
+        self.highest_token.0 = self.highest_token.0.saturating_add(1);
+        let (number, mark) = (
+            self.highest_token,
+            self.assignment(duty).map(|seat| seat.checkpoint.clone()).unwrap_or_default(),
+        );
+        self.assignments.retain(|seat| seat.duty != duty);
+        let place = self.assignments.partition_point(|seat| seat.duty < duty);
+        self.assignments.insert(
+            place,
+            DutyAssignment { duty, member, incarnation: life, token: number, reason: why, checkpoint: mark },
+        );
     }
 
     /// What came over a link is no table of this group.
-    pub fn is_odd(&self, members: u16) -> bool {
+    pub fn is_malformed(&self, members: u16) -> bool {
         let voters = &self.voters;
         voters.is_empty()
-            || voters.len() > MOST_VOTERS
+            || voters.len() > MAX_VOTERS
             || voters.iter().enumerate().any(|(n, v)| *v >= members || voters[..n].contains(v))
-            || self.seats.len() > MOST_DUTIES
-            || self.seats.windows(2).any(|pair| pair[0].duty >= pair[1].duty)
-            || self.seats.iter().any(|seat| {
-                seat.member >= members && seat.member != NOBODY
-                    || seat.number > self.highest
-                    || seat.mark.len() > MOST_MARK
+            || self.assignments.len() > MAX_DUTIES
+            || self.assignments.windows(2).any(|pair| pair[0].duty >= pair[1].duty)
+            || self.assignments.iter().any(|seat| {
+                seat.member >= members && seat.member != NO_MEMBER
+                    || seat.token > self.highest_token
+                    || seat.checkpoint.len() > MAX_CHECKPOINT_BYTES
             })
     }
 }
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -5,22 +5,22 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::clock::long;
+use crate::clock::extended_for_drift;
 use crate::ids::{TableId, Term};
 use crate::table::Table;
 
 /// On disk before anything that follows from it is said.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct PersistedState {
     /// The highest term that was voted for.
     pub term: Term,
     pub table: Table,
 }
 
 pub(crate) struct Voter {
-    pub kept: Kept,
+    pub state: PersistedState,
     /// It knows all that it ever said; else it votes for nobody until others have told.
-    pub sound: bool,
+    pub is_consistent: bool,
     /// Whom it voted for by itself, rather than heard of.
     voted: Term,
     /// Until then the chair counts on this voter.
@@ -36,7 +36,7 @@
 impl Voter {
     /// `kept` is none where nothing was found, or what was found is known to be older than what was said.
     pub fn new(
-        now: Duration, kept: Option<Kept>, voters: Vec<u16>, promise: Duration, lease: Duration,
+        now: Duration, kept: Option<PersistedState>, voters: Vec<u16>, promise: Duration, lease: Duration,
     ) -> Self {
         let sound = kept.is_some();
         let mut kept = kept.unwrap_or_default();
@@ -45,13 +45,13 @@
         }
         Self {
             voted: kept.term,
-            kept,
-            sound,
+            state: kept,
+            is_consistent: sound,
             // A former life of this process may have promised something.
-            promised_until: now + long(promise),
+            promised_until: now + extended_for_drift(promise),
             promise,
             have: BTreeMap::new(),
-            rested_at: now + long(promise) + long(lease),
+            rested_at: now + extended_for_drift(promise) + extended_for_drift(lease),
             forgiven_at: now + lease * 30,
         }
     }
@@ -62,28 +62,31 @@
 
     /// Would this voter help a candidate that knows so much?
     pub fn would(&self, now: Duration, above: Term, table: TableId) -> bool {
-        self.sound && !self.is_promised(now) && above >= self.kept.term && table >= self.kept.table.id
+        self.is_consistent
+            && !self.is_promised(now)
+            && above >= self.state.term
+            && table >= self.state.table.id
     }
 
     /// A vote is asked for. `Some(true)`: it is given once it is kept; `Some(false)`: it was given before.
     pub fn vote(&mut self, now: Duration, term: Term, table: TableId) -> Option<bool> {
-        if self.sound && term == self.voted && term == self.kept.term {
+        if self.is_consistent && term == self.voted && term == self.state.term {
             return Some(false);
         }
-        if !self.would(now, self.kept.term, table) || term <= self.kept.term {
+        if !self.would(now, self.state.term, table) || term <= self.state.term {
             return None;
         }
-        (self.kept.term, self.voted) = (term, term);
+        (self.state.term, self.voted) = (term, term);
         Some(true)
     }
 
     /// The chair of a term speaks. False: its time is over.
     pub fn hears(&mut self, now: Duration, term: Term) -> bool {
-        if term < self.kept.term {
+        if term < self.state.term {
             return false;
         }
-        self.kept.term = term;
-        self.promised_until = now + long(self.promise);
+        self.state.term = term;
+        self.promised_until = now + extended_for_drift(self.promise);
         true
     }
 
@@ -96,27 +99,27 @@
     /// those is among them. Where all have told and too few are sound, nobody knows more, and it goes on after a rest; what was lost
     /// with so many is told by receivers, who refuse lower numbers.
     pub fn has(&mut self, from: u16, term: Term, sound: bool, table: Table) {
-        self.kept.term = self.kept.term.max(term);
-        if table.id > self.kept.table.id {
-            self.kept.table = table;
+        self.state.term = self.state.term.max(term);
+        if table.id > self.state.table.id {
+            self.state.table = table;
         }
         self.have.insert(from, sound);
     }
 
     /// True: it has become sound by what others told.
     pub fn recovers(&mut self, now: Duration, me: u16) -> bool {
-        if self.sound {
+        if self.is_consistent {
             return false;
         }
-        let voters = &self.kept.table.voters;
+        let voters = &self.state.table.voters;
         let others = || voters.iter().filter(|voter| **voter != me);
         let told = others().filter(|voter| self.have.contains_key(voter)).count();
         let know = others().filter(|voter| self.have.get(voter) == Some(&true)).count();
-        let enough = know > voters.len() - self.kept.table.majority();
+        let enough = know > voters.len() - self.state.table.majority();
         let all = told == others().count() && now >= self.rested_at;
-        let late = told + 1 >= self.kept.table.majority() && now >= self.forgiven_at;
-        self.sound = enough || all || late;
-        self.sound
+        let late = told + 1 >= self.state.table.majority() && now >= self.forgiven_at;
+        self.is_consistent = enough || all || late;
+        self.is_consistent
     }
 }
 
@@ -128,7 +131,7 @@
         Duration::from_millis(time)
     }
 
-    fn voter(kept: Option<Kept>) -> Voter {
+    fn voter(kept: Option<PersistedState>) -> Voter {
         Voter::new(ms(0), kept, vec![0, 1, 2], ms(1000), ms(2000))
     }
 
@@ -139,7 +142,7 @@
 
     #[test]
     fn a_vote_is_given_once_a_term_and_never_while_a_chair_counts_on_it() {
-        let mut v = voter(Some(Kept { term: Term(5 << 32), table: table(4, 2) }));
+        let mut v = voter(Some(PersistedState { term: Term(5 << 32), table: table(4, 2) }));
         let (five, six) = (Term(5 << 32), Term(6 << 32));
         let have = table(4, 2).id;
         assert_eq!(v.vote(ms(1124), six, have), None, "a former life may have promised");
@@ -170,7 +173,7 @@
         assert!(!v.recovers(ms(9000), 0), "the other one of the majority may be the third");
         v.has(2, Term(3 << 32), false, Table::default());
         assert!(!v.recovers(ms(3374), 0) && v.recovers(ms(3375), 0), "all have told, after a rest");
-        assert_eq!((v.kept.term, v.kept.table.id), (Term(7 << 32), table(6, 3).id));
+        assert_eq!((v.state.term, v.state.table.id), (Term(7 << 32), table(6, 3).id));
         let mut v = voter(None);
         v.has(1, Term(7 << 32), true, table(6, 3));
         v.has(2, Term(3 << 32), true, table(2, 3));
--- a/crates/lease/tests/elections.rs
+++ b/crates/lease/tests/elections.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use lotussaddle_lease::{Duty, Word};
+use lotussaddle_lease::{Duty, LeaseMessage};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use world::{LEASE, MS, World, ms};
@@ -187,7 +187,7 @@
         world.start(1);
         if seed % 2 == 0 {
             // Peers know that its disk has had more: the member is told so at its start.
-            world.with(1, |lease, now| lease.is_older(now));
+            world.with(1, |lease, now| lease.mark_state_stale(now));
         }
         world.run(ms(18_000));
         held(&world, "with one that lost its store");
@@ -226,12 +226,14 @@
         // To whom an operator wants it, then three in a row, the second in the middle of the first.
         let to = (0..5).find(|other| *other != at && *other != chair).unwrap();
         let asker = (0..5).find(|other| *other != at).unwrap();
-        world.with(asker, |lease, now| lease.wants(now, Word::Move { duty: Duty(0), to: Some(to as u16) }));
+        world.with(asker, |lease, now| {
+            lease.send_to_leader(now, LeaseMessage::MoveDuty { duty: Duty(0), to: Some(to as u16) })
+        });
         world.run(world.now + ms(100));
         assert_eq!(world.holder(0), Some(to), "{:#?}", world.logs);
         for n in 0..3 {
             let at = world.holder(0).or_else(|| world.holder(1)).unwrap();
-            world.with(at, |lease, now| lease.give(now, Duty(0), None));
+            world.with(at, |lease, now| lease.hand_over(now, Duty(0), None));
             world.run(world.now + MS * (2 + n));
         }
         world.run(world.now + ms(100));
@@ -239,10 +241,10 @@
         // One that is to end, perhaps the chair: nothing is left of it, and whoever follows needs no time-out.
         let chair = world.chair().unwrap();
         let began = world.now;
-        world.with(chair, |lease, now| lease.end(now));
+        world.with(chair, |lease, now| lease.shut_down(now));
         world.run(began + ms(100));
         held(&world, "its process ends");
-        assert!(world.nodes[chair].lease.as_ref().unwrap().is_done(), "{:#?}", world.logs);
+        assert!(world.nodes[chair].lease.as_ref().unwrap().is_shut_down(), "{:#?}", world.logs);
         world.kill(chair);
         world.run(began + ms(400));
         assert!(world.chair().is_some());
@@ -255,7 +257,9 @@
 fn voters_change_one_at_a_time_and_each_set_can_elect() {
     let mut world = begun(4, 7, 3, 2);
     let asker = 5;
-    world.with(asker, |lease, now| lease.wants(now, Word::Voters { voters: vec![2, 3, 4, 5, 6] }));
+    world.with(asker, |lease, now| {
+        lease.send_to_leader(now, LeaseMessage::ChangeVoters { voters: vec![2, 3, 4, 5, 6] })
+    });
     world.run(world.now + ms(1000));
     let voters = |world: &World| {
         let mut voters = world.nodes[asker].lease.as_ref().unwrap().table().voters.clone();
@@ -332,7 +336,7 @@
         while world.holder(0) != Some(at) {
             assert!(world.now < lost + LEASE * 100, "it never comes back");
             if let Some(holder) = world.holder(0).filter(|holder| others.contains(holder)) {
-                world.with(holder, |lease, now| lease.give(now, Duty(0), Some(at as u16)));
+                world.with(holder, |lease, now| lease.hand_over(now, Duty(0), Some(at as u16)));
             }
             world.run(world.now + MS * 50);
         }
@@ -357,7 +361,7 @@
         8 => world.nodes[at].full = true,
         _ => {
             if world.nodes[at].lease.is_some() {
-                world.with(at, |lease, now| lease.give(now, Duty(0), None));
+                world.with(at, |lease, now| lease.hand_over(now, Duty(0), None));
             }
         }
     }
--- a/crates/lease/tests/world/mod.rs
+++ b/crates/lease/tests/world/mod.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::time::Duration;
 
-use lotussaddle_lease::{Duty, Fence, Kept, Lease, Number, Out, Plan, Word};
+use lotussaddle_lease::{Duty, Effect, Fence, FencingToken, Lease, LeaseMessage, PersistedState, Plan};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -21,20 +21,20 @@
         from: usize,
         life: u64,
         to: usize,
-        word: Word,
+        word: LeaseMessage,
     },
     Saved {
         at: usize,
         life: u64,
         number: u64,
-        kept: Kept,
+        kept: PersistedState,
     },
     /// An act of a duty comes to the receiver.
     Act {
         by: usize,
         life: u64,
         duty: Duty,
-        number: Number,
+        number: FencingToken,
     },
     /// Looks whether a member is due.
     Due(usize),
@@ -45,14 +45,14 @@
 pub struct Node {
     pub lease: Option<Lease>,
     pub life: u64,
-    pub disk: Option<Kept>,
+    pub disk: Option<PersistedState>,
     pub has_disk: bool,
     pub full: bool,
     /// Its clock: so many times as fast, from this true time and reading on.
     pub rate: f64,
     pub stalled: bool,
     waiting: VecDeque<Event>,
-    pub held: BTreeMap<Duty, Number>,
+    pub held: BTreeMap<Duty, FencingToken>,
     started: Duration,
 }
 
@@ -71,7 +71,7 @@
     /// Each frame comes twice, the second time after so long.
     pub again: Option<Duration>,
     pub fence: Fence,
-    pub accepted: Vec<(Duration, Duty, Number, usize, u64)>,
+    pub accepted: Vec<(Duration, Duty, FencingToken, usize, u64)>,
     pub refused: usize,
     pub broken: Vec<String>,
     pub frames: u64,
@@ -84,7 +84,7 @@
     pub logs: Vec<String>,
     /// Holders act so often.
     pub acts: bool,
-    numbers: BTreeMap<(Duty, Number), (usize, u64)>,
+    numbers: BTreeMap<(Duty, FencingToken), (usize, u64)>,
     /// Marks that were told to be agreed on: what is begun later must bear them.
     marked: BTreeMap<Duty, u64>,
     asked: BTreeMap<(usize, Duty), u64>,
@@ -148,7 +148,13 @@
         // Each duty begins with another member.
         let ranks =
             (0..self.duties).map(|duty| (0..members).map(|n| (n + duty) % members).collect()).collect();
-        Plan { me: me as u16, members, voters: self.voters.clone(), ranks, lease: LEASE }
+        Plan {
+            self_member: me as u16,
+            member_count: members,
+            voters: self.voters.clone(),
+            preferred_holders: ranks,
+            lease_duration: LEASE,
+        }
     }
 
     /// A process's own reading of its clock.
@@ -167,7 +173,7 @@
         node.waiting.clear();
         let kept = node.disk.clone().filter(|_| node.has_disk);
         let mut lease = Lease::new(Duration::ZERO, plan, kept, chance);
-        lease.lives(Duration::ZERO, node.life);
+        lease.set_incarnation(Duration::ZERO, node.life);
         node.lease = Some(lease);
         self.after(at);
     }
@@ -184,7 +190,7 @@
     pub fn wake(&mut self, at: usize) {
         self.nodes[at].stalled = false;
         // What it thought before it stood still is done first: an act by what it held then.
-        let held: Vec<(Duty, Number)> =
+        let held: Vec<(Duty, FencingToken)> =
             self.nodes[at].held.iter().map(|(duty, number)| (*duty, *number)).collect();
         for (duty, number) in held {
             let life = self.nodes[at].life;
@@ -229,11 +235,11 @@
     /// What an input of a member has brought.
     fn after(&mut self, at: usize) {
         let Some(lease) = &mut self.nodes[at].lease else { return };
-        let outs = lease.outs();
+        let outs = lease.take_effects();
         let life = self.nodes[at].life;
         for out in outs {
             match out {
-                Out::Say(to, word) => {
+                Effect::Send(to, word) => {
                     self.frames += 1;
                     let to = usize::from(to);
                     if self.cut.contains(&(at, to)) || self.rng.random::<f64>() < self.loss {
@@ -247,23 +253,23 @@
                         self.put(delay + again, Event::Came { from: at, life, to, word });
                     }
                 }
-                Out::Keep(number, kept) => {
+                Effect::Persist(number, kept) => {
                     let took = if self.nodes[at].has_disk { self.delay() } else { Duration::ZERO };
                     self.put(took, Event::Saved { at, life, number, kept });
                 }
-                Out::Began(duty, number, mark) => self.begins(at, duty, number, &mark),
-                Out::Lost(duty, number, _) => {
+                Effect::DutyAcquired(duty, number, mark) => self.begins(at, duty, number, &mark),
+                Effect::DutyLost(duty, number, _) => {
                     if self.nodes[at].held.get(&duty) == Some(&number) {
                         self.nodes[at].held.remove(&duty);
                         self.ends(duty);
                     }
                 }
-                Out::Marked(duty, _) => {
+                Effect::CheckpointCommitted(duty, _) => {
                     let asked = self.asked.get(&(at, duty)).copied().unwrap_or_default();
                     let known = self.marked.entry(duty).or_default();
                     *known = (*known).max(asked);
                 }
-                Out::Log(line) => {
+                Effect::Log(line) => {
                     self.chairs += usize::from(line.starts_with("chair of"));
                     self.logs.push(format!("{:?} {at}: {line}", self.now));
                 }
@@ -274,7 +280,7 @@
         self.put(wait + Duration::from_micros(1), Event::Due(at));
     }
 
-    fn begins(&mut self, at: usize, duty: Duty, number: Number, mark: &[u8]) {
+    fn begins(&mut self, at: usize, duty: Duty, number: FencingToken, mark: &[u8]) {
         let life = self.nodes[at].life;
         self.began += 1;
         let first = *self.numbers.entry((duty, number)).or_insert((at, life));
@@ -296,7 +302,7 @@
         for other in (0..self.nodes.len()).filter(|other| *other != at) {
             let clock = self.clock(other);
             let node = &self.nodes[other];
-            if node.lease.as_ref().is_some_and(|lease| lease.holds(clock, duty).is_some()) {
+            if node.lease.as_ref().is_some_and(|lease| lease.held_token(clock, duty).is_some()) {
                 self.broken.push(format!("{:?}: {at} and {other} hold {duty:?}", self.now));
             }
         }
@@ -318,7 +324,7 @@
         let clock = self.clock(at);
         let Some(lease) = &mut self.nodes[at].lease else { return };
         if lease.next_due() <= clock {
-            lease.alarm(clock);
+            lease.timer_fired(clock);
             self.after(at);
         }
     }
@@ -344,7 +350,11 @@
             Event::Came { from, life, to, word } => {
                 // Links tell lives apart: what a former one said comes only where a test lets it.
                 if self.nodes[to].lease.is_some() && (life == self.nodes[from].life || self.again.is_some()) {
-                    self.nodes[to].lease.as_mut().expect("it runs").heard(clock, from as u16, word);
+                    self.nodes[to].lease.as_mut().expect("it runs").message_received(
+                        clock,
+                        from as u16,
+                        word,
+                    );
                     self.after(to);
                 }
             }
@@ -355,7 +365,7 @@
                     if node.has_disk && well {
                         node.disk = Some(kept);
                     }
-                    lease.kept(clock, number, well);
+                    lease.state_persisted(clock, number, well);
                     self.after(at);
                 }
             }
@@ -373,26 +383,28 @@
         let clock = self.clock(at);
         let held: Vec<Duty> = self.nodes[at].held.keys().copied().collect();
         for duty in held {
-            if let Some(number) = self.nodes[at].lease.as_ref().and_then(|lease| lease.holds(clock, duty)) {
+            if let Some(number) =
+                self.nodes[at].lease.as_ref().and_then(|lease| lease.held_token(clock, duty))
+            {
                 let delay = self.delay();
                 let life = self.nodes[at].life;
                 self.put(delay, Event::Act { by: at, life, duty, number });
                 let step = self.serial;
                 self.asked.insert((at, duty), step);
                 self.with(at, |lease, now| {
-                    lease.mark(now, duty, step.to_le_bytes().to_vec());
+                    lease.report_checkpoint(now, duty, step.to_le_bytes().to_vec());
                 });
             }
         }
     }
 
-    fn act(&mut self, by: usize, life: u64, duty: Duty, number: Number) {
-        match self.fence.admits(duty, number, by as u16, life) {
+    fn act(&mut self, by: usize, life: u64, duty: Duty, number: FencingToken) {
+        match self.fence.admit(duty, number, by as u16, life) {
             Ok(_) => self.accepted.push((self.now, duty, number, by, life)),
             Err(refused) => {
                 self.refused += 1;
                 if !self.nodes[by].stalled && self.nodes[by].life == life {
-                    self.with(by, |lease, now| lease.refused(now, duty, refused.highest));
+                    self.with(by, |lease, now| lease.token_refused(now, duty, refused.highest));
                 }
             }
         }
@@ -413,25 +425,26 @@
     pub fn holder(&self, duty: u16) -> Option<usize> {
         (0..self.nodes.len()).find(|at| {
             let lease = self.nodes[*at].lease.as_ref().filter(|_| !self.nodes[*at].stalled);
-            lease.is_some_and(|lease| lease.holds(self.clock(*at), Duty(duty)).is_some())
+            lease.is_some_and(|lease| lease.held_token(self.clock(*at), Duty(duty)).is_some())
         })
     }
 
     pub fn chair(&self) -> Option<usize> {
-        let chairs = |at: &usize| self.nodes[*at].lease.as_ref().is_some_and(Lease::is_chair);
+        let chairs = |at: &usize| self.nodes[*at].lease.as_ref().is_some_and(Lease::is_leader);
         (0..self.nodes.len()).find(|at| chairs(at) && !self.nodes[*at].stalled)
     }
 
     /// Nobody is down, or has yet to be told what it lost.
     pub fn all_know(&self) -> bool {
-        let knows = |node: &Node| node.lease.as_ref().is_some_and(|lease| lease.status(self.now).sound);
+        let knows =
+            |node: &Node| node.lease.as_ref().is_some_and(|lease| lease.status(self.now).is_consistent);
         self.nodes.iter().all(knows)
     }
 
     /// What a receiver accepted never goes down, and no number is two members'.
     pub fn kept(&self, what: &str) {
         assert!(self.broken.is_empty(), "{what}: {:#?}\n{:#?}", self.broken, self.logs);
-        let mut highest: BTreeMap<Duty, (Number, usize, u64)> = BTreeMap::new();
+        let mut highest: BTreeMap<Duty, (FencingToken, usize, u64)> = BTreeMap::new();
         for (at, duty, number, by, life) in &self.accepted {
             let seen = highest.entry(*duty).or_insert((*number, *by, *life));
             let same = *number == seen.0 && (*by, *life) == (seen.1, seen.2);
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -2,16 +2,16 @@
 //! how they are brought to agree.
 //!
 //! No socket, clock, thread or file: times are brought. It decides nothing about core servers, routes or launches. Start reading
-//! at [`Copy`], then at [`Book`].
+//! at [`Replica`], then at [`ReplicaTable`].
 
-mod book;
-mod copy;
-mod holders;
+mod digest_tree;
+mod placement;
+mod replica;
 mod stream;
-mod sums;
+mod table;
 
-pub use book::{Book, Bounds, Differing, News, Repair, Written};
-pub use copy::{Copy, LONGEST_SENT, MOST_ANSWERS, MOST_OWNERS, Mine, Reading, for_ever};
-pub use holders::{Group, Ranks, digest, print};
-pub use stream::{Stream, TAIL};
-pub use sums::{FAN, Sums};
+pub use digest_tree::{DigestTree, FAN_OUT};
+pub use placement::{RankedMembers, ReplicaGroup, digest, fingerprint};
+pub use replica::{MAX_ANSWERS, MAX_OWNERS, MAX_SENT_SPAN, OwnerState, Replica, ReplicaReading, no_expiry};
+pub use stream::{MAX_RETAINED, ReplicaStream};
+pub use table::{MergeResult, RangeDifference, Repair, ReplicaLimits, ReplicaTable, WriteResult};
--- a/crates/replica/src/holders.rs
+++ b/crates/replica/src/placement.rs
@@ -24,18 +24,18 @@
 }
 
 /// The hash of a dialogue's id: its place in every order here.
-pub fn print(dialogue: &DialogueId) -> u64 {
+pub fn fingerprint(dialogue: &DialogueId) -> u64 {
     digest(&[dialogue.0.as_bytes()])
 }
 
 /// A group of members, by their names in order: a member is its place among them.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Group {
+pub struct ReplicaGroup {
     names: Vec<u64>,
     copies: usize,
 }
 
-impl Group {
+impl ReplicaGroup {
     /// `copies` is how many members beside the owner keep a copy; with fewer members, all do.
     pub fn new<'a>(names: impl IntoIterator<Item = &'a str>, copies: usize) -> Self {
         let names: Vec<u64> = names.into_iter().map(|name| digest(&[name.as_bytes()])).collect();
@@ -43,16 +43,16 @@
         Self { names, copies }
     }
 
-    pub fn members(&self) -> usize {
+    pub fn member_count(&self) -> usize {
         self.names.len()
     }
 
-    pub fn copies(&self) -> usize {
+    pub fn replica_count(&self) -> usize {
         self.copies
     }
 
     /// All members in the order in which they come for what hashes to this.
-    pub fn ranked(&self, print: u64) -> Vec<u16> {
+    pub fn ranked_members(&self, print: u64) -> Vec<u16> {
         let mut ranked: Vec<(u64, u16)> =
             (self.names.iter().enumerate()).map(|(place, name)| (mix(*name, print), place as u16)).collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
@@ -60,8 +60,8 @@
     }
 
     /// The first so many of `ranked`, in order.
-    fn first(&self, print: u64, count: usize) -> Ranks {
-        let mut first = Ranks::default();
+    fn first(&self, print: u64, count: usize) -> RankedMembers {
+        let mut first = RankedMembers::default();
         for (place, name) in self.names.iter().enumerate() {
             first.offer(mix(*name, print), place as u16, count);
         }
@@ -69,7 +69,7 @@
     }
 
     /// Those who may keep copies, whoever owns it: one more than there are copies, since the owner may be one of them.
-    pub fn candidates(&self, print: u64) -> Ranks {
+    pub fn candidates(&self, print: u64) -> RankedMembers {
         self.first(print, self.copies + 1)
     }
 
@@ -80,7 +80,7 @@
     }
 
     /// Whether this member owns it or keeps a copy.
-    pub fn knows(&self, print: u64, owner: u16, member: u16) -> bool {
+    pub fn shares(&self, print: u64, owner: u16, member: u16) -> bool {
         member == owner || self.holders(print, owner).any(|holder| holder == member)
     }
 }
@@ -95,17 +95,17 @@
 
 /// A few members in order; without the heap, since each step of a dialogue asks for them.
 #[derive(Clone, Copy, Default, Debug)]
-pub struct Ranks {
-    ranks: [(u64, u16); Self::MOST],
+pub struct RankedMembers {
+    ranks: [(u64, u16); Self::MAX],
     len: usize,
 }
 
-impl Ranks {
+impl RankedMembers {
     /// One more than copies at most.
-    pub const MOST: usize = 9;
+    pub const MAX: usize = 9;
 
     fn offer(&mut self, rank: u64, member: u16, count: usize) {
-        let count = count.min(Self::MOST);
+        let count = count.min(Self::MAX);
         let place = self.ranks[..self.len].partition_point(|known| *known > (rank, member));
         if place < count {
             self.len = (self.len + 1).min(count);
@@ -123,10 +123,10 @@
     }
 }
 
-impl IntoIterator for Ranks {
+impl IntoIterator for RankedMembers {
     type Item = u16;
     type IntoIter = std::iter::Map<
-        std::iter::Take<std::array::IntoIter<(u64, u16), { Self::MOST }>>,
+        std::iter::Take<std::array::IntoIter<(u64, u16), { Self::MAX }>>,
         fn((u64, u16)) -> u16,
     >;
 
--- a/crates/replica/src/copy.rs
+++ b/crates/replica/src/replica.rs
@@ -1,7 +1,7 @@
 //! A copy of a dialogue's state, and the rule for copies that differ.
 //!
-//! A copy keeps, of each owner, what it wrote last, and of all the final answers. [`Copy::merge`] is a join: whatever the order
-//! and however often copies meet, the same comes of them. What a copy means is read off it by [`Copy::reading`], the same way by
+//! A copy keeps, of each owner, what it wrote last, and of all the final answers. [`Replica::merge`] is a join: whatever the order
+//! and however often copies meet, the same comes of them. What a copy means is read off it by [`Replica::reading`], the same way by
 //! everyone. Times are on the clock of whoever keeps it.
 
 use std::time::Duration;
@@ -10,41 +10,41 @@
 use lotussaddle_trunk::{Answer, CopySent, Given, Owner, Part, Reached};
 
 /// What is kept of owners and answers, at most: beyond it owners go that only said that they own it, then the lowest.
-pub const MOST_OWNERS: usize = 16;
-pub const MOST_ANSWERS: usize = 4;
+pub const MAX_OWNERS: usize = 16;
+pub const MAX_ANSWERS: usize = 4;
 /// A clock may run so much faster than another, in parts of what it counts: a bar that is taken over is longer by that.
 const DRIFT: u32 = 16;
 /// What lasts as long as it stands is not forgotten by time; a span on the wire ends here.
 const FOR_EVER: Duration = Duration::from_secs(365 * 86_400 * 100);
-pub const LONGEST_SENT: Duration = Duration::from_secs(900_000);
+pub const MAX_SENT_SPAN: Duration = Duration::from_secs(900_000);
 
 /// What one owner wrote last.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Mine {
+pub struct OwnerState {
     pub owner: Owner,
     pub version: u32,
-    pub reached: Reached,
+    pub progress: Reached,
     /// Until then a launch of that owner may be out, or its lines may be taken.
-    pub bar: Duration,
+    pub blocked_until: Duration,
     /// It may be forgotten then.
-    pub until: Duration,
+    pub expires_at: Duration,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Copy {
+pub struct Replica {
     /// By owner, lowest first; one of each.
-    parts: Vec<Mine>,
+    parts: Vec<OwnerState>,
     /// By owner; mostly none or one.
     answers: Vec<Given>,
 }
 
 /// What a copy means.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Reading<'a> {
+pub enum ReplicaReading<'a> {
     /// It had this final answer and does not stand. Of several that of the highest owner, the same for all.
     Answered(&'a Answer),
     /// It stood and is over.
-    Over,
+    Ended,
     Stands {
         server: &'a ServerId,
         launch: LaunchNo,
@@ -53,21 +53,27 @@
     /// It has no answer, as far as is known. Nothing may be launched before `bar`; the owner that wrote last may have a
     /// launch out.
     Open {
-        bar: Duration,
-        out: bool,
+        blocked_until: Duration,
+        launch_outstanding: bool,
     },
 }
 
-impl Copy {
+impl Replica {
     /// Of one who says that it owns it, and nothing else.
     pub fn claimed(owner: Owner, until: Duration) -> Self {
         Self {
-            parts: vec![Mine { owner, version: 0, reached: Reached::Taken, bar: Duration::ZERO, until }],
+            parts: vec![OwnerState {
+                owner,
+                version: 0,
+                progress: Reached::Taken,
+                blocked_until: Duration::ZERO,
+                expires_at: until,
+            }],
             answers: vec![],
         }
     }
 
-    pub fn parts(&self) -> &[Mine] {
+    pub fn owner_states(&self) -> &[OwnerState] {
         &self.parts
     }
 
@@ -81,11 +87,11 @@
     }
 
     /// The highest owner that has written: one that only claimed it tells nothing of where writes were kept.
-    pub fn writer(&self) -> Option<Owner> {
+    pub fn last_writer(&self) -> Option<Owner> {
         self.parts.iter().rev().find(|part| part.version > 0).map(|part| part.owner)
     }
 
-    pub fn part_of(&self, owner: Owner) -> Option<&Mine> {
+    pub fn state_of(&self, owner: Owner) -> Option<&OwnerState> {
         self.parts.iter().find(|part| part.owner == owner)
     }
 
@@ -96,11 +102,11 @@
             self.take(theirs);
         }
         for given in &other.answers {
-            self.answered(given.owner, &given.answer);
+            self.record_answer(given.owner, &given.answer);
         }
     }
 
-    fn take(&mut self, theirs: &Mine) {
+    fn take(&mut self, theirs: &OwnerState) {
         match self.parts.binary_search_by_key(&theirs.owner, |part| part.owner) {
             Ok(place) => {
                 let part = &mut self.parts[place];
@@ -110,8 +116,8 @@
             }
             Err(place) => {
                 self.parts.insert(place, theirs.clone());
-                if self.parts.len() > MOST_OWNERS {
-                    let below = &self.parts[..MOST_OWNERS];
+                if self.parts.len() > MAX_OWNERS {
+                    let below = &self.parts[..MAX_OWNERS];
                     // Of an owner the version only goes up, so that all drop the same whatever they meet first.
                     self.parts.remove(below.iter().position(|part| part.version == 0).unwrap_or(0));
                 }
@@ -120,7 +126,7 @@
     }
 
     /// An owner wrote a final answer. It writes one; if there are two all the same, the one that compares lower counts, everywhere.
-    pub fn answered(&mut self, owner: Owner, answer: &Answer) {
+    pub fn record_answer(&mut self, owner: Owner, answer: &Answer) {
         match self.answers.binary_search_by_key(&owner, |given| given.owner) {
             Ok(place) => {
                 let given = &mut self.answers[place];
@@ -130,7 +136,7 @@
             }
             Err(place) => {
                 self.answers.insert(place, Given { owner, answer: answer.clone() });
-                if self.answers.len() > MOST_ANSWERS {
+                if self.answers.len() > MAX_ANSWERS {
                     self.answers.remove(0);
                 }
             }
@@ -139,12 +145,12 @@
 
     /// The next word of an owner; a word of an owner that was not here begins at version 1.
     pub fn write(&mut self, owner: Owner, reached: Reached, bar: Duration, until: Duration) {
-        let version = self.part_of(owner).map_or(0, |part| part.version) + 1;
-        self.take(&Mine { owner, version, reached, bar, until });
+        let version = self.state_of(owner).map_or(0, |part| part.version) + 1;
+        self.take(&OwnerState { owner, version, progress: reached, blocked_until: bar, expires_at: until });
     }
 
     /// The life of an owner that had none yet.
-    pub fn rename(&mut self, from: Owner, to: Owner) {
+    pub fn change_owner(&mut self, from: Owner, to: Owner) {
         if let Some(place) = self.parts.iter().position(|part| part.owner == from) {
             let mut part = self.parts.remove(place);
             part.owner = to;
@@ -152,95 +158,101 @@
         }
         if let Some(place) = self.answers.iter().position(|given| given.owner == from) {
             let given = self.answers.remove(place);
-            self.answered(to, &given.answer);
+            self.record_answer(to, &given.answer);
         }
     }
 
     /// What binds most: that it is over, answered or stands, then the longest bar. Where several owners wrote that it is over or
     /// stands, the highest counts: whatever a lower one had said it had learned, and what was refused to a lower one was never said.
-    pub fn reading(&self) -> Reading<'_> {
+    pub fn reading(&self) -> ReplicaReading<'_> {
         for part in self.parts.iter().rev() {
-            match &part.reached {
+            match &part.progress {
                 Reached::Over => {
                     return match self.answers.last().map(|given| &given.answer) {
-                        None | Some(Answer::Stands { .. }) => Reading::Over,
-                        Some(answer) => Reading::Answered(answer),
+                        None | Some(Answer::Stands { .. }) => ReplicaReading::Ended,
+                        Some(answer) => ReplicaReading::Answered(answer),
                     };
                 }
                 Reached::Stands { server, launch } => {
-                    return Reading::Stands { server, launch: *launch, owner: part.owner };
+                    return ReplicaReading::Stands { server, launch: *launch, owner: part.owner };
                 }
                 Reached::Taken | Reached::Out { .. } => {}
             }
         }
-        let bar = self.parts.iter().map(|part| part.bar).max().unwrap_or_default();
-        let out = self.parts.last().is_some_and(|part| matches!(part.reached, Reached::Out { .. }));
-        Reading::Open { bar, out }
+        let bar = self.parts.iter().map(|part| part.blocked_until).max().unwrap_or_default();
+        let out = self.parts.last().is_some_and(|part| matches!(part.progress, Reached::Out { .. }));
+        ReplicaReading::Open { blocked_until: bar, launch_outstanding: out }
     }
 
-    /// An owner above the one whose word [`Copy::reading`] goes by has a launch out, perhaps, until then: what it found it did not go
+    /// An owner above the one whose word [`Replica::reading`] goes by has a launch out, perhaps, until then: what it found it did not go
     /// by, so that the word was never said to a caller, and may be no more than a line that nobody came for.
-    pub fn launched_since(&self) -> Option<Duration> {
-        let definite = |part: &Mine| matches!(part.reached, Reached::Over | Reached::Stands { .. });
+    pub fn newer_launch_until(&self) -> Option<Duration> {
+        let definite = |part: &OwnerState| matches!(part.progress, Reached::Over | Reached::Stands { .. });
         let above = self.parts.iter().rev().take_while(|part| !definite(part));
         self.parts.iter().any(definite).then(|| {
-            let outs = above.filter(|part| matches!(part.reached, Reached::Out { .. }));
-            outs.map(|part| part.bar).max()
+            let outs = above.filter(|part| matches!(part.progress, Reached::Out { .. }));
+            outs.map(|part| part.blocked_until).max()
         })?
     }
 
     /// When it may be forgotten: what is over by that, else when the last of its parts may.
-    pub fn until(&self) -> Duration {
+    pub fn expires_at(&self) -> Duration {
         let over =
-            self.parts.iter().filter(|part| part.reached == Reached::Over).map(|part| part.until).max();
-        over.or_else(|| self.parts.iter().map(|part| part.until).max()).unwrap_or_default()
+            self.parts.iter().filter(|part| part.progress == Reached::Over).map(|part| part.expires_at).max();
+        over.or_else(|| self.parts.iter().map(|part| part.expires_at).max()).unwrap_or_default()
     }
 
     /// It is forgotten by time, not only with what it stands for.
-    pub fn fades(&self) -> bool {
-        self.until() < FOR_EVER
+    pub fn expires(&self) -> bool {
+        self.expires_at() < FOR_EVER
     }
 
     /// Two different final answers were written: the fleet was split, or one of them was refused and never said.
-    pub fn differs(&self) -> bool {
+    pub fn has_conflicting_answers(&self) -> bool {
         self.answers.windows(2).any(|pair| pair[0].answer != pair[1].answer)
     }
 
     /// It has been kept for so much longer than was counted here. Bars stay whole.
-    pub fn aged(&mut self, by: Duration) {
-        for part in self.parts.iter_mut().filter(|part| part.until < FOR_EVER) {
-            part.until = part.until.saturating_sub(by);
+    pub fn age(&mut self, by: Duration) {
+        for part in self.parts.iter_mut().filter(|part| part.expires_at < FOR_EVER) {
+            part.expires_at = part.expires_at.saturating_sub(by);
         }
     }
 
-    pub fn sent(&self, now: Duration, dialogue: &DialogueId) -> CopySent {
-        let span = |at: Duration| at.saturating_sub(now).min(LONGEST_SENT);
+    pub fn to_update(&self, now: Duration, dialogue: &DialogueId) -> CopySent {
+        let span = |at: Duration| at.saturating_sub(now).min(MAX_SENT_SPAN);
         let parts = self.parts.iter().map(|part| Part {
             owner: part.owner,
             version: part.version,
-            reached: part.reached.clone(),
-            bar: span(part.bar),
-            lasts: span(part.until),
+            reached: part.progress.clone(),
+            bar: span(part.blocked_until),
+            lasts: span(part.expires_at),
         });
         CopySent { dialogue: dialogue.clone(), parts: parts.collect(), answers: self.answers.clone() }
     }
 
     /// As it was sent, on the clock here. The way makes its times longer, and a clock that runs fast does not make a bar
     /// shorter.
-    pub fn received(now: Duration, sent: &CopySent) -> Self {
+    pub fn from_update(now: Duration, sent: &CopySent) -> Self {
         let mut copy = Self::default();
         for part in &sent.parts {
             let bar = if part.bar.is_zero() { Duration::ZERO } else { now + part.bar + part.bar / DRIFT };
-            let until = if part.lasts >= LONGEST_SENT { FOR_EVER } else { now + part.lasts };
+            let until = if part.lasts >= MAX_SENT_SPAN { FOR_EVER } else { now + part.lasts };
             let (owner, version, reached) = (part.owner, part.version, part.reached.clone());
-            copy.take(&Mine { owner, version, reached, bar, until });
+            copy.take(&OwnerState {
+                owner,
+                version,
+                progress: reached,
+                blocked_until: bar,
+                expires_at: until,
+            });
         }
-        sent.answers.iter().for_each(|given| copy.answered(given.owner, &given.answer));
+        sent.answers.iter().for_each(|given| copy.record_answer(given.owner, &given.answer));
         copy
     }
 }
 
 /// What stands is kept for as long as it does.
-pub fn for_ever() -> Duration {
+pub fn no_expiry() -> Duration {
     FOR_EVER
 }
--- a/crates/replica/src/stream.rs
+++ b/crates/replica/src/stream.rs
@@ -9,10 +9,10 @@
 use lotussaddle::interface::DialogueId;
 
 /// Numbers kept of a stream after they were sent; who lacks more gets a snapshot.
-pub const TAIL: usize = 65_536;
+pub const MAX_RETAINED: usize = 65_536;
 
 #[derive(Debug, Default)]
-pub struct Stream {
+pub struct ReplicaStream {
     /// The number of the first one kept; numbers begin at 1.
     first: u64,
     tail: VecDeque<DialogueId>,
@@ -23,20 +23,20 @@
     kept: u64,
 }
 
-impl Stream {
+impl ReplicaStream {
     pub fn new() -> Self {
         Self { first: 1, tail: VecDeque::new(), send: 1, unsent: HashMap::new(), kept: 0 }
     }
 
     /// A dialogue has changed; the number under which that goes.
-    pub fn changed(&mut self, dialogue: &DialogueId) -> u64 {
+    pub fn record_change(&mut self, dialogue: &DialogueId) -> u64 {
         if let Some(number) = self.unsent.get(dialogue) {
             return *number;
         }
         let number = self.next();
         self.tail.push_back(dialogue.clone());
         self.unsent.insert(dialogue.clone(), number);
-        while self.tail.len() > TAIL {
+        while self.tail.len() > MAX_RETAINED {
             if let Some(dropped) = self.tail.pop_front()
                 && self.unsent.get(&dropped) == Some(&self.first)
             {
@@ -52,23 +52,23 @@
     }
 
     /// The last number given.
-    pub fn last(&self) -> u64 {
+    pub fn last_number(&self) -> u64 {
         self.next() - 1
     }
 
-    pub fn kept(&self) -> u64 {
+    pub fn last_acknowledged(&self) -> u64 {
         self.kept
     }
 
     /// Numbers given and not acknowledged.
     pub fn lag(&self) -> u64 {
-        self.last() - self.kept
+        self.last_number() - self.kept
     }
 
     /// The other side says what it has; true: all behind that can be sent. Else it needs a snapshot, and what changes from now
     /// on is sent behind that. It acknowledges nothing by that: what it has may not be kept, what a snapshot brings not be whole.
     pub fn resume(&mut self, have: u64) -> bool {
-        let can = have + 1 >= self.first && have <= self.last();
+        let can = have + 1 >= self.first && have <= self.last_number();
         self.send = if can { have + 1 } else { self.next() };
         self.unsent.clear();
         let from = self.send;
@@ -85,8 +85,8 @@
     }
 
     /// The next to be sent, at most so many: the first number, and the dialogues in order.
-    pub fn take(&mut self, most: usize) -> Option<(u64, Vec<DialogueId>)> {
-        if self.overrun() {
+    pub fn take_unsent(&mut self, most: usize) -> Option<(u64, Vec<DialogueId>)> {
+        if self.is_overrun() {
             return None;
         }
         let from = (self.send - self.first) as usize;
@@ -104,18 +104,18 @@
         Some((first, taken))
     }
 
-    pub fn waits(&self) -> bool {
+    pub fn has_unsent(&self) -> bool {
         self.send < self.next()
     }
 
     /// What was to be sent next is kept no more: the other side is slower than what is written, and needs a snapshot.
-    pub fn overrun(&self) -> bool {
+    pub fn is_overrun(&self) -> bool {
         self.send < self.first
     }
 
     /// The other side has kept all up to this number; one that was never given is not believed.
-    pub fn acknowledged(&mut self, up_to: u64) -> u64 {
-        self.kept = self.kept.max(up_to.min(self.last()));
+    pub fn acknowledge(&mut self, up_to: u64) -> u64 {
+        self.kept = self.kept.max(up_to.min(self.last_number()));
         self.kept
     }
 }
