--- a/crates/replica/src/book.rs
+++ b/crates/replica/src/table.rs
@@ -6,10 +6,10 @@
 use lotussaddle::interface::DialogueId;
 use lotussaddle_trunk::{Answer, CopySent, Cursor, Owner, Reached, Replaced};
 
-use crate::copy::{Copy, Reading};
-use crate::holders::{Group, digest, print};
-use crate::stream::Stream;
-use crate::sums::{FAN, Sums};
+use crate::digest_tree::{DigestTree, FAN_OUT};
+use crate::placement::{ReplicaGroup, digest, fingerprint};
+use crate::replica::{Replica, ReplicaReading};
+use crate::stream::ReplicaStream;
 
 /// Records looked at for one piece of a snapshot, and sent in it, at most: a turn of the decision thread is not longer than that.
 const PIECE_LOOKS: usize = 4096;
@@ -18,15 +18,15 @@
 const LAST_PART: u32 = 8;
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Bounds {
+pub struct ReplicaLimits {
     /// Copies kept, own dialogues included; beyond it a new one of another member is not kept.
-    pub most: usize,
+    pub max_replicas: usize,
     /// What is over, or came to nothing, is forgotten after so long.
-    pub forget: Duration,
+    pub retention: Duration,
 }
 
 struct Entry {
-    copy: Copy,
+    copy: Replica,
     digest: u64,
     /// Who shares it with this member: bits are set for them in `sums`, under this owner.
     shared_as: Option<Owner>,
@@ -44,61 +44,61 @@
 
 /// What came of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Written {
-    /// It goes to others, and the ticket is told by [`Book::done`] when enough of them have it.
-    Waits,
+pub enum WriteResult {
+    /// It goes to others, and the ticket is told by [`ReplicaTable::done`] when enough of them have it.
+    Pending,
     /// Nobody waits for it.
-    Goes,
+    Immediate,
     /// Another owns the dialogue now: nothing was written, and nothing may be done.
     Replaced(Owner),
 }
 
 /// What is new here after copies came in.
 #[derive(Debug, Default, PartialEq)]
-pub struct News {
+pub struct MergeResult {
     /// Copies of higher owners: whoever wrote is told.
     pub replaced: Vec<Replaced>,
     /// Dialogues that this member owned and another does now.
-    pub lost: Vec<(DialogueId, Owner)>,
+    pub ownership_lost: Vec<(DialogueId, Owner)>,
     /// To be kept on disk.
     pub changed: Vec<DialogueId>,
     /// Dialogues with two different final answers, first seen now.
-    pub differ: Vec<DialogueId>,
+    pub answer_conflicts: Vec<DialogueId>,
     /// Copies for which there was no room.
-    pub refused: usize,
+    pub rejected_count: usize,
 }
 
 type Key = (u64, DialogueId);
 
-pub struct Book {
+pub struct ReplicaTable {
     me: u16,
     life: u64,
-    group: Group,
-    bounds: Bounds,
+    group: ReplicaGroup,
+    bounds: ReplicaLimits,
     entries: BTreeMap<Key, Entry>,
     fading: BTreeSet<(Duration, Key)>,
-    sums: Vec<Sums>,
-    streams: Vec<Stream>,
+    sums: Vec<DigestTree>,
+    streams: Vec<ReplicaStream>,
     waits: HashMap<DialogueId, Wait>,
     /// Awaited writes by the number of the stream to each member.
     awaited: Vec<VecDeque<(u64, DialogueId, u32)>>,
     done: Vec<u64>,
-    /// Written before this member had a life.
+    /// WriteResult before this member had a life.
     nameless: Vec<DialogueId>,
 }
 
-impl Book {
-    pub fn new(me: u16, group: Group, bounds: Bounds) -> Self {
-        let members = group.members();
-        let depth = Sums::depth_for(members);
+impl ReplicaTable {
+    pub fn new(me: u16, group: ReplicaGroup, bounds: ReplicaLimits) -> Self {
+        let members = group.member_count();
+        let depth = DigestTree::depth_for(members);
         Self {
             me,
             life: 0,
             bounds,
             entries: BTreeMap::new(),
             fading: BTreeSet::new(),
-            sums: (0..members).map(|_| Sums::new(depth)).collect(),
-            streams: (0..members).map(|_| Stream::new()).collect(),
+            sums: (0..members).map(|_| DigestTree::new(depth)).collect(),
+            streams: (0..members).map(|_| ReplicaStream::new()).collect(),
             waits: HashMap::new(),
             awaited: (0..members).map(|_| VecDeque::new()).collect(),
             done: Vec::new(),
@@ -107,7 +107,7 @@
         }
     }
 
-    pub fn group(&self) -> &Group {
+    pub fn group(&self) -> &ReplicaGroup {
         &self.group
     }
 
@@ -120,24 +120,24 @@
     }
 
     pub fn is_full(&self) -> bool {
-        self.entries.len() >= self.bounds.most
+        self.entries.len() >= self.bounds.max_replicas
     }
 
-    pub fn life(&self) -> u64 {
+    pub fn incarnation(&self) -> u64 {
         self.life
     }
 
-    pub fn get(&self, id: &DialogueId) -> Option<&Copy> {
-        self.entries.get(&(print(id), id.clone())).map(|entry| &entry.copy)
+    pub fn get(&self, id: &DialogueId) -> Option<&Replica> {
+        self.entries.get(&(fingerprint(id), id.clone())).map(|entry| &entry.copy)
     }
 
     /// All that is known, in the order of the hashes of ids.
-    pub fn each(&self) -> impl Iterator<Item = (&DialogueId, &Copy)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&DialogueId, &Replica)> {
         self.entries.iter().map(|((_, id), entry)| (id, &entry.copy))
     }
 
     /// The same from this hash on.
-    pub fn from(&self, print: u64) -> impl Iterator<Item = (&DialogueId, &Copy)> {
+    pub fn iter_from(&self, print: u64) -> impl Iterator<Item = (&DialogueId, &Replica)> {
         let from = self.entries.range((print, DialogueId("".into()))..);
         from.map(|((_, id), entry)| (id, &entry.copy))
     }
@@ -147,8 +147,8 @@
     }
 
     /// Whether this member owns it, in this life, and has written of it: a claim that is only promised here is not held yet.
-    pub fn is_mine(&self, id: &DialogueId) -> bool {
-        let top = self.get(id).and_then(|copy| copy.parts().last());
+    pub fn owns_dialogue(&self, id: &DialogueId) -> bool {
+        let top = self.get(id).and_then(|copy| copy.owner_states().last());
         top.is_some_and(|part| self.owns(part.owner) && part.version > 0)
     }
 
@@ -156,7 +156,7 @@
 
     /// This member has a new life. What it owns in this process goes on under it: what it wrote before it had one, and, where it
     /// had one, what nobody has taken over.
-    pub fn begin_life(&mut self, now: Duration, life: u64) {
+    pub fn begin_incarnation(&mut self, now: Duration, life: u64) {
         let before = self.life;
         self.life = life;
         let ids: Vec<DialogueId> = if before == 0 {
@@ -167,13 +167,13 @@
             all.map(|((_, id), _)| id.clone()).collect()
         };
         for id in ids {
-            let key = (print(&id), id.clone());
+            let key = (fingerprint(&id), id.clone());
             let Some(entry) = self.entries.get(&key) else { continue };
             let Some(owner) = entry.copy.owner().filter(|o| o.member == self.me && o.life == before) else {
                 continue;
             };
             let mut copy = entry.copy.clone();
-            copy.rename(owner, Owner { life, ..owner });
+            copy.change_owner(owner, Owner { life, ..owner });
             self.put(now, key, copy);
             self.tell_holders(&id, None);
         }
@@ -184,8 +184,8 @@
     pub fn write(
         &mut self, now: Duration, id: &DialogueId, reached: Reached, bar: Duration, answer: Option<&Answer>,
         base: Duration, wait: Option<(u64, usize)>,
-    ) -> Written {
-        let key = (print(id), id.clone());
+    ) -> WriteResult {
+        let key = (fingerprint(id), id.clone());
         let mut copy = self.entries.get(&key).map(|entry| entry.copy.clone()).unwrap_or_default();
         let owner = match copy.owner() {
             Some(owner) if self.owns(owner) => owner,
@@ -193,31 +193,31 @@
             Some(owner) if owner.member == self.me && owner.life < self.life => {
                 Owner { life: self.life, ..owner }
             }
-            Some(owner) => return Written::Replaced(owner),
+            Some(owner) => return WriteResult::Replaced(owner),
             None => Owner { round: 0, member: self.me, life: self.life },
         };
         let until = match &reached {
-            Reached::Stands { .. } => crate::copy::for_ever(),
-            _ => base.max(now) + self.bounds.forget,
+            Reached::Stands { .. } => crate::replica::no_expiry(),
+            _ => base.max(now) + self.bounds.retention,
         };
         copy.write(owner, reached, bar, until);
         if let Some(answer) = answer {
-            copy.answered(owner, answer);
+            copy.record_answer(owner, answer);
         }
-        let version = copy.part_of(owner).map_or(0, |part| part.version);
+        let version = copy.state_of(owner).map_or(0, |part| part.version);
         self.put(now, key, copy);
         if self.life == 0 {
             self.nameless.push(id.clone());
-            return Written::Goes;
+            return WriteResult::Immediate;
         }
         let wait = wait.map(|(ticket, acks)| (ticket, acks, version));
-        if self.tell_holders(id, wait) { Written::Waits } else { Written::Goes }
+        if self.tell_holders(id, wait) { WriteResult::Pending } else { WriteResult::Immediate }
     }
 
     fn tell_holders(&mut self, id: &DialogueId, wait: Option<(u64, usize, u32)>) -> bool {
-        let holders: Vec<u16> = self.group.holders(print(id), self.me).collect();
+        let holders: Vec<u16> = self.group.holders(fingerprint(id), self.me).collect();
         for holder in &holders {
-            let number = self.streams[usize::from(*holder)].changed(id);
+            let number = self.streams[usize::from(*holder)].record_change(id);
             if let Some((_, _, version)) = wait {
                 self.awaited[usize::from(*holder)].push_back((number, id.clone(), version));
             }
@@ -231,19 +231,19 @@
     }
 
     /// Nobody waits for the write of this dialogue any more.
-    pub fn wait_no_more(&mut self, id: &DialogueId) {
+    pub fn cancel_wait(&mut self, id: &DialogueId) {
         self.waits.remove(id);
     }
 
     /// Tickets whose writes are kept by as many as was asked for.
-    pub fn done(&mut self) -> Vec<u64> {
+    pub fn take_completed_writes(&mut self) -> Vec<u64> {
         std::mem::take(&mut self.done)
     }
 
     /// A member has kept all of this life's writes up to this number of the stream to it.
-    pub fn kept(&mut self, member: u16, up_to: u64) {
+    pub fn replica_acknowledged(&mut self, member: u16, up_to: u64) {
         let place = usize::from(member);
-        let up_to = self.streams[place].acknowledged(up_to);
+        let up_to = self.streams[place].acknowledge(up_to);
         while self.awaited[place].front().is_some_and(|(number, ..)| *number <= up_to) {
             let Some((_, id, version)) = self.awaited[place].pop_front() else { break };
             let Some(wait) = self.waits.get_mut(&id).filter(|wait| wait.version == version) else { continue };
@@ -258,76 +258,76 @@
 
     /// A write of this member was refused, since a dialogue is another's now: what waits for it waits no longer. False: it was
     /// not this member's any more.
-    pub fn replaced(&mut self, now: Duration, id: &DialogueId, by: Owner) -> bool {
-        if self.get(id).and_then(Copy::owner) >= Some(by) || !self.is_mine(id) {
+    pub fn write_refused(&mut self, now: Duration, id: &DialogueId, by: Owner) -> bool {
+        if self.get(id).and_then(Replica::owner) >= Some(by) || !self.owns_dialogue(id) {
             return false;
         }
         self.waits.remove(id);
-        self.claim(now, id, by, &Copy::default());
+        self.claim(now, id, by, &Replica::default());
         true
     }
 
     /// This member owns it from now on, as the highest of all that was found of it.
-    pub fn claim(&mut self, now: Duration, id: &DialogueId, owner: Owner, found: &Copy) {
-        let key = (print(id), id.clone());
+    pub fn claim(&mut self, now: Duration, id: &DialogueId, owner: Owner, found: &Replica) {
+        let key = (fingerprint(id), id.clone());
         let mut copy = self.entries.get(&key).map(|entry| entry.copy.clone()).unwrap_or_default();
         copy.merge(found);
-        copy.merge(&Copy::claimed(owner, now + self.bounds.forget));
+        copy.merge(&Replica::claimed(owner, now + self.bounds.retention));
         self.put(now, key, copy);
     }
 
     // Streams
 
-    pub fn stream(&mut self, member: u16) -> &mut Stream {
+    pub fn stream(&mut self, member: u16) -> &mut ReplicaStream {
         &mut self.streams[usize::from(member)]
     }
 
     /// The next copies to be sent to a member in its stream: the first one's number, and the copies.
-    pub fn next_copies(&mut self, now: Duration, member: u16, most: usize) -> Option<(u64, Vec<CopySent>)> {
-        let (first, ids) = self.streams[usize::from(member)].take(most)?;
+    pub fn next_updates(&mut self, now: Duration, member: u16, most: usize) -> Option<(u64, Vec<CopySent>)> {
+        let (first, ids) = self.streams[usize::from(member)].take_unsent(most)?;
         // One that was forgotten meanwhile goes as what it was last: nothing that anyone keeps.
         let copies = ids.iter().map(|id| match self.get(id) {
-            Some(copy) => copy.sent(now, id),
+            Some(copy) => copy.to_update(now, id),
             None => CopySent { dialogue: id.clone(), parts: Vec::new(), answers: Vec::new() },
         });
         Some((first, copies.collect()))
     }
 
     /// The greatest number of writes that some member has not acknowledged.
-    pub fn lag(&self) -> u64 {
-        self.streams.iter().map(Stream::lag).max().unwrap_or_default()
+    pub fn max_lag(&self) -> u64 {
+        self.streams.iter().map(ReplicaStream::lag).max().unwrap_or_default()
     }
 
     // Copies
 
     /// Copies came from another member.
-    pub fn take(&mut self, now: Duration, copies: &[CopySent]) -> News {
-        let mut news = News::default();
+    pub fn merge_received(&mut self, now: Duration, copies: &[CopySent]) -> MergeResult {
+        let mut news = MergeResult::default();
         for sent in copies {
             self.take_one(now, sent, &mut news);
         }
         news
     }
 
-    fn take_one(&mut self, now: Duration, sent: &CopySent, news: &mut News) {
+    fn take_one(&mut self, now: Duration, sent: &CopySent, news: &mut MergeResult) {
         let id = &sent.dialogue;
-        let incoming = Copy::received(now, sent);
+        let incoming = Replica::from_update(now, sent);
         let Some(theirs) = incoming.owner() else { return };
-        let key = (print(id), id.clone());
+        let key = (fingerprint(id), id.clone());
         let Some(entry) = self.entries.get(&key) else {
             // What is about to be forgotten by all is not brought back to life.
-            if incoming.until() <= now + self.bounds.forget / LAST_PART {
+            if incoming.expires_at() <= now + self.bounds.retention / LAST_PART {
                 return;
             }
             if self.is_full() {
-                news.refused += 1;
+                news.rejected_count += 1;
                 return;
             }
-            let differs = incoming.differs();
+            let differs = incoming.has_conflicting_answers();
             self.put(now, key, incoming);
             news.changed.push(id.clone());
             if differs {
-                news.differ.push(id.clone());
+                news.answer_conflicts.push(id.clone());
             }
             return;
         };
@@ -336,34 +336,34 @@
             // Its word came after another's claim and is not acknowledged. What it tells of before is known all the same.
             news.replaced.push(Replaced { dialogue: id.clone(), by });
         }
-        let mine = self.is_mine(id);
+        let mine = self.owns_dialogue(id);
         let mut copy = entry.copy.clone();
         copy.merge(&incoming);
         if copy == entry.copy {
             return;
         }
-        if copy.differs() && !entry.copy.differs() {
-            news.differ.push(id.clone());
+        if copy.has_conflicting_answers() && !entry.copy.has_conflicting_answers() {
+            news.answer_conflicts.push(id.clone());
         }
         self.put(now, key, copy);
         news.changed.push(id.clone());
         if mine
-            && !self.is_mine(id)
-            && let Some(by) = self.get(id).and_then(Copy::owner)
+            && !self.owns_dialogue(id)
+            && let Some(by) = self.get(id).and_then(Replica::owner)
         {
             self.waits.remove(id);
-            news.lost.push((id.clone(), by));
+            news.ownership_lost.push((id.clone(), by));
         }
     }
 
     /// Someone asks for a dialogue and means to own it. What was known before, and who is higher, if anyone.
-    pub fn asked(
+    pub fn claim_requested(
         &mut self, now: Duration, id: &DialogueId, owner: Owner,
     ) -> (Option<Owner>, Option<CopySent>) {
-        let key = (print(id), id.clone());
+        let key = (fingerprint(id), id.clone());
         let known = self.entries.get(&key).map(|entry| &entry.copy);
-        let before = known.map(|copy| copy.sent(now, id));
-        if let Some(higher) = known.and_then(Copy::owner).filter(|known| *known > owner) {
+        let before = known.map(|copy| copy.to_update(now, id));
+        if let Some(higher) = known.and_then(Replica::owner).filter(|known| *known > owner) {
             return (Some(higher), before);
         }
         let mut copy = known.cloned().unwrap_or_default();
@@ -371,7 +371,7 @@
             if known.is_none() && self.is_full() {
                 return (None, before);
             }
-            copy.merge(&Copy::claimed(owner, now + self.bounds.forget));
+            copy.merge(&Replica::claimed(owner, now + self.bounds.retention));
             self.waits.remove(id);
             self.put(now, key, copy);
         }
@@ -379,35 +379,35 @@
     }
 
     /// Whether the claim of this owner is kept here.
-    pub fn promised(&self, id: &DialogueId, owner: Owner) -> bool {
-        self.get(id).and_then(Copy::owner) == Some(owner)
+    pub fn has_claim(&self, id: &DialogueId, owner: Owner) -> bool {
+        self.get(id).and_then(Replica::owner) == Some(owner)
     }
 
     /// Puts a copy in, where it was read from disk after a start. Its times are those of a former life: bars are whole.
-    pub fn recall(&mut self, now: Duration, sent: &CopySent) {
-        let copy = Copy::received(now, sent);
+    pub fn restore(&mut self, now: Duration, sent: &CopySent) {
+        let copy = Replica::from_update(now, sent);
         if copy.owner().is_some() {
-            self.put(now, (print(&sent.dialogue), sent.dialogue.clone()), copy);
+            self.put(now, (fingerprint(&sent.dialogue), sent.dialogue.clone()), copy);
         }
     }
 
     /// What was recalled is older by so much than its times say; what this process wrote itself is not.
-    pub fn age(&mut self, now: Duration, by: Duration) {
+    pub fn age_restored(&mut self, now: Duration, by: Duration) {
         let me = self.me;
         let old = |entry: &Entry| {
-            entry.copy.fades() && !entry.copy.owner().is_some_and(|o| o.member == me && o.life == 0)
+            entry.copy.expires() && !entry.copy.owner().is_some_and(|o| o.member == me && o.life == 0)
         };
         let all: Vec<Key> =
             self.entries.iter().filter(|(_, entry)| old(entry)).map(|(key, _)| key.clone()).collect();
         for key in all {
             let mut copy = self.entries[&key].copy.clone();
-            copy.aged(by);
+            copy.age(by);
             self.put(now, key, copy);
         }
     }
 
     /// Lets go of what was kept for others: it is older than what they have forgotten.
-    pub fn drop_others(&mut self) -> usize {
+    pub fn drop_not_owned(&mut self) -> usize {
         let others =
             self.entries.iter().filter(|(_, entry)| !entry.copy.owner().is_some_and(|o| self.owns(o)));
         let others: Vec<Key> = others.map(|(key, _)| key.clone()).collect();
@@ -420,7 +420,7 @@
     // Snapshots
 
     /// A piece of all that a member is to know: copies from this hash on, and where the next piece begins.
-    pub fn piece(&self, now: Duration, to: u16, from: u64) -> (Vec<CopySent>, Option<u64>) {
+    pub fn snapshot_chunk(&self, now: Duration, to: u16, from: u64) -> (Vec<CopySent>, Option<u64>) {
         let mut copies = Vec::new();
         let start = (from, DialogueId("".into()));
         let mut last = None;
@@ -431,33 +431,33 @@
             }
             last = Some(*print);
             if let Some(owner) = entry.copy.owner()
-                && self.group.knows(*print, owner.member, to)
+                && self.group.shares(*print, owner.member, to)
             {
-                copies.push(entry.copy.sent(now, id));
+                copies.push(entry.copy.to_update(now, id));
             }
         }
         (copies, None)
     }
 
     pub fn cursor(&mut self, member: u16) -> Cursor {
-        Cursor { at: self.streams[usize::from(member)].last(), from: 0 }
+        Cursor { at: self.streams[usize::from(member)].last_number(), from: 0 }
     }
 
     // Comparing
 
-    pub fn depth(&self) -> u8 {
-        self.sums.first().map_or(0, Sums::depth)
+    pub fn digest_depth(&self) -> u8 {
+        self.sums.first().map_or(0, DigestTree::depth)
     }
 
     /// Digests of the ranges below the top, which a comparison begins with.
-    pub fn top(&self, member: u16) -> (u8, u32, Vec<u64>) {
-        (1, 0, self.sums[usize::from(member)].of(1, 0, FAN).unwrap_or_default().to_vec())
+    pub fn top_digests(&self, member: u16) -> (u8, u32, Vec<u64>) {
+        (1, 0, self.sums[usize::from(member)].digests(1, 0, FAN_OUT).unwrap_or_default().to_vec())
     }
 
     /// The other side's digests of some ranges of a level: what is to be said of each that differs.
-    pub fn compare(&self, member: u16, level: u8, from: u32, theirs: &[u64]) -> Vec<Differing> {
+    pub fn compare_ranges(&self, member: u16, level: u8, from: u32, theirs: &[u64]) -> Vec<RangeDifference> {
         let sums = &self.sums[usize::from(member)];
-        let Some(ours) = sums.of(level, from, theirs.len()).filter(|_| theirs.len() <= FAN) else {
+        let Some(ours) = sums.digests(level, from, theirs.len()).filter(|_| theirs.len() <= FAN_OUT) else {
             return Vec::new();
         };
         let differing = ours.iter().zip(theirs).enumerate().filter(|(_, (ours, theirs))| ours != theirs);
@@ -465,21 +465,21 @@
         ranges
             .map(|range| {
                 if level >= sums.depth() {
-                    Differing::Range(range, self.prints(member, range))
+                    RangeDifference::Leaf(range, self.prints(member, range))
                 } else {
-                    let below = sums.of(level + 1, range * FAN as u32, FAN).unwrap_or_default();
-                    Differing::Below(level + 1, range * FAN as u32, below.to_vec())
+                    let below = sums.digests(level + 1, range * FAN_OUT as u32, FAN_OUT).unwrap_or_default();
+                    RangeDifference::Subranges(level + 1, range * FAN_OUT as u32, below.to_vec())
                 }
             })
             .collect()
     }
 
     fn in_range(&self, member: u16, range: u32) -> impl Iterator<Item = (&Key, &Entry)> {
-        let (from, to) = self.sums[usize::from(member)].bottom(range).unwrap_or((1, 0));
+        let (from, to) = self.sums[usize::from(member)].leaf_bounds(range).unwrap_or((1, 0));
         let all = self.entries.range((from, DialogueId("".into()))..);
         let within = all.take_while(move |((print, _), _)| from <= to && *print <= to);
         within.filter(move |((print, _), entry)| {
-            entry.shared_as.is_some_and(|owner| self.group.knows(*print, owner.member, member))
+            entry.shared_as.is_some_and(|owner| self.group.shares(*print, owner.member, member))
         })
     }
 
@@ -489,7 +489,7 @@
 
     /// What the other side has in a range. What it has and is not here, or differs, is wanted; what is here and not there, or
     /// differs, is sent; what it owns in the life that it has, and does not have itself, is no more.
-    pub fn look(
+    pub fn compare_dialogues(
         &mut self, now: Duration, member: u16, life: u64, range: u32, theirs: &[(u64, u64)],
     ) -> Repair {
         let there: HashMap<u64, u64> = theirs.iter().copied().collect();
@@ -502,37 +502,37 @@
                 continue;
             }
             // A claim that is only promised is no word of the claimant's.
-            let theirs_alone = entry.copy.parts().last().is_some_and(|part| {
+            let theirs_alone = entry.copy.owner_states().last().is_some_and(|part| {
                 (part.owner.member, part.owner.life) == (member, life) && part.version > 0
             });
             if theirs_alone && !there.contains_key(&key.0) {
                 gone.push(key.clone());
             } else {
-                repair.send.push(entry.copy.sent(now, &key.1));
+                repair.to_send.push(entry.copy.to_update(now, &key.1));
             }
         }
-        repair.want = theirs
+        repair.to_request = theirs
             .iter()
             .filter(|(print, digest)| here.get(print) != Some(digest))
             .map(|(p, _)| *p)
             .collect();
         for key in gone {
             self.remove(&key);
-            repair.dropped += 1;
+            repair.dropped_count += 1;
         }
         repair
     }
 
     /// Copies by the hashes of their ids, for a member that is to know them.
-    pub fn wanted(&self, now: Duration, member: u16, ids: &[u64]) -> Vec<CopySent> {
+    pub fn requested_replicas(&self, now: Duration, member: u16, ids: &[u64]) -> Vec<CopySent> {
         let mut copies = Vec::new();
         for print in ids {
             let same =
                 self.entries.range((*print, DialogueId("".into()))..).take_while(|((p, _), _)| p == print);
             let known = same.filter(|(_, entry)| {
-                entry.copy.owner().is_some_and(|owner| self.group.knows(*print, owner.member, member))
+                entry.copy.owner().is_some_and(|owner| self.group.shares(*print, owner.member, member))
             });
-            copies.extend(known.map(|((_, id), entry)| entry.copy.sent(now, id)));
+            copies.extend(known.map(|((_, id), entry)| entry.copy.to_update(now, id)));
         }
         copies
     }
@@ -545,14 +545,14 @@
     }
 
     /// Forgets what is due, so many at a time.
-    pub fn forget(&mut self, now: Duration, most: usize) -> Vec<DialogueId> {
+    pub fn expire(&mut self, now: Duration, most: usize) -> Vec<DialogueId> {
         let mut gone = Vec::new();
         while gone.len() < most
             && let Some((at, key)) = self.fading.first().cloned()
             && at <= now
         {
             // In its last part it is compared no more; at its end it goes.
-            let until = self.entries.get(&key).map(|entry| entry.copy.until());
+            let until = self.entries.get(&key).map(|entry| entry.copy.expires_at());
             if until.is_some_and(|until| until > now) {
                 self.share(&key, None);
                 self.fading.pop_first();
@@ -578,16 +578,16 @@
         self.waits.remove(&key.1);
     }
 
-    fn put(&mut self, now: Duration, key: Key, copy: Copy) {
+    fn put(&mut self, now: Duration, key: Key, copy: Replica) {
         let digest = digest_of(key.0, &copy);
         let owner = copy.owner();
-        let last_part = self.bounds.forget / LAST_PART;
-        let fades = copy.fades().then(|| {
-            let until = copy.until();
+        let last_part = self.bounds.retention / LAST_PART;
+        let fades = copy.expires().then(|| {
+            let until = copy.expires_at();
             let compared_until = until.saturating_sub(last_part);
             if compared_until > now { compared_until } else { until }
         });
-        let compared = !copy.fades() || copy.until().saturating_sub(last_part) > now;
+        let compared = !copy.expires() || copy.expires_at().saturating_sub(last_part) > now;
         let known = self.entries.get(&key);
         let (before, same) = known.map_or((None, false), |entry| (entry.fades, entry.digest == digest));
         if before != fades {
@@ -613,7 +613,7 @@
         let before = std::mem::replace(&mut entry.shared_as, with);
         let digest = entry.digest;
         for owner in [before, with].into_iter().flatten() {
-            if !self.group.knows(key.0, owner.member, self.me) {
+            if !self.group.shares(key.0, owner.member, self.me) {
                 continue;
             }
             let holders = self.group.holders(key.0, owner.member);
@@ -621,7 +621,7 @@
                 if other != self.me
                     && let Some(sums) = self.sums.get_mut(usize::from(other))
                 {
-                    sums.turn(key.0, digest);
+                    sums.toggle(key.0, digest);
                 }
             }
         }
@@ -630,33 +630,33 @@
 
 /// A range of ids in which two members differ.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Differing {
+pub enum RangeDifference {
     /// Digests of its parts: level, the first one, digests.
-    Below(u8, u32, Vec<u64>),
+    Subranges(u8, u32, Vec<u64>),
     /// It is at the bottom: what is held there.
-    Range(u32, Vec<(u64, u64)>),
+    Leaf(u32, Vec<(u64, u64)>),
 }
 
 /// What mends a range.
 #[derive(Debug, Default, PartialEq)]
 pub struct Repair {
-    pub send: Vec<CopySent>,
-    pub want: Vec<u64>,
-    pub dropped: usize,
+    pub to_send: Vec<CopySent>,
+    pub to_request: Vec<u64>,
+    pub dropped_count: usize,
 }
 
 /// Of all that members must hold alike: times differ with clocks and ways.
-fn digest_of(print: u64, copy: &Copy) -> u64 {
+fn digest_of(print: u64, copy: &Replica) -> u64 {
     let mut raw = Vec::with_capacity(64);
-    for part in copy.parts() {
+    for part in copy.owner_states() {
         raw.extend(part.owner.round.to_le_bytes());
         raw.extend(part.owner.member.to_le_bytes());
         raw.extend(part.owner.life.to_le_bytes());
         raw.extend(part.version.to_le_bytes());
-        match &part.reached {
+        match &part.progress {
             Reached::Taken => raw.push(0),
             Reached::Out { server, launch } | Reached::Stands { server, launch } => {
-                raw.push(if matches!(part.reached, Reached::Out { .. }) { 1 } else { 2 });
+                raw.push(if matches!(part.progress, Reached::Out { .. }) { 1 } else { 2 });
                 raw.extend(launch.0.to_le_bytes());
                 raw.extend(server.0.as_bytes());
             }
@@ -682,9 +682,9 @@
     digest(&[&print.to_le_bytes(), &raw])
 }
 
-impl Copy {
+impl Replica {
     /// Whether it stands there or may be out there, by this member's word.
     pub fn is_open(&self) -> bool {
-        !matches!(self.reading(), Reading::Answered(_) | Reading::Over)
+        !matches!(self.reading(), ReplicaReading::Answered(_) | ReplicaReading::Ended)
     }
 }
--- a/crates/replica/tests/copies.rs
+++ b/crates/replica/tests/copies.rs
@@ -44,7 +44,7 @@
 }
 
 /// Few owners and versions, so that copies meet on the same ones.
-fn copy() -> impl Strategy<Value = Copy> {
+fn copy() -> impl Strategy<Value = Replica> {
     let part = (0u32..4, 0u16..4, 1u64..3, 0u32..4, reached(), 0u64..500, 1u64..900);
     let part = part.prop_map(|(round, member, life, version, reached, bar, lasts)| Part {
         owner: owner(round, member, life),
@@ -57,11 +57,11 @@
     let given =
         given.prop_map(|(round, member, life, answer)| Given { owner: owner(round, member, life), answer });
     (proptest::collection::vec(part, 0..24), proptest::collection::vec(given, 0..6)).prop_map(
-        |(parts, answers)| Copy::received(ms(1000), &CopySent { dialogue: id("d"), parts, answers }),
+        |(parts, answers)| Replica::from_update(ms(1000), &CopySent { dialogue: id("d"), parts, answers }),
     )
 }
 
-fn merged(a: &Copy, b: &Copy) -> Copy {
+fn merged(a: &Replica, b: &Replica) -> Replica {
     let mut all = a.clone();
     all.merge(b);
     all
@@ -76,18 +76,18 @@
         prop_assert_eq!(merged(&merged(&a, &b), &c), merged(&a, &merged(&b, &c)));
         prop_assert_eq!(merged(&a, &a), a.clone());
         prop_assert_eq!(merged(&merged(&a, &b), &b), merged(&a, &b));
-        prop_assert!(a.parts().len() <= MOST_OWNERS && a.answers().len() <= MOST_ANSWERS);
+        prop_assert!(a.owner_states().len() <= MAX_OWNERS && a.answers().len() <= MAX_ANSWERS);
     }
 
     #[test]
     fn what_is_final_or_in_doubt_is_never_read_as_less_after_a_merge(a in copy(), b in copy()) {
-        let rank = |copy: &Copy| u8::from(!matches!(copy.reading(), Reading::Open { .. }));
+        let rank = |copy: &Replica| u8::from(!matches!(copy.reading(), ReplicaReading::Open { .. }));
         let both = merged(&a, &b);
         // A higher version of one owner may take back that it stands; among owners what binds most stays.
-        let apart = a.parts().iter().all(|part| b.part_of(part.owner).is_none());
-        if apart && both.parts().len() == a.parts().len() + b.parts().len() {
+        let apart = a.owner_states().iter().all(|part| b.state_of(part.owner).is_none());
+        if apart && both.owner_states().len() == a.owner_states().len() + b.owner_states().len() {
             prop_assert_eq!(rank(&both), rank(&a).max(rank(&b)));
-            if let (Reading::Open { bar, .. }, Reading::Open { bar: first, .. }, Reading::Open { bar: second, .. }) =
+            if let (ReplicaReading::Open { blocked_until: bar, .. }, ReplicaReading::Open { blocked_until: first, .. }, ReplicaReading::Open { blocked_until: second, .. }) =
                 (both.reading(), a.reading(), b.reading())
             {
                 prop_assert_eq!(bar, first.max(second));
@@ -97,12 +97,12 @@
 
     #[test]
     fn a_copy_outlasts_its_way_and_its_bar_is_never_shorter(a in copy(), way in 0u64..50) {
-        let sent = a.sent(ms(1000), &id("d"));
-        let there = Copy::received(ms(1000 + way), &sent);
-        for part in a.parts() {
-            let received = there.part_of(part.owner).unwrap();
-            prop_assert_eq!((&received.reached, received.version), (&part.reached, part.version));
-            prop_assert!(part.bar <= ms(1000) || received.bar >= part.bar);
+        let sent = a.to_update(ms(1000), &id("d"));
+        let there = Replica::from_update(ms(1000 + way), &sent);
+        for part in a.owner_states() {
+            let received = there.state_of(part.owner).unwrap();
+            prop_assert_eq!((&received.progress, received.version), (&part.progress, part.version));
+            prop_assert!(part.blocked_until <= ms(1000) || received.blocked_until >= part.blocked_until);
         }
         prop_assert_eq!(there.answers(), a.answers());
     }
@@ -127,9 +127,9 @@
         ("over", Reached::Over, 0, Some(Answer::Stands { server: server("s") })),
     ];
     let written = |owner: Owner, (_, reached, bar, answer): &(&str, Reached, u64, Option<Answer>)| {
-        let mut copy = Copy::default();
+        let mut copy = Replica::default();
         copy.write(owner, reached.clone(), ms(*bar), ms(60_000));
-        answer.iter().for_each(|answer| copy.answered(owner, answer));
+        answer.iter().for_each(|answer| copy.record_answer(owner, answer));
         copy
     };
     let mut table = String::new();
@@ -137,13 +137,13 @@
         for second in &states {
             let both = merged(&written(a, first), &written(b, second));
             let read = match both.reading() {
-                Reading::Answered(Answer::Refused { .. }) => "refused".to_string(),
-                Reading::Answered(_) => "failed".into(),
-                Reading::Over => "over".into(),
-                Reading::Stands { .. } => "stands".into(),
-                Reading::Open { bar, .. } => format!("{}", bar.as_millis()),
+                ReplicaReading::Answered(Answer::Refused { .. }) => "refused".to_string(),
+                ReplicaReading::Answered(_) => "failed".into(),
+                ReplicaReading::Ended => "over".into(),
+                ReplicaReading::Stands { .. } => "stands".into(),
+                ReplicaReading::Open { blocked_until: bar, .. } => format!("{}", bar.as_millis()),
             };
-            table += &format!("{read}{} ", if both.differs() { "!" } else { "" });
+            table += &format!("{read}{} ", if both.has_conflicting_answers() { "!" } else { "" });
         }
         table += "\n";
     }
@@ -162,14 +162,14 @@
 #[test]
 fn a_member_that_goes_moves_only_its_own_share() {
     let names: Vec<String> = (0..9).map(|n| format!("edge-{n}")).collect();
-    let all = Group::new(names.iter().map(String::as_str), 2);
-    let less = Group::new(names[..8].iter().map(String::as_str), 2);
+    let all = ReplicaGroup::new(names.iter().map(String::as_str), 2);
+    let less = ReplicaGroup::new(names[..8].iter().map(String::as_str), 2);
     let (mut moved, mut share) = (0, BTreeMap::<u16, u32>::new());
     for n in 0..20_000 {
-        let print = print(&id(&format!("d{n}")));
+        let print = fingerprint(&id(&format!("d{n}")));
         let before: Vec<u16> = all.candidates(print).iter().collect();
         let after: Vec<u16> = less.candidates(print).iter().collect();
-        assert_eq!(before[..], all.ranked(print)[..3], "the same order, however it is come by");
+        assert_eq!(before[..], all.ranked_members(print)[..3], "the same order, however it is come by");
         before.iter().for_each(|member| *share.entry(*member).or_default() += 1);
         if before.contains(&8) {
             moved += 1;
@@ -191,55 +191,56 @@
     assert!((6000..7400).contains(&moved), "a third of a ninth each: {moved}");
     assert!(share.values().all(|n| (6000..7400).contains(n)), "{share:?}");
     // With fewer members than copies all the others keep one.
-    assert_eq!(Group::new(["a", "b"], 3).holders(7, 0).collect::<Vec<_>>(), [1]);
+    assert_eq!(ReplicaGroup::new(["a", "b"], 3).holders(7, 0).collect::<Vec<_>>(), [1]);
 }
 
 #[test]
 fn a_stream_goes_on_where_the_other_side_was_and_says_when_it_cannot() {
-    let mut s = Stream::new();
-    assert_eq!((s.changed(&id("a")), s.changed(&id("b")), s.changed(&id("a"))), (1, 2, 1));
-    assert_eq!(s.take(1), Some((1, vec![id("a")])));
-    assert_eq!(s.changed(&id("a")), 3, "it was sent as it was");
-    assert_eq!(s.take(9), Some((2, vec![id("b"), id("a")])));
-    assert_eq!((s.take(9), s.lag(), s.acknowledged(99), s.lag()), (None, 3, 3, 0));
+    let mut s = ReplicaStream::new();
+    assert_eq!((s.record_change(&id("a")), s.record_change(&id("b")), s.record_change(&id("a"))), (1, 2, 1));
+    assert_eq!(s.take_unsent(1), Some((1, vec![id("a")])));
+    assert_eq!(s.record_change(&id("a")), 3, "it was sent as it was");
+    assert_eq!(s.take_unsent(9), Some((2, vec![id("b"), id("a")])));
+    assert_eq!((s.take_unsent(9), s.lag(), s.acknowledge(99), s.lag()), (None, 3, 3, 0));
     // The link broke; what was acknowledged is not sent again.
     assert!(s.resume(2));
-    assert_eq!(s.take(9), Some((3, vec![id("a")])));
+    assert_eq!(s.take_unsent(9), Some((3, vec![id("a")])));
     assert!(!s.resume(7), "it has never had that");
-    assert_eq!(s.take(9), None, "a snapshot first");
-    for n in 0..TAIL + 10 {
-        s.changed(&id(&format!("d{n}")));
+    assert_eq!(s.take_unsent(9), None, "a snapshot first");
+    for n in 0..MAX_RETAINED + 10 {
+        s.record_change(&id(&format!("d{n}")));
     }
-    assert!(s.overrun() && s.take(9).is_none());
+    assert!(s.is_overrun() && s.take_unsent(9).is_none());
     assert!(!s.resume(3), "no longer kept");
-    assert!(s.resume(s.last() - 5) && s.take(9).unwrap().1.len() == 5);
+    assert!(s.resume(s.last_number() - 5) && s.take_unsent(9).unwrap().1.len() == 5);
 }
 
 const FORGET: Duration = Duration::from_secs(60);
 
-fn books(members: u16, copies: usize) -> Vec<Book> {
+fn books(members: u16, copies: usize) -> Vec<ReplicaTable> {
     let names: Vec<String> = (0..members).map(|n| format!("edge-{n}")).collect();
-    let group = Group::new(names.iter().map(String::as_str), copies);
+    let group = ReplicaGroup::new(names.iter().map(String::as_str), copies);
     let book = |me| {
-        let mut book = Book::new(me, group.clone(), Bounds { most: 100_000, forget: FORGET });
-        book.begin_life(Duration::ZERO, 1);
+        let mut book =
+            ReplicaTable::new(me, group.clone(), ReplicaLimits { max_replicas: 100_000, retention: FORGET });
+        book.begin_incarnation(Duration::ZERO, 1);
         book
     };
     (0..members).map(book).collect()
 }
 
 /// Carries what one has for another, in pieces, and the acknowledgement back.
-fn carry(books: &mut [Book], now: Duration, from: u16, to: u16) {
-    while let Some((first, copies)) = books[usize::from(from)].next_copies(now, to, 10) {
-        let news = books[usize::from(to)].take(now, &copies);
+fn carry(books: &mut [ReplicaTable], now: Duration, from: u16, to: u16) {
+    while let Some((first, copies)) = books[usize::from(from)].next_updates(now, to, 10) {
+        let news = books[usize::from(to)].merge_received(now, &copies);
         for replaced in news.replaced {
-            books[usize::from(from)].replaced(now, &replaced.dialogue, replaced.by);
+            books[usize::from(from)].write_refused(now, &replaced.dialogue, replaced.by);
         }
-        books[usize::from(from)].kept(to, first + copies.len() as u64 - 1);
+        books[usize::from(from)].replica_acknowledged(to, first + copies.len() as u64 - 1);
     }
 }
 
-fn carry_all(books: &mut [Book], now: Duration) {
+fn carry_all(books: &mut [ReplicaTable], now: Duration) {
     for from in 0..books.len() as u16 {
         for to in 0..books.len() as u16 {
             carry(books, now, from, to);
@@ -255,20 +256,21 @@
 fn a_write_is_done_when_enough_have_it_and_not_before() {
     let mut books = books(5, 2);
     let d = id("d");
-    let holders: Vec<u16> = books[0].group().holders(print(&d), 0).collect();
-    let write = |book: &mut Book, reached, wait| book.write(ms(0), &d, reached, ms(0), None, ms(0), wait);
-    assert_eq!(write(&mut books[0], Reached::Taken, None), Written::Goes);
-    assert_eq!(write(&mut books[0], out(0), Some((7, 2))), Written::Waits);
+    let holders: Vec<u16> = books[0].group().holders(fingerprint(&d), 0).collect();
+    let write =
+        |book: &mut ReplicaTable, reached, wait| book.write(ms(0), &d, reached, ms(0), None, ms(0), wait);
+    assert_eq!(write(&mut books[0], Reached::Taken, None), WriteResult::Immediate);
+    assert_eq!(write(&mut books[0], out(0), Some((7, 2))), WriteResult::Pending);
     carry(&mut books, ms(1), 0, holders[0]);
-    assert_eq!(books[0].done(), [0; 0]);
+    assert_eq!(books[0].take_completed_writes(), [0; 0]);
     carry(&mut books, ms(1), 0, holders[1]);
-    assert_eq!(books[0].done(), [7]);
+    assert_eq!(books[0].take_completed_writes(), [7]);
     // A later step is waited for anew, and the acknowledgement of an earlier one is none of it.
     write(&mut books[0], Reached::Taken, Some((8, 1)));
-    books[0].kept(holders[0], 1);
-    assert_eq!(books[0].done(), [0; 0]);
+    books[0].replica_acknowledged(holders[0], 1);
+    assert_eq!(books[0].take_completed_writes(), [0; 0]);
     carry(&mut books, ms(2), 0, holders[0]);
-    assert_eq!(books[0].done(), [8]);
+    assert_eq!(books[0].take_completed_writes(), [8]);
     // Others know nothing of it.
     for member in 0..5u16 {
         let knows = member == 0 || holders.contains(&member);
@@ -282,41 +284,50 @@
     let d = id("d");
     books[0].write(ms(0), &d, Reached::Taken, ms(0), None, ms(0), None);
     carry_all(&mut books, ms(1));
-    let holders: Vec<u16> = books[0].group().holders(print(&d), 0).collect();
+    let holders: Vec<u16> = books[0].group().holders(fingerprint(&d), 0).collect();
     let asker = (1..5).find(|m| !holders.contains(m)).unwrap();
     let claim = owner(1, asker, 1);
     for holder in &holders {
-        let (higher, copy) = books[usize::from(*holder)].asked(ms(2), &d, claim);
+        let (higher, copy) = books[usize::from(*holder)].claim_requested(ms(2), &d, claim);
         assert!(higher.is_none() && copy.is_some());
-        assert!(books[usize::from(*holder)].promised(&d, claim));
+        assert!(books[usize::from(*holder)].has_claim(&d, claim));
     }
     // Asked again, and by one lower.
-    assert_eq!(books[usize::from(holders[0])].asked(ms(2), &d, claim).0, None);
-    assert_eq!(books[usize::from(holders[0])].asked(ms(2), &d, owner(0, 4, 1)).0, Some(claim));
-    assert_eq!(books[0].write(ms(3), &d, out(0), ms(900), None, ms(0), Some((1, 1))), Written::Waits);
+    assert_eq!(books[usize::from(holders[0])].claim_requested(ms(2), &d, claim).0, None);
+    assert_eq!(books[usize::from(holders[0])].claim_requested(ms(2), &d, owner(0, 4, 1)).0, Some(claim));
+    assert_eq!(books[0].write(ms(3), &d, out(0), ms(900), None, ms(0), Some((1, 1))), WriteResult::Pending);
     carry_all(&mut books, ms(4));
-    assert_eq!(books[0].done(), [0; 0], "nobody has kept it");
-    assert!(!books[0].is_mine(&d));
-    assert_eq!(books[0].write(ms(5), &d, out(1), ms(900), None, ms(0), None), Written::Replaced(claim));
+    assert_eq!(books[0].take_completed_writes(), [0; 0], "nobody has kept it");
+    assert!(!books[0].owns_dialogue(&d));
+    assert_eq!(books[0].write(ms(5), &d, out(1), ms(900), None, ms(0), None), WriteResult::Replaced(claim));
     // What was refused is known all the same: it bars whoever comes next, and is nobody's last word.
     let copy = books[usize::from(holders[0])].get(&d).unwrap();
-    assert!(matches!(copy.reading(), Reading::Open { bar, out: false } if bar >= ms(900)));
-    assert!(books[usize::from(holders[0])].promised(&d, claim));
+    assert!(
+        matches!(copy.reading(), ReplicaReading::Open { blocked_until: bar, launch_outstanding: false } if bar >= ms(900))
+    );
+    assert!(books[usize::from(holders[0])].has_claim(&d, claim));
 }
 
 #[test]
 fn what_was_written_before_a_life_was_agreed_is_copied_under_it() {
     let names = ["a", "b", "c"];
-    let mut book = Book::new(0, Group::new(names, 2), Bounds { most: 10, forget: FORGET });
-    assert_eq!(book.write(ms(0), &id("d"), out(0), ms(900), None, ms(0), Some((1, 1))), Written::Goes);
-    assert!(book.is_mine(&id("d")) && !book.stream(1).waits());
-    book.begin_life(ms(5), 4);
-    assert!(book.is_mine(&id("d")) && book.stream(1).waits() && book.stream(2).waits());
+    let mut book = ReplicaTable::new(
+        0,
+        ReplicaGroup::new(names, 2),
+        ReplicaLimits { max_replicas: 10, retention: FORGET },
+    );
+    assert_eq!(
+        book.write(ms(0), &id("d"), out(0), ms(900), None, ms(0), Some((1, 1))),
+        WriteResult::Immediate
+    );
+    assert!(book.owns_dialogue(&id("d")) && !book.stream(1).has_unsent());
+    book.begin_incarnation(ms(5), 4);
+    assert!(book.owns_dialogue(&id("d")) && book.stream(1).has_unsent() && book.stream(2).has_unsent());
     assert_eq!(book.get(&id("d")).unwrap().owner(), Some(owner(0, 0, 4)));
     // A further life of the same process takes on what nobody else has.
-    book.asked(ms(6), &id("e"), owner(1, 2, 1));
-    book.begin_life(ms(7), 9);
-    assert!(book.is_mine(&id("d")) && !book.is_mine(&id("e")));
+    book.claim_requested(ms(6), &id("e"), owner(1, 2, 1));
+    book.begin_incarnation(ms(7), 9);
+    assert!(book.owns_dialogue(&id("d")) && !book.owns_dialogue(&id("e")));
 }
 
 #[test]
@@ -325,25 +336,25 @@
     let d = id("d");
     books[0].write(ms(0), &d, Reached::Taken, ms(0), None, ms(0), None);
     carry_all(&mut books, ms(0));
-    let stale = books[1].get(&d).unwrap().sent(ms(0), &d);
+    let stale = books[1].get(&d).unwrap().to_update(ms(0), &d);
     let answer = Answer::Failed;
     books[0].write(ms(100), &d, Reached::Over, ms(0), Some(&answer), ms(0), None);
     carry_all(&mut books, ms(100));
     for book in &mut books {
-        assert!(book.forget(ms(50_000), 100).is_empty());
+        assert!(book.expire(ms(50_000), 100).is_empty());
         // In its last part it is compared no more, so that clocks that differ a little find no difference.
-        assert_eq!(book.forget(ms(53_000), 100), [] as [DialogueId; 0]);
-        assert_eq!(book.top((book.life() + 1) as u16 % 3).2, vec![0; FAN]);
+        assert_eq!(book.expire(ms(53_000), 100), [] as [DialogueId; 0]);
+        assert_eq!(book.top_digests((book.incarnation() + 1) as u16 % 3).2, vec![0; FAN_OUT]);
     }
     // One that was forgotten is not taken again from one whose clock is behind.
-    assert_eq!(books[0].forget(ms(60_101), 100).len(), 1);
-    let late = books[1].get(&d).unwrap().sent(ms(60_000), &d);
-    assert_eq!(books[0].take(ms(60_102), &[late]), News::default());
+    assert_eq!(books[0].expire(ms(60_101), 100).len(), 1);
+    let late = books[1].get(&d).unwrap().to_update(ms(60_000), &d);
+    assert_eq!(books[0].merge_received(ms(60_102), &[late]), MergeResult::default());
     assert!(books[0].is_empty());
     // Nor what stood still for an hour: it is still said to last for a minute, which is why such a member begins anew.
-    assert_eq!(books[0].take(ms(60_103), &[stale]).changed.len(), 1);
-    assert_eq!(books[0].drop_others(), 0, "it is this member's own by its word");
-    assert!(books.iter_mut().skip(1).all(|book| book.forget(ms(61_000), 100).len() == 1 && book.is_empty()));
+    assert_eq!(books[0].merge_received(ms(60_103), &[stale]).changed.len(), 1);
+    assert_eq!(books[0].drop_not_owned(), 0, "it is this member's own by its word");
+    assert!(books.iter_mut().skip(1).all(|book| book.expire(ms(61_000), 100).len() == 1 && book.is_empty()));
 }
 
 #[test]
@@ -363,11 +374,11 @@
     for from in 0..3u16 {
         let mut next = Some(0);
         while let Some(at) = next {
-            let (copies, more) = books[usize::from(from)].piece(ms(2), 3, at);
-            let again = books[usize::from(from)].piece(ms(2), 3, at);
+            let (copies, more) = books[usize::from(from)].snapshot_chunk(ms(2), 3, at);
+            let again = books[usize::from(from)].snapshot_chunk(ms(2), 3, at);
             assert_eq!((&copies, more), (&again.0, again.1));
             assert!(more.is_none_or(|more| more > at));
-            books[3].take(ms(2), &copies);
+            books[3].merge_received(ms(2), &copies);
             had += copies.len();
             (next, pieces) = (more, pieces + 1);
         }
@@ -376,31 +387,31 @@
     let group = books[0].group().clone();
     for n in 0..2000u16 {
         let d = id(&format!("d{n}"));
-        assert_eq!(books[3].get(&d).is_some(), group.knows(print(&d), n % 3, 3), "{n}");
+        assert_eq!(books[3].get(&d).is_some(), group.shares(fingerprint(&d), n % 3, 3), "{n}");
     }
 }
 
 /// Compares two books as members do, by messages to and fro; gives the bytes of digests and copies sent.
-fn compare(books: &mut [Book], now: Duration, a: u16, b: u16) -> (usize, usize) {
-    let (level, from, sums) = books[usize::from(a)].top(b);
-    let mut said = vec![(a, Differing::Below(level, from, sums))];
+fn compare(books: &mut [ReplicaTable], now: Duration, a: u16, b: u16) -> (usize, usize) {
+    let (level, from, sums) = books[usize::from(a)].top_digests(b);
+    let mut said = vec![(a, RangeDifference::Subranges(level, from, sums))];
     let (mut digests, mut copies) = (0, 0);
     while let Some((by, differing)) = said.pop() {
         let to = if by == a { b } else { a };
         let book = &mut books[usize::from(to)];
         match differing {
-            Differing::Below(level, from, sums) => {
+            RangeDifference::Subranges(level, from, sums) => {
                 digests += sums.len() * 8 + 8;
-                said.extend(book.compare(by, level, from, &sums).into_iter().map(|d| (to, d)));
+                said.extend(book.compare_ranges(by, level, from, &sums).into_iter().map(|d| (to, d)));
             }
-            Differing::Range(range, prints) => {
+            RangeDifference::Leaf(range, prints) => {
                 digests += prints.len() * 16 + 8;
-                let repair = book.look(now, by, 1, range, &prints);
-                digests += repair.want.len() * 8;
-                let wanted = books[usize::from(by)].wanted(now, to, &repair.want);
-                copies += wanted.len() + repair.send.len();
-                books[usize::from(to)].take(now, &wanted);
-                books[usize::from(by)].take(now, &repair.send);
+                let repair = book.compare_dialogues(now, by, 1, range, &prints);
+                digests += repair.to_request.len() * 8;
+                let wanted = books[usize::from(by)].requested_replicas(now, to, &repair.to_request);
+                copies += wanted.len() + repair.to_send.len();
+                books[usize::from(to)].merge_received(now, &wanted);
+                books[usize::from(by)].merge_received(now, &repair.to_send);
             }
         }
     }
@@ -414,7 +425,7 @@
         books[n % 3].write(ms(0), &id(&format!("d{n}")), out(0), ms(900), None, ms(0), None);
     }
     carry_all(&mut books, ms(1));
-    assert_eq!(compare(&mut books, ms(2), 0, 1), (FAN * 8 + 8, 0), "alike: only the top is said");
+    assert_eq!(compare(&mut books, ms(2), 0, 1), (FAN_OUT * 8 + 8, 0), "alike: only the top is said");
     // Ten writes reach nobody, and one member loses five copies of another's.
     for n in 0..10 {
         books[0].write(
@@ -433,28 +444,31 @@
     assert!((10..=20).contains(&copies), "{copies}");
     for n in 0..10 {
         let d = id(&format!("d{}", n * 3));
-        assert_eq!(books[1].get(&d).unwrap().reading(), Reading::Answered(&Answer::Failed));
+        assert_eq!(books[1].get(&d).unwrap().reading(), ReplicaReading::Answered(&Answer::Failed));
     }
     assert_eq!(compare(&mut books, ms(4), 0, 1).1, 0);
     // What the owner has forgotten, its holder lets go.
     let d = id("d3");
-    books[0].forget(ms(70_000), 100_000);
+    books[0].expire(ms(70_000), 100_000);
     assert!(books[0].get(&d).is_none());
     assert!(books[1].get(&d).is_some());
 }
 
 #[test]
 fn a_full_book_keeps_nothing_new_of_others_and_says_so() {
-    let group = Group::new(["a", "b", "c"], 2);
-    let mut book = Book::new(0, group, Bounds { most: 2, forget: FORGET });
-    book.begin_life(ms(0), 1);
-    let copy = |name: &str| Copy::claimed(owner(1, 1, 1), ms(60_000)).sent(ms(0), &id(name));
-    let news = book.take(ms(0), &[copy("x"), copy("y"), copy("z")]);
-    assert_eq!((news.changed.len(), news.refused, book.len()), (2, 1, 2));
-    assert_eq!(book.asked(ms(0), &id("w"), owner(1, 2, 1)), (None, None));
-    assert!(!book.promised(&id("w"), owner(1, 2, 1)), "it cannot hold anyone to it");
+    let group = ReplicaGroup::new(["a", "b", "c"], 2);
+    let mut book = ReplicaTable::new(0, group, ReplicaLimits { max_replicas: 2, retention: FORGET });
+    book.begin_incarnation(ms(0), 1);
+    let copy = |name: &str| Replica::claimed(owner(1, 1, 1), ms(60_000)).to_update(ms(0), &id(name));
+    let news = book.merge_received(ms(0), &[copy("x"), copy("y"), copy("z")]);
+    assert_eq!((news.changed.len(), news.rejected_count, book.len()), (2, 1, 2));
+    assert_eq!(book.claim_requested(ms(0), &id("w"), owner(1, 2, 1)), (None, None));
+    assert!(!book.has_claim(&id("w"), owner(1, 2, 1)), "it cannot hold anyone to it");
     // Its own dialogues are never refused.
-    assert_eq!(book.write(ms(0), &id("own"), Reached::Taken, ms(0), None, ms(0), None), Written::Goes);
+    assert_eq!(
+        book.write(ms(0), &id("own"), Reached::Taken, ms(0), None, ms(0), None),
+        WriteResult::Immediate
+    );
 }
 
 #[test]
@@ -463,30 +477,30 @@
     let d = id("d");
     books[0].write(ms(0), &d, Reached::Over, ms(0), Some(&Answer::Failed), ms(0), None);
     let claim = owner(1, 1, 1);
-    books[1].claim(ms(0), &d, claim, &Copy::default());
+    books[1].claim(ms(0), &d, claim, &Replica::default());
     books[1].write(ms(0), &d, Reached::Over, ms(0), Some(&Answer::Refused { come_back: None }), ms(0), None);
-    let theirs = books[1].get(&d).unwrap().sent(ms(0), &d);
-    let news = books[0].take(ms(1), &[theirs]);
-    assert_eq!((news.differ, news.lost.len()), (vec![d.clone()], 1));
-    let ours = books[0].get(&d).unwrap().sent(ms(1), &d);
-    books[1].take(ms(1), &[ours]);
+    let theirs = books[1].get(&d).unwrap().to_update(ms(0), &d);
+    let news = books[0].merge_received(ms(1), &[theirs]);
+    assert_eq!((news.answer_conflicts, news.ownership_lost.len()), (vec![d.clone()], 1));
+    let ours = books[0].get(&d).unwrap().to_update(ms(1), &d);
+    books[1].merge_received(ms(1), &[ours]);
     for book in &books[..2] {
         let copy = book.get(&d).unwrap();
-        assert!(copy.differs() && copy.answers().len() == 2);
-        assert_eq!(copy.reading(), Reading::Answered(&Answer::Refused { come_back: None }));
-        assert_eq!(book.each().filter(|(_, copy)| copy.differs()).count(), 1);
+        assert!(copy.has_conflicting_answers() && copy.answers().len() == 2);
+        assert_eq!(copy.reading(), ReplicaReading::Answered(&Answer::Refused { come_back: None }));
+        assert_eq!(book.iter().filter(|(_, copy)| copy.has_conflicting_answers()).count(), 1);
     }
 }
 
 /// Drawn day 4803: a launch went out on the acknowledgement of a snapshot's beginning.
 #[test]
 fn where_a_stream_goes_on_acknowledges_nothing() {
-    let mut s = Stream::new();
+    let mut s = ReplicaStream::new();
     for n in 0..9 {
-        s.changed(&id(&format!("d{n}")));
+        s.record_change(&id(&format!("d{n}")));
     }
     assert!(s.resume(9));
     // A frame that only refuses acknowledges nothing.
-    assert_eq!((s.kept(), s.acknowledged(0)), (0, 0));
-    assert_eq!(s.acknowledged(9), 9, "all is kept");
+    assert_eq!((s.last_acknowledged(), s.acknowledge(0)), (0, 0));
+    assert_eq!(s.acknowledge(9), 9, "all is kept");
 }
--- a/crates/scale/src/measure.rs
+++ b/crates/scale/src/measure.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use lotussaddle_lease::Word;
+use lotussaddle_lease::LeaseMessage;
 use lotussaddle_membership::Message as MembershipMessage;
 use lotussaddle_trunk::{Frame, Message, Peer};
 use serde::{Deserialize, Serialize};
@@ -132,8 +132,8 @@
 
     fn of_word(word: &[u8]) -> Self {
         match postcard::from_bytes(word) {
-            Ok(Word::Beat(_)) => Self::LeaseHeartbeat,
-            Ok(Word::Back(_)) => Self::LeaseAnswer,
+            Ok(LeaseMessage::Heartbeat(_)) => Self::LeaseHeartbeat,
+            Ok(LeaseMessage::HeartbeatReply(_)) => Self::LeaseAnswer,
             Ok(_) | Err(_) => Self::LeaseOther,
         }
     }
--- a/crates/serve/src/run.rs
+++ b/crates/serve/src/run.rs
@@ -385,7 +385,7 @@
             log.put(LogLine::Fleet(
                 Box::new(member.counts().clone()),
                 member.book().len(),
-                member.book().lag(),
+                member.book().max_lag(),
             ));
         }
     }
--- a/crates/standin/src/core.rs
+++ b/crates/standin/src/core.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::{DialogueId, LaunchNo, LoadReport};
-use lotussaddle_lease::{Duty, Fence, Number};
+use lotussaddle_lease::{Duty, Fence, FencingToken};
 use lotussaddle_trunk::{
     Act, Audit, Cause, End, Frame, HeldLine, Hello, Launch, Message, Owner, Role, VERSION,
 };
@@ -397,8 +397,8 @@
 
     /// A duty's act that is not to be done: the highest number that was seen.
     fn fenced(&mut self, act: &Act) -> Option<u64> {
-        let number = Number(act.number);
-        self.fence.admits(Duty(act.duty), number, act.member, act.life).err().map(|refused| refused.highest.0)
+        let number = FencingToken(act.number);
+        self.fence.admit(Duty(act.duty), number, act.member, act.life).err().map(|refused| refused.highest.0)
     }
 
     /// A dialogue is another owner's from now on: what stands of it comes to this link, what is being set up ends.
