--- a/crates/cli/benches/through.rs
+++ b/crates/cli/benches/through.rs
@@ -14,7 +14,7 @@
 use crossbeam_channel::Receiver;
 use hdrhistogram::Histogram;
 use lotussaddle::interface::*;
-use lotussaddle_links::{Bounds, Gate, Happening, Hub, Token};
+use lotussaddle_links::{Hub, HubLimits, LinkEvent, LinkToken, Listener};
 use lotussaddle_trunk::*;
 
 const CORES: usize = 4;
@@ -24,8 +24,9 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-fn hub() -> (Hub, Receiver<Happening>) {
-    Hub::new(Bounds { queue: 1 << 17, inbox: 1 << 17, ..Bounds::default() }).expect("a hub")
+fn hub() -> (Hub, Receiver<LinkEvent>) {
+    Hub::new(HubLimits { max_queued_messages: 1 << 17, max_queued_events: 1 << 17, ..HubLimits::default() })
+        .expect("a hub")
 }
 
 fn hello(role: Role, name: &str) -> Message {
@@ -37,37 +38,38 @@
         server: ServerId(Arc::from(format!("core-{n}"))),
         number: ServerNumber(n as i64),
         address: Arc::from(addresses[n + 1].to_string()),
-        listed: Listed::Active,
-        life: 0,
+        state: Listed::Active,
+        incarnation: 0,
         age: Duration::ZERO,
     });
-    Frame::List { whole: true, entries: entries.collect() }
+    Frame::List { is_complete: true, entries: entries.collect() }
 }
 
 /// Core servers and list: every launch stands at once.
 fn cores() -> (SocketAddr, Vec<SocketAddr>) {
     let (mut hub, happenings) = hub();
-    let gates: Vec<Gate> = (0..=CORES).map(|n| Gate::open(&hub, n as u32, any()).expect("a gate")).collect();
+    let gates: Vec<Listener> =
+        (0..=CORES).map(|n| Listener::open(&hub, n as u32, any()).expect("a gate")).collect();
     let addresses: Vec<SocketAddr> = gates.iter().map(|gate| gate.address).collect();
     let told = addresses.clone();
     thread::spawn(move || {
         let _gates = gates;
-        let mut at: HashMap<Token, u32> = HashMap::new();
+        let mut at: HashMap<LinkToken, u32> = HashMap::new();
         let report = LoadReport { free_lines: Some(1e6), lines: Some(1e6), ..LoadReport::default() };
         while let Ok(happening) = happenings.recv() {
             match happening {
-                Happening::Came(token, gate, opened) => {
+                LinkEvent::Accepted(token, gate, opened) => {
                     hub.admit(token, opened);
                     at.insert(token, gate);
                 }
-                Happening::Said(token, message) => {
+                LinkEvent::Received(token, message) => {
                     let answer = match message.frame {
                         Frame::Hello(_) if at[&token] == 0 => {
-                            hub.say(token, hello(Role::List, "list"));
+                            hub.send(token, hello(Role::List, "list"));
                             whole_list(&addresses)
                         }
                         Frame::Hello(_) => {
-                            hub.say(token, hello(Role::Core, &format!("core-{}", at[&token] - 1)));
+                            hub.send(token, hello(Role::Core, &format!("core-{}", at[&token] - 1)));
                             continue;
                         }
                         Frame::Ping { nonce } => Frame::Pong { nonce },
@@ -76,14 +78,14 @@
                         }
                         Frame::Release { dialogue, launch } => {
                             let report = LoadReport::default();
-                            Frame::Ended { dialogue, launch, end: End::Released, report }
+                            Frame::Ended { dialogue, launch, end: DialogueEnd::Released, report }
                         }
                         _ => continue,
                     };
-                    hub.say(token, answer.into());
+                    hub.send(token, answer.into());
                 }
-                Happening::Lost(token, _) => hub.close(token),
-                Happening::Up(_) => {}
+                LinkEvent::Closed(token, _) => hub.close(token),
+                LinkEvent::Connected(_) => {}
             }
         }
     });
@@ -206,17 +208,19 @@
 /// The relay: the same links, codec and threads, one loop between them, and no decision.
 fn relay(cores: &[String]) {
     let (mut hub, happenings) = hub();
-    let gate = Gate::open(&hub, 0, any()).expect("a gate");
+    let gate = Listener::open(&hub, 0, any()).expect("a gate");
     println!("listening {}", gate.address);
-    let far: Vec<Token> = cores.iter().map(|address| hub.connect(address)).collect();
-    let mut callers: HashMap<DialogueId, (Token, Token)> = HashMap::new();
+    let far: Vec<LinkToken> = cores.iter().map(|address| hub.connect(address)).collect();
+    let mut callers: HashMap<DialogueId, (LinkToken, LinkToken)> = HashMap::new();
     let mut next = 0;
     while let Ok(happening) = happenings.recv() {
         match happening {
-            Happening::Came(token, _, opened) => hub.admit(token, opened),
-            Happening::Up(token) => drop(hub.say(token, hello(Role::Edge, "relay"))),
-            Happening::Said(token, message) => match message.frame {
-                Frame::Hello(h) if h.role == Role::Caller => drop(hub.say(token, hello(Role::Edge, "relay"))),
+            LinkEvent::Accepted(token, _, opened) => hub.admit(token, opened),
+            LinkEvent::Connected(token) => drop(hub.send(token, hello(Role::Edge, "relay"))),
+            LinkEvent::Received(token, message) => match message.frame {
+                Frame::Hello(h) if h.role == Role::Caller => {
+                    drop(hub.send(token, hello(Role::Edge, "relay")))
+                }
                 Frame::Dial(d) => {
                     next = (next + 1) % far.len();
                     callers.insert(d.dialogue.clone(), (token, far[next]));
@@ -231,22 +235,22 @@
                         routing: None,
                         owner: None,
                     };
-                    hub.say(far[next], Frame::Launch(launch).into());
+                    hub.send(far[next], Frame::Launch(launch).into());
                 }
                 Frame::Stood { dialogue, .. } => {
                     if let Some((caller, _)) = callers.get(&dialogue) {
                         let server = ServerId(Arc::from("core"));
-                        hub.say(*caller, Frame::Stands { dialogue, server }.into());
+                        hub.send(*caller, Frame::Stands { dialogue, server }.into());
                     }
                 }
                 Frame::HangUp { dialogue } => {
                     if let Some((_, far)) = callers.remove(&dialogue) {
-                        hub.say(far, Frame::Release { dialogue, launch: LaunchNo(0) }.into());
+                        hub.send(far, Frame::Release { dialogue, launch: LaunchNo(0) }.into());
                     }
                 }
                 _ => {}
             },
-            Happening::Lost(token, _) => hub.close(token),
+            LinkEvent::Closed(token, _) => hub.close(token),
         }
     }
 }
@@ -260,17 +264,17 @@
 
 struct Callers {
     hub: Hub,
-    happenings: Receiver<Happening>,
-    links: Vec<Token>,
+    happenings: Receiver<LinkEvent>,
+    links: Vec<LinkToken>,
     count: u64,
 }
 
 impl Callers {
     fn new(address: &str, links: usize) -> Self {
         let (mut hub, happenings) = hub();
-        let links: Vec<Token> = (0..links).map(|_| hub.connect(address)).collect();
+        let links: Vec<LinkToken> = (0..links).map(|_| hub.connect(address)).collect();
         for (n, link) in links.iter().enumerate() {
-            hub.say(*link, hello(Role::Caller, &format!("gateway-{n}")));
+            hub.send(*link, hello(Role::Caller, &format!("gateway-{n}")));
         }
         Self { hub, happenings, links, count: 0 }
     }
@@ -286,15 +290,15 @@
             first_choice: ServerNumber((self.count % CORES as u64) as i64),
             width: 1.0,
             time_left: Duration::from_secs(3),
-            again: false,
-            came_back: false,
-            repeat: false,
+            is_retry: false,
+            redialled_after_cut: false,
+            is_repeat: false,
             sent_at: None,
             try_of: None,
             dialled: None,
         };
         let link = self.links[self.count as usize % self.links.len()];
-        self.hub.say(link, Frame::Dial(dial).into());
+        self.hub.send(link, Frame::Dial(dial).into());
         dialogue
     }
 
@@ -321,7 +325,7 @@
             let mut next = self.happenings.recv_timeout(wait).ok();
             for _ in 0..200 {
                 let Some(happening) = next else { break };
-                if let Happening::Said(token, message) = happening {
+                if let LinkEvent::Received(token, message) = happening {
                     match message.frame {
                         Frame::Stands { dialogue, .. } => {
                             if let Some(at) = out.remove(&dialogue) {
@@ -329,14 +333,14 @@
                                 load.stood += 1;
                             }
                             if hang_up {
-                                self.hub.say(token, Frame::HangUp { dialogue }.into());
+                                self.hub.send(token, Frame::HangUp { dialogue }.into());
                             }
                         }
                         Frame::Refused { dialogue, .. } | Frame::Failed { dialogue } => {
                             out.remove(&dialogue);
                         }
                         Frame::Ping { nonce } => {
-                            self.hub.say(token, Frame::Pong { nonce }.into());
+                            self.hub.send(token, Frame::Pong { nonce }.into());
                         }
                         _ => {}
                     }
@@ -354,7 +358,8 @@
 /// Set-ups sent straight to core servers, with no edge proxy between: what the network and the core server take.
 fn measure_direct(addresses: &[SocketAddr], rate: f64) -> Histogram<u64> {
     let (mut hub, happenings) = hub();
-    let links: Vec<Token> = addresses[1..].iter().map(|address| hub.connect(&address.to_string())).collect();
+    let links: Vec<LinkToken> =
+        addresses[1..].iter().map(|address| hub.connect(&address.to_string())).collect();
     greet_when_up(&mut hub, &happenings, links.len());
     let mut times = Histogram::new_with_bounds(1, 60_000_000, 3).expect("allowed");
     let begun = Instant::now();
@@ -374,7 +379,7 @@
             owner: None,
         };
         let sent = Instant::now();
-        hub.say(links[count as usize % links.len()], Frame::Launch(launch).into());
+        hub.send(links[count as usize % links.len()], Frame::Launch(launch).into());
         await_stood(&mut hub, &happenings, &dialogue);
         times.saturating_record((sent.elapsed().as_micros() as u64).max(1));
     }
@@ -382,27 +387,27 @@
 }
 
 /// Says hello on each link as it comes up, and returns when all are.
-fn greet_when_up(hub: &mut Hub, happenings: &Receiver<Happening>, links: usize) {
+fn greet_when_up(hub: &mut Hub, happenings: &Receiver<LinkEvent>, links: usize) {
     let mut up = 0;
     while up < links {
         match happenings.recv_timeout(Duration::from_secs(3)).expect("links to core servers") {
-            Happening::Up(token) => {
-                hub.say(token, hello(Role::Edge, "direct"));
+            LinkEvent::Connected(token) => {
+                hub.send(token, hello(Role::Edge, "direct"));
                 up += 1;
             }
-            Happening::Lost(..) => panic!("a link to a core server did not come up"),
+            LinkEvent::Closed(..) => panic!("a link to a core server did not come up"),
             _ => {}
         }
     }
 }
 
-fn await_stood(hub: &mut Hub, happenings: &Receiver<Happening>, awaited: &DialogueId) {
+fn await_stood(hub: &mut Hub, happenings: &Receiver<LinkEvent>, awaited: &DialogueId) {
     while let Ok(happening) = happenings.recv_timeout(Duration::from_secs(3)) {
         match happening {
-            Happening::Said(token, Message { frame: Frame::Ping { nonce }, .. }) => {
-                hub.say(token, Frame::Pong { nonce }.into());
+            LinkEvent::Received(token, Message { frame: Frame::Ping { nonce }, .. }) => {
+                hub.send(token, Frame::Pong { nonce }.into());
             }
-            Happening::Said(_, Message { frame: Frame::Stood { dialogue, .. }, .. })
+            LinkEvent::Received(_, Message { frame: Frame::Stood { dialogue, .. }, .. })
                 if dialogue == *awaited =>
             {
                 return;
--- a/crates/cli/src/fleets.rs
+++ b/crates/cli/src/fleets.rs
@@ -11,7 +11,7 @@
 use lotussaddle::interface::DialogueId;
 use lotussaddle_replica::Copy;
 use lotussaddle_store::{RealDisk, look};
-use lotussaddle_trunk::{Decoder, Frame, Hello, Message, Peer, Role};
+use lotussaddle_trunk::{Decoder, Frame, Hello, Message, PeerMessage, Role};
 use serde_json::Value;
 
 use crate::Failed;
@@ -129,7 +129,7 @@
     let mut bytes = Vec::new();
     for frame in [
         Frame::Hello(Hello::new(Role::Edge, OPERATOR.into())),
-        Frame::Peer(Peer::Inquire { what: what.into() }),
+        Frame::PeerMessage(PeerMessage::Inquire { query: what.into() }),
     ] {
         Message::from(frame).encode(&mut bytes);
     }
@@ -154,10 +154,10 @@
         if read == 0 {
             bail!("member at {at} closed the link before it had answered");
         }
-        decoder.take(&buffer[..read]);
-        while let Some(message) = decoder.frame() {
+        decoder.feed(&buffer[..read]);
+        while let Some(message) = decoder.next_frame() {
             match message.with_context(place)?.frame {
-                Frame::Peer(Peer::Tell { more, text: piece }) => {
+                Frame::PeerMessage(PeerMessage::InquireReply { more, text: piece }) => {
                     text.push_str(&piece);
                     if text.len() > MOST {
                         bail!("member at {at} answers with more than {MOST} bytes");
--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -312,9 +312,9 @@
         first_choice: lotussaddle::interface::ServerNumber(0),
         width: 1.0,
         time_left: Duration::from_millis(200),
-        again: false,
-        came_back: false,
-        repeat: false,
+        is_retry: false,
+        redialled_after_cut: false,
+        is_repeat: false,
         sent_at: None,
         try_of: None,
         dialled: None,
@@ -325,8 +325,8 @@
     loop {
         let read = stream.read(&mut chunk).expect("an answer comes");
         assert!(read > 0, "the link was closed");
-        decoder.take(&chunk[..read]);
-        while let Some(message) = decoder.frame() {
+        decoder.feed(&chunk[..read]);
+        while let Some(message) = decoder.next_frame() {
             // Nothing is listed: it waits, and is let go in time.
             if matches!(message.unwrap().frame, Frame::Failed { .. } | Frame::Refused { .. }) {
                 return begun.elapsed();
--- a/crates/day/src/live.rs
+++ b/crates/day/src/live.rs
@@ -16,11 +16,11 @@
 use crossbeam_channel::{Receiver, Sender, bounded, select, unbounded};
 use lotussaddle_edge::Limits;
 use lotussaddle_judge::{Judge, Verdict, write_line};
-use lotussaddle_links::{Bounds, Gate, Happening, Hub, Token};
+use lotussaddle_links::{Hub, HubLimits, LinkEvent, LinkToken, Listener};
 use lotussaddle_numbers::Timestamp;
 use lotussaddle_serve::{EdgeSheet, FleetSheet, LookUpSheet, NumbersSheet, StoreSheet};
 use lotussaddle_store::Mode;
-use lotussaddle_trunk::{Frame, Hello, Message, Peer, Role};
+use lotussaddle_trunk::{Frame, Hello, Message, PeerMessage, Role};
 use rustix::process::{Pid, Resource, Rlimit, Signal, kill_process, prlimit};
 
 use crate::plan::Day;
@@ -51,7 +51,7 @@
 struct Site {
     hub: Hub,
     /// Gate 0 is the list's, gate n + 1 that of core server n.
-    gates: Vec<Gate>,
+    gates: Vec<Listener>,
     program: Program,
     folder: PathBuf,
     day: Day,
@@ -61,15 +61,15 @@
     lives: Vec<u64>,
     told: Sender<Told>,
     /// Where peers come to each edge proxy by way of this process, and where they come in there.
-    peer_gates: Vec<Gate>,
+    peer_gates: Vec<Listener>,
     peer_addresses: Vec<Option<SocketAddr>>,
-    peer_begun: HashMap<Token, usize>,
+    peer_begun: HashMap<LinkToken, usize>,
     peer_refused: Vec<u64>,
     clocks: Vec<(f64, i64)>,
     /// Links of operators, open until the day is over.
     operators: Vec<TcpStream>,
     /// Links that callers began, and have not come up.
-    begun: HashMap<Token, usize>,
+    begun: HashMap<LinkToken, usize>,
     refused: Vec<usize>,
     trouble: Option<anyhow::Error>,
     /// Look-up servers: a socket for each at each edge proxy, and who asked there last.
@@ -203,13 +203,13 @@
 impl Ground for Site {
     fn say(&mut self, link: u64, message: Message) {
         // A full queue means an edge proxy that stands still: its link would hold this up to the sender.
-        if !self.hub.say(Token(link), message) {
-            self.hub.reset(Token(link));
+        if !self.hub.send(LinkToken(link), message) {
+            self.hub.reset(LinkToken(link));
         }
     }
 
     fn close(&mut self, link: u64, reset: bool) {
-        if reset { self.hub.reset(Token(link)) } else { self.hub.close(Token(link)) }
+        if reset { self.hub.reset(LinkToken(link)) } else { self.hub.close(LinkToken(link)) }
     }
 
     fn dial_in(&mut self, edge: usize) -> u64 {
@@ -225,7 +225,7 @@
     fn open_core(&mut self, core: usize) -> String {
         // An address of its own, so that its port is nobody else's while it refuses connects.
         let address = SocketAddr::from(([127, 0, 1 + (core / 200) as u8, 1 + (core % 200) as u8], 0));
-        let gate = Gate::open(&self.hub, core as u32 + 1, address);
+        let gate = Listener::open(&self.hub, core as u32 + 1, address);
         match gate {
             Ok(gate) => {
                 let address = gate.address.to_string();
@@ -249,7 +249,7 @@
     }
 
     fn drip(&mut self, link: u64, gap: Duration) -> bool {
-        self.hub.drip(Token(link), gap);
+        self.hub.throttle(LinkToken(link), gap);
         true
     }
 
@@ -288,7 +288,7 @@
         let Some(address) = self.peer_addresses[edge] else { return };
         let (hello, what) = (Hello::new(Role::Edge, "an operator".into()), format!("publish {generation}"));
         let mut bytes = Vec::new();
-        for frame in [Frame::Hello(hello), Frame::Peer(Peer::Inquire { what: what.into() })] {
+        for frame in [Frame::Hello(hello), Frame::PeerMessage(PeerMessage::Inquire { query: what.into() })] {
             Message::from(frame).encode(&mut bytes);
         }
         if let Ok(mut stream) = TcpStream::connect_timeout(&address, Duration::from_millis(200)) {
@@ -353,9 +353,9 @@
 /// Plays a day; `folder` takes record.jsonl, verdict.json, the sheets and the logs of the edge proxies.
 pub fn play(day: &Day, program: &Program, folder: &Path) -> Result<Verdict> {
     std::fs::create_dir_all(folder).with_context(|| format!("cannot make {}", folder.display()))?;
-    let (hub, happenings) = Hub::new(Bounds::default())?;
-    let list =
-        Gate::open(&hub, 0, SocketAddr::from(([127, 0, 0, 1], 0))).context("cannot listen for the list")?;
+    let (hub, happenings) = Hub::new(HubLimits::default())?;
+    let list = Listener::open(&hub, 0, SocketAddr::from(([127, 0, 0, 1], 0)))
+        .context("cannot listen for the list")?;
     let (told, addresses) = unbounded();
     let (asked, questions) = bounded(65_536);
     let mut site = Site {
@@ -384,7 +384,7 @@
     };
     if day.fleet.is_some() {
         for edge in 0..day.edges {
-            let gate = Gate::open(&site.hub, PEERS + edge as u32, SocketAddr::from(([127, 0, 0, 1], 0)));
+            let gate = Listener::open(&site.hub, PEERS + edge as u32, SocketAddr::from(([127, 0, 0, 1], 0)));
             site.peer_gates.push(gate.context("cannot listen for peers")?);
         }
     }
@@ -417,7 +417,7 @@
 }
 
 fn run(
-    day: &Day, world: &mut World, site: &mut Site, happenings: &Receiver<Happening>,
+    day: &Day, world: &mut World, site: &mut Site, happenings: &Receiver<LinkEvent>,
     addresses: &Receiver<Told>, questions: &Receiver<(usize, usize, SocketAddr, Vec<u8>)>,
 ) -> Result<Vec<lotussaddle_judge::Line>> {
     let start = Instant::now();
@@ -489,9 +489,9 @@
     world.asked(now, edge, server, &datagram);
 }
 
-fn take(world: &mut World, site: &mut Site, now: Duration, happening: Happening) {
+fn take(world: &mut World, site: &mut Site, now: Duration, happening: LinkEvent) {
     match happening {
-        Happening::Came(token, gate, opened) => {
+        LinkEvent::Accepted(token, gate, opened) => {
             site.hub.admit(token, opened);
             let place = match gate {
                 0 => Place::List,
@@ -500,15 +500,15 @@
             };
             world.came(now, token.0, place, site);
         }
-        Happening::Up(token) => {
+        LinkEvent::Connected(token) => {
             if let Some(edge) = site.begun.remove(&token) {
                 world.up(now, token.0, edge, site);
             } else if site.peer_begun.remove(&token).is_some() {
                 world.peer_up(now, token.0, site);
             }
         }
-        Happening::Said(token, message) => world.said(now, token.0, message),
-        Happening::Lost(token, _) => {
+        LinkEvent::Received(token, message) => world.said(now, token.0, message),
+        LinkEvent::Closed(token, _) => {
             site.hub.close(token);
             if site.peer_begun.remove(&token).is_some() {
                 return world.peer_refused(now, token.0);
--- a/crates/day/src/virt.rs
+++ b/crates/day/src/virt.rs
@@ -13,7 +13,7 @@
 use lotussaddle_judge::{Brief, Judge, Line, Verdict};
 use lotussaddle_numbers::Tables;
 use lotussaddle_serve::Proxy;
-use lotussaddle_trunk::{Decoder, Frame, Message, copy_read};
+use lotussaddle_trunk::{Decoder, Frame, Message, decode_replica};
 
 use crate::plan::Day;
 use crate::world::{Ground, Place, World};
@@ -172,7 +172,7 @@
 
     /// As `serve::remembered` reads it.
     fn read(&self) -> Stored {
-        let copies = self.copies.values().filter_map(|bytes| copy_read(bytes).ok()).collect();
+        let copies = self.copies.values().filter_map(|bytes| decode_replica(bytes).ok()).collect();
         let given = self.given.iter().map(|(member, life)| (*member, *life)).collect();
         let (duties, fence) = (self.duties.clone(), self.fence.clone());
         Stored { life: self.life, asked: self.asked, count: self.count, given, duties, fence, copies }
@@ -308,8 +308,8 @@
 fn through_the_codec(message: &Message) -> Message {
     let (mut bytes, mut decoder) = (Vec::new(), Decoder::default());
     message.encode(&mut bytes);
-    decoder.take(&bytes);
-    decoder.frame().expect("a whole frame").expect("a frame that was written here")
+    decoder.feed(&bytes);
+    decoder.next_frame().expect("a whole frame").expect("a frame that was written here")
 }
 
 /// The wires of one edge proxy.
--- a/crates/day/tests/fleet_days.rs
+++ b/crates/day/tests/fleet_days.rs
@@ -293,7 +293,7 @@
 fn in_force(played: &Played, generation: &str) -> Vec<usize> {
     let tabled = |line: &lotussaddle_judge::Line| match &line.what {
         lotussaddle_judge::What::Passed { edge, message, .. } => match &message.frame {
-            Frame::Tabled { serial, in_force, name: Some(name), why: None }
+            Frame::TablesResult { serial, in_force, name: Some(name), why: None }
                 if serial == in_force && **name == *generation =>
             {
                 Some(*edge)
--- a/crates/day/tests/numbers_days.rs
+++ b/crates/day/tests/numbers_days.rs
@@ -202,19 +202,24 @@
 #[test]
 fn what_is_said_to_be_in_force_is_held_against_the_orders() {
     let never = |message: &Message| match &message.frame {
-        Frame::Tabled { serial, name, .. } => {
+        Frame::TablesResult { serial, name, .. } => {
             vec![
-                Frame::Tabled { serial: *serial + 7, in_force: *serial + 7, name: name.clone(), why: None }
-                    .into(),
+                Frame::TablesResult {
+                    serial: *serial + 7,
+                    in_force: *serial + 7,
+                    name: name.clone(),
+                    why: None,
+                }
+                .into(),
             ]
         }
         _ => vec![message.clone()],
     };
     assert!(tampered(never).contains(&Rule::Tables));
     let other = |message: &Message| match &message.frame {
-        Frame::Tabled { serial, in_force, name: Some(_), why } => {
+        Frame::TablesResult { serial, in_force, name: Some(_), why } => {
             let name = Some("new-year".into());
-            vec![Frame::Tabled { serial: *serial, in_force: *in_force, name, why: why.clone() }.into()]
+            vec![Frame::TablesResult { serial: *serial, in_force: *in_force, name, why: why.clone() }.into()]
         }
         _ => vec![message.clone()],
     };
--- a/crates/edge/benches/fleet.rs
+++ b/crates/edge/benches/fleet.rs
@@ -76,12 +76,12 @@
         server: ServerId(Arc::from(format!("core-{n}"))),
         number: ServerNumber(n as i64),
         address: Arc::from(format!("core-{n}")),
-        listed: Listed::Active,
-        life: 0,
+        state: Listed::Active,
+        incarnation: 0,
         age: Duration::ZERO,
     };
     let entries = (0..cores).map(entry).collect();
-    edge.heard(now, list, Frame::List { whole: true, entries }.into(), &mut wires);
+    edge.heard(now, list, Frame::List { is_complete: true, entries }.into(), &mut wires);
     for (name, link) in wires.begun.clone().into_iter().skip(1) {
         edge.heard(now, link, hello(Role::Core, &name), &mut wires);
     }
@@ -108,9 +108,9 @@
             first_choice: ServerNumber((round as u64 % cores) as i64),
             width: 1.0,
             time_left: Duration::from_secs(3),
-            again: false,
-            came_back: false,
-            repeat: false,
+            is_retry: false,
+            redialled_after_cut: false,
+            is_repeat: false,
             sent_at: None,
             try_of: None,
             dialled: None,
@@ -126,7 +126,8 @@
             && let Some((caller, dialogue, launch, link)) = stands.pop_front()
         {
             let hang_up = Frame::HangUp { dialogue: dialogue.clone() };
-            let ended = Frame::Ended { dialogue, launch, end: End::Released, report: LoadReport::default() };
+            let ended =
+                Frame::Ended { dialogue, launch, end: DialogueEnd::Released, report: LoadReport::default() };
             timed(2, &mut |edge| {
                 edge.heard(now, caller, hang_up.clone().into(), &mut wires);
                 edge.heard(now, link, ended.clone().into(), &mut wires);
--- a/crates/edge/src/edge/connections.rs
+++ b/crates/edge/src/edge/connections.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::{DialogueId, Listed, LoadReport, Outcome, ServerId};
-use lotussaddle_trunk::{End, Frame, Hello, Role};
+use lotussaddle_trunk::{DialogueEnd, Frame, Hello, Role};
 
 use super::Edge;
 use crate::held::Stage;
@@ -219,10 +219,18 @@
                 hands.end(id, launch, server, Outcome::BrokenOff);
             }
             Some(Stage::Standing { launch, link, .. }) => {
-                self.standing_ended(id, launch, server, link, End::Cut, LoadReport::default(), wires);
+                self.standing_ended(id, launch, server, link, DialogueEnd::Cut, LoadReport::default(), wires);
             }
             Some(Stage::Releasing { launch, link, .. }) => {
-                self.standing_ended(id, launch, server, link, End::Released, LoadReport::default(), wires);
+                self.standing_ended(
+                    id,
+                    launch,
+                    server,
+                    link,
+                    DialogueEnd::Released,
+                    LoadReport::default(),
+                    wires,
+                );
             }
             _ => {}
         }
--- a/crates/edge/src/edge/core_frames.rs
+++ b/crates/edge/src/edge/core_frames.rs
@@ -1,7 +1,7 @@
 //! Frames of core servers.
 
 use lotussaddle::interface::{DialogueId, LaunchNo, LoadReport, Outcome, ServerId};
-use lotussaddle_trunk::{Cause, Extra, Frame, Message};
+use lotussaddle_trunk::{Extra, Frame, Message, TurnBackCause};
 
 use super::Edge;
 use crate::hands::Hands;
@@ -21,10 +21,10 @@
             }
             Frame::TurnedBack { dialogue, launch, cause, report } => {
                 let outcome = match cause {
-                    Cause::Processor => Outcome::TurnedBack,
-                    Cause::Lines => Outcome::LinesTaken,
-                    Cause::NumberBusy => Outcome::NumberBusy,
-                    Cause::Fault => Outcome::Fault,
+                    TurnBackCause::Processor => Outcome::TurnedBack,
+                    TurnBackCause::Lines => Outcome::LinesTaken,
+                    TurnBackCause::NumberBusy => Outcome::NumberBusy,
+                    TurnBackCause::Fault => Outcome::Fault,
                 };
                 self.launch_ended(link, server, &dialogue, launch, outcome, report, wires);
             }
--- a/crates/edge/src/edge/dialling.rs
+++ b/crates/edge/src/edge/dialling.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::{Arrival, DialogueId, ProductId, TenantId};
-use lotussaddle_trunk::{Dial, Extra, Frame, NotTaken};
+use lotussaddle_trunk::{DeclineReason, Dial, Extra, Frame};
 
 use super::{Edge, NO_LAUNCH};
 use crate::hands::Hands;
@@ -18,7 +18,7 @@
 enum Admission {
     /// It is held already, and will have its answer.
     Repeated,
-    Declined(NotTaken),
+    Declined(DeclineReason),
     /// It is held from now on; `seeks`: what is known of it elsewhere is sought first.
     Taken {
         seeks: bool,
@@ -32,7 +32,7 @@
             Admission::Repeated => return,
             Admission::Declined(why) => {
                 self.state.counts.declined += 1;
-                return self.hands(wires).say(link, Frame::Declined { dialogue: id, why, come_back: None });
+                return self.hands(wires).say(link, Frame::Declined { dialogue: id, why, retry_after: None });
             }
             Admission::Taken { seeks } => seeks,
         };
@@ -64,21 +64,21 @@
             return self.take_over(id, link).map_or(Admission::Repeated, Admission::Declined);
         }
         let concluded = self.state.concluded.contains(id);
-        if concluded && !dial.repeat {
-            return Admission::Declined(NotTaken::Concluded);
+        if concluded && !dial.is_repeat {
+            return Admission::Declined(DeclineReason::Concluded);
         }
         if self.state.held.len() >= self.state.limits.dialogues {
-            return Admission::Declined(NotTaken::Full);
+            return Admission::Declined(DeclineReason::Full);
         }
         if !self.can_be_read(dial) {
-            return Admission::Declined(NotTaken::Unknown);
+            return Admission::Declined(DeclineReason::Unknown);
         }
         if dial.dialled.is_some() && self.numbers.as_ref().is_some_and(|numbers| !numbers.is_ready()) {
-            return Admission::Declined(NotTaken::NotReady);
+            return Admission::Declined(DeclineReason::NotReady);
         }
-        let seeks = dial.repeat && wires.seek(id, self.state.now + dial.time_left);
+        let seeks = dial.is_repeat && wires.seek(id, self.state.now + dial.time_left);
         if concluded && !seeks {
-            return Admission::Declined(NotTaken::Concluded);
+            return Admission::Declined(DeclineReason::Concluded);
         }
         Admission::Taken { seeks }
     }
@@ -115,8 +115,8 @@
             width: dial.width,
             dialled_at: now,
             cut_off: cut_off.saturating_sub(self.state.limits.record_within).max(now),
-            again: dial.again,
-            came_back: dial.came_back,
+            again: dial.is_retry,
+            came_back: dial.redialled_after_cut,
             key: dial.key.clone(),
         };
         if self.numbers.is_some() && dial.dialled.is_some() {
@@ -128,7 +128,7 @@
 
     /// A dialogue that is held is dialled on another link: where it is the same caller's, its former link is
     /// probably dead, and the answer goes to the new one.
-    fn take_over(&mut self, id: &DialogueId, link: LinkId) -> Option<NotTaken> {
+    fn take_over(&mut self, id: &DialogueId, link: LinkId) -> Option<DeclineReason> {
         let name = |link: &Link| match &link.kind {
             Peer::Caller(name) => Some(name.clone()),
             _ => None,
@@ -137,10 +137,10 @@
         let before = held.link;
         let same = self.state.links.get(&before).and_then(name) == self.state.links.get(&link).and_then(name);
         if !same {
-            return Some(NotTaken::NotYours);
+            return Some(DeclineReason::NotYours);
         }
         if matches!(held.at, Stage::Standing { .. } | Stage::Releasing { .. }) {
-            return Some(NotTaken::Concluded);
+            return Some(DeclineReason::Concluded);
         }
         held.link = link;
         self.state.counts.repeats += 1;
--- a/crates/edge/src/edge/frames.rs
+++ b/crates/edge/src/edge/frames.rs
@@ -38,7 +38,9 @@
                     self.drop_link(link, "said what is not a core server's to say", wires);
                 }
             }
-            (Peer::List, true, Frame::List { whole, entries }) => self.listed(whole, entries, wires),
+            (Peer::List, true, Frame::List { is_complete: whole, entries }) => {
+                self.listed(whole, entries, wires)
+            }
             (Peer::List, true, Frame::Tables { serial, order }) => self.ordered(link, serial, order, wires),
             _ => self.drop_link(link, "said what is not its to say", wires),
         }
--- a/crates/edge/src/edge/launch_ends.rs
+++ b/crates/edge/src/edge/launch_ends.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::{DialogueId, LaunchEnd, LaunchNo, LoadReport, Outcome, ServerId, Signalling};
-use lotussaddle_trunk::{End, Frame};
+use lotussaddle_trunk::{DialogueEnd, Frame};
 
 use super::Edge;
 use crate::hands::Hands;
@@ -32,7 +32,7 @@
     /// lost its connection before; whatever is out by now is called off.
     #[expect(clippy::too_many_arguments)]
     pub fn over_unheard(
-        &mut self, now: Duration, link: LinkId, id: &DialogueId, launch: Option<LaunchNo>, end: End,
+        &mut self, now: Duration, link: LinkId, id: &DialogueId, launch: Option<LaunchNo>, end: DialogueEnd,
         report: LoadReport, wires: &mut dyn Wires,
     ) {
         self.state.now = now;
@@ -43,7 +43,7 @@
             let mut hands = Hands { state: &mut self.state, wires };
             hands.launch_over(id);
             hands.fail(id);
-            let outcome = if end == End::Cut { Outcome::BrokenOff } else { Outcome::Ended };
+            let outcome = if end == DialogueEnd::Cut { Outcome::BrokenOff } else { Outcome::Ended };
             let end = LaunchEnd { dialogue: id.clone(), launch, server, outcome, closed: true, report };
             self.brain.ended(now, end, &mut hands);
         } else {
@@ -102,7 +102,7 @@
     /// A dialogue that stands, or is being released, at this link's server is over, whichever launch of it that was.
     /// False: none is held there.
     pub fn over(
-        &mut self, now: Duration, link: LinkId, id: &DialogueId, end: End, report: LoadReport,
+        &mut self, now: Duration, link: LinkId, id: &DialogueId, end: DialogueEnd, report: LoadReport,
         wires: &mut dyn Wires,
     ) -> bool {
         self.state.now = now;
@@ -147,7 +147,7 @@
     /// A dialogue that stood is over, by its caller's release or without.
     #[expect(clippy::too_many_arguments)]
     pub(super) fn standing_ended(
-        &mut self, id: &DialogueId, launch: LaunchNo, server: &ServerId, link: LinkId, end: End,
+        &mut self, id: &DialogueId, launch: LaunchNo, server: &ServerId, link: LinkId, end: DialogueEnd,
         report: LoadReport, wires: &mut dyn Wires,
     ) {
         let mut hands = Hands { state: &mut self.state, wires };
@@ -161,7 +161,7 @@
                 hands.conclude(id);
                 hands.wires.record(id, Step::Over);
             }
-            Some(Stage::Standing { .. }) if end == End::Cut => hands.cut(id),
+            Some(Stage::Standing { .. }) if end == DialogueEnd::Cut => hands.cut(id),
             Some(Stage::Standing { .. }) => {
                 if let Some((caller, _)) = hands.conclude(id) {
                     hands.wires.record(id, Step::Over);
@@ -171,7 +171,7 @@
             }
             _ => return,
         }
-        let outcome = if end == End::Cut { Outcome::BrokenOff } else { Outcome::Ended };
+        let outcome = if end == DialogueEnd::Cut { Outcome::BrokenOff } else { Outcome::Ended };
         let end =
             LaunchEnd { dialogue: id.clone(), launch, server: server.clone(), outcome, closed: true, report };
         self.brain.ended(hands.state.now, end, &mut hands);
--- a/crates/edge/src/edge/number_analysis.rs
+++ b/crates/edge/src/edge/number_analysis.rs
@@ -59,7 +59,7 @@
             Some(numbers) => numbers.ordered(now, serial, order, wires),
             None => {
                 let why = Some(Arc::from("numbers are not analysed here"));
-                self.hands(wires).say(link, Frame::Tabled { serial, in_force: 0, name: None, why });
+                self.hands(wires).say(link, Frame::TablesResult { serial, in_force: 0, name: None, why });
             }
         }
         self.numbers_due(wires);
@@ -108,7 +108,7 @@
         let list = self.state.links.iter().find(|(_, link)| matches!(link.kind, Peer::List) && link.greeted);
         let list = list.map(|(id, _)| *id);
         for said in said {
-            if let Frame::Tabled { serial, in_force, name, why } = &said {
+            if let Frame::TablesResult { serial, in_force, name, why } = &said {
                 wires.tabled(*serial, why.as_deref());
                 let (name, why) = (name.as_deref().unwrap_or("-"), why.as_deref().unwrap_or("done"));
                 wires.log(
--- a/crates/edge/src/edge/server_list.rs
+++ b/crates/edge/src/edge/server_list.rs
@@ -59,21 +59,21 @@
         let mut replaced_link = None;
         let core = self.state.servers.entry(entry.server.clone()).or_insert_with(|| CoreServer {
             address: entry.address.clone(),
-            listed: entry.listed,
-            life: entry.life,
+            listed: entry.state,
+            life: entry.incarnation,
             since,
             link: None,
             queued: Vec::new(),
         });
-        if core.life != entry.life || core.address != entry.address {
+        if core.life != entry.incarnation || core.address != entry.address {
             // Another process answers there; what is out on the old link ends with that.
             replaced_link = core.link.take();
-            if core.life != entry.life {
+            if core.life != entry.incarnation {
                 core.since = since;
             }
-            (core.address, core.life) = (entry.address.clone(), entry.life);
+            (core.address, core.life) = (entry.address.clone(), entry.incarnation);
         }
-        core.listed = entry.listed;
+        core.listed = entry.state;
         let (number, listed, since) = (entry.number, core.listed, core.since);
         (ListEntry { server: entry.server, number, listed, since }, replaced_link)
     }
--- a/crates/edge/src/edge/takeover.rs
+++ b/crates/edge/src/edge/takeover.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
-use lotussaddle_trunk::{Dial, End, Frame, NotTaken};
+use lotussaddle_trunk::{DeclineReason, Dial, DialogueEnd, Frame};
 
 use super::{Edge, NO_LAUNCH};
 use crate::held::{Deferred, Held, Stage};
@@ -39,8 +39,8 @@
                 let mut hands = self.hands(wires);
                 hands.conclude(id);
                 hands.state.counts.declined += 1;
-                let why = NotTaken::Concluded;
-                hands.say(caller, Frame::Declined { dialogue: id.clone(), why, come_back: None });
+                let why = DeclineReason::Concluded;
+                hands.say(caller, Frame::Declined { dialogue: id.clone(), why, retry_after: None });
             }
             Found::Unsure { come_back } => self.decline_sought(id, come_back, wires),
         }
@@ -67,7 +67,8 @@
         let mut hands = self.hands(wires);
         if let Some(held) = hands.drop_held(id) {
             hands.state.counts.unsure += 1;
-            let frame = Frame::Declined { dialogue: id.clone(), why: NotTaken::Unsure, come_back };
+            let frame =
+                Frame::Declined { dialogue: id.clone(), why: DeclineReason::Unsure, retry_after: come_back };
             hands.say(held.link, frame);
         }
     }
@@ -95,7 +96,8 @@
         }
         if let Some(link) = waits {
             self.state.counts.unsure += 1;
-            let frame = Frame::Declined { dialogue: id.clone(), why: NotTaken::Unsure, come_back: None };
+            let frame =
+                Frame::Declined { dialogue: id.clone(), why: DeclineReason::Unsure, retry_after: None };
             self.hands(wires).say(link, frame);
         }
         // It is not concluded as far as its caller is concerned, who may yet dial it here again.
@@ -116,7 +118,7 @@
         self.state.counts.replaced += 1;
         let mut hands = self.hands(wires);
         if let (Some(held), true, Stage::Standing { .. }) = (hands.drop_held(id), told, at) {
-            hands.say(held.link, Frame::Over { dialogue: id.clone(), end: End::Cut });
+            hands.say(held.link, Frame::Over { dialogue: id.clone(), end: DialogueEnd::Cut });
         }
     }
 
--- a/crates/edge/src/edge/timers.rs
+++ b/crates/edge/src/edge/timers.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::{DialogueId, LaunchNo, LoadReport, Outcome, TimerId};
-use lotussaddle_trunk::End;
+use lotussaddle_trunk::DialogueEnd;
 
 use super::Edge;
 use crate::hands::Hands;
@@ -85,7 +85,15 @@
                 self.decide(&dial, wires);
             }
             Stage::Releasing { server, launch: out, link, .. } if out == launch => {
-                self.standing_ended(id, launch, &server, link, End::Released, LoadReport::default(), wires);
+                self.standing_ended(
+                    id,
+                    launch,
+                    &server,
+                    link,
+                    DialogueEnd::Released,
+                    LoadReport::default(),
+                    wires,
+                );
             }
             _ => {}
         }
--- a/crates/edge/src/hands.rs
+++ b/crates/edge/src/hands.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::*;
-use lotussaddle_trunk::{End, Frame, Launch, Message};
+use lotussaddle_trunk::{DialogueEnd, Frame, Launch, Message};
 
 use crate::held::{Concluded, Counts, Deadlines, Deferred, Held, Limits, Pending, Stage};
 use crate::links::{CoreServer, Link, Peer};
@@ -264,7 +264,7 @@
         if let Some((link, _)) = self.conclude(id) {
             self.wires.record(id, Step::Over);
             self.flush(id);
-            self.say(link, Frame::Over { dialogue: id.clone(), end: End::Cut });
+            self.say(link, Frame::Over { dialogue: id.clone(), end: DialogueEnd::Cut });
         }
     }
 }
@@ -299,7 +299,7 @@
                 to,
                 dialogue,
                 LaunchNo(0),
-                Frame::Refused { dialogue: dialogue.clone(), come_back }.into(),
+                Frame::Refused { dialogue: dialogue.clone(), retry_after: come_back }.into(),
             );
         }
     }
--- a/crates/edge/src/numbers.rs
+++ b/crates/edge/src/numbers.rs
@@ -144,7 +144,7 @@
             return Some((arrival, Err(Refusal::NoTenant)));
         };
         let (mut analysis, step) =
-            Analysis::begin(tables, dial.tenant, dialled, self.wall(now), dial.lot(), false);
+            Analysis::begin(tables, dial.tenant, dialled, self.wall(now), dial.sharing_hash(), false);
         let own = (dial.product, dial.width);
         let Step::Ask { number, late, within } = step else { return Some((arrival, self.out(own, step))) };
         let patience = Patience {
@@ -350,7 +350,7 @@
             text.into()
         };
         let name = name.map(|name| short(name.into()));
-        self.said.push(Frame::Tabled { serial, in_force, name, why: why.map(short) });
+        self.said.push(Frame::TablesResult { serial, in_force, name, why: why.map(short) });
     }
 
     pub fn take_said(&mut self) -> Vec<Frame> {
--- a/crates/edge/tests/hard_cases.rs
+++ b/crates/edge/tests/hard_cases.rs
@@ -145,7 +145,14 @@
 fn entry(name: &str, address: &str, listed: Listed, life: u64) -> Entry {
     let number = ServerNumber(i64::from(name.as_bytes()[0] - b'a'));
     let age = if life > 0 { ms(50) } else { Duration::ZERO };
-    Entry { server: ServerId(Arc::from(name)), number, address: Arc::from(address), listed, life, age }
+    Entry {
+        server: ServerId(Arc::from(name)),
+        number,
+        address: Arc::from(address),
+        state: listed,
+        incarnation: life,
+        age,
+    }
 }
 
 fn dial(name: &str, first_choice: i64, time_left: u64) -> Dial {
@@ -157,9 +164,9 @@
         first_choice: ServerNumber(first_choice),
         width: 1.0,
         time_left: ms(time_left),
-        again: false,
-        came_back: false,
-        repeat: false,
+        is_retry: false,
+        redialled_after_cut: false,
+        is_repeat: false,
         sent_at: None,
         try_of: None,
         dialled: None,
@@ -189,7 +196,7 @@
         self.hears(list, hello(Role::List, "list"));
         let entries = servers.chars().map(|c| c.to_string());
         let entries = entries.map(|name| entry(&name, &name, Listed::Active, 0)).collect();
-        self.hears(list, Frame::List { whole: true, entries });
+        self.hears(list, Frame::List { is_complete: true, entries });
         for name in servers.chars() {
             self.core_up(&name.to_string());
         }
@@ -251,7 +258,7 @@
         self.core_says(server, Frame::Stood { dialogue: id(name), launch: LaunchNo(launch), report })
     }
 
-    fn ended(&mut self, server: &str, name: &str, launch: u32, end: End) -> &mut Self {
+    fn ended(&mut self, server: &str, name: &str, launch: u32, end: DialogueEnd) -> &mut Self {
         let report = LoadReport::default();
         self.core_says(server, Frame::Ended { dialogue: id(name), launch: LaunchNo(launch), end, report })
     }
@@ -263,7 +270,7 @@
 
     fn lists(&mut self, whole: bool, entries: Vec<Entry>) -> &mut Self {
         let list = self.link_to("list");
-        self.hears(list, Frame::List { whole, entries })
+        self.hears(list, Frame::List { is_complete: whole, entries })
     }
 
     fn trace(&self) -> &str {
@@ -275,7 +282,7 @@
 fn a_dialogue_from_dial_to_release() {
     let mut b = Bench::new("ab");
     b.dials(100, "d1", 1).at(40).stood("b", "d1", 0).at(900).hangs_up(100, "d1").at(910);
-    b.ended("b", "d1", 0, End::Released).at(1500);
+    b.ended("b", "d1", 0, DialogueEnd::Released).at(1500);
     assert_snapshot!(b.trace());
     assert_eq!(b.edge.sizes().0, 0, "nothing is held of it");
 }
@@ -293,7 +300,7 @@
 fn a_caller_hangs_up_while_its_launch_is_out() {
     let mut b = Bench::new("a");
     b.dials(100, "d1", 0).at(30).hangs_up(100, "d1").at(35).stood("a", "d1", 0).at(40);
-    b.ended("a", "d1", 0, End::Released).at(2000);
+    b.ended("a", "d1", 0, DialogueEnd::Released).at(2000);
     assert_snapshot!(b.trace());
     assert_eq!(b.edge.sizes().0, 0);
 }
@@ -328,7 +335,7 @@
 fn an_id_dialled_twice_on_one_link_is_one_dialogue() {
     let mut b = Bench::new("a");
     b.dials(100, "d1", 0).at(20).dials(100, "d1", 0).at(30).stood("a", "d1", 0).at(40).dials(100, "d1", 0);
-    b.at(50).hangs_up(100, "d1").ended("a", "d1", 0, End::Released).at(60).dials(100, "d1", 0).at(70);
+    b.at(50).hangs_up(100, "d1").ended("a", "d1", 0, DialogueEnd::Released).at(60).dials(100, "d1", 0).at(70);
     assert_snapshot!(b.trace());
 }
 
@@ -493,7 +500,7 @@
     assert!(stood > 9_000, "{stood} of 10,000 stand");
     b.loses(LinkId(100));
     for n in 0..10_000 {
-        b.ended("a", &format!("d{n}"), 0, End::Released);
+        b.ended("a", &format!("d{n}"), 0, DialogueEnd::Released);
     }
     assert_eq!(b.edge.sizes().0, 0);
 }
@@ -554,7 +561,7 @@
 fn a_caller_that_hangs_up_while_its_answer_waits_gets_none() {
     let mut b = Bench::recording("a");
     b.dials(100, "d1", 0).at(30).stood("a", "d1", 0).at(31).hangs_up(100, "d1").recorded(1).at(60);
-    b.ended("a", "d1", 0, End::Released);
+    b.ended("a", "d1", 0, DialogueEnd::Released);
     assert_snapshot!(b.trace());
     assert_eq!(b.edge.sizes().0, 0);
 }
@@ -606,7 +613,7 @@
     assert!(!b.trace.closed.contains(&former), "d1 stands there");
     b.hears(former, Frame::Pong { nonce: 0 }).hangs_up(100, "d1");
     let (dialogue, launch, report) = (id("d1"), LaunchNo(0), LoadReport::default());
-    b.hears(former, Frame::Ended { dialogue, launch, end: End::Released, report });
+    b.hears(former, Frame::Ended { dialogue, launch, end: DialogueEnd::Released, report });
     b.at(1500);
     assert!(b.trace.closed.contains(&former), "nobody is there any more");
 }
@@ -632,7 +639,7 @@
     b.at(0);
     let list = b.link_to("list");
     b.edge.admitted(ms(0), list, &mut b.trace);
-    b.hears(list, Frame::List { whole: true, entries: vec![entry("a", "a", Listed::Active, 0)] });
+    b.hears(list, Frame::List { is_complete: true, entries: vec![entry("a", "a", Listed::Active, 0)] });
     b.edge.linked(ms(0), LinkId(100), &mut b.trace);
     b.edge.admitted(ms(0), LinkId(100), &mut b.trace);
     b.trace.quiet = false;
@@ -676,12 +683,12 @@
     b.edge.launch_came_to(at(&b), link, &id("d1"), LaunchNo(0), Outcome::NotSent, report(), &mut b.trace);
     assert_eq!(b.edge.counts().launches, 2, "what never left goes again at once: {}", b.trace());
     assert!(
-        !b.edge.over(at(&b), link, &id("d1"), End::Released, report(), &mut b.trace),
+        !b.edge.over(at(&b), link, &id("d1"), DialogueEnd::Released, report(), &mut b.trace),
         "it does not stand"
     );
     b.stood("a", "d1", 1).at(500);
-    assert!(!b.edge.over(at(&b), LinkId(9), &id("d1"), End::Cut, report(), &mut b.trace));
-    assert!(b.edge.over(at(&b), link, &id("d1"), End::Cut, report(), &mut b.trace));
+    assert!(!b.edge.over(at(&b), LinkId(9), &id("d1"), DialogueEnd::Cut, report(), &mut b.trace));
+    assert!(b.edge.over(at(&b), link, &id("d1"), DialogueEnd::Cut, report(), &mut b.trace));
     assert!(b.trace().ends_with("to 100: d1 over: Cut\n"), "{}", b.trace());
     assert_eq!((b.edge.sizes().0, b.edge.traces()), (0, 0));
 }
@@ -700,7 +707,7 @@
     assert_eq!((b.trace(), b.edge.sizes().0, b.edge.held_on(link)), ("", 1, 1));
     b.hangs_up(100, "d1");
     assert!(b.trace().contains("release d1"), "{}", b.trace());
-    b.edge.over(ms(b.trace.now), link, &id("d1"), End::Released, LoadReport::default(), &mut b.trace);
+    b.edge.over(ms(b.trace.now), link, &id("d1"), DialogueEnd::Released, LoadReport::default(), &mut b.trace);
     assert_eq!((b.edge.sizes().0, b.edge.traces()), (0, 0));
     // With its server lost it is cut like any other.
     assert!(there(&mut b, "d3", "a"));
@@ -722,7 +729,7 @@
     }
 
     fn repeats(&mut self, link: u64, name: &str) -> &mut Self {
-        self.hears(LinkId(link), Frame::Dial(Dial { repeat: true, ..dial(name, 0, 3000) }))
+        self.hears(LinkId(link), Frame::Dial(Dial { is_repeat: true, ..dial(name, 0, 3000) }))
     }
 
     fn found(&mut self, name: &str, found: Found) -> &mut Self {
@@ -740,7 +747,7 @@
 fn a_launch_waits_until_it_is_kept_and_each_step_is_told() {
     let mut b = Bench::kept("ab", false);
     b.dials(100, "d1", 0).at(15).recorded(2).at(30).stood("a", "d1", 0).recorded(3).at(40);
-    b.hangs_up(100, "d1").ended("a", "d1", 0, End::Released);
+    b.hangs_up(100, "d1").ended("a", "d1", 0, DialogueEnd::Released);
     assert_snapshot!(b.trace());
     assert_eq!((b.edge.sizes().0, b.edge.traces()), (0, 0));
 }
@@ -820,13 +827,13 @@
     assert!(!b.trace().contains("record"), "{}", b.trace());
     b.at(221);
     assert!(b.trace().contains("220 record 1: d1 to a no 0"), "{}", b.trace());
-    let mut b = dialled(Found::Answered(Frame::Refused { dialogue: id("d1"), come_back: None }));
+    let mut b = dialled(Found::Answered(Frame::Refused { dialogue: id("d1"), retry_after: None }));
     assert!(b.trace().ends_with("to 100: d1 refused\n"), "{}", b.trace());
     b.dials(100, "d1", 0);
     assert!(b.trace().ends_with("d1 declined: Concluded\n"), "{}", b.trace());
     let mut b = dialled(Found::Stands { server: ServerId(Arc::from("a")), launch: LaunchNo(3) });
     assert!(b.trace().ends_with("to 100: d1 stands at a\n"), "{}", b.trace());
-    b.hangs_up(100, "d1").ended("a", "d1", 3, End::Released);
+    b.hangs_up(100, "d1").ended("a", "d1", 3, DialogueEnd::Released);
     assert!(b.trace().contains("release d1 no 3"), "{}", b.trace());
     assert_eq!((b.edge.sizes().0, b.edge.traces()), (0, 0));
     let b = dialled(Found::Concluded);
@@ -861,7 +868,12 @@
 #[test]
 fn a_repeat_that_nobody_can_be_asked_about_is_a_dial_like_any_other() {
     let mut b = Bench::new("a");
-    b.repeats(100, "d1").at(20).stood("a", "d1", 0).hangs_up(100, "d1").ended("a", "d1", 0, End::Released);
+    b.repeats(100, "d1").at(20).stood("a", "d1", 0).hangs_up(100, "d1").ended(
+        "a",
+        "d1",
+        0,
+        DialogueEnd::Released,
+    );
     b.at(30).repeats(100, "d1").dials(100, "d1", 0);
     assert!(b.trace().contains("launch d1 no 0") && b.trace().ends_with("d1 declined: Concluded\n"));
     assert_eq!(b.trace().matches("declined: Concluded").count(), 2, "{}", b.trace());
--- a/crates/edge/tests/numbers.rs
+++ b/crates/edge/tests/numbers.rs
@@ -137,9 +137,9 @@
         first_choice: ServerNumber(0),
         width: 1.0,
         time_left: ms(time_left),
-        again: false,
-        came_back: false,
-        repeat: false,
+        is_retry: false,
+        redialled_after_cut: false,
+        is_repeat: false,
         sent_at: None,
         try_of: None,
         dialled: Some(number.into()),
@@ -170,11 +170,11 @@
             server: ServerId(Arc::from(format!("core-{n}"))),
             number: ServerNumber(n),
             address: Arc::from(format!("core-{n}")),
-            listed: Listed::Active,
-            life: 0,
+            state: Listed::Active,
+            incarnation: 0,
             age: Duration::ZERO,
         });
-        bench.hears(list, Frame::List { whole: true, entries: entries.collect() });
+        bench.hears(list, Frame::List { is_complete: true, entries: entries.collect() });
         for n in 0..4 {
             let name = format!("core-{n}");
             let link = bench.link_to(&name);
@@ -265,7 +265,7 @@
 
     fn tabled(&self) -> Vec<(u64, u64, String)> {
         let tabled = self.trace.said.iter().filter_map(|(_, frame)| match frame {
-            Frame::Tabled { serial, in_force, why, .. } => {
+            Frame::TablesResult { serial, in_force, why, .. } => {
                 Some((*serial, *in_force, why.as_deref().unwrap_or("done").to_string()))
             }
             _ => None,
@@ -381,7 +381,7 @@
                             // The first launch is turned back, and another comes.
                             let (far, sent) = b.launches("d1").last().expect("it is launched by now").clone();
                             let link = b.link_to(&far);
-                            let (report, cause) = (LoadReport::default(), Cause::Processor);
+                            let (report, cause) = (LoadReport::default(), TurnBackCause::Processor);
                             let (dialogue, no) = (id("d1"), sent.launch);
                             b.hears(link, Frame::TurnedBack { dialogue, launch: no, cause, report });
                             launch = Some(sent);
@@ -458,7 +458,7 @@
 fn without_tables_a_number_is_declined_and_a_broken_one_changes_nothing() {
     let mut b = Bench::without_tables();
     b.dials("d1", "089333");
-    assert!(matches!(b.said_of("d1")[..], [Frame::Declined { why: NotTaken::NotReady, .. }]));
+    assert!(matches!(b.said_of("d1")[..], [Frame::Declined { why: DeclineReason::NotReady, .. }]));
     b.swaps(1, "way \"broken\" { }", 0);
     assert_eq!(b.tabled().last().unwrap().2, "generation way \"broken\" { } is not staged");
     b.swaps(5, "new", 0).dials("d2", "089333");
--- a/crates/edge/tests/stages.rs
+++ b/crates/edge/tests/stages.rs
@@ -314,12 +314,12 @@
             server: ServerId(Arc::from(name)),
             number: ServerNumber(number),
             address: Arc::from(name),
-            listed,
-            life: 0,
+            state: listed,
+            incarnation: 0,
             age: Duration::ZERO,
         };
         let entries = [(0, "a"), (1, "b")].map(entry).to_vec();
-        self.heard(self.net.list.expect("it is up"), Frame::List { whole: true, entries });
+        self.heard(self.net.list.expect("it is up"), Frame::List { is_complete: true, entries });
     }
 
     fn edge(&mut self, input: impl FnOnce(&mut Edge, Duration, &mut Net)) {
@@ -351,9 +351,9 @@
             first_choice: ServerNumber(0),
             width: 1.0,
             time_left,
-            again: false,
-            came_back: false,
-            repeat: false,
+            is_retry: false,
+            redialled_after_cut: false,
+            is_repeat: false,
             sent_at: None,
             try_of: None,
             dialled: None,
--- a/crates/fleet/benches/copies.rs
+++ b/crates/fleet/benches/copies.rs
@@ -6,7 +6,7 @@
 
 use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
 use lotussaddle_replica::{Book, Bounds, Differing, Group};
-use lotussaddle_trunk::{Answer, Decoder, Frame, Message, Peer, Reached};
+use lotussaddle_trunk::{Answer, Decoder, Frame, Message, PeerMessage, Progress};
 
 const FORGET: Duration = Duration::from_secs(3600);
 
@@ -29,7 +29,7 @@
     let mut book = book(0);
     let server = ServerId(Arc::from("core-0"));
     for n in 0..count {
-        let reached = Reached::Stands { server: server.clone(), launch: LaunchNo(0) };
+        let reached = Progress::Stands { server: server.clone(), launch: LaunchNo(0) };
         let answer = Answer::Stands { server: server.clone() };
         book.write(Duration::ZERO, &id(n), reached, Duration::ZERO, Some(&answer), Duration::ZERO, None);
     }
@@ -47,8 +47,8 @@
     let mut bytes = Vec::new();
     Message::from(frame).encode(&mut bytes);
     let mut decoder = Decoder::default();
-    decoder.take(&bytes);
-    (decoder.frame().expect("whole").expect("right").frame, bytes.len())
+    decoder.feed(&bytes);
+    (decoder.next_frame().expect("whole").expect("right").frame, bytes.len())
 }
 
 fn catch_up(from: &Book, to: &mut Book) -> (usize, usize) {
@@ -57,9 +57,15 @@
         let (copies, next) = from.piece(Duration::ZERO, 1, cursor);
         // In frames of the usual length.
         for part in copies.chunks(256) {
-            let frame = Frame::Peer(Peer::Copies { life: 1, first: 0, copies: part.to_vec() });
+            let frame = Frame::PeerMessage(PeerMessage::Replicas {
+                incarnation: 1,
+                first: 0,
+                replicas: part.to_vec(),
+            });
             let (frame, length) = over_the_wire(frame);
-            let Frame::Peer(Peer::Copies { copies, .. }) = frame else { unreachable!("as it was sent") };
+            let Frame::PeerMessage(PeerMessage::Replicas { replicas: copies, .. }) = frame else {
+                unreachable!("as it was sent")
+            };
             to.take(Duration::ZERO, &copies);
             bytes += length;
         }
@@ -84,21 +90,40 @@
             let (listener, speaker) = if by_a { (&mut *b, 0) } else { (&mut *a, 1) };
             match differing {
                 Differing::Below(level, from, sums) => {
-                    bytes += over_the_wire(Frame::Peer(Peer::Sums { level, from, sums: sums.clone() })).1;
+                    bytes += over_the_wire(Frame::PeerMessage(PeerMessage::RangeDigests {
+                        level,
+                        from,
+                        digests: sums.clone(),
+                    }))
+                    .1;
                     let found = listener.compare(speaker, level, from, &sums);
                     next.extend(found.into_iter().map(|differing| (!by_a, differing)));
                 }
                 Differing::Range(range, prints) => {
-                    let frame = Frame::Peer(Peer::Prints { range, prints: prints.clone() });
+                    let frame = Frame::PeerMessage(PeerMessage::DialogueDigests {
+                        range,
+                        fingerprints: prints.clone(),
+                    });
                     bytes += over_the_wire(frame).1;
                     let repair = listener.look(now, speaker, 1 << 24 | u64::from(speaker), range, &prints);
                     let wanted = {
-                        bytes += over_the_wire(Frame::Peer(Peer::Want { ids: repair.want.clone() })).1;
+                        bytes += over_the_wire(Frame::PeerMessage(PeerMessage::RequestReplicas {
+                            id_hashes: repair.want.clone(),
+                        }))
+                        .1;
                         if by_a { a.wanted(now, 1, &repair.want) } else { b.wanted(now, 0, &repair.want) }
                     };
                     mended += wanted.len() + repair.send.len();
-                    let to_listener = Frame::Peer(Peer::Copies { life: 1, first: 0, copies: wanted.clone() });
-                    let back = Frame::Peer(Peer::Copies { life: 1, first: 0, copies: repair.send.clone() });
+                    let to_listener = Frame::PeerMessage(PeerMessage::Replicas {
+                        incarnation: 1,
+                        first: 0,
+                        replicas: wanted.clone(),
+                    });
+                    let back = Frame::PeerMessage(PeerMessage::Replicas {
+                        incarnation: 1,
+                        first: 0,
+                        replicas: repair.send.clone(),
+                    });
                     bytes += over_the_wire(to_listener).1 + over_the_wire(back).1;
                     let (listener, speaker) = if by_a { (&mut *b, &mut *a) } else { (&mut *a, &mut *b) };
                     listener.take(now, &wanted);
@@ -132,7 +157,15 @@
         let mut b = book(1);
         catch_up(&a, &mut b);
         for n in 0..differ {
-            a.write(Duration::ZERO, &id(n * 997), Reached::Over, Duration::ZERO, None, Duration::ZERO, None);
+            a.write(
+                Duration::ZERO,
+                &id(n * 997),
+                Progress::Ended,
+                Duration::ZERO,
+                None,
+                Duration::ZERO,
+                None,
+            );
         }
         let begun = Instant::now();
         let (bytes, rounds, mended) = compare(&mut a, &mut b);
--- a/crates/fleet/src/duties.rs
+++ b/crates/fleet/src/duties.rs
@@ -9,7 +9,7 @@
 use lotussaddle::interface::ServerId;
 use lotussaddle_lease::{self as lease, Fence, Kept, Lease, NOBODY, Number, Out, Seat, Word};
 use lotussaddle_replica::{Group, digest};
-use lotussaddle_trunk::{Act, TablesOrder};
+use lotussaddle_trunk::{DutyAction, TablesOrder};
 use serde_json::{Value, json};
 
 use crate::lives::start_of;
@@ -97,11 +97,11 @@
 }
 
 /// What the duties of this member ask to be done.
-pub(crate) enum DutyAction {
+pub(crate) enum DutyEffect {
     Say(u16, Vec<u8>),
     /// Kept on disk under this number.
     Keep(u64, Vec<u8>),
-    Check(Act, ServerId),
+    Check(DutyAction, ServerId),
     Log(String),
 }
 
@@ -114,7 +114,7 @@
     fence: Fence,
     circuits: Circuits,
     publish: Publish,
-    checks: Vec<DutyAction>,
+    checks: Vec<DutyEffect>,
     /// Since when duties are held here.
     since: BTreeMap<Duty, Duration>,
     events: VecDeque<(Duration, String)>,
@@ -157,9 +157,9 @@
     }
 
     /// Under which act a duty may be done now; none: it is not this member's.
-    pub fn act(&self, now: Duration, duty: Duty) -> Option<Act> {
+    pub fn act(&self, now: Duration, duty: Duty) -> Option<DutyAction> {
         let number = self.lease.holds(now, duty)?;
-        Some(Act { duty: duty.0, number: number.0, member: self.me, life: self.life })
+        Some(DutyAction { duty: duty.0, fencing_token: number.0, member: self.me, incarnation: self.life })
     }
 
     /// A word came from a member; false: it cannot be read.
@@ -173,9 +173,9 @@
     ///
     /// # Errors
     /// It is not to be done, since this number was seen.
-    pub fn admits(&mut self, act: &Act) -> Result<bool, u64> {
-        let (duty, number) = (Duty(act.duty), Number(act.number));
-        self.fence.admits(duty, number, act.member, act.life).map_err(|refused| refused.highest.0)
+    pub fn admits(&mut self, act: &DutyAction) -> Result<bool, u64> {
+        let (duty, number) = (Duty(act.duty), Number(act.fencing_token));
+        self.fence.admits(duty, number, act.member, act.incarnation).map_err(|refused| refused.highest.0)
     }
 
     /// What is kept of numbers that were seen.
@@ -234,7 +234,7 @@
         if let Some(act) = self.act(now, CIRCUITS)
             && let Some((Step::Check(server), mark)) = self.circuits.step(now, cores)
         {
-            self.checks.push(DutyAction::Check(act, server));
+            self.checks.push(DutyEffect::Check(act, server));
             self.lease.mark(now, CIRCUITS, mark);
         }
     }
@@ -256,7 +256,7 @@
     /// Orders to members, where `publish` is held here and something is due; `heard` gives those that are heard.
     pub fn publishes(
         &mut self, now: Duration, heard: impl Fn() -> Vec<(u16, u64)>,
-    ) -> Vec<(u16, Act, u64, TablesOrder)> {
+    ) -> Vec<(u16, DutyAction, u64, TablesOrder)> {
         let due = self.publish.next_due().is_some_and(|due| due <= now);
         let Some(act) = self.act(now, PUBLISH).filter(|_| due) else { return Vec::new() };
         let mut orders = Vec::new();
@@ -275,17 +275,17 @@
     }
 
     /// What has come of all inputs since it was asked last.
-    pub fn outs(&mut self, now: Duration) -> Vec<DutyAction> {
+    pub fn outs(&mut self, now: Duration) -> Vec<DutyEffect> {
         let mut actions = std::mem::take(&mut self.checks);
         for out in self.lease.outs() {
             match out {
                 Out::Say(to, word) => {
                     let word = postcard::to_allocvec(&word).expect("words are plain");
-                    actions.push(DutyAction::Say(to, word));
+                    actions.push(DutyEffect::Say(to, word));
                 }
                 Out::Keep(number, kept) => {
                     let kept = postcard::to_allocvec(&kept).expect("votes and tables are plain");
-                    actions.push(DutyAction::Keep(number, kept));
+                    actions.push(DutyEffect::Keep(number, kept));
                 }
                 Out::Began(duty, number, mark) => {
                     self.since.insert(duty, now);
@@ -296,7 +296,7 @@
                     }
                     let line = format!("duty {} is held here, number {}", name_of(duty), number.0);
                     self.note(now, line.clone());
-                    actions.push(DutyAction::Log(line));
+                    actions.push(DutyEffect::Log(line));
                 }
                 Out::Lost(duty, number, why) => {
                     self.since.remove(&duty);
@@ -308,13 +308,13 @@
                     let line =
                         format!("duty {} is held here no more, number {}: {why}", name_of(duty), number.0);
                     self.note(now, line.clone());
-                    actions.push(DutyAction::Log(line));
+                    actions.push(DutyEffect::Log(line));
                 }
                 Out::Marked(duty, _) if duty == PUBLISH => self.publish.marked(now),
                 Out::Marked(..) => {}
                 Out::Log(line) => {
                     self.note(now, line.clone());
-                    actions.push(DutyAction::Log(format!("duties: {line}")));
+                    actions.push(DutyEffect::Log(format!("duties: {line}")));
                 }
             }
         }
--- a/crates/fleet/src/link_liveness.rs
+++ b/crates/fleet/src/link_liveness.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use lotussaddle_trunk::{Frame, Peer};
+use lotussaddle_trunk::{Frame, PeerMessage};
 
 /// What is to be done about a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,14 +57,14 @@
 fn is_answer(frame: &Frame) -> bool {
     match frame {
         Frame::Pong { .. } => true,
-        Frame::Peer(peer) => matches!(
+        Frame::PeerMessage(peer) => matches!(
             peer,
-            Peer::Kept { .. }
-                | Peer::Know { .. }
-                | Peer::Life { .. }
-                | Peer::Published { .. }
-                | Peer::Fenced { .. }
-                | Peer::Tell { .. }
+            PeerMessage::Acknowledge { .. }
+                | PeerMessage::AskReply { .. }
+                | PeerMessage::IncarnationReply { .. }
+                | PeerMessage::Published { .. }
+                | PeerMessage::Fenced { .. }
+                | PeerMessage::InquireReply { .. }
         ),
         _ => false,
     }
--- a/crates/fleet/src/member/confirmations.rs
+++ b/crates/fleet/src/member/confirmations.rs
@@ -5,7 +5,7 @@
 
 use lotussaddle::interface::DialogueId;
 use lotussaddle_replica::Copy;
-use lotussaddle_trunk::{Answer, Reached};
+use lotussaddle_trunk::{Answer, Progress};
 
 use super::Member;
 use super::interface::Finding;
@@ -71,10 +71,10 @@
         let (reached, answer) = match &verdict {
             Verdict::Stands { server, launch } => {
                 let stands = Answer::Stands { server: server.clone() };
-                (Reached::Stands { server: server.clone(), launch: *launch }, Some(stands))
+                (Progress::Stands { server: server.clone(), launch: *launch }, Some(stands))
             }
-            Verdict::Answered(answer) => (Reached::Over, Some(answer.clone())),
-            Verdict::Concluded => (Reached::Over, None),
+            Verdict::Answered(answer) => (Progress::Ended, Some(answer.clone())),
+            Verdict::Concluded => (Progress::Ended, None),
             Verdict::Free { .. } | Verdict::Unsure { .. } => {
                 return self.findings.push(Finding::Found(id, verdict));
             }
--- a/crates/fleet/src/member/core_servers.rs
+++ b/crates/fleet/src/member/core_servers.rs
@@ -5,7 +5,7 @@
 
 use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
 use lotussaddle_replica::Copy;
-use lotussaddle_trunk::{Audit, Frame, HeldLine, Reached};
+use lotussaddle_trunk::{AuditMessage, Frame, HeldLine, Progress};
 
 use super::Member;
 use super::interface::{Effects, Finding};
@@ -34,22 +34,25 @@
 
     /// A core server speaks of whose dialogues are; `held` tells what this member's edge proxy has standing.
     pub fn core_said(
-        &mut self, now: Duration, server: &ServerId, audit: Audit, held: &dyn Fn(&DialogueId) -> bool,
+        &mut self, now: Duration, server: &ServerId, audit: AuditMessage, held: &dyn Fn(&DialogueId) -> bool,
         effects: &mut dyn Effects,
     ) {
         self.now = now;
         match audit {
-            Audit::Holds { serial, more, lines } => {
+            AuditMessage::Lines { serial, more, lines } => {
                 // Where all peers have forgotten a life, core servers still know of it.
                 let ours = lines.iter().map(|line| line.owner).filter(|owner| owner.member == self.plan.me);
-                if self.lives.witnessed(ours.map(|owner| owner.life).max().unwrap_or_default()) {
+                if self.lives.witnessed(ours.map(|owner| owner.incarnation).max().unwrap_or_default()) {
                     return self.overtaken(effects);
                 }
                 let (me, book) = (self.plan.me, &self.book);
                 let kept: BTreeSet<DialogueId> =
                     lines.iter().map(|line| line.dialogue.clone()).filter(|id| self.is_coming(id)).collect();
                 let whose = |line: &HeldLine| {
-                    if line.owner.member == me && line.owner.life == book.life() && held(&line.dialogue) {
+                    if line.owner.member == me
+                        && line.owner.incarnation == book.life()
+                        && held(&line.dialogue)
+                    {
                         return LineOf::Held;
                     }
                     let owner = book.get(&line.dialogue).and_then(Copy::owner);
@@ -64,23 +67,23 @@
                     self.do_takeover_actions(actions);
                 }
             }
-            Audit::Adopted { dialogue, owner, launch, by } => {
+            AuditMessage::Adopted { dialogue, owner, launch, by } => {
                 let launch = launch.map(LaunchNo);
                 let actions = self.redials.adopted(&dialogue, server, owner, launch, by);
                 self.do_redial_actions(actions);
                 let actions = self.takeovers.adopted(now, &dialogue, server, owner, launch, by);
                 self.do_takeover_actions(actions);
             }
-            Audit::Moved { dialogue, by, .. } => {
+            AuditMessage::Moved { dialogue, by, .. } => {
                 self.book.replaced(now, &dialogue, by);
                 self.takeovers.drop_of(&dialogue);
                 self.findings.push(Finding::Replaced(dialogue));
             }
-            Audit::Fenced { dialogue, duty, highest } => {
+            AuditMessage::Fenced { dialogue, duty, highest } => {
                 self.takeovers.drop_of(&dialogue);
                 self.duties.iter_mut().for_each(|duties| duties.refused(now, duty, highest));
             }
-            Audit::What { .. } | Audit::Adopt { .. } => {}
+            AuditMessage::ListLines { .. } | AuditMessage::Adopt { .. } => {}
         }
     }
 
@@ -97,11 +100,11 @@
     pub fn unreached(&mut self, now: Duration, frame: &Frame) {
         self.now = now;
         match frame {
-            Frame::Audit(Audit::Adopt { dialogue, .. }) => {
+            Frame::AuditMessage(AuditMessage::Adopt { dialogue, .. }) => {
                 let actions = self.redials.unreached(dialogue);
                 self.do_redial_actions(actions); // A successor asks again by itself.
             }
-            Frame::Audit(Audit::What { serial, .. }) => self.takeovers.unasked(*serial),
+            Frame::AuditMessage(AuditMessage::ListLines { serial, .. }) => self.takeovers.unasked(*serial),
             _ => {}
         }
     }
@@ -118,13 +121,15 @@
                         continue;
                     }
                     self.takeovers.let_go(self.now, &server);
-                    self.findings
-                        .push(Finding::ToCore(server, Frame::Audit(Audit::Adopt { dialogue, owner, act })));
+                    self.findings.push(Finding::ToCore(
+                        server,
+                        Frame::AuditMessage(AuditMessage::Adopt { dialogue, owner, action: act }),
+                    ));
                 }
                 TakeoverAction::Own { dialogue, owner, server, launch } => {
                     self.counts.taken_over += 1;
                     self.book.claim(self.now, &dialogue, owner, &Copy::default());
-                    let reached = Reached::Stands { server, launch };
+                    let reached = Progress::Stands { server, launch };
                     self.write(&dialogue, reached, Duration::ZERO, None, self.now, 0);
                 }
                 TakeoverAction::Release { server, dialogue, launch } => {
@@ -133,11 +138,11 @@
                 }
                 TakeoverAction::Over { dialogue, owner } => {
                     self.book.claim(self.now, &dialogue, owner, &Copy::default());
-                    self.write(&dialogue, Reached::Over, Duration::ZERO, None, self.now, 0);
+                    self.write(&dialogue, Progress::Ended, Duration::ZERO, None, self.now, 0);
                 }
                 TakeoverAction::What { server, serial, member, life, after } => {
-                    let what = Audit::What { serial, member, life, after };
-                    self.findings.push(Finding::ToCore(server, Frame::Audit(what)));
+                    let what = AuditMessage::ListLines { serial, member, incarnation: life, after };
+                    self.findings.push(Finding::ToCore(server, Frame::AuditMessage(what)));
                 }
             }
         }
--- a/crates/fleet/src/member/dispatch.rs
+++ b/crates/fleet/src/member/dispatch.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lotussaddle_trunk::{Frame, Peer, Replaced};
+use lotussaddle_trunk::{Frame, PeerMessage, Replaced};
 
 use super::Member;
 use super::interface::{Effects, Finding};
@@ -22,19 +22,27 @@
             Frame::Pong { .. } => {}
             Frame::Bye { why } => self.close(link, &format!("said good-bye: {why}"), effects),
             Frame::Hello(hello) if !known.greeted => self.greeted(link, &known, &hello, effects),
-            Frame::Peer(peer) if known.greeted => self.peer_said(link, &known, peer, effects),
+            Frame::PeerMessage(peer) if known.greeted => self.peer_said(link, &known, peer, effects),
             _ => self.close(link, "said what is not a member's to say", effects),
         }
     }
 
-    fn peer_said(&mut self, link: PeerLink, known: &Known, peer: Peer, effects: &mut dyn Effects) {
-        if let (Way::Operator, Peer::Inquire { what }) = (known.way, &peer) {
+    fn peer_said(&mut self, link: PeerLink, known: &Known, peer: PeerMessage, effects: &mut dyn Effects) {
+        if let (Way::Operator, PeerMessage::Inquire { query: what }) = (known.way, &peer) {
             return self.inquired(link, what, effects);
         }
         let Some(member) = known.member else {
             return self.close(link, "is no member", effects);
         };
-        if let Peer::Here { group, member: place, life, yours, saved, away } = peer {
+        if let PeerMessage::Greeting {
+            group,
+            member: place,
+            incarnation: life,
+            known_remote_incarnation: yours,
+            saved,
+            last_seen_ago: away,
+        } = peer
+        {
             return self.is_here(link, member, group, place, life, (yours, saved), away, effects);
         }
         if known.way != Way::Here {
@@ -43,17 +51,23 @@
         self.view.heard(self.now, member);
         let place = usize::from(member);
         match peer {
-            Peer::Here { .. } => {}
-            Peer::NewLife { life } => self.life_asked(link, member, life, effects),
-            Peer::Life { life, given, highest } => {
+            PeerMessage::Greeting { .. } => {}
+            PeerMessage::ProposeIncarnation { incarnation: life } => {
+                self.life_asked(link, member, life, effects)
+            }
+            PeerMessage::IncarnationReply { incarnation: life, granted: given, highest } => {
                 if let Agreed::New { life, fresh } = self.lives.answered(member, life, given, highest) {
                     self.begin_life(life, fresh && self.has_neighbour_told(), effects);
                 }
             }
-            Peer::Membership { message } => self.membership_came(link, member, &message, effects),
-            Peer::DiskCount { saved } => self.view.saved(member, saved),
-            Peer::Copies { life, first, copies } => self.copies_came(member, life, first, &copies, effects),
-            Peer::Kept { life, up_to, saved, replaced } if life == self.lives.mine() => {
+            PeerMessage::Membership { message } => self.membership_came(link, member, &message, effects),
+            PeerMessage::DiskCount { saved } => self.view.saved(member, saved),
+            PeerMessage::Replicas { incarnation: life, first, replicas: copies } => {
+                self.copies_came(member, life, first, &copies, effects)
+            }
+            PeerMessage::Acknowledge { incarnation: life, up_to, saved, replaced }
+                if life == self.lives.mine() =>
+            {
                 self.view.saved(member, saved);
                 for Replaced { dialogue, by } in replaced {
                     self.goes(&dialogue);
@@ -67,48 +81,62 @@
                 self.book.kept(member, up_to);
                 self.are_kept();
             }
-            Peer::Resume { life, have, snapshot } if life == self.lives.mine() => {
+            PeerMessage::Resume { incarnation: life, received_up_to: have, snapshot }
+                if life == self.lives.mine() =>
+            {
                 self.resume_asked(member, have, snapshot);
             }
-            Peer::Piece { life, cursor, next, copies } if life == self.view.life(member) => {
+            PeerMessage::SnapshotChunk { incarnation: life, cursor, next, replicas: copies }
+                if life == self.view.life(member) =>
+            {
                 self.piece_came(member, cursor, next, &copies, effects);
             }
-            Peer::Ask { serial, dialogue, owner } => self.asked(member, serial, dialogue, owner),
-            Peer::Know { serial, sure, higher, copy } => {
+            PeerMessage::Ask { serial, dialogue, owner } => self.asked(member, serial, dialogue, owner),
+            PeerMessage::AskReply { serial, is_authoritative: sure, higher, replica: copy } => {
                 self.told(member, serial, sure, higher, copy.as_ref());
             }
-            Peer::Sums { level, from, sums } => {
+            PeerMessage::RangeDigests { level, from, digests: sums } => {
                 self.repairs.push(member, RepairStep::Sums(level, from, sums))
             }
-            Peer::Prints { range, prints } => self.repairs.push(member, RepairStep::Prints(range, prints)),
-            Peer::Want { ids } => self.repairs.push(member, RepairStep::Want(ids)),
+            PeerMessage::DialogueDigests { range, fingerprints: prints } => {
+                self.repairs.push(member, RepairStep::Prints(range, prints))
+            }
+            PeerMessage::RequestReplicas { id_hashes: ids } => {
+                self.repairs.push(member, RepairStep::Want(ids))
+            }
             // Of another life than the one that is known: it will be said again.
-            Peer::Kept { .. } | Peer::Resume { .. } | Peer::Piece { .. } => {}
-            Peer::Duties { word } => {
+            PeerMessage::Acknowledge { .. }
+            | PeerMessage::Resume { .. }
+            | PeerMessage::SnapshotChunk { .. } => {}
+            PeerMessage::Duties { message: word } => {
                 let now = self.now;
                 if self.duties.as_mut().is_some_and(|duties| !duties.heard(now, member, &word)) {
                     self.close(link, "said what cannot be read about duties", effects);
                 }
             }
-            Peer::Check { act, server } => self.check(member, &act, &server, effects),
-            Peer::Publish { act, serial, order } => self.ordered(member, &act, serial, order, effects),
-            Peer::Published { serial, why } => {
+            PeerMessage::CheckLines { action: act, server } => self.check(member, &act, &server, effects),
+            PeerMessage::Publish { action: act, serial, order } => {
+                self.ordered(member, &act, serial, order, effects)
+            }
+            PeerMessage::Published { serial, why } => {
                 let (now, life) = (self.now, self.view.life(member));
                 if let Some(duties) = &mut self.duties {
                     duties.published(now, member, life, serial, why.as_deref());
                 }
             }
-            Peer::Wanted { name } => {
+            PeerMessage::PublishRequest { name } => {
                 let now = self.now;
                 self.duties.iter_mut().for_each(|duties| {
                     let _ = duties.want(now, &name); // Who asked sees by `fleet duties` what came of it.
                 });
             }
-            Peer::Fenced { duty, highest } => {
+            PeerMessage::Fenced { duty, highest } => {
                 let now = self.now;
                 self.duties.iter_mut().for_each(|duties| duties.refused(now, duty, highest));
             }
-            Peer::Inquire { .. } | Peer::Tell { .. } => self.close(link, "is no operator", effects),
+            PeerMessage::Inquire { .. } | PeerMessage::InquireReply { .. } => {
+                self.close(link, "is no operator", effects)
+            }
         }
         debug_assert!(place < self.incoming.len());
     }
--- a/crates/fleet/src/member/duty_acts.rs
+++ b/crates/fleet/src/member/duty_acts.rs
@@ -4,16 +4,18 @@
 
 use lotussaddle::interface::ServerId;
 use lotussaddle_lease::Duty;
-use lotussaddle_trunk::{Act, Frame, Peer};
+use lotussaddle_trunk::{DutyAction, Frame, PeerMessage};
 
 use super::Member;
 use super::interface::{Effects, Save};
 use super::saves::AfterWrite;
-use crate::duties::{Duties, DutyAction, SWEEP};
+use crate::duties::{Duties, DutyEffect, SWEEP};
 
 impl Member {
     /// The holder of `circuits` has this member look after its own lines at a core server.
-    pub(super) fn check(&mut self, member: u16, act: &Act, server: &ServerId, effects: &mut dyn Effects) {
+    pub(super) fn check(
+        &mut self, member: u16, act: &DutyAction, server: &ServerId, effects: &mut dyn Effects,
+    ) {
         let again = || AfterWrite::Check { from: member, act: *act, server: server.clone() };
         if !self.may(member, act, again, effects) {
             return;
@@ -27,12 +29,12 @@
     /// Whether an act of a duty may be done: its number is no lower than one that was seen, and where it is new it is on disk, so that
     /// this member refuses lower ones past its own restart.
     pub(super) fn may(
-        &mut self, from: u16, act: &Act, again: impl Fn() -> AfterWrite, effects: &mut dyn Effects,
+        &mut self, from: u16, act: &DutyAction, again: impl Fn() -> AfterWrite, effects: &mut dyn Effects,
     ) -> bool {
         let Some(duties) = self.duties.as_mut().filter(|_| act.member == from) else { return false };
         match duties.admits(act) {
             Err(highest) => {
-                self.to_say.push((from, Peer::Fenced { duty: act.duty, highest }));
+                self.to_say.push((from, PeerMessage::Fenced { duty: act.duty, highest }));
                 false
             }
             Ok(new) => {
@@ -68,27 +70,31 @@
             }
             for action in actions {
                 match action {
-                    DutyAction::Say(to, word) => {
+                    DutyEffect::Say(to, word) => {
                         if let Some(link) = self.peers.to(to) {
-                            self.tell(link, Frame::Peer(Peer::Duties { word }), effects);
+                            self.tell(
+                                link,
+                                Frame::PeerMessage(PeerMessage::Duties { message: word }),
+                                effects,
+                            );
                         }
                     }
-                    DutyAction::Keep(number, kept) => match self.order(vec![Save::Duties(kept)], effects) {
+                    DutyEffect::Keep(number, kept) => match self.order(vec![Save::Duties(kept)], effects) {
                         Some(order) => duties.ordered(order, number),
                         // Where there is no disk, memory is all that is promised; one that is too far behind promises nothing.
                         None => duties.kept(now, number, !self.has_disk),
                     },
-                    DutyAction::Check(act, server) => {
+                    DutyEffect::Check(act, server) => {
                         for member in (0..self.plan.members.len() as u16).filter(|member| *member != me) {
                             if let Some(link) = self.peers.to(member) {
-                                let check = Peer::Check { act, server: server.clone() };
-                                self.tell(link, Frame::Peer(check), effects);
+                                let check = PeerMessage::CheckLines { action: act, server: server.clone() };
+                                self.tell(link, Frame::PeerMessage(check), effects);
                             }
                         }
                         let action = self.takeovers.check_mine(now, &server);
                         self.do_takeover_actions(action.into_iter().collect());
                     }
-                    DutyAction::Log(line) => effects.log(&line),
+                    DutyEffect::Log(line) => effects.log(&line),
                 }
             }
         }
@@ -104,7 +110,11 @@
         let (own, others): (Vec<_>, Vec<_>) = orders.into_iter().partition(|(member, ..)| *member == me);
         for (member, act, serial, order) in others {
             if let Some(link) = self.peers.to(member) {
-                self.tell(link, Frame::Peer(Peer::Publish { act, serial, order }), effects);
+                self.tell(
+                    link,
+                    Frame::PeerMessage(PeerMessage::Publish { action: act, serial, order }),
+                    effects,
+                );
             }
         }
         for (_, act, serial, order) in own {
--- a/crates/fleet/src/member/incarnations.rs
+++ b/crates/fleet/src/member/incarnations.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lotussaddle_replica::Reading;
-use lotussaddle_trunk::{Audit, Frame, Owner, Peer};
+use lotussaddle_trunk::{AuditMessage, Frame, Owner, PeerMessage};
 
 use super::Member;
 use super::interface::{Effects, Finding, Save};
@@ -45,7 +45,11 @@
             self.order(vec![Save::Asked(life)], effects);
             for member in 0..self.plan.members.len() as u16 {
                 if let Some(link) = self.peers.to(member) {
-                    self.tell(link, Frame::Peer(Peer::NewLife { life }), effects);
+                    self.tell(
+                        link,
+                        Frame::PeerMessage(PeerMessage::ProposeIncarnation { incarnation: life }),
+                        effects,
+                    );
                 }
             }
         }
@@ -70,14 +74,30 @@
     pub(super) fn life_asked(&mut self, link: PeerLink, member: u16, life: u64, effects: &mut dyn Effects) {
         let (given, highest) = self.lives.asked(member, self.view.life(member), life);
         if !given {
-            self.tell(link, Frame::Peer(Peer::Life { life, given, highest }), effects);
+            self.tell(
+                link,
+                Frame::PeerMessage(PeerMessage::IncarnationReply {
+                    incarnation: life,
+                    granted: given,
+                    highest,
+                }),
+                effects,
+            );
             return;
         }
         // A vote is kept before it is said.
         if let Some(number) = self.order(vec![Save::Given(member, life)], effects) {
             self.writes.wait_for(number, [AfterWrite::GrantLife { link, life, highest }]);
         } else {
-            self.tell(link, Frame::Peer(Peer::Life { life, given, highest }), effects);
+            self.tell(
+                link,
+                Frame::PeerMessage(PeerMessage::IncarnationReply {
+                    incarnation: life,
+                    granted: given,
+                    highest,
+                }),
+                effects,
+            );
         }
     }
 
@@ -106,14 +126,18 @@
         // What stands goes on under this life: its core servers are told, or it would pass for what the former one left, or, where
         // it was launched before this process had a life, end with its link.
         let standing = self.book.each().filter_map(|(id, copy)| {
-            let owner = copy.owner().filter(|owner| (owner.member, owner.life) == (self.plan.me, life))?;
+            let owner =
+                copy.owner().filter(|owner| (owner.member, owner.incarnation) == (self.plan.me, life))?;
             match copy.reading() {
                 Reading::Stands { server, .. } => Some((server.clone(), id.clone(), owner)),
                 _ => None,
             }
         });
         let adopts = standing.map(|(server, dialogue, owner)| {
-            Finding::ToCore(server, Frame::Audit(Audit::Adopt { dialogue, owner, act: None }))
+            Finding::ToCore(
+                server,
+                Frame::AuditMessage(AuditMessage::Adopt { dialogue, owner, action: None }),
+            )
         });
         self.findings.extend(adopts);
         // An older copy has had fewer writes: from here on they are counted above all that were told.
@@ -172,7 +196,7 @@
         if life > 0 {
             // What it left in lives before this one is nobody's.
             let ended = life - 1;
-            if !self.takeovers.is_ended(Owner { round: 0, member, life: ended }) {
+            if !self.takeovers.is_ended(Owner { round: 0, member, incarnation: ended }) {
                 self.takeovers.ended(self.now, member, ended);
             }
         }
--- a/crates/fleet/src/member/interface.rs
+++ b/crates/fleet/src/member/interface.rs
@@ -2,7 +2,7 @@
 //! findings it reports to its edge proxy.
 
 use lotussaddle::interface::{DialogueId, ServerId};
-use lotussaddle_trunk::{CopySent, Frame, TablesOrder};
+use lotussaddle_trunk::{Frame, ReplicaUpdate, TablesOrder};
 
 use crate::peers::PeerLink;
 use crate::redial::Verdict;
@@ -20,7 +20,7 @@
     pub duties: Option<Vec<u8>>,
     /// Numbers of duties that were seen, as [`Save::Fence`] had them.
     pub fence: Option<Vec<u8>>,
-    pub copies: Vec<CopySent>,
+    pub copies: Vec<ReplicaUpdate>,
 }
 
 /// What is to be kept on disk.
--- a/crates/fleet/src/member/links.rs
+++ b/crates/fleet/src/member/links.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lotussaddle_trunk::{Frame, Hello, Peer, Role, VERSION};
+use lotussaddle_trunk::{Frame, Hello, PeerMessage, Role, VERSION};
 
 use super::Member;
 use super::interface::Effects;
@@ -58,8 +58,15 @@
         if let Some(known) = self.peers.links.get_mut(&link) {
             known.told_life = Some(life);
         }
-        let here = Peer::Here { group, member: me, life, yours, saved, away };
-        self.tell(link, Frame::Peer(here), effects);
+        let here = PeerMessage::Greeting {
+            group,
+            member: me,
+            incarnation: life,
+            known_remote_incarnation: yours,
+            saved,
+            last_seen_ago: away,
+        };
+        self.tell(link, Frame::PeerMessage(here), effects);
     }
 
     /// Closes a link that cannot take what is said: what was to be said is not lost in silence.
--- a/crates/fleet/src/member/mod.rs
+++ b/crates/fleet/src/member/mod.rs
@@ -25,7 +25,7 @@
 use lotussaddle::interface::{DialogueId, ServerId};
 use lotussaddle_chores::{Budget, Chores};
 use lotussaddle_replica::{Book, Bounds};
-use lotussaddle_trunk::{Cursor, Owner, Peer};
+use lotussaddle_trunk::{Cursor, Owner, PeerMessage};
 
 use crate::duties::Duties;
 use crate::lives::Lives;
@@ -76,9 +76,9 @@
     lets: BTreeMap<DialogueId, Vec<(u16, u64, Owner)>>,
     findings: Vec<Finding>,
     /// Said to peers at the end of the turn.
-    to_say: Vec<(u16, Peer)>,
+    to_say: Vec<(u16, PeerMessage)>,
     /// Answers to questions, each a promise: said once it is kept.
-    known: Vec<(u16, Peer)>,
+    known: Vec<(u16, PeerMessage)>,
     /// Changed in this turn, to be kept on disk.
     changed: BTreeSet<DialogueId>,
     writes: DiskWrites,
--- a/crates/fleet/src/member/own_dialogues.rs
+++ b/crates/fleet/src/member/own_dialogues.rs
@@ -4,15 +4,15 @@
 
 use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
 use lotussaddle_replica::Written;
-use lotussaddle_trunk::{Answer, Owner, Reached};
+use lotussaddle_trunk::{Answer, Owner, Progress};
 
 use super::Member;
 use super::interface::Finding;
 
 impl Member {
     pub(super) fn write(
-        &mut self, id: &DialogueId, reached: Reached, bar: Duration, answer: Option<&Answer>, base: Duration,
-        acks: usize,
+        &mut self, id: &DialogueId, reached: Progress, bar: Duration, answer: Option<&Answer>,
+        base: Duration, acks: usize,
     ) -> Option<u64> {
         self.counts.writes += 1;
         self.tickets += 1;
@@ -37,7 +37,7 @@
         self.now = now;
         // One that was asked for is this member's already.
         if !self.book.is_mine(id) || self.book.get(id).is_some_and(|copy| !copy.is_open()) {
-            self.write(id, Reached::Taken, Duration::ZERO, None, now, 0);
+            self.write(id, Progress::Accepted, Duration::ZERO, None, now, 0);
         }
     }
 
@@ -46,7 +46,7 @@
         &mut self, now: Duration, id: &DialogueId, server: &ServerId, launch: LaunchNo, until: Duration,
     ) -> Option<u64> {
         self.now = now;
-        let reached = Reached::Out { server: server.clone(), launch };
+        let reached = Progress::Launched { server: server.clone(), launch };
         let acks = self.plan.before_launch;
         self.write(id, reached, until + self.plan.release, None, until, acks)
     }
@@ -56,7 +56,7 @@
         self.now = now;
         if self.book.is_mine(id) {
             let bar = if doubt { now + self.plan.release } else { Duration::ZERO };
-            self.write(id, Reached::Taken, bar, None, now, 0);
+            self.write(id, Progress::Accepted, bar, None, now, 0);
         }
     }
 
@@ -66,8 +66,8 @@
     ) -> Option<u64> {
         self.now = now;
         let reached = match answer {
-            Answer::Stands { server } => Reached::Stands { server: server.clone(), launch },
-            _ => Reached::Over,
+            Answer::Stands { server } => Progress::Stands { server: server.clone(), launch },
+            _ => Progress::Ended,
         };
         let acks = self.plan.before_answer;
         self.write(id, reached, Duration::ZERO, Some(answer), now, acks)
@@ -77,7 +77,7 @@
     pub fn over(&mut self, now: Duration, id: &DialogueId) {
         self.now = now;
         if self.book.is_mine(id) {
-            self.write(id, Reached::Over, Duration::ZERO, None, now, 0);
+            self.write(id, Progress::Ended, Duration::ZERO, None, now, 0);
         }
     }
 
@@ -91,7 +91,7 @@
     pub(super) fn goes(&mut self, id: &DialogueId) {
         let Some(copy) = self.book.get(id) else { return };
         let servers = copy.parts().iter().filter_map(|part| match &part.reached {
-            Reached::Stands { server, .. } if part.owner.member == self.plan.me => Some(server),
+            Progress::Stands { server, .. } if part.owner.member == self.plan.me => Some(server),
             _ => None,
         });
         servers.for_each(|server| self.takeovers.let_go(self.now, server));
--- a/crates/fleet/src/member/repair.rs
+++ b/crates/fleet/src/member/repair.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use lotussaddle_replica::Differing;
-use lotussaddle_trunk::{Frame, Peer};
+use lotussaddle_trunk::{Frame, PeerMessage};
 
 use super::Member;
 use super::batches::in_frames;
@@ -52,7 +52,7 @@
         for member in self.plan.me + 1..self.plan.members.len() as u16 {
             if self.peers.to(member).is_some() && self.incoming[usize::from(member)].synced {
                 let (level, from, sums) = self.book.top(member);
-                self.to_say.push((member, Peer::Sums { level, from, sums }));
+                self.to_say.push((member, PeerMessage::RangeDigests { level, from, digests: sums }));
             }
         }
     }
@@ -64,10 +64,14 @@
             RepairStep::Sums(level, from, sums) => {
                 for differing in self.book.compare(member, level, from, &sums) {
                     let peer = match differing {
-                        Differing::Below(level, from, sums) => Peer::Sums { level, from, sums },
-                        Differing::Range(range, prints) => Peer::Prints { range, prints },
+                        Differing::Below(level, from, sums) => {
+                            PeerMessage::RangeDigests { level, from, digests: sums }
+                        }
+                        Differing::Range(range, prints) => {
+                            PeerMessage::DialogueDigests { range, fingerprints: prints }
+                        }
                     };
-                    self.tell(link, Frame::Peer(peer), effects);
+                    self.tell(link, Frame::PeerMessage(peer), effects);
                 }
             }
             RepairStep::Prints(range, prints) => {
@@ -75,7 +79,11 @@
                 let repair = self.book.look(self.now, member, life, range, &prints);
                 self.counts.repaired += (repair.send.len() + repair.want.len() + repair.dropped) as u64;
                 if !repair.want.is_empty() {
-                    self.tell(link, Frame::Peer(Peer::Want { ids: repair.want }), effects);
+                    self.tell(
+                        link,
+                        Frame::PeerMessage(PeerMessage::RequestReplicas { id_hashes: repair.want }),
+                        effects,
+                    );
                 }
                 copies = repair.send;
             }
@@ -84,7 +92,11 @@
         for copies in in_frames(copies).into_iter().filter(|copies| !copies.is_empty()) {
             self.counts.copies_sent += copies.len() as u64;
             let life = self.lives.mine();
-            self.tell(link, Frame::Peer(Peer::Copies { life, first: 0, copies }), effects);
+            self.tell(
+                link,
+                Frame::PeerMessage(PeerMessage::Replicas { incarnation: life, first: 0, replicas: copies }),
+                effects,
+            );
         }
     }
 }
--- a/crates/fleet/src/member/saves.rs
+++ b/crates/fleet/src/member/saves.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::ServerId;
-use lotussaddle_trunk::{Act, Frame, Peer, Replaced, TablesOrder, copy_bytes};
+use lotussaddle_trunk::{DutyAction, Frame, PeerMessage, Replaced, TablesOrder, encode_replica};
 
 use super::Member;
 use super::interface::{Effects, Save};
@@ -13,15 +13,15 @@
 /// What is done once a disk write has succeeded.
 pub(super) enum AfterWrite {
     /// A message to a member that promises what was written.
-    Say { to: u16, message: Peer },
+    Say { to: u16, message: PeerMessage },
     /// A member's writes are kept here, as far as that.
     Acknowledge { to: u16, life: u64, up_to: u64, replaced: Vec<Replaced> },
     /// The vote for a peer's incarnation.
     GrantLife { link: PeerLink, life: u64, highest: u64 },
     /// An act of the duty `circuits` under a number that was new.
-    Check { from: u16, act: Act, server: ServerId },
+    Check { from: u16, act: DutyAction, server: ServerId },
     /// An act of the duty `publish` under a number that was new.
-    Order { from: u16, act: Act, serial: u64, order: TablesOrder },
+    Order { from: u16, act: DutyAction, serial: u64, order: TablesOrder },
 }
 
 /// Numbers of disk writes, and what waits for them.
@@ -107,7 +107,7 @@
         self.do_after_last_write(after, effects);
         for (member, peer) in std::mem::take(&mut self.to_say) {
             if let Some(link) = self.peers.to(member) {
-                self.tell(link, Frame::Peer(peer), effects);
+                self.tell(link, Frame::PeerMessage(peer), effects);
             }
         }
         self.send_streams(effects);
@@ -137,7 +137,7 @@
         }
         let now = self.now;
         let copies = changed.into_iter().map(|id| {
-            let copy = self.book.get(&id).map(|copy| copy_bytes(&copy.sent(now, &id)));
+            let copy = self.book.get(&id).map(|copy| encode_replica(&copy.sent(now, &id)));
             Save::Copy(id, copy)
         });
         let copies: Vec<Save> = copies.collect();
@@ -172,18 +172,35 @@
         match after {
             AfterWrite::Say { to, message } => {
                 if let Some(link) = self.peers.to(to) {
-                    self.tell(link, Frame::Peer(message), effects);
+                    self.tell(link, Frame::PeerMessage(message), effects);
                 }
             }
             AfterWrite::Acknowledge { to, life, up_to, replaced } => {
                 if let Some(link) = self.peers.to(to) {
                     let saved = self.writes.saved();
-                    self.tell(link, Frame::Peer(Peer::Kept { life, up_to, saved, replaced }), effects);
+                    self.tell(
+                        link,
+                        Frame::PeerMessage(PeerMessage::Acknowledge {
+                            incarnation: life,
+                            up_to,
+                            saved,
+                            replaced,
+                        }),
+                        effects,
+                    );
                 }
             }
             AfterWrite::GrantLife { link, life, highest } => {
                 if self.peers.links.contains_key(&link) {
-                    self.tell(link, Frame::Peer(Peer::Life { life, given: true, highest }), effects);
+                    self.tell(
+                        link,
+                        Frame::PeerMessage(PeerMessage::IncarnationReply {
+                            incarnation: life,
+                            granted: true,
+                            highest,
+                        }),
+                        effects,
+                    );
                 }
             }
             AfterWrite::Check { from, act, server } => self.check(from, &act, &server, effects),
--- a/crates/fleet/src/member/search.rs
+++ b/crates/fleet/src/member/search.rs
@@ -5,7 +5,7 @@
 
 use lotussaddle::interface::DialogueId;
 use lotussaddle_replica::{Copy, Reading, print};
-use lotussaddle_trunk::{Audit, CopySent, Frame, Owner, Peer, Reached};
+use lotussaddle_trunk::{AuditMessage, Frame, Owner, PeerMessage, Progress, ReplicaUpdate};
 
 use super::Member;
 use super::interface::Finding;
@@ -55,7 +55,7 @@
         let candidates: Vec<u16> = self.book.group().candidates(print).iter().collect();
         let known = self.book.get(id).cloned().unwrap_or_default();
         let round = known.owner().map_or(0, |owner| owner.round) + 1;
-        let owner = Owner { round, member: self.plan.me, life: self.lives.mine() };
+        let owner = Owner { round, member: self.plan.me, incarnation: self.lives.mine() };
         let mut knows = candidates.contains(&self.plan.me) && self.caught_up();
         if candidates.contains(&self.plan.me) {
             self.book.asked(now, id, owner);
@@ -77,15 +77,15 @@
         for action in actions {
             match action {
                 RedialAction::Ask { to, serial, dialogue, owner } => {
-                    self.to_say.push((to, Peer::Ask { serial, dialogue, owner }));
+                    self.to_say.push((to, PeerMessage::Ask { serial, dialogue, owner }));
                 }
                 RedialAction::Claim { dialogue, owner, found } => {
                     self.book.claim(self.now, &dialogue, owner, &found);
-                    self.write(&dialogue, Reached::Taken, Duration::ZERO, None, self.now, 0);
+                    self.write(&dialogue, Progress::Accepted, Duration::ZERO, None, self.now, 0);
                 }
                 RedialAction::Adopt { server, dialogue, owner } => {
                     self.takeovers.let_go(self.now, &server); // The answer may be lost.
-                    let frame = Frame::Audit(Audit::Adopt { dialogue, owner, act: None });
+                    let frame = Frame::AuditMessage(AuditMessage::Adopt { dialogue, owner, action: None });
                     self.findings.push(Finding::ToCore(server, frame));
                 }
                 RedialAction::Say(id, verdict) => self.confirm(id, verdict),
@@ -94,7 +94,7 @@
     }
 
     pub(super) fn asked(&mut self, member: u16, serial: u64, id: DialogueId, owner: Owner) {
-        if owner.member != member || owner.life != self.view.life(member) {
+        if owner.member != member || owner.incarnation != self.view.life(member) {
             return; // Of another life, or in another's name.
         }
         let actions = self.redials.beaten(&id, owner);
@@ -116,12 +116,15 @@
         self.changed.insert(id.clone());
         // A promise that a kill undoes is none: it is kept before it is said.
         if self.known.len() < MOST_KNOWN {
-            self.known.push((member, Peer::Know { serial, sure, higher, copy }));
+            self.known.push((
+                member,
+                PeerMessage::AskReply { serial, is_authoritative: sure, higher, replica: copy },
+            ));
         }
     }
 
     pub(super) fn told(
-        &mut self, from: u16, serial: u64, sure: bool, higher: Option<Owner>, copy: Option<&CopySent>,
+        &mut self, from: u16, serial: u64, sure: bool, higher: Option<Owner>, copy: Option<&ReplicaUpdate>,
     ) {
         let Some((id, owner)) = self.redials.of(serial) else { return };
         let id = id.clone();
--- a/crates/fleet/src/member/streams.rs
+++ b/crates/fleet/src/member/streams.rs
@@ -2,7 +2,7 @@
 
 use lotussaddle::interface::DialogueId;
 use lotussaddle_replica::{Copy, News};
-use lotussaddle_trunk::{CopySent, Cursor, Frame, Peer, Replaced};
+use lotussaddle_trunk::{Cursor, Frame, PeerMessage, Replaced, ReplicaUpdate};
 
 use super::Member;
 use super::batches::in_frames;
@@ -37,8 +37,8 @@
         // What it has, its disk may not have had yet: it is acknowledged behind that.
         incoming.owed |= incoming.synced;
         let snapshot = (!incoming.synced).then(|| incoming.snapshot.unwrap_or(Cursor { at: 0, from: 0 }));
-        let resume = Peer::Resume { life, have: incoming.have, snapshot };
-        self.tell(link, Frame::Peer(resume), effects);
+        let resume = PeerMessage::Resume { incarnation: life, received_up_to: incoming.have, snapshot };
+        self.tell(link, Frame::PeerMessage(resume), effects);
     }
 
     /// A peer says what it has of the stream to it.
@@ -60,7 +60,7 @@
     }
 
     pub(super) fn piece_came(
-        &mut self, member: u16, cursor: Cursor, next: Option<u64>, copies: &[CopySent],
+        &mut self, member: u16, cursor: Cursor, next: Option<u64>, copies: &[ReplicaUpdate],
         effects: &mut dyn Effects,
     ) {
         let news = self.book.take(self.now, copies);
@@ -80,7 +80,7 @@
     }
 
     pub(super) fn copies_came(
-        &mut self, member: u16, life: u64, first: u64, copies: &[CopySent], effects: &mut dyn Effects,
+        &mut self, member: u16, life: u64, first: u64, copies: &[ReplicaUpdate], effects: &mut dyn Effects,
     ) {
         let news = self.book.take(self.now, copies);
         let replaced = self.news(news, effects);
@@ -136,10 +136,23 @@
         let last = frames.pop().unwrap_or_default();
         for copies in frames {
             self.counts.copies_sent += copies.len() as u64;
-            self.tell(link, Frame::Peer(Peer::Copies { life, first: 0, copies }), effects);
+            self.tell(
+                link,
+                Frame::PeerMessage(PeerMessage::Replicas { incarnation: life, first: 0, replicas: copies }),
+                effects,
+            );
         }
         self.counts.copies_sent += last.len() as u64;
-        self.tell(link, Frame::Peer(Peer::Piece { life, cursor, next, copies: last }), effects);
+        self.tell(
+            link,
+            Frame::PeerMessage(PeerMessage::SnapshotChunk {
+                incarnation: life,
+                cursor,
+                next,
+                replicas: last,
+            }),
+            effects,
+        );
     }
 
     /// Sends what the streams to all peers have, as much as one turn takes.
@@ -164,7 +177,11 @@
         for copies in in_frames(copies) {
             let count = copies.len() as u64;
             self.counts.copies_sent += count;
-            if !self.tell(link, Frame::Peer(Peer::Copies { life, first, copies }), effects) {
+            if !self.tell(
+                link,
+                Frame::PeerMessage(PeerMessage::Replicas { incarnation: life, first, replicas: copies }),
+                effects,
+            ) {
                 return;
             }
             first += count;
--- a/crates/fleet/src/member/table_orders.rs
+++ b/crates/fleet/src/member/table_orders.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lotussaddle_trunk::{Act, Peer, TablesOrder};
+use lotussaddle_trunk::{DutyAction, PeerMessage, TablesOrder};
 
 use super::Member;
 use super::interface::{Effects, Finding};
@@ -68,7 +68,7 @@
 impl Member {
     /// An order about number tables came from whoever holds `publish`, perhaps this member. It is carried out once.
     pub(super) fn ordered(
-        &mut self, from: u16, act: &Act, serial: u64, order: TablesOrder, effects: &mut dyn Effects,
+        &mut self, from: u16, act: &DutyAction, serial: u64, order: TablesOrder, effects: &mut dyn Effects,
     ) {
         let again = || AfterWrite::Order { from, act: *act, serial, order: order.clone() };
         if !self.may(from, act, again, effects) {
@@ -85,7 +85,7 @@
     fn answer_order(&mut self, to: u16, serial: u64, why: Option<Arc<str>>) {
         let (now, life) = (self.now, self.lives.mine());
         if to != self.plan.me {
-            self.to_say.push((to, Peer::Published { serial, why }));
+            self.to_say.push((to, PeerMessage::Published { serial, why }));
         } else if let Some(duties) = &mut self.duties {
             duties.published(now, to, life, serial, why.as_deref());
         }
@@ -108,7 +108,7 @@
             Some(holder) if holder == self.plan.me => duties.want(now, name),
             Some(holder) => {
                 let there = self.peers.to(holder).is_some();
-                self.to_say.push((holder, Peer::Wanted { name: name.into() }));
+                self.to_say.push((holder, PeerMessage::PublishRequest { name: name.into() }));
                 there
             }
             None => false,
--- a/crates/fleet/src/member/timers.rs
+++ b/crates/fleet/src/member/timers.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lotussaddle_replica::digest;
-use lotussaddle_trunk::{Frame, Peer};
+use lotussaddle_trunk::{Frame, PeerMessage};
 
 use super::Member;
 use super::interface::Effects;
@@ -69,7 +69,7 @@
         self.view.set_self(self.now, self.lives.mine(), self.caught_up());
         for MembershipMessage { to, is_heartbeat, bytes } in self.view.tick(self.now) {
             let Some(link) = self.peers.to(to) else { continue };
-            self.tell(link, Frame::Peer(Peer::Membership { message: bytes }), effects);
+            self.tell(link, Frame::PeerMessage(PeerMessage::Membership { message: bytes }), effects);
             if is_heartbeat {
                 self.tell_disk_count(link, effects);
             }
@@ -81,7 +81,7 @@
         let saved = self.writes.saved();
         let Some(known) = self.peers.links.get_mut(&link) else { return };
         if known.told_saved.replace(saved) != Some(saved) {
-            self.tell(link, Frame::Peer(Peer::DiskCount { saved }), effects);
+            self.tell(link, Frame::PeerMessage(PeerMessage::DiskCount { saved }), effects);
         }
     }
 
--- a/crates/fleet/src/redial.rs
+++ b/crates/fleet/src/redial.rs
@@ -156,7 +156,9 @@
         sure(&mut self.group.candidates(print).into_iter()) >= self.of_candidates()
             || ask.found.writer().is_some_and(|writer| {
                 // Whoever claimed it after that may have written where its own copies lie, which none of the others know.
-                let mine = |owner: Owner| (owner.member, owner.life) == (ask.owner.member, ask.owner.life);
+                let mine = |owner: Owner| {
+                    (owner.member, owner.incarnation) == (ask.owner.member, ask.owner.incarnation)
+                };
                 let later = ask.found.parts().iter().map(|part| part.owner).filter(|owner| *owner > writer);
                 later
                     .filter(|owner| !mine(*owner))
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -4,7 +4,7 @@
 
 use lotussaddle::interface::DialogueId;
 use lotussaddle_replica::{Copy, Reading};
-use lotussaddle_trunk::{Frame, Owner, Peer, Reached};
+use lotussaddle_trunk::{Frame, Owner, PeerMessage, Progress};
 use serde_json::{Value, json};
 
 use crate::duties::{Duty, NAMES};
@@ -18,7 +18,7 @@
 
 fn owner(owner: Owner, names: &[String]) -> Value {
     let name = names.get(usize::from(owner.member)).cloned().unwrap_or_else(|| owner.member.to_string());
-    json!({ "member": name, "start": start_of(owner.life), "life": owner.life, "round": owner.round })
+    json!({ "member": name, "start": start_of(owner.incarnation), "life": owner.incarnation, "round": owner.round })
 }
 
 /// One copy in words.
@@ -28,10 +28,10 @@
         .iter()
         .map(|part| {
             let (reached, server, launch) = match &part.reached {
-                Reached::Taken => ("taken", None, None),
-                Reached::Out { server, launch } => ("out", Some(server), Some(launch)),
-                Reached::Stands { server, launch } => ("stands", Some(server), Some(launch)),
-                Reached::Over => ("over", None, None),
+                Progress::Accepted => ("taken", None, None),
+                Progress::Launched { server, launch } => ("out", Some(server), Some(launch)),
+                Progress::Stands { server, launch } => ("stands", Some(server), Some(launch)),
+                Progress::Ended => ("over", None, None),
             };
             json!({
                 "owner": owner(part.owner, names),
@@ -182,7 +182,9 @@
             }
             let (piece, after) = rest.split_at(cut);
             let more = !after.is_empty();
-            if !effects.send(link, Frame::Peer(Peer::Tell { more, text: piece.into() })) || !more {
+            if !effects.send(link, Frame::PeerMessage(PeerMessage::InquireReply { more, text: piece.into() }))
+                || !more
+            {
                 return;
             }
             rest = after;
--- a/crates/fleet/src/takeovers.rs
+++ b/crates/fleet/src/takeovers.rs
@@ -199,7 +199,7 @@
 
     /// Whether this owner's life has ended.
     pub fn is_ended(&self, owner: Owner) -> bool {
-        self.ended_incarnations.get(&owner.member).is_some_and(|ended| owner.life <= ended.life)
+        self.ended_incarnations.get(&owner.member).is_some_and(|ended| owner.incarnation <= ended.life)
     }
 
     pub fn any_ended(&self) -> bool {
@@ -224,7 +224,7 @@
         if self.orphans.contains_key(id) {
             return None;
         }
-        let owner = Owner { round: top.round + 1, member: self.me, life };
+        let owner = Owner { round: top.round + 1, member: self.me, incarnation: life };
         let server = server.clone();
         let adopt =
             TakeoverAction::Adopt { server: server.clone(), dialogue: id.clone(), owner, swept: false };
@@ -418,7 +418,8 @@
             }),
             None => drop(self.questions.remove(&serial)),
         }
-        for line in lines.iter().filter(|line| line.owner.member == member && line.owner.life <= up_to) {
+        for line in lines.iter().filter(|line| line.owner.member == member && line.owner.incarnation <= up_to)
+        {
             let key = (server.clone(), line.dialogue.clone());
             let whose = match whose(line) {
                 LineOf::Nobody if gently => LineOf::Claimed,
@@ -443,7 +444,7 @@
                 LineOf::Nobody => {}
             }
             self.left.remove(&key);
-            let owner = Owner { round: line.owner.round + 1, member: self.me, life };
+            let owner = Owner { round: line.owner.round + 1, member: self.me, incarnation: life };
             let dialogue = line.dialogue.clone();
             let swept = member != self.me;
             actions.push(TakeoverAction::Adopt { server: server.clone(), dialogue, owner, swept });
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -7,7 +7,8 @@
 use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
 use lotussaddle_fleet::{DutyPlan, Effects, Finding, Member, PeerLink, Plan, Save, Stored, Verdict};
 use lotussaddle_trunk::{
-    Act, Answer, Audit, Frame, HeldLine, Hello, Owner, Peer, Reached, Role, TablesOrder, VERSION, copy_read,
+    Answer, AuditMessage, DutyAction, Frame, HeldLine, Hello, Owner, PeerMessage, Progress, Role,
+    TablesOrder, VERSION, decode_replica,
 };
 
 fn ms(time: u64) -> Duration {
@@ -137,7 +138,9 @@
         let mut given = BTreeMap::new();
         for save in self.ends[place].disk.iter().flatten() {
             match save {
-                Save::Copy(id, Some(bytes)) => drop(copies.insert(id.clone(), copy_read(bytes).unwrap())),
+                Save::Copy(id, Some(bytes)) => {
+                    drop(copies.insert(id.clone(), decode_replica(bytes).unwrap()))
+                }
                 Save::Copy(id, None) => drop(copies.remove(id)),
                 Save::Life(life) => stored.life = Some(*life),
                 Save::Asked(life) => stored.asked = *life,
@@ -220,7 +223,8 @@
                 if self.cut.contains(&(place, other)) {
                     return self.held.push_back((other, far, frame));
                 }
-                let piece = matches!(frame, Frame::Peer(Peer::Piece { .. })) && (place, other) == (0, 1);
+                let piece = matches!(frame, Frame::PeerMessage(PeerMessage::SnapshotChunk { .. }))
+                    && (place, other) == (0, 1);
                 self.hear(other, far, frame);
                 if let Some(breaks) = self.breaks.as_mut().filter(|_| piece) {
                     *breaks += 1;
@@ -334,7 +338,7 @@
     /// Under which owner a member has asked a core server for a dialogue last.
     fn adopting(&self, place: usize, id: &DialogueId) -> Option<Owner> {
         self.found.iter().rev().find_map(|(of, finding)| match finding {
-            Finding::ToCore(_, Frame::Audit(Audit::Adopt { dialogue, owner, .. })) => {
+            Finding::ToCore(_, Frame::AuditMessage(AuditMessage::Adopt { dialogue, owner, .. })) => {
                 (*of == place && dialogue == id).then_some(*owner)
             }
             _ => None,
@@ -344,10 +348,13 @@
     /// The core server says that it stands there, under whoever asked.
     fn adopts(&mut self, place: usize, id: &DialogueId) {
         let owner = self.adopting(place, id).expect("its core server is asked");
-        self.core_says(place, Audit::Adopted { dialogue: id.clone(), owner, launch: Some(0), by: owner });
+        self.core_says(
+            place,
+            AuditMessage::Adopted { dialogue: id.clone(), owner, launch: Some(0), by: owner },
+        );
     }
 
-    fn core_says(&mut self, place: usize, audit: Audit) {
+    fn core_says(&mut self, place: usize, audit: AuditMessage) {
         let (now, ends) = (self.now, &mut self.ends[place]);
         let member = self.members[place].as_mut().expect("it runs");
         member.core_said(now, &server(), audit, &|_| false, ends);
@@ -549,8 +556,15 @@
     net.kill(1); // So that no link to it stands in the way.
     let hello =
         |name: &str, version: u16| Frame::Hello(Hello { version, ..Hello::new(Role::Edge, Arc::from(name)) });
-    let here = Frame::Peer(Peer::Here { group: 7, member: 1, life: 0, yours: 0, saved: 0, away: None });
-    let wants = Frame::Peer(Peer::Want { ids: vec![1] });
+    let here = Frame::PeerMessage(PeerMessage::Greeting {
+        group: 7,
+        member: 1,
+        incarnation: 0,
+        known_remote_incarnation: 0,
+        saved: 0,
+        last_seen_ago: None,
+    });
+    let wants = Frame::PeerMessage(PeerMessage::RequestReplicas { id_hashes: vec![1] });
     for (says, what) in [
         (vec![hello("edge-01", VERSION + 1)], "another version"),
         (vec![hello("edge-00", VERSION)], "the member's own name"),
@@ -598,7 +612,9 @@
     net.member(other).core_up(now, &server());
     net.settle();
     let asked = net.found.iter().rev().find_map(|(of, finding)| match finding {
-        Finding::ToCore(_, Frame::Audit(Audit::What { serial, .. })) if *of == other => Some(*serial),
+        Finding::ToCore(_, Frame::AuditMessage(AuditMessage::ListLines { serial, .. })) if *of == other => {
+            Some(*serial)
+        }
         _ => None,
     });
     net.kill(0);
@@ -609,7 +625,7 @@
     let owner = net.adopting(other, &d).unwrap();
     let lines = vec![lotussaddle_trunk::HeldLine { dialogue: d.clone(), launch: LaunchNo(0), owner }];
     let serial = asked.expect("its own lines are asked for");
-    net.core_says(other, Audit::Holds { serial, more: false, lines });
+    net.core_says(other, AuditMessage::Lines { serial, more: false, lines });
     net.heal();
     assert_eq!((net.verdict(other, &d), net.adopting(other, &d)), (stands(), Some(owner)));
     let released =
@@ -621,9 +637,9 @@
 fn a_later_life_is_followed_by_a_higher_one_and_the_second_time_it_gives_way() {
     let mut net = Net::new(5, false, |_| ());
     let tells = |net: &mut Net, life: u64| {
-        let owner = Owner { round: 0, member: 0, life };
+        let owner = Owner { round: 0, member: 0, incarnation: life };
         let lines = vec![lotussaddle_trunk::HeldLine { dialogue: id("x"), launch: LaunchNo(0), owner }];
-        net.core_says(0, Audit::Holds { serial: 1, more: false, lines });
+        net.core_says(0, AuditMessage::Lines { serial: 1, more: false, lines });
         net.run(ms(2000));
         net.member(0).life()
     };
@@ -657,7 +673,7 @@
     assert_eq!(net.member(1).book().len(), 3000);
     assert!(net.member(1).caught_up() && (11..100).contains(&breaks), "{breaks}");
     let reached = net.member(1).book().get(&id("d7")).unwrap().parts()[0].reached.clone();
-    assert_eq!(reached, Reached::Over);
+    assert_eq!(reached, Progress::Ended);
 }
 
 #[test]
@@ -698,28 +714,35 @@
         let now = net.now;
         for (place, finding) in std::mem::take(&mut net.found) {
             match finding {
-                Finding::ToCore(_, Frame::Audit(Audit::What { serial, member, .. }))
+                Finding::ToCore(_, Frame::AuditMessage(AuditMessage::ListLines { serial, member, .. }))
                     if usize::from(member) == place =>
                 {
                     asked += 1;
                     let owner = |dialogue: &str| HeldLine {
                         dialogue: id(dialogue),
                         launch: LaunchNo(0),
-                        owner: Owner { round: 0, member, life: net.members[place].as_ref().unwrap().life() },
+                        owner: Owner {
+                            round: 0,
+                            member,
+                            incarnation: net.members[place].as_ref().unwrap().life(),
+                        },
                     };
                     let lines = vec![owner("busy"), owner("held")];
-                    let holds = Audit::Holds { serial, more: false, lines };
+                    let holds = AuditMessage::Lines { serial, more: false, lines };
                     let held = |known: &DialogueId| *known == id("held");
                     // The first look is that of a link that has just come up: there nothing is in the midst of anything.
                     let holds = if asked <= 5 {
-                        Audit::Holds { serial, more: false, lines: Vec::new() }
+                        AuditMessage::Lines { serial, more: false, lines: Vec::new() }
                     } else {
                         holds
                     };
                     let (member, ends) = (net.members[place].as_mut().unwrap(), &mut net.ends[place]);
                     member.core_said(now, &server(), holds, &held, ends);
                 }
-                Finding::ToCore(_, Frame::Audit(Audit::Adopt { dialogue, owner, act })) => {
+                Finding::ToCore(
+                    _,
+                    Frame::AuditMessage(AuditMessage::Adopt { dialogue, owner, action: act }),
+                ) => {
                     assert_eq!(
                         (usize::from(owner.member), act),
                         (place, None),
@@ -755,9 +778,9 @@
         let (link, _) =
             net.pairs.iter().find(|((at, _), (other, _))| (*at, *other) == (0, 4)).expect("linked");
         let link = link.1;
-        let act = Act { duty: 2, number, member: 4, life: 7 };
+        let act = DutyAction { duty: 2, fencing_token: number, member: 4, incarnation: 7 };
         let order = TablesOrder::Load { name: Arc::from("new") };
-        net.hear(0, link, Frame::Peer(Peer::Publish { act, serial, order }));
+        net.hear(0, link, Frame::PeerMessage(PeerMessage::Publish { action: act, serial, order }));
         net.settle();
     };
     net.slow.insert(0);
@@ -909,7 +932,7 @@
         (neighbour, vec![2, 255, 255, 255, 255, 255, 255, 255, 255, 255, 1], true),
     ] {
         let link = net.link(0, from).expect("linked");
-        net.hear(0, link, Frame::Peer(Peer::Membership { message }));
+        net.hear(0, link, Frame::PeerMessage(PeerMessage::Membership { message }));
         net.settle();
         assert_eq!(!net.ends[0].open.contains(&link), ends, "from {from}");
         net.run(ms(3000));
--- a/crates/fleet/tests/unit/duties.rs
+++ b/crates/fleet/tests/unit/duties.rs
@@ -75,7 +75,7 @@
                 duties.alarm(now, &cores);
             }
             for action in duties.outs(now) {
-                if let DutyAction::Keep(number, _) = action {
+                if let DutyEffect::Keep(number, _) = action {
                     duties.kept(now, number, true);
                 }
             }
--- a/crates/fleet/tests/unit/link_liveness.rs
+++ b/crates/fleet/tests/unit/link_liveness.rs
@@ -17,12 +17,16 @@
 fn a_link_over_which_nothing_is_sent_is_left_alone() {
     let mut liveness = LinkLiveness::default();
     assert_eq!(check(&liveness, 1_000_000), LinkCheck::Idle);
-    let kept = Peer::Kept { life: 1, up_to: 1, saved: 1, replaced: Vec::new() };
-    for answer in [PONG, Frame::Peer(kept), Frame::Peer(Peer::Life { life: 1, given: true, highest: 1 })] {
+    let kept = PeerMessage::Acknowledge { incarnation: 1, up_to: 1, saved: 1, replaced: Vec::new() };
+    for answer in [
+        PONG,
+        Frame::PeerMessage(kept),
+        Frame::PeerMessage(PeerMessage::IncarnationReply { incarnation: 1, granted: true, highest: 1 }),
+    ] {
         liveness.sent(ms(0), &answer);
         assert_eq!(check(&liveness, 1_000_000), LinkCheck::Idle, "an answer wants none: {answer:?}");
     }
-    liveness.sent(ms(0), &Frame::Peer(Peer::NewLife { life: 1 }));
+    liveness.sent(ms(0), &Frame::PeerMessage(PeerMessage::ProposeIncarnation { incarnation: 1 }));
     assert_eq!(check(&liveness, 1_000_000), LinkCheck::Ping);
 }
 
--- a/crates/fleet/tests/unit/redial.rs
+++ b/crates/fleet/tests/unit/redial.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use lotussaddle_trunk::Reached;
+use lotussaddle_trunk::Progress;
 
 use super::*;
 
@@ -26,10 +26,10 @@
 }
 
 fn owner(round: u32, member: u16) -> Owner {
-    Owner { round, member, life: 1 }
+    Owner { round, member, incarnation: 1 }
 }
 
-fn written(owner: Owner, reached: Reached, bar: u64) -> Copy {
+fn written(owner: Owner, reached: Progress, bar: u64) -> Copy {
     let mut copy = Copy::default();
     copy.write(owner, reached, ms(bar), ms(60_000));
     copy
@@ -127,7 +127,7 @@
     let without_first = |member: u16| member != first;
     // The holders of the first candidate, who wrote last, are the others; those of member 0, who claimed it, the first two.
     let verdict = |claimed: Option<Owner>| {
-        let out = Reached::Out { server: server(), launch: LaunchNo(0) };
+        let out = Progress::Launched { server: server(), launch: LaunchNo(0) };
         let mut copy = written(owner(0, first), out, 0);
         claimed.iter().for_each(|owner| copy.merge(&Copy::claimed(*owner, ms(60_000))));
         let (mut redials, actions) = asks_with(1, &without_first, Copy::default());
@@ -154,13 +154,13 @@
         redials.answered(ms(1), n, 1, true, None, None, &|member| member < 3, false);
         redials.answered(ms(1), n, 2, true, None, Some(&copy), &|member| member < 3, false)
     };
-    let mut refused = written(owner(0, 9), Reached::Over, 0);
+    let mut refused = written(owner(0, 9), Progress::Ended, 0);
     refused.answered(owner(0, 0), &Answer::Refused { come_back: None });
     assert_eq!(said(&found(refused)), Some(Verdict::Answered(Answer::Refused { come_back: None })));
-    let mut over = written(owner(0, 9), Reached::Over, 0);
+    let mut over = written(owner(0, 9), Progress::Ended, 0);
     over.answered(owner(0, 0), &Answer::Stands { server: server() });
     assert_eq!(said(&found(over)), Some(Verdict::Concluded));
-    let out = Reached::Out { server: server(), launch: LaunchNo(0) };
+    let out = Progress::Launched { server: server(), launch: LaunchNo(0) };
     assert_eq!(
         said(&found(written(owner(0, 9), out.clone(), 800))),
         Some(Verdict::Free { not_before: ms(800) })
@@ -174,14 +174,14 @@
 fn its_owner_is_asked_once_it_is_known_and_calls_its_launch_off() {
     let (mut redials, actions) = asks(&all, Copy::default());
     let n = serial(&actions);
-    let out = Reached::Out { server: server(), launch: LaunchNo(0) };
+    let out = Progress::Launched { server: server(), launch: LaunchNo(0) };
     let copy = written(owner(0, 7), out, 2500);
     let actions = redials.answered(ms(1), n, 1, true, None, Some(&copy), &all, false);
     assert_eq!(asked(&actions), [7]);
     redials.answered(ms(1), n, 2, true, None, None, &all, false);
     assert_eq!(redials.answered(ms(1), n, 3, true, None, None, &all, false), [], "its owner may yet say");
     let mut back = copy.clone();
-    back.write(owner(0, 7), Reached::Taken, ms(302), ms(60_000));
+    back.write(owner(0, 7), Progress::Accepted, ms(302), ms(60_000));
     let actions = redials.answered(ms(2), n, 7, true, None, Some(&back), &all, false);
     assert_eq!(said(&actions), Some(Verdict::Free { not_before: ms(302) }));
     // One that says nothing leaves its launch to end by itself.
@@ -217,7 +217,7 @@
 
 #[test]
 fn what_stands_is_adopted_at_its_core_server_or_is_over() {
-    let stands = written(owner(0, 9), Reached::Stands { server: server(), launch: LaunchNo(2) }, 0);
+    let stands = written(owner(0, 9), Progress::Stands { server: server(), launch: LaunchNo(2) }, 0);
     let adopting = || {
         let (mut redials, actions) = asks(&|member| member < 3, Copy::default());
         let n = serial(&actions);
@@ -246,7 +246,7 @@
 #[test]
 fn whoever_is_found_to_own_it_is_asked_after_by_his_holders() {
     // One acknowledgement is awaited: all three candidates must answer, or both holders of its owner.
-    let out = Reached::Out { server: server(), launch: LaunchNo(0) };
+    let out = Progress::Launched { server: server(), launch: LaunchNo(0) };
     let copy = written(owner(0, 1), out, 500);
     let dead = |member: u16| member != 1;
     let (mut redials, actions) = asks_with(1, &dead, Copy::default());
@@ -264,7 +264,7 @@
     // Nor where its owner is another one, and the dead one holds a copy.
     let (mut redials, actions) = asks_with(1, &dead, Copy::default());
     let n = serial(&actions);
-    let copy = written(owner(0, 0), Reached::Taken, 0);
+    let copy = written(owner(0, 0), Progress::Accepted, 0);
     redials.answered(ms(1), n, 2, true, None, Some(&copy), &dead, false);
     redials.answered(ms(1), n, 3, true, None, None, &dead, false);
     let actions = redials.answered(ms(1), n, 0, true, None, Some(&copy), &dead, false);
@@ -280,7 +280,7 @@
 #[test]
 fn one_of_two_decides_by_itself_what_it_holds_a_copy_of() {
     let mut redials = Redials::new(1, Group::new(["a", "b"], 1), 1, ms(60), ms(1000), ms(300));
-    let copy = written(owner(0, 0), Reached::Taken, 0);
+    let copy = written(owner(0, 0), Progress::Accepted, 0);
     let begin =
         |known| Begin { reached: &|_| false, knows: true, known, owner: owner(1, 1), cut_off: ms(3000) };
     assert_eq!(said(&redials.begin(ms(0), &id(), begin(copy))), Some(Verdict::Free { not_before: ms(0) }));
--- a/crates/fleet/tests/unit/takeovers.rs
+++ b/crates/fleet/tests/unit/takeovers.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use lotussaddle_trunk::Reached;
+use lotussaddle_trunk::Progress;
 
 use super::*;
 
@@ -19,12 +19,12 @@
 }
 
 fn owner(round: u32, member: u16, life: u64) -> Owner {
-    Owner { round, member, life }
+    Owner { round, member, incarnation: life }
 }
 
 fn standing(owner: Owner) -> Copy {
     let mut copy = Copy::default();
-    let reached = Reached::Stands { server: server("s"), launch: LaunchNo(1) };
+    let reached = Progress::Stands { server: server("s"), launch: LaunchNo(1) };
     copy.write(owner, reached, ms(0), lotussaddle_replica::for_ever());
     copy
 }
@@ -163,7 +163,7 @@
     let third = serial(h.sweep(ms(15_000), |_| true, &cores));
     let freed = h.holds(ms(15_010), &server("s"), third, &lines, false, 9, |_| LineOf::Claimed);
     assert!(
-        matches!(&freed[..], [TakeoverAction::Adopt { owner, .. }] if *owner == super::Owner { round: 1, member: 2, life: 9 })
+        matches!(&freed[..], [TakeoverAction::Adopt { owner, .. }] if *owner == super::Owner { round: 1, member: 2, incarnation: 9 })
     );
     assert_eq!(other(h.sweep(ms(99_000), |_| true, &cores)), [], "nothing was left");
     // What this member let go is looked for among its own lines.
--- a/crates/judge/src/fleet.rs
+++ b/crates/judge/src/fleet.rs
@@ -8,7 +8,9 @@
 use std::time::Duration;
 
 use lotussaddle::interface::{DialogueId, LaunchNo};
-use lotussaddle_trunk::{Act, Audit, CopySent, Frame, Launch, Peer, Reached, Replaced};
+use lotussaddle_trunk::{
+    AuditMessage, DutyAction, Frame, Launch, PeerMessage, Progress, Replaced, ReplicaUpdate,
+};
 use serde::{Deserialize, Serialize};
 
 use crate::record::{Brief, Line, Way, What};
@@ -151,9 +153,9 @@
     stalled: HashSet<usize>,
     troubled: Duration,
     /// Acts of duties on their way, by edge proxy, link and dialogue.
-    acts: HashMap<(usize, u64, DialogueId), Act>,
+    acts: HashMap<(usize, u64, DialogueId), DutyAction>,
     /// The highest that a core server has done of a duty, and when it did the first under that number.
-    done: HashMap<(String, u16), (Act, Mark)>,
+    done: HashMap<(String, u16), (DutyAction, Mark)>,
     pub counts: FleetCounts,
     breaks: Vec<Break>,
 }
@@ -250,7 +252,7 @@
     }
 
     /// An edge proxy has been sent copies, or sends its own.
-    fn learns(&mut self, edge: usize, copies: &[CopySent]) {
+    fn learns(&mut self, edge: usize, copies: &[ReplicaUpdate]) {
         for copy in copies {
             let known = self.knows.entry(copy.dialogue.clone()).or_default();
             for (place, wrote) in wrote(copy) {
@@ -281,8 +283,8 @@
     fn passed(&mut self, edge: usize, link: u64, way: Way, frame: &Frame) {
         let now = self.now;
         match (way, frame) {
-            (_, Frame::Peer(peer)) => self.peer(edge, link, way, peer),
-            (Way::In, Frame::Dial(dial)) if dial.repeat => {
+            (_, Frame::PeerMessage(peer)) => self.peer(edge, link, way, peer),
+            (Way::In, Frame::Dial(dial)) if dial.is_repeat => {
                 self.counts.repeats += 1;
                 let known = self.dialogues.entry(dial.dialogue.clone()).or_default();
                 known.repeated.insert(edge);
@@ -290,8 +292,10 @@
             (Way::Out, Frame::Declined { dialogue, why, .. }) => {
                 let repeated = self.dialogues.get_mut(dialogue).is_some_and(|d| d.repeated.remove(&edge));
                 match why {
-                    lotussaddle_trunk::NotTaken::Unsure => self.counts.unsure += u64::from(repeated),
-                    lotussaddle_trunk::NotTaken::Concluded => self.counts.concluded += u64::from(repeated),
+                    lotussaddle_trunk::DeclineReason::Unsure => self.counts.unsure += u64::from(repeated),
+                    lotussaddle_trunk::DeclineReason::Concluded => {
+                        self.counts.concluded += u64::from(repeated)
+                    }
                     _ => {}
                 }
             }
@@ -326,14 +330,14 @@
                 let server = self.links[&(edge, link)].clone();
                 self.free(&server, dialogue);
             }
-            (Way::Out, Frame::Audit(Audit::Adopt { dialogue, act: Some(act), .. })) => {
+            (Way::Out, Frame::AuditMessage(AuditMessage::Adopt { dialogue, action: Some(act), .. })) => {
                 self.acts.insert((edge, link, dialogue.clone()), *act);
             }
-            (Way::In, Frame::Audit(Audit::Fenced { dialogue, .. })) => {
+            (Way::In, Frame::AuditMessage(AuditMessage::Fenced { dialogue, .. })) => {
                 self.acts.remove(&(edge, link, dialogue.clone()));
                 self.counts.fenced += 1;
             }
-            (Way::In, Frame::Audit(Audit::Adopted { dialogue, launch, .. })) => {
+            (Way::In, Frame::AuditMessage(AuditMessage::Adopted { dialogue, launch, .. })) => {
                 let server = self.links[&(edge, link)].clone();
                 if let Some(act) = self.acts.remove(&(edge, link, dialogue.clone())) {
                     self.acted(edge, dialogue, &server, act);
@@ -352,7 +356,7 @@
                 }
             }
             // Its core server has ended what was out there for a former owner.
-            (Way::In, Frame::Audit(Audit::Moved { dialogue, launch, .. })) => {
+            (Way::In, Frame::AuditMessage(AuditMessage::Moved { dialogue, launch, .. })) => {
                 self.over(edge, dialogue, *launch, true);
             }
             _ => {}
@@ -360,21 +364,24 @@
     }
 
     /// A core server has done an act of a duty. What it did at once before or after on another link may pass here the other way round.
-    fn acted(&mut self, edge: usize, id: &DialogueId, server: &str, act: Act) {
+    fn acted(&mut self, edge: usize, id: &DialogueId, server: &str, act: DutyAction) {
         let now = self.now;
         self.counts.acts += 1;
         let slack = Duration::from_secs_f64(self.brief.slack_s);
         let (highest, mark) = *self.done.entry((server.into(), act.duty)).or_insert((act, now));
-        let whose = |act: &Act| (act.member, act.life);
-        let what = if act.number == highest.number && whose(&act) != whose(&highest) {
+        let whose = |act: &DutyAction| (act.member, act.incarnation);
+        let what = if act.fencing_token == highest.fencing_token && whose(&act) != whose(&highest) {
             format!(
                 "number {} of duty {} is edge-{}'s and edge-{}'s",
-                act.number, act.duty, highest.member, act.member
+                act.fencing_token, act.duty, highest.member, act.member
+            )
+        } else if act.fencing_token < highest.fencing_token && now.at > mark.at + slack {
+            format!(
+                "number {} of duty {} done after number {}",
+                act.fencing_token, act.duty, highest.fencing_token
             )
-        } else if act.number < highest.number && now.at > mark.at + slack {
-            format!("number {} of duty {} done after number {}", act.number, act.duty, highest.number)
         } else {
-            if act.number > highest.number {
+            if act.fencing_token > highest.fencing_token {
                 self.done.insert((server.into(), act.duty), (act, now));
             }
             return;
@@ -524,28 +531,33 @@
 
     // What members say to each other
 
-    fn peer(&mut self, edge: usize, link: u64, way: Way, peer: &Peer) {
+    fn peer(&mut self, edge: usize, link: u64, way: Way, peer: &PeerMessage) {
         if way == Way::Out {
             self.counts.peer_frames += 1;
             let mut bytes = Vec::new();
-            lotussaddle_trunk::Message::from(Frame::Peer(peer.clone())).encode(&mut bytes);
+            lotussaddle_trunk::Message::from(Frame::PeerMessage(peer.clone())).encode(&mut bytes);
             self.counts.peer_bytes += bytes.len() as u64;
         }
-        if let Peer::Piece { copies, .. } | Peer::Copies { copies, .. } = peer
+        if let PeerMessage::SnapshotChunk { replicas: copies, .. }
+        | PeerMessage::Replicas { replicas: copies, .. } = peer
             && !self.stalled.contains(&edge)
         {
             self.learns(edge, copies);
         }
         match (way, peer) {
             // What goes outside the stream, a snapshot's pieces among it, is had before whatever is acknowledged later on that link.
-            (Way::Out, Peer::Piece { copies, .. } | Peer::Copies { first: 0, copies, .. }) => {
+            (
+                Way::Out,
+                PeerMessage::SnapshotChunk { replicas: copies, .. }
+                | PeerMessage::Replicas { first: 0, replicas: copies, .. },
+            ) => {
                 let far = self.links.get(&(edge, link)).cloned().unwrap_or_default();
                 let outside = copies
                     .iter()
                     .flat_map(|copy| wrote(copy).into_iter().map(|(_, w)| (copy.dialogue.clone(), w)));
                 self.streams.entry((edge, far)).or_default().sent.entry(0).or_default().extend(outside);
             }
-            (Way::Out, Peer::Copies { first, copies, .. }) => {
+            (Way::Out, PeerMessage::Replicas { first, replicas: copies, .. }) => {
                 let far = self.links.get(&(edge, link)).cloned().unwrap_or_default();
                 let stream = self.streams.entry((edge, far)).or_default();
                 for (place, copy) in copies.iter().enumerate() {
@@ -556,7 +568,9 @@
                     }
                 }
             }
-            (Way::In, Peer::Kept { up_to, replaced, .. }) => self.kept_by(edge, link, *up_to, replaced),
+            (Way::In, PeerMessage::Acknowledge { up_to, replaced, .. }) => {
+                self.kept_by(edge, link, *up_to, replaced)
+            }
             _ => {}
         }
     }
@@ -598,10 +612,10 @@
 }
 
 /// The launch of whoever wrote last and the answers that a copy brings, and at which place whoever wrote them stands.
-fn wrote(copy: &CopySent) -> Vec<(usize, Wrote)> {
+fn wrote(copy: &ReplicaUpdate) -> Vec<(usize, Wrote)> {
     let mut all = Vec::new();
-    let last = copy.parts.iter().max_by_key(|part| part.owner);
-    if let Some(Reached::Out { launch, .. }) = last.map(|part| &part.reached) {
+    let last = copy.owner_records.iter().max_by_key(|part| part.owner);
+    if let Some(Progress::Launched { launch, .. }) = last.map(|part| &part.progress) {
         all.push((last.map_or(0, |part| usize::from(part.owner.member)), Wrote::Launch(launch.0)));
     }
     all.extend(copy.answers.iter().map(|given| (usize::from(given.owner.member), Wrote::Answer)));
--- a/crates/judge/src/gain.rs
+++ b/crates/judge/src/gain.rs
@@ -5,7 +5,7 @@
 
 use hdrhistogram::Histogram;
 use lotussaddle::interface::DialogueId;
-use lotussaddle_trunk::{End, Frame};
+use lotussaddle_trunk::{DialogueEnd, Frame};
 use serde::{Deserialize, Serialize};
 
 use crate::record::{Brief, Line, Way, What};
@@ -121,8 +121,8 @@
                     self.first.insert(root, self.wishes.len());
                     self.wish(now, product, dial.tenant.map(usize::from))
                 });
-                let counts_from = if dial.came_back { now } else { self.wishes[wish].at };
-                let new = Try { wish, link, dialled: now, counts_from, product, repeat: dial.repeat };
+                let counts_from = if dial.redialled_after_cut { now } else { self.wishes[wish].at };
+                let new = Try { wish, link, dialled: now, counts_from, product, repeat: dial.is_repeat };
                 self.tries.insert((edge, dial.dialogue.clone()), new);
             }
             (Way::Out, Frame::Stands { dialogue, .. }) => {
@@ -147,7 +147,7 @@
                     self.let_go.saturating_record(((now - known.dialled).as_micros() as u64).max(1));
                 }
             }
-            (Way::Out, Frame::Over { dialogue, end: End::Cut }) => {
+            (Way::Out, Frame::Over { dialogue, end: DialogueEnd::Cut }) => {
                 if let Some(known) = self.tries.remove(&(edge, dialogue.clone())) {
                     self.wishes[known.wish].earned = 0.0;
                 }
--- a/crates/judge/src/numbers.rs
+++ b/crates/judge/src/numbers.rs
@@ -254,7 +254,7 @@
             let mut place = 0;
             while place < answers.len() {
                 let answer = answers[place];
-                let step = plain.analyse(dial.tenant, text, hour, dial.lot(), &|number| {
+                let step = plain.analyse(dial.tenant, text, hour, dial.sharing_hash(), &|number| {
                     asked.replace(Some(number));
                     answer
                 });
--- a/crates/judge/src/rules.rs
+++ b/crates/judge/src/rules.rs
@@ -289,11 +289,11 @@
                     tables.dialled(edge, now.at, dial);
                 }
                 let late = now.at + dial.time_left + span(self.brief.answer_grace_s);
-                if dial.repeat {
+                if dial.is_repeat {
                     self.moved_on(edge, &dial.dialogue);
                 }
                 let proxy = self.proxy(edge);
-                let again = dial.repeat
+                let again = dial.is_repeat
                     && proxy
                         .dialogues
                         .get(&dial.dialogue)
@@ -324,7 +324,7 @@
                     over: false,
                     missed: false,
                     moved: false,
-                    repeated: dial.repeat,
+                    repeated: dial.is_repeat,
                 };
                 proxy.dialogues.insert(dial.dialogue.clone(), dialogue);
                 proxy.owed.entry(late).or_default().push(dial.dialogue.clone());
@@ -390,12 +390,12 @@
                 }
             }
             // Whoever has all members carry an order out does so itself.
-            (_, Peer(lotussaddle_trunk::Peer::Publish { serial, order, .. })) => {
+            (_, PeerMessage(lotussaddle_trunk::PeerMessage::Publish { serial, order, .. })) => {
                 if let Some(tables) = &mut self.tables {
                     tables.ordered(edge, now.at, *serial, order);
                 }
             }
-            (Way::Out, Tabled { serial, in_force, name, .. }) => {
+            (Way::Out, TablesResult { serial, in_force, name, .. }) => {
                 let wrong = self
                     .tables
                     .as_mut()
@@ -426,7 +426,7 @@
                 }
                 self.ended(edge, dialogue, *launch, None, true);
             }
-            (Way::In, List { whole, entries }) => self.listed(edge, *whole, entries),
+            (Way::In, List { is_complete: whole, entries }) => self.listed(edge, *whole, entries),
             _ => {}
         }
     }
@@ -629,13 +629,13 @@
             let server = entry.server.0.to_string();
             self.numbers.insert(server.clone(), entry.number.0);
             let proxy = self.proxies.entry(edge).or_default();
-            if entry.listed == Listed::Active {
+            if entry.state == Listed::Active {
                 proxy.barred.remove(&server);
             } else {
                 proxy.barred.entry(server.clone()).or_insert(now);
             }
-            proxy.listed.insert(server.clone(), entry.listed);
-            proxy.lives.insert(server, entry.life);
+            proxy.listed.insert(server.clone(), entry.state);
+            proxy.lives.insert(server, entry.incarnation);
         }
     }
 
--- a/crates/judge/tests/doctored.rs
+++ b/crates/judge/tests/doctored.rs
@@ -30,7 +30,7 @@
             script.put(0, What::Up { edge: 0, link, far: far.into() });
         }
         let entries = vec![entry("a", Listed::Active, 0), entry("b", Listed::Active, 0)];
-        script.passed(0, LIST, Way::In, Frame::List { whole: true, entries })
+        script.passed(0, LIST, Way::In, Frame::List { is_complete: true, entries })
     }
 
     fn put(&mut self, at: u64, what: What) {
@@ -56,9 +56,9 @@
             first_choice: ServerNumber(0),
             width: 1.0,
             time_left: Duration::from_millis(3000),
-            again: false,
-            came_back: false,
-            repeat: false,
+            is_retry: false,
+            redialled_after_cut: false,
+            is_repeat: false,
             sent_at: None,
             try_of: None,
             dialled: None,
@@ -109,7 +109,7 @@
     }
 
     fn refused(self, at: u64, name: &str) -> Self {
-        self.passed(at, CALLER, Way::Out, Frame::Refused { dialogue: id(name), come_back: None })
+        self.passed(at, CALLER, Way::Out, Frame::Refused { dialogue: id(name), retry_after: None })
     }
 
     fn failed(self, at: u64, name: &str) -> Self {
@@ -121,7 +121,7 @@
     }
 
     fn list(self, at: u64, whole: bool, entries: Vec<Entry>) -> Self {
-        self.passed(at, LIST, Way::In, Frame::List { whole, entries })
+        self.passed(at, LIST, Way::In, Frame::List { is_complete: whole, entries })
     }
 
     fn verdict(self) -> Verdict {
@@ -143,8 +143,8 @@
         server: ServerId(Arc::from(name)),
         number: ServerNumber(0),
         address: Arc::from("x"),
-        listed,
-        life,
+        state: listed,
+        incarnation: life,
         age: Duration::from_millis(life * 10),
     }
 }
@@ -228,7 +228,7 @@
 fn rule_1_something_after_the_answer() {
     let found = good().dial(6000, "d9").refused(6100, "d9").launch(6200, A, "d9", 0).found();
     only(&found, Rule::OneAnswer, "launched after its final answer");
-    let over = Frame::Over { dialogue: id("d9"), end: End::Cut };
+    let over = Frame::Over { dialogue: id("d9"), end: DialogueEnd::Cut };
     let found = good().dial(6000, "d9").refused(6100, "d9").passed(6200, CALLER, Way::Out, over).found();
     only(&found, Rule::OneAnswer, "told that it is over");
 }
@@ -265,8 +265,8 @@
         script.note(6600, What::Up { edge: 0, link: A, far: "a".into() }).dial(6700, "d9")
     };
     only(&again().refused(6800, "d9").found(), Rule::OneAnswer, "answered again after a restart");
-    let why = NotTaken::Concluded;
-    let declined = Frame::Declined { dialogue: id("d9"), why, come_back: None };
+    let why = DeclineReason::Concluded;
+    let declined = Frame::Declined { dialogue: id("d9"), why, retry_after: None };
     assert!(again().passed(6710, CALLER, Way::Out, declined.clone()).found().is_empty());
     let launched = again().launch(6705, A, "d9", 0).cancel(6706, A, "d9", 0);
     only(
@@ -365,7 +365,8 @@
     }
     // A turn-back leaves no doubt.
     let report = LoadReport::default();
-    let back = Frame::TurnedBack { dialogue: id("d9"), launch: LaunchNo(0), cause: Cause::Lines, report };
+    let back =
+        Frame::TurnedBack { dialogue: id("d9"), launch: LaunchNo(0), cause: TurnBackCause::Lines, report };
     assert!(after(script().passed(6100, A, Way::In, back), 6110).is_empty());
 }
 
@@ -387,10 +388,10 @@
     let mut script = stands(Script::new().dial_as(1000, "dear", 1, |_| ()), 1400, "dear");
     script = stands(script.dial(2000, "late"), 3500, "late");
     script = stands(script.dial(4000, "cut"), 4100, "cut");
-    let over = Frame::Over { dialogue: id("cut"), end: End::Cut };
+    let over = Frame::Over { dialogue: id("cut"), end: DialogueEnd::Cut };
     script = script.passed(5000, CALLER, Way::Out, over).dial(6000, "no").refused(6100, "no");
     script = script.dial(7000, "x").refused(7100, "x");
-    script = script.dial_as(7500, "x.1", 0, |d| (d.again, d.try_of) = (true, Some(id("x"))));
+    script = script.dial_as(7500, "x.1", 0, |d| (d.is_retry, d.try_of) = (true, Some(id("x"))));
     let gain = stands(script, 7900, "x.1").verdict().gain;
     assert_eq!((gain.offered, gain.earned), (10.0, 7.25));
     assert_eq!((gain.by_product["dear"], gain.by_product["plain"]), (1.0, 1.25 / 4.0));
@@ -459,7 +460,8 @@
             Box::new(move |script| {
                 let order = TablesOrder::Swap { name: "two".into(), after: Duration::ZERO };
                 let script = script.passed(at, LIST, Way::In, Frame::Tables { serial: 1, order });
-                let tabled = Frame::Tabled { serial: 1, in_force: 1, name: Some("two".into()), why: None };
+                let tabled =
+                    Frame::TablesResult { serial: 1, in_force: 1, name: Some("two".into()), why: None };
                 script.passed(at, LIST, Way::Out, tabled)
             }),
         ));
--- a/crates/judge/tests/doctored_fleet.rs
+++ b/crates/judge/tests/doctored_fleet.rs
@@ -59,11 +59,11 @@
             server: a(),
             number: ServerNumber(0),
             address: Arc::from("x"),
-            listed: Listed::Active,
-            life: 0,
+            state: Listed::Active,
+            incarnation: 0,
             age: Duration::ZERO,
         };
-        let list = Frame::List { whole: true, entries: vec![entry] };
+        let list = Frame::List { is_complete: true, entries: vec![entry] };
         let message = list.into();
         self.put(at, What::Passed { edge, link: LIST + at * 100, way: Way::In, message });
     }
@@ -82,9 +82,9 @@
             first_choice: ServerNumber(0),
             width: 1.0,
             time_left: Duration::from_millis(3000),
-            again: false,
-            came_back: false,
-            repeat,
+            is_retry: false,
+            redialled_after_cut: false,
+            is_repeat: repeat,
             sent_at: None,
             try_of: None,
             dialled: None,
@@ -93,27 +93,38 @@
     }
 
     /// An owner's write goes to the other one; acknowledged where it says so.
-    fn write(mut self, at: u64, edge: usize, reached: Reached, answer: Option<Answer>, kept: bool) -> Self {
+    fn write(mut self, at: u64, edge: usize, reached: Progress, answer: Option<Answer>, kept: bool) -> Self {
         self.writes[edge] += 1;
         let first = self.writes[edge];
-        let owner = Owner { round: edge as u32, member: edge as u16, life: 1 };
+        let owner = Owner { round: edge as u32, member: edge as u16, incarnation: 1 };
         let (bar, lasts) = (Duration::ZERO, Duration::from_secs(60));
-        let parts = vec![Part { owner, version: first as u32, reached, bar, lasts }];
-        let answers = answer.into_iter().map(|answer| Given { owner, answer }).collect();
-        let copies = vec![CopySent { dialogue: id("d"), parts, answers }];
-        let copies = Frame::Peer(Peer::Copies { life: 1, first, copies });
+        let parts = vec![OwnerRecord {
+            owner,
+            version: first as u32,
+            progress: reached,
+            blocked_for: bar,
+            expires_in: lasts,
+        }];
+        let answers = answer.into_iter().map(|answer| RecordedAnswer { owner, answer }).collect();
+        let copies = vec![ReplicaUpdate { dialogue: id("d"), owner_records: parts, answers }];
+        let copies = Frame::PeerMessage(PeerMessage::Replicas { incarnation: 1, first, replicas: copies });
         let script = self.passed(at, edge, PEER, Way::Out, copies.clone());
         let script = script.passed(at, 1 - edge, PEER, Way::In, copies);
         if !kept {
             return script;
         }
-        let kept = Frame::Peer(Peer::Kept { life: 1, up_to: first, saved: 0, replaced: Vec::new() });
+        let kept = Frame::PeerMessage(PeerMessage::Acknowledge {
+            incarnation: 1,
+            up_to: first,
+            saved: 0,
+            replaced: Vec::new(),
+        });
         let script = script.passed(at, 1 - edge, PEER, Way::Out, kept.clone());
         script.passed(at, edge, PEER, Way::In, kept)
     }
 
     fn launch_with(self, at: u64, edge: usize, launch: u32, kept: bool) -> Self {
-        let reached = Reached::Out { server: a(), launch: LaunchNo(launch) };
+        let reached = Progress::Launched { server: a(), launch: LaunchNo(launch) };
         let script = self.write(at, edge, reached, None, kept);
         let launch = Launch {
             dialogue: id("d"),
@@ -124,7 +135,7 @@
             time_left: Duration::from_millis(500),
             number: None,
             routing: None,
-            owner: Some(Owner { round: edge as u32, member: edge as u16, life: 1 }),
+            owner: Some(Owner { round: edge as u32, member: edge as u16, incarnation: 1 }),
         };
         script.passed(at, edge, A, Way::Out, Frame::Launch(launch))
     }
@@ -144,7 +155,7 @@
     }
 
     fn stands_with(self, at: u64, edge: usize, kept: bool) -> Self {
-        let reached = Reached::Stands { server: a(), launch: LaunchNo(0) };
+        let reached = Progress::Stands { server: a(), launch: LaunchNo(0) };
         let script = self.write(at, edge, reached, Some(Answer::Stands { server: a() }), kept);
         script.passed(at, edge, CALLER, Way::Out, Frame::Stands { dialogue: id("d"), server: a() })
     }
@@ -154,7 +165,7 @@
     }
 
     fn failed(self, at: u64, edge: usize) -> Self {
-        let script = self.write(at, edge, Reached::Over, Some(Answer::Failed), true);
+        let script = self.write(at, edge, Progress::Ended, Some(Answer::Failed), true);
         script.passed(at, edge, CALLER, Way::Out, Frame::Failed { dialogue: id("d") })
     }
 
@@ -170,9 +181,9 @@
     }
 
     fn adopted(self, at: u64, edge: usize) -> Self {
-        let owner = Owner { round: 1, member: edge as u16, life: 1 };
-        let adopted = Audit::Adopted { dialogue: id("d"), owner, launch: Some(0), by: owner };
-        self.passed(at, edge, A, Way::In, Frame::Audit(adopted))
+        let owner = Owner { round: 1, member: edge as u16, incarnation: 1 };
+        let adopted = AuditMessage::Adopted { dialogue: id("d"), owner, launch: Some(0), by: owner };
+        self.passed(at, edge, A, Way::In, Frame::AuditMessage(adopted))
     }
 
     fn loose(mut self) -> Self {
@@ -284,15 +295,15 @@
     let mut script = Script::new();
     for (n, (member, number, done)) in acts.iter().enumerate() {
         let (at, edge) = (1000 + n as u64 * 100, usize::from(*member));
-        let owner = Owner { round: 1, member: *member, life: 1 };
-        let act = Some(Act { duty: 0, number: *number, member: *member, life: 1 });
-        let adopt = Audit::Adopt { dialogue: id("d"), owner, act };
-        script = script.passed(at, edge, A, Way::Out, Frame::Audit(adopt));
+        let owner = Owner { round: 1, member: *member, incarnation: 1 };
+        let act = Some(DutyAction { duty: 0, fencing_token: *number, member: *member, incarnation: 1 });
+        let adopt = AuditMessage::Adopt { dialogue: id("d"), owner, action: act };
+        script = script.passed(at, edge, A, Way::Out, Frame::AuditMessage(adopt));
         let answer = match done {
-            true => Audit::Adopted { dialogue: id("d"), owner, launch: None, by: owner },
-            false => Audit::Fenced { dialogue: id("d"), duty: 0, highest: 99 },
+            true => AuditMessage::Adopted { dialogue: id("d"), owner, launch: None, by: owner },
+            false => AuditMessage::Fenced { dialogue: id("d"), duty: 0, highest: 99 },
         };
-        script = script.passed(at + 5, edge, A, Way::In, Frame::Audit(answer));
+        script = script.passed(at + 5, edge, A, Way::In, Frame::AuditMessage(answer));
     }
     script.found()
 }
--- a/crates/links/src/hub.rs
+++ b/crates/links/src/hub.rs
@@ -18,43 +18,43 @@
 
 /// A link of a hub, never used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Token(pub u64);
+pub struct LinkToken(pub u64);
 
 #[derive(Clone, Debug)]
-pub struct Bounds {
+pub struct HubLimits {
     /// Messages that wait to be written to one link.
-    pub queue: usize,
+    pub max_queued_messages: usize,
     /// Happenings that wait for the owner.
-    pub inbox: usize,
+    pub max_queued_events: usize,
     /// How long a write may stand still.
-    pub write_within: Duration,
-    pub connect_within: Duration,
+    pub write_timeout: Duration,
+    pub connect_timeout: Duration,
 }
 
-impl Default for Bounds {
+impl Default for HubLimits {
     fn default() -> Self {
         Self {
-            queue: 16_384,
-            inbox: 16_384,
-            write_within: Duration::from_secs(2),
-            connect_within: Duration::from_millis(500),
+            max_queued_messages: 16_384,
+            max_queued_events: 16_384,
+            write_timeout: Duration::from_secs(2),
+            connect_timeout: Duration::from_millis(500),
         }
     }
 }
 
 /// What the owner of a hub is told.
-pub enum Happening {
+pub enum LinkEvent {
     /// A link came in at the gate of this number; it is closed again unless the hub admits it.
-    Came(Token, u32, Opened),
+    Accepted(LinkToken, u32, OpenLink),
     /// A link begun by `Hub::connect` is up.
-    Up(Token),
-    Said(Token, Message),
+    Connected(LinkToken),
+    Received(LinkToken, Message),
     /// A link is gone; nothing more comes of it.
-    Lost(Token, String),
+    Closed(LinkToken, String),
 }
 
 /// This end of a link whose threads run.
-pub struct Opened {
+pub struct OpenLink {
     to: Sender<Message>,
     stream: Option<Arc<TcpStream>>,
     gone: Arc<AtomicBool>,
@@ -68,18 +68,18 @@
 pub(crate) struct Tokens(Arc<AtomicU64>);
 
 impl Tokens {
-    pub fn next(&self) -> Token {
-        Token(self.0.fetch_add(1, Ordering::Relaxed))
+    pub fn next(&self) -> LinkToken {
+        LinkToken(self.0.fetch_add(1, Ordering::Relaxed))
     }
 }
 
 /// Only its owner's thread calls it. None of its calls touches a socket but `reset`: links are begun by a thread
 /// of their own, and the threads of a link end when its end of the queue is let go.
 pub struct Hub {
-    bounds: Bounds,
+    bounds: HubLimits,
     tokens: Tokens,
-    inbox: Sender<Happening>,
-    open: HashMap<Token, Opened>,
+    inbox: Sender<LinkEvent>,
+    open: HashMap<LinkToken, OpenLink>,
     to_begin: Sender<(Ends, String, Receiver<Message>)>,
 }
 
@@ -87,10 +87,10 @@
 const TO_BEGIN: usize = 1024;
 
 impl Hub {
-    pub fn new(bounds: Bounds) -> std::io::Result<(Self, Receiver<Happening>)> {
-        let (inbox, happenings) = bounded(bounds.inbox);
+    pub fn new(bounds: HubLimits) -> std::io::Result<(Self, Receiver<LinkEvent>)> {
+        let (inbox, happenings) = bounded(bounds.max_queued_events);
         let (to_begin, begun) = bounded::<(Ends, String, Receiver<Message>)>(TO_BEGIN);
-        let within = bounds.connect_within;
+        let within = bounds.connect_timeout;
         thread::Builder::new().name("connector".into()).stack_size(STACK).spawn(move || {
             while let Ok((ends, address, messages)) = begun.recv() {
                 let refused = ends.clone();
@@ -110,11 +110,11 @@
     }
 
     /// Keeps a link that came in.
-    pub fn admit(&mut self, token: Token, opened: Opened) {
+    pub fn admit(&mut self, token: LinkToken, opened: OpenLink) {
         self.open.insert(token, opened);
     }
 
-    pub fn connect(&mut self, address: &str) -> Token {
+    pub fn connect(&mut self, address: &str) -> LinkToken {
         let token = self.tokens.next();
         let (ends, opened, messages) = self.maker().link(token);
         self.open.insert(token, opened);
@@ -124,33 +124,33 @@
             // The owner reads this from the channel that it owns: where even that is full, its link is lost
             // when it next says something there.
             ends.gone.store(true, Ordering::Relaxed);
-            let _ = self.inbox.try_send(Happening::Lost(token, "too many links to begin".into()));
+            let _ = self.inbox.try_send(LinkEvent::Closed(token, "too many links to begin".into()));
         }
         token
     }
 
     /// Queues a message; false where the queue is full or the link gone.
-    pub fn say(&mut self, token: Token, message: Message) -> bool {
-        let open = self.open.get(&token).filter(|open| open.to.len() < self.bounds.queue);
+    pub fn send(&mut self, token: LinkToken, message: Message) -> bool {
+        let open = self.open.get(&token).filter(|open| open.to.len() < self.bounds.max_queued_messages);
         open.is_some_and(|open| open.to.send(message).is_ok())
     }
 
     /// From now on this link is written a byte at a time, so far apart; zero: as it comes.
-    pub fn drip(&mut self, token: Token, gap: Duration) {
+    pub fn throttle(&mut self, token: LinkToken, gap: Duration) {
         if let Some(open) = self.open.get(&token) {
             open.drip.store(gap.as_millis() as u64, Ordering::Relaxed);
         }
     }
 
     /// Ends a link, once what is queued has been written. Nothing is told of it any more.
-    pub fn close(&mut self, token: Token) {
+    pub fn close(&mut self, token: LinkToken) {
         if let Some(open) = self.open.remove(&token) {
             open.gone.store(true, Ordering::Relaxed);
         }
     }
 
     /// Ends a link that came in so that its peer sees a reset at once.
-    pub fn reset(&mut self, token: Token) {
+    pub fn reset(&mut self, token: LinkToken) {
         if let Some(open) = self.open.remove(&token) {
             open.gone.store(true, Ordering::Relaxed);
             if let Some(stream) = &open.stream {
@@ -163,7 +163,7 @@
     }
 
     /// Messages queued to a link.
-    pub fn queued(&self, token: Token) -> usize {
+    pub fn queued(&self, token: LinkToken) -> usize {
         self.open.get(&token).map_or(0, |open| open.to.len())
     }
 
@@ -176,24 +176,24 @@
 #[derive(Clone)]
 pub(crate) struct Maker {
     pub tokens: Tokens,
-    pub inbox: Sender<Happening>,
-    bounds: Bounds,
+    pub inbox: Sender<LinkEvent>,
+    bounds: HubLimits,
 }
 
 impl Maker {
-    fn link(&self, token: Token) -> (Ends, Opened, Receiver<Message>) {
+    fn link(&self, token: LinkToken) -> (Ends, OpenLink, Receiver<Message>) {
         // Bounded by its one sender, in `Hub::say`: a bounded channel of this library holds all its slots from the
         // start, half a megabyte a link.
         let (to, messages) = unbounded();
         let opened =
-            Opened { to, stream: None, gone: Arc::default(), abrupt: Arc::default(), drip: Arc::default() };
+            OpenLink { to, stream: None, gone: Arc::default(), abrupt: Arc::default(), drip: Arc::default() };
         let ends = Ends {
             token,
             inbox: self.inbox.clone(),
             gone: opened.gone.clone(),
             abrupt: opened.abrupt.clone(),
             drip: opened.drip.clone(),
-            write_within: self.bounds.write_within,
+            write_within: self.bounds.write_timeout,
         };
         (ends, opened, messages)
     }
@@ -204,7 +204,7 @@
         let (ends, mut opened, messages) = self.link(token);
         let stream = Arc::new(stream);
         opened.stream = Some(stream.clone());
-        if self.inbox.send(Happening::Came(token, gate, opened)).is_err() {
+        if self.inbox.send(LinkEvent::Accepted(token, gate, opened)).is_err() {
             return false;
         }
         if let Err(error) = ends.clone().run(stream, messages) {
@@ -217,8 +217,8 @@
 /// What the two threads of a link share.
 #[derive(Clone)]
 struct Ends {
-    token: Token,
-    inbox: Sender<Happening>,
+    token: LinkToken,
+    inbox: Sender<LinkEvent>,
     gone: Arc<AtomicBool>,
     abrupt: Arc<AtomicBool>,
     drip: Arc<AtomicU64>,
@@ -229,7 +229,7 @@
     /// The first end that is seen is told, and only that.
     fn lost(&self, why: String) {
         if !self.gone.swap(true, Ordering::Relaxed) {
-            let _ = self.inbox.send(Happening::Lost(self.token, why));
+            let _ = self.inbox.send(LinkEvent::Closed(self.token, why));
         }
     }
 
@@ -242,7 +242,7 @@
             // Given up meanwhile.
             _ if self.gone.load(Ordering::Relaxed) => {}
             Ok(stream) => {
-                let _ = self.inbox.send(Happening::Up(self.token));
+                let _ = self.inbox.send(LinkEvent::Connected(self.token));
                 if let Err(error) = self.clone().run(Arc::new(stream), messages) {
                     self.lost(format!("no thread for it: {error}"));
                 }
@@ -283,12 +283,12 @@
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 Err(error) => return error.to_string(),
             };
-            decoder.take(&chunk[..read]);
-            while let Some(message) = decoder.frame() {
+            decoder.feed(&chunk[..read]);
+            while let Some(message) = decoder.next_frame() {
                 match message {
                     _ if self.gone.load(Ordering::Relaxed) => return String::new(),
                     Ok(message) => {
-                        if self.inbox.send(Happening::Said(self.token, message)).is_err() {
+                        if self.inbox.send(LinkEvent::Received(self.token, message)).is_err() {
                             return "its owner is gone".into();
                         }
                     }
--- a/crates/links/src/lib.rs
+++ b/crates/links/src/lib.rs
@@ -8,5 +8,5 @@
 mod hub;
 mod listener;
 
-pub use hub::{Bounds, Happening, Hub, Opened, Token};
-pub use listener::{Gate, listen};
+pub use hub::{Hub, HubLimits, LinkEvent, LinkToken, OpenLink};
+pub use listener::{Listener, listen};
--- a/crates/links/src/listener.rs
+++ b/crates/links/src/listener.rs
@@ -22,13 +22,13 @@
 }
 
 /// One listening address of a hub.
-pub struct Gate {
+pub struct Listener {
     number: u32,
     pub address: SocketAddr,
     shut: Arc<AtomicBool>,
 }
 
-impl Gate {
+impl Listener {
     /// Listens at an address; port 0 lets the system choose one.
     pub fn open(hub: &Hub, number: u32, address: SocketAddr) -> std::io::Result<Self> {
         let mut gate = Self { number, address, shut: Arc::new(AtomicBool::new(true)) };
@@ -74,7 +74,7 @@
     }
 }
 
-impl Drop for Gate {
+impl Drop for Listener {
     fn drop(&mut self) {
         self.shut();
     }
--- a/crates/platform/src/desk.rs
+++ b/crates/platform/src/desk.rs
@@ -5,7 +5,7 @@
 
 use lotussaddle::interface::{DialogueId, LaunchNo, LoadReport, Outcome};
 use lotussaddle_edge::{LinkId, Note, Wires};
-use lotussaddle_trunk::{End, Frame, Launch, Message, NotTaken};
+use lotussaddle_trunk::{DeclineReason, DialogueEnd, Frame, Launch, Message};
 
 use crate::codec::{self, Cutter, Tag, ToCaller, cause, code, kind};
 use crate::config::Bounds;
@@ -401,7 +401,7 @@
                     caller.served = true;
                 }
             }
-            Frame::Refused { dialogue, come_back } => {
+            Frame::Refused { dialogue, retry_after: come_back } => {
                 let wait_ms = come_back.map(|time| time.as_millis() as u64);
                 answer(desk, net, &dialogue, ToCaller::Finish { cause: cause::FULL, wait_ms });
             }
@@ -409,12 +409,12 @@
                 answer(desk, net, &dialogue, ToCaller::Finish { cause: cause::RESET, wait_ms: None });
             }
             Frame::Declined { dialogue, why, .. } => {
-                let cause = if why == NotTaken::Full { cause::CONGESTION } else { cause::UNUSABLE };
+                let cause = if why == DeclineReason::Full { cause::CONGESTION } else { cause::UNUSABLE };
                 answer(desk, net, &dialogue, ToCaller::Finish { cause, wait_ms: None });
             }
             Frame::Over { dialogue, end } => {
                 let tag = tag(&dialogue);
-                let cause = if end == End::Released { cause::NORMAL } else { cause::RESET };
+                let cause = if end == DialogueEnd::Released { cause::NORMAL } else { cause::RESET };
                 let own = desk.drop_call(tag);
                 desk.tell_over(net, tag, cause, own);
             }
--- a/crates/platform/src/sessions/lives.rs
+++ b/crates/platform/src/sessions/lives.rs
@@ -4,7 +4,7 @@
 
 use lotussaddle::interface::*;
 use lotussaddle_edge::LinkId;
-use lotussaddle_trunk::{End, Extra, Frame, Message};
+use lotussaddle_trunk::{DialogueEnd, Extra, Frame, Message};
 
 use super::Platform;
 use crate::codec::{self, Binary, Tag, cause, code, kind};
@@ -39,8 +39,8 @@
     }
 }
 
-fn end_of(cause: u8) -> End {
-    if cause == cause::NORMAL { End::Released } else { End::Cut }
+fn end_of(cause: u8) -> DialogueEnd {
+    if cause == cause::NORMAL { DialogueEnd::Released } else { DialogueEnd::Cut }
 }
 
 impl Platform {
@@ -55,7 +55,7 @@
             kind::FINISHED => {
                 let id = name(message.tag);
                 if self.edge.holds(&id) == Some(true) && !self.desk.calls.contains_key(&message.tag) {
-                    self.over(link, message.tag, End::Released, report, net);
+                    self.over(link, message.tag, DialogueEnd::Released, report, net);
                 }
                 Ok(())
             }
@@ -155,7 +155,8 @@
     /// The end of a call that stood by a launch which is out no more, while its caller still waits for an answer: the end
     /// has crossed the give-up, or the answer was lost with its connection.
     fn former_launch_is_over(
-        &mut self, socket: SocketId, link: LinkId, tag: Tag, end: End, report: LoadReport, net: &mut dyn Net,
+        &mut self, socket: SocketId, link: LinkId, tag: Tag, end: DialogueEnd, report: LoadReport,
+        net: &mut dyn Net,
     ) {
         if let Some(core) = self.desk.cores.get_mut(&socket) {
             core.called_off_is_over(tag);
@@ -165,14 +166,16 @@
     }
 
     /// What stood there is over; what is not held may be told of yet by a caller.
-    pub(super) fn over(&mut self, link: LinkId, tag: Tag, end: End, report: LoadReport, net: &mut dyn Net) {
+    pub(super) fn over(
+        &mut self, link: LinkId, tag: Tag, end: DialogueEnd, report: LoadReport, net: &mut dyn Net,
+    ) {
         let (now, id) = (self.desk.now, name(tag));
         if self.edge.over(now, link, &id, end, report, &mut self.desk.hands(net))
             || self.edge.holds(&id).is_some()
         {
             return;
         }
-        let cause = if end == End::Released { cause::NORMAL } else { cause::RESET };
+        let cause = if end == DialogueEnd::Released { cause::NORMAL } else { cause::RESET };
         let (ends, order) = &mut self.ends;
         if ends.insert(tag, cause).is_none() {
             order.push_back(tag);
--- a/crates/platform/src/sessions/watch.rs
+++ b/crates/platform/src/sessions/watch.rs
@@ -28,7 +28,7 @@
         net.log(&format!("feed event {}: {}", event.n, hosts.join(", ")));
         // A new life at an address, or of a host, ends the one before it: that process is no more.
         for entry in &entries {
-            let new = entry.listed != Listed::Gone;
+            let new = entry.state != Listed::Gone;
             let before = self.desk.lives.iter().filter(|(_, life)| {
                 let same = *life.host == *entry.server.0;
                 let at = Life::at(&entry.address, now).map(|life| life.address);
@@ -40,14 +40,13 @@
             }
         }
         if let Some(list) = self.desk.list {
-            let frame = Frame::List { whole: members.whole, entries: entries.clone() };
+            let frame = Frame::List { is_complete: members.whole, entries: entries.clone() };
             self.edge.heard(now, list, frame.into(), &mut self.desk.hands(net));
         }
         for life in self.desk.lives.values_mut() {
             match entries.iter().find(|entry| *entry.server.0 == *life.host) {
                 Some(entry) => {
-                    (life.gone, life.leaving) =
-                        (entry.listed == Listed::Gone, entry.listed != Listed::Active);
+                    (life.gone, life.leaving) = (entry.state == Listed::Gone, entry.state != Listed::Active);
                 }
                 None => (life.gone, life.leaving) = (life.gone | members.whole, life.leaving | members.whole),
             }
@@ -70,8 +69,8 @@
             server: ServerId(Arc::from(&*host.host)),
             number: ServerNumber(host.block),
             address: Arc::from(Life::address(&host.host, &host.dial, host.born_ms as u64)),
-            listed: host.health.listed(),
-            life: host.born_ms as u64,
+            state: host.health.listed(),
+            incarnation: host.born_ms as u64,
             age,
         })
     }
--- a/crates/replica/src/book.rs
+++ b/crates/replica/src/book.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::DialogueId;
-use lotussaddle_trunk::{Answer, CopySent, Cursor, Owner, Reached, Replaced};
+use lotussaddle_trunk::{Answer, Cursor, Owner, Progress, Replaced, ReplicaUpdate};
 
 use crate::copy::{Copy, Reading};
 use crate::holders::{Group, digest, print};
@@ -143,7 +143,7 @@
     }
 
     fn owns(&self, owner: Owner) -> bool {
-        owner.member == self.me && owner.life == self.life
+        owner.member == self.me && owner.incarnation == self.life
     }
 
     /// Whether this member owns it, in this life, and has written of it: a claim that is only promised here is not held yet.
@@ -162,18 +162,19 @@
         let ids: Vec<DialogueId> = if before == 0 {
             std::mem::take(&mut self.nameless)
         } else {
-            let mine = |owner: Owner| owner.member == self.me && owner.life == before;
+            let mine = |owner: Owner| owner.member == self.me && owner.incarnation == before;
             let all = self.entries.iter().filter(|(_, entry)| entry.copy.owner().is_some_and(mine));
             all.map(|((_, id), _)| id.clone()).collect()
         };
         for id in ids {
             let key = (print(&id), id.clone());
             let Some(entry) = self.entries.get(&key) else { continue };
-            let Some(owner) = entry.copy.owner().filter(|o| o.member == self.me && o.life == before) else {
+            let Some(owner) = entry.copy.owner().filter(|o| o.member == self.me && o.incarnation == before)
+            else {
                 continue;
             };
             let mut copy = entry.copy.clone();
-            copy.rename(owner, Owner { life, ..owner });
+            copy.rename(owner, Owner { incarnation: life, ..owner });
             self.put(now, key, copy);
             self.tell_holders(&id, None);
         }
@@ -182,7 +183,7 @@
     /// A step of a dialogue that this member has. `base`: nothing of it is to be forgotten before `forget` after that.
     #[expect(clippy::too_many_arguments)]
     pub fn write(
-        &mut self, now: Duration, id: &DialogueId, reached: Reached, bar: Duration, answer: Option<&Answer>,
+        &mut self, now: Duration, id: &DialogueId, reached: Progress, bar: Duration, answer: Option<&Answer>,
         base: Duration, wait: Option<(u64, usize)>,
     ) -> Written {
         let key = (print(id), id.clone());
@@ -190,14 +191,14 @@
         let owner = match copy.owner() {
             Some(owner) if self.owns(owner) => owner,
             // A former life of its own, or nobody: whoever else has a word would have been asked before.
-            Some(owner) if owner.member == self.me && owner.life < self.life => {
-                Owner { life: self.life, ..owner }
+            Some(owner) if owner.member == self.me && owner.incarnation < self.life => {
+                Owner { incarnation: self.life, ..owner }
             }
             Some(owner) => return Written::Replaced(owner),
-            None => Owner { round: 0, member: self.me, life: self.life },
+            None => Owner { round: 0, member: self.me, incarnation: self.life },
         };
         let until = match &reached {
-            Reached::Stands { .. } => crate::copy::for_ever(),
+            Progress::Stands { .. } => crate::copy::for_ever(),
             _ => base.max(now) + self.bounds.forget,
         };
         copy.write(owner, reached, bar, until);
@@ -283,12 +284,14 @@
     }
 
     /// The next copies to be sent to a member in its stream: the first one's number, and the copies.
-    pub fn next_copies(&mut self, now: Duration, member: u16, most: usize) -> Option<(u64, Vec<CopySent>)> {
+    pub fn next_copies(
+        &mut self, now: Duration, member: u16, most: usize,
+    ) -> Option<(u64, Vec<ReplicaUpdate>)> {
         let (first, ids) = self.streams[usize::from(member)].take(most)?;
         // One that was forgotten meanwhile goes as what it was last: nothing that anyone keeps.
         let copies = ids.iter().map(|id| match self.get(id) {
             Some(copy) => copy.sent(now, id),
-            None => CopySent { dialogue: id.clone(), parts: Vec::new(), answers: Vec::new() },
+            None => ReplicaUpdate { dialogue: id.clone(), owner_records: Vec::new(), answers: Vec::new() },
         });
         Some((first, copies.collect()))
     }
@@ -301,7 +304,7 @@
     // Copies
 
     /// Copies came from another member.
-    pub fn take(&mut self, now: Duration, copies: &[CopySent]) -> News {
+    pub fn take(&mut self, now: Duration, copies: &[ReplicaUpdate]) -> News {
         let mut news = News::default();
         for sent in copies {
             self.take_one(now, sent, &mut news);
@@ -309,7 +312,7 @@
         news
     }
 
-    fn take_one(&mut self, now: Duration, sent: &CopySent, news: &mut News) {
+    fn take_one(&mut self, now: Duration, sent: &ReplicaUpdate, news: &mut News) {
         let id = &sent.dialogue;
         let incoming = Copy::received(now, sent);
         let Some(theirs) = incoming.owner() else { return };
@@ -359,7 +362,7 @@
     /// Someone asks for a dialogue and means to own it. What was known before, and who is higher, if anyone.
     pub fn asked(
         &mut self, now: Duration, id: &DialogueId, owner: Owner,
-    ) -> (Option<Owner>, Option<CopySent>) {
+    ) -> (Option<Owner>, Option<ReplicaUpdate>) {
         let key = (print(id), id.clone());
         let known = self.entries.get(&key).map(|entry| &entry.copy);
         let before = known.map(|copy| copy.sent(now, id));
@@ -384,7 +387,7 @@
     }
 
     /// Puts a copy in, where it was read from disk after a start. Its times are those of a former life: bars are whole.
-    pub fn recall(&mut self, now: Duration, sent: &CopySent) {
+    pub fn recall(&mut self, now: Duration, sent: &ReplicaUpdate) {
         let copy = Copy::received(now, sent);
         if copy.owner().is_some() {
             self.put(now, (print(&sent.dialogue), sent.dialogue.clone()), copy);
@@ -395,7 +398,7 @@
     pub fn age(&mut self, now: Duration, by: Duration) {
         let me = self.me;
         let old = |entry: &Entry| {
-            entry.copy.fades() && !entry.copy.owner().is_some_and(|o| o.member == me && o.life == 0)
+            entry.copy.fades() && !entry.copy.owner().is_some_and(|o| o.member == me && o.incarnation == 0)
         };
         let all: Vec<Key> =
             self.entries.iter().filter(|(_, entry)| old(entry)).map(|(key, _)| key.clone()).collect();
@@ -420,7 +423,7 @@
     // Snapshots
 
     /// A piece of all that a member is to know: copies from this hash on, and where the next piece begins.
-    pub fn piece(&self, now: Duration, to: u16, from: u64) -> (Vec<CopySent>, Option<u64>) {
+    pub fn piece(&self, now: Duration, to: u16, from: u64) -> (Vec<ReplicaUpdate>, Option<u64>) {
         let mut copies = Vec::new();
         let start = (from, DialogueId("".into()));
         let mut last = None;
@@ -503,7 +506,7 @@
             }
             // A claim that is only promised is no word of the claimant's.
             let theirs_alone = entry.copy.parts().last().is_some_and(|part| {
-                (part.owner.member, part.owner.life) == (member, life) && part.version > 0
+                (part.owner.member, part.owner.incarnation) == (member, life) && part.version > 0
             });
             if theirs_alone && !there.contains_key(&key.0) {
                 gone.push(key.clone());
@@ -524,7 +527,7 @@
     }
 
     /// Copies by the hashes of their ids, for a member that is to know them.
-    pub fn wanted(&self, now: Duration, member: u16, ids: &[u64]) -> Vec<CopySent> {
+    pub fn wanted(&self, now: Duration, member: u16, ids: &[u64]) -> Vec<ReplicaUpdate> {
         let mut copies = Vec::new();
         for print in ids {
             let same =
@@ -640,7 +643,7 @@
 /// What mends a range.
 #[derive(Debug, Default, PartialEq)]
 pub struct Repair {
-    pub send: Vec<CopySent>,
+    pub send: Vec<ReplicaUpdate>,
     pub want: Vec<u64>,
     pub dropped: usize,
 }
@@ -651,22 +654,22 @@
     for part in copy.parts() {
         raw.extend(part.owner.round.to_le_bytes());
         raw.extend(part.owner.member.to_le_bytes());
-        raw.extend(part.owner.life.to_le_bytes());
+        raw.extend(part.owner.incarnation.to_le_bytes());
         raw.extend(part.version.to_le_bytes());
         match &part.reached {
-            Reached::Taken => raw.push(0),
-            Reached::Out { server, launch } | Reached::Stands { server, launch } => {
-                raw.push(if matches!(part.reached, Reached::Out { .. }) { 1 } else { 2 });
+            Progress::Accepted => raw.push(0),
+            Progress::Launched { server, launch } | Progress::Stands { server, launch } => {
+                raw.push(if matches!(part.reached, Progress::Launched { .. }) { 1 } else { 2 });
                 raw.extend(launch.0.to_le_bytes());
                 raw.extend(server.0.as_bytes());
             }
-            Reached::Over => raw.push(3),
+            Progress::Ended => raw.push(3),
         }
     }
     for given in copy.answers() {
         raw.extend(given.owner.round.to_le_bytes());
         raw.extend(given.owner.member.to_le_bytes());
-        raw.extend(given.owner.life.to_le_bytes());
+        raw.extend(given.owner.incarnation.to_le_bytes());
         match &given.answer {
             Answer::Stands { server } => {
                 raw.push(4);
--- a/crates/replica/src/copy.rs
+++ b/crates/replica/src/copy.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
-use lotussaddle_trunk::{Answer, CopySent, Given, Owner, Part, Reached};
+use lotussaddle_trunk::{Answer, Owner, OwnerRecord, Progress, RecordedAnswer, ReplicaUpdate};
 
 /// What is kept of owners and answers, at most: beyond it owners go that only said that they own it, then the lowest.
 pub const MOST_OWNERS: usize = 16;
@@ -23,7 +23,7 @@
 pub struct Mine {
     pub owner: Owner,
     pub version: u32,
-    pub reached: Reached,
+    pub reached: Progress,
     /// Until then a launch of that owner may be out, or its lines may be taken.
     pub bar: Duration,
     /// It may be forgotten then.
@@ -35,7 +35,7 @@
     /// By owner, lowest first; one of each.
     parts: Vec<Mine>,
     /// By owner; mostly none or one.
-    answers: Vec<Given>,
+    answers: Vec<RecordedAnswer>,
 }
 
 /// What a copy means.
@@ -62,7 +62,7 @@
     /// Of one who says that it owns it, and nothing else.
     pub fn claimed(owner: Owner, until: Duration) -> Self {
         Self {
-            parts: vec![Mine { owner, version: 0, reached: Reached::Taken, bar: Duration::ZERO, until }],
+            parts: vec![Mine { owner, version: 0, reached: Progress::Accepted, bar: Duration::ZERO, until }],
             answers: vec![],
         }
     }
@@ -71,7 +71,7 @@
         &self.parts
     }
 
-    pub fn answers(&self) -> &[Given] {
+    pub fn answers(&self) -> &[RecordedAnswer] {
         &self.answers
     }
 
@@ -129,7 +129,7 @@
                 }
             }
             Err(place) => {
-                self.answers.insert(place, Given { owner, answer: answer.clone() });
+                self.answers.insert(place, RecordedAnswer { owner, answer: answer.clone() });
                 if self.answers.len() > MOST_ANSWERS {
                     self.answers.remove(0);
                 }
@@ -138,7 +138,7 @@
     }
 
     /// The next word of an owner; a word of an owner that was not here begins at version 1.
-    pub fn write(&mut self, owner: Owner, reached: Reached, bar: Duration, until: Duration) {
+    pub fn write(&mut self, owner: Owner, reached: Progress, bar: Duration, until: Duration) {
         let version = self.part_of(owner).map_or(0, |part| part.version) + 1;
         self.take(&Mine { owner, version, reached, bar, until });
     }
@@ -161,30 +161,30 @@
     pub fn reading(&self) -> Reading<'_> {
         for part in self.parts.iter().rev() {
             match &part.reached {
-                Reached::Over => {
+                Progress::Ended => {
                     return match self.answers.last().map(|given| &given.answer) {
                         None | Some(Answer::Stands { .. }) => Reading::Over,
                         Some(answer) => Reading::Answered(answer),
                     };
                 }
-                Reached::Stands { server, launch } => {
+                Progress::Stands { server, launch } => {
                     return Reading::Stands { server, launch: *launch, owner: part.owner };
                 }
-                Reached::Taken | Reached::Out { .. } => {}
+                Progress::Accepted | Progress::Launched { .. } => {}
             }
         }
         let bar = self.parts.iter().map(|part| part.bar).max().unwrap_or_default();
-        let out = self.parts.last().is_some_and(|part| matches!(part.reached, Reached::Out { .. }));
+        let out = self.parts.last().is_some_and(|part| matches!(part.reached, Progress::Launched { .. }));
         Reading::Open { bar, out }
     }
 
     /// An owner above the one whose word [`Copy::reading`] goes by has a launch out, perhaps, until then: what it found it did not go
     /// by, so that the word was never said to a caller, and may be no more than a line that nobody came for.
     pub fn launched_since(&self) -> Option<Duration> {
-        let definite = |part: &Mine| matches!(part.reached, Reached::Over | Reached::Stands { .. });
+        let definite = |part: &Mine| matches!(part.reached, Progress::Ended | Progress::Stands { .. });
         let above = self.parts.iter().rev().take_while(|part| !definite(part));
         self.parts.iter().any(definite).then(|| {
-            let outs = above.filter(|part| matches!(part.reached, Reached::Out { .. }));
+            let outs = above.filter(|part| matches!(part.reached, Progress::Launched { .. }));
             outs.map(|part| part.bar).max()
         })?
     }
@@ -192,7 +192,7 @@
     /// When it may be forgotten: what is over by that, else when the last of its parts may.
     pub fn until(&self) -> Duration {
         let over =
-            self.parts.iter().filter(|part| part.reached == Reached::Over).map(|part| part.until).max();
+            self.parts.iter().filter(|part| part.reached == Progress::Ended).map(|part| part.until).max();
         over.or_else(|| self.parts.iter().map(|part| part.until).max()).unwrap_or_default()
     }
 
@@ -213,26 +213,34 @@
         }
     }
 
-    pub fn sent(&self, now: Duration, dialogue: &DialogueId) -> CopySent {
+    pub fn sent(&self, now: Duration, dialogue: &DialogueId) -> ReplicaUpdate {
         let span = |at: Duration| at.saturating_sub(now).min(LONGEST_SENT);
-        let parts = self.parts.iter().map(|part| Part {
+        let parts = self.parts.iter().map(|part| OwnerRecord {
             owner: part.owner,
             version: part.version,
-            reached: part.reached.clone(),
-            bar: span(part.bar),
-            lasts: span(part.until),
+            progress: part.reached.clone(),
+            blocked_for: span(part.bar),
+            expires_in: span(part.until),
         });
-        CopySent { dialogue: dialogue.clone(), parts: parts.collect(), answers: self.answers.clone() }
+        ReplicaUpdate {
+            dialogue: dialogue.clone(),
+            owner_records: parts.collect(),
+            answers: self.answers.clone(),
+        }
     }
 
     /// As it was sent, on the clock here. The way makes its times longer, and a clock that runs fast does not make a bar
     /// shorter.
-    pub fn received(now: Duration, sent: &CopySent) -> Self {
+    pub fn received(now: Duration, sent: &ReplicaUpdate) -> Self {
         let mut copy = Self::default();
-        for part in &sent.parts {
-            let bar = if part.bar.is_zero() { Duration::ZERO } else { now + part.bar + part.bar / DRIFT };
-            let until = if part.lasts >= LONGEST_SENT { FOR_EVER } else { now + part.lasts };
-            let (owner, version, reached) = (part.owner, part.version, part.reached.clone());
+        for part in &sent.owner_records {
+            let bar = if part.blocked_for.is_zero() {
+                Duration::ZERO
+            } else {
+                now + part.blocked_for + part.blocked_for / DRIFT
+            };
+            let until = if part.expires_in >= LONGEST_SENT { FOR_EVER } else { now + part.expires_in };
+            let (owner, version, reached) = (part.owner, part.version, part.progress.clone());
             copy.take(&Mine { owner, version, reached, bar, until });
         }
         sent.answers.iter().for_each(|given| copy.answered(given.owner, &given.answer));
