--- a/crates/replica/tests/copies.rs
+++ b/crates/replica/tests/copies.rs
@@ -6,7 +6,7 @@
 
 use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
 use lotussaddle_replica::*;
-use lotussaddle_trunk::{Answer, CopySent, Given, Owner, Part, Reached};
+use lotussaddle_trunk::{Answer, Owner, OwnerRecord, Progress, RecordedAnswer, ReplicaUpdate};
 use proptest::prelude::*;
 
 fn ms(time: u64) -> Duration {
@@ -22,16 +22,16 @@
 }
 
 fn owner(round: u32, member: u16, life: u64) -> Owner {
-    Owner { round, member, life }
+    Owner { round, member, incarnation: life }
 }
 
-fn reached() -> impl Strategy<Value = Reached> {
+fn reached() -> impl Strategy<Value = Progress> {
     let place = || ("[ab]", 0u32..3).prop_map(|(s, launch)| (server(&s), LaunchNo(launch)));
     prop_oneof![
-        Just(Reached::Taken),
-        place().prop_map(|(server, launch)| Reached::Out { server, launch }),
-        place().prop_map(|(server, launch)| Reached::Stands { server, launch }),
-        Just(Reached::Over),
+        Just(Progress::Accepted),
+        place().prop_map(|(server, launch)| Progress::Launched { server, launch }),
+        place().prop_map(|(server, launch)| Progress::Stands { server, launch }),
+        Just(Progress::Ended),
     ]
 }
 
@@ -46,18 +46,22 @@
 /// Few owners and versions, so that copies meet on the same ones.
 fn copy() -> impl Strategy<Value = Copy> {
     let part = (0u32..4, 0u16..4, 1u64..3, 0u32..4, reached(), 0u64..500, 1u64..900);
-    let part = part.prop_map(|(round, member, life, version, reached, bar, lasts)| Part {
+    let part = part.prop_map(|(round, member, life, version, reached, bar, lasts)| OwnerRecord {
         owner: owner(round, member, life),
         version,
-        reached,
-        bar: ms(bar),
-        lasts: ms(lasts),
+        progress: reached,
+        blocked_for: ms(bar),
+        expires_in: ms(lasts),
     });
     let given = (0u32..3, 0u16..4, 1u64..3, answer());
-    let given =
-        given.prop_map(|(round, member, life, answer)| Given { owner: owner(round, member, life), answer });
+    let given = given.prop_map(|(round, member, life, answer)| RecordedAnswer {
+        owner: owner(round, member, life),
+        answer,
+    });
     (proptest::collection::vec(part, 0..24), proptest::collection::vec(given, 0..6)).prop_map(
-        |(parts, answers)| Copy::received(ms(1000), &CopySent { dialogue: id("d"), parts, answers }),
+        |(parts, answers)| {
+            Copy::received(ms(1000), &ReplicaUpdate { dialogue: id("d"), owner_records: parts, answers })
+        },
     )
 }
 
@@ -112,21 +116,21 @@
 #[test]
 fn the_table_of_pairs() {
     let (a, b) = (owner(0, 0, 1), owner(1, 1, 1));
-    let states: [(&str, Reached, u64, Option<Answer>); 7] = [
-        ("taken", Reached::Taken, 0, None),
-        ("out", Reached::Out { server: server("s"), launch: LaunchNo(0) }, 900, None),
-        ("in doubt", Reached::Taken, 300, None),
+    let states: [(&str, Progress, u64, Option<Answer>); 7] = [
+        ("taken", Progress::Accepted, 0, None),
+        ("out", Progress::Launched { server: server("s"), launch: LaunchNo(0) }, 900, None),
+        ("in doubt", Progress::Accepted, 300, None),
         (
             "stands",
-            Reached::Stands { server: server("s"), launch: LaunchNo(0) },
+            Progress::Stands { server: server("s"), launch: LaunchNo(0) },
             0,
             Some(Answer::Stands { server: server("s") }),
         ),
-        ("refused", Reached::Over, 0, Some(Answer::Refused { come_back: None })),
-        ("failed", Reached::Over, 0, Some(Answer::Failed)),
-        ("over", Reached::Over, 0, Some(Answer::Stands { server: server("s") })),
+        ("refused", Progress::Ended, 0, Some(Answer::Refused { come_back: None })),
+        ("failed", Progress::Ended, 0, Some(Answer::Failed)),
+        ("over", Progress::Ended, 0, Some(Answer::Stands { server: server("s") })),
     ];
-    let written = |owner: Owner, (_, reached, bar, answer): &(&str, Reached, u64, Option<Answer>)| {
+    let written = |owner: Owner, (_, reached, bar, answer): &(&str, Progress, u64, Option<Answer>)| {
         let mut copy = Copy::default();
         copy.write(owner, reached.clone(), ms(*bar), ms(60_000));
         answer.iter().for_each(|answer| copy.answered(owner, answer));
@@ -247,8 +251,8 @@
     }
 }
 
-fn out(n: u32) -> Reached {
-    Reached::Out { server: server("s"), launch: LaunchNo(n) }
+fn out(n: u32) -> Progress {
+    Progress::Launched { server: server("s"), launch: LaunchNo(n) }
 }
 
 #[test]
@@ -257,14 +261,14 @@
     let d = id("d");
     let holders: Vec<u16> = books[0].group().holders(print(&d), 0).collect();
     let write = |book: &mut Book, reached, wait| book.write(ms(0), &d, reached, ms(0), None, ms(0), wait);
-    assert_eq!(write(&mut books[0], Reached::Taken, None), Written::Goes);
+    assert_eq!(write(&mut books[0], Progress::Accepted, None), Written::Goes);
     assert_eq!(write(&mut books[0], out(0), Some((7, 2))), Written::Waits);
     carry(&mut books, ms(1), 0, holders[0]);
     assert_eq!(books[0].done(), [0; 0]);
     carry(&mut books, ms(1), 0, holders[1]);
     assert_eq!(books[0].done(), [7]);
     // A later step is waited for anew, and the acknowledgement of an earlier one is none of it.
-    write(&mut books[0], Reached::Taken, Some((8, 1)));
+    write(&mut books[0], Progress::Accepted, Some((8, 1)));
     books[0].kept(holders[0], 1);
     assert_eq!(books[0].done(), [0; 0]);
     carry(&mut books, ms(2), 0, holders[0]);
@@ -280,7 +284,7 @@
 fn after_a_claim_the_former_owner_is_refused_and_lets_go() {
     let mut books = books(5, 2);
     let d = id("d");
-    books[0].write(ms(0), &d, Reached::Taken, ms(0), None, ms(0), None);
+    books[0].write(ms(0), &d, Progress::Accepted, ms(0), None, ms(0), None);
     carry_all(&mut books, ms(1));
     let holders: Vec<u16> = books[0].group().holders(print(&d), 0).collect();
     let asker = (1..5).find(|m| !holders.contains(m)).unwrap();
@@ -323,11 +327,11 @@
 fn what_is_over_is_forgotten_by_all_and_nobody_brings_it_back() {
     let mut books = books(3, 2);
     let d = id("d");
-    books[0].write(ms(0), &d, Reached::Taken, ms(0), None, ms(0), None);
+    books[0].write(ms(0), &d, Progress::Accepted, ms(0), None, ms(0), None);
     carry_all(&mut books, ms(0));
     let stale = books[1].get(&d).unwrap().sent(ms(0), &d);
     let answer = Answer::Failed;
-    books[0].write(ms(100), &d, Reached::Over, ms(0), Some(&answer), ms(0), None);
+    books[0].write(ms(100), &d, Progress::Ended, ms(0), Some(&answer), ms(0), None);
     carry_all(&mut books, ms(100));
     for book in &mut books {
         assert!(book.forget(ms(50_000), 100).is_empty());
@@ -420,7 +424,7 @@
         books[0].write(
             ms(2),
             &id(&format!("d{}", n * 3)),
-            Reached::Over,
+            Progress::Ended,
             ms(0),
             Some(&Answer::Failed),
             ms(0),
@@ -454,17 +458,25 @@
     assert_eq!(book.asked(ms(0), &id("w"), owner(1, 2, 1)), (None, None));
     assert!(!book.promised(&id("w"), owner(1, 2, 1)), "it cannot hold anyone to it");
     // Its own dialogues are never refused.
-    assert_eq!(book.write(ms(0), &id("own"), Reached::Taken, ms(0), None, ms(0), None), Written::Goes);
+    assert_eq!(book.write(ms(0), &id("own"), Progress::Accepted, ms(0), None, ms(0), None), Written::Goes);
 }
 
 #[test]
 fn two_final_answers_are_both_kept_and_read_alike() {
     let mut books = books(3, 2);
     let d = id("d");
-    books[0].write(ms(0), &d, Reached::Over, ms(0), Some(&Answer::Failed), ms(0), None);
+    books[0].write(ms(0), &d, Progress::Ended, ms(0), Some(&Answer::Failed), ms(0), None);
     let claim = owner(1, 1, 1);
     books[1].claim(ms(0), &d, claim, &Copy::default());
-    books[1].write(ms(0), &d, Reached::Over, ms(0), Some(&Answer::Refused { come_back: None }), ms(0), None);
+    books[1].write(
+        ms(0),
+        &d,
+        Progress::Ended,
+        ms(0),
+        Some(&Answer::Refused { come_back: None }),
+        ms(0),
+        None,
+    );
     let theirs = books[1].get(&d).unwrap().sent(ms(0), &d);
     let news = books[0].take(ms(1), &[theirs]);
     assert_eq!((news.differ, news.lost.len()), (vec![d.clone()], 1));
--- a/crates/scale/src/measure.rs
+++ b/crates/scale/src/measure.rs
@@ -5,7 +5,7 @@
 
 use lotussaddle_lease::Word;
 use lotussaddle_membership::Message as MembershipMessage;
-use lotussaddle_trunk::{Frame, Message, Peer};
+use lotussaddle_trunk::{Frame, Message, PeerMessage};
 use serde::{Deserialize, Serialize};
 
 use crate::record::{Aggregate, Measurement, Quantity, Role};
@@ -98,28 +98,31 @@
     pub fn of(frame: &Frame) -> Self {
         match frame {
             Frame::Hello(_) => Self::Hello,
-            Frame::Peer(peer) => Self::of_peer(peer),
+            Frame::PeerMessage(peer) => Self::of_peer(peer),
             _ => Self::Other,
         }
     }
 
-    fn of_peer(peer: &Peer) -> Self {
+    fn of_peer(peer: &PeerMessage) -> Self {
         match peer {
-            Peer::Here { .. } => Self::Hello,
-            Peer::Membership { message } => Self::of_membership(message),
-            Peer::DiskCount { .. } => Self::DiskCount,
-            Peer::NewLife { .. } | Peer::Life { .. } => Self::Life,
-            Peer::Copies { .. } => Self::Copies,
-            Peer::Kept { .. } => Self::Acknowledgement,
-            Peer::Resume { .. } | Peer::Piece { .. } => Self::Snapshot,
-            Peer::Sums { .. } | Peer::Prints { .. } | Peer::Want { .. } => Self::Comparison,
-            Peer::Ask { .. } | Peer::Know { .. } => Self::Question,
-            Peer::Duties { word } => Self::of_word(word),
-            Peer::Publish { .. } | Peer::Wanted { .. } => Self::Publish,
-            Peer::Published { .. } => Self::PublishAnswer,
-            Peer::Inquire { .. } | Peer::Tell { .. } | Peer::Check { .. } | Peer::Fenced { .. } => {
-                Self::Other
-            }
+            PeerMessage::Greeting { .. } => Self::Hello,
+            PeerMessage::Membership { message } => Self::of_membership(message),
+            PeerMessage::DiskCount { .. } => Self::DiskCount,
+            PeerMessage::ProposeIncarnation { .. } | PeerMessage::IncarnationReply { .. } => Self::Life,
+            PeerMessage::Replicas { .. } => Self::Copies,
+            PeerMessage::Acknowledge { .. } => Self::Acknowledgement,
+            PeerMessage::Resume { .. } | PeerMessage::SnapshotChunk { .. } => Self::Snapshot,
+            PeerMessage::RangeDigests { .. }
+            | PeerMessage::DialogueDigests { .. }
+            | PeerMessage::RequestReplicas { .. } => Self::Comparison,
+            PeerMessage::Ask { .. } | PeerMessage::AskReply { .. } => Self::Question,
+            PeerMessage::Duties { message: word } => Self::of_word(word),
+            PeerMessage::Publish { .. } | PeerMessage::PublishRequest { .. } => Self::Publish,
+            PeerMessage::Published { .. } => Self::PublishAnswer,
+            PeerMessage::Inquire { .. }
+            | PeerMessage::InquireReply { .. }
+            | PeerMessage::CheckLines { .. }
+            | PeerMessage::Fenced { .. } => Self::Other,
         }
     }
 
--- a/crates/scale/src/peer_sockets.rs
+++ b/crates/scale/src/peer_sockets.rs
@@ -211,7 +211,7 @@
             match connection.stream.read(&mut self.buffer) {
                 Ok(0) => return self.fail(token),
                 Ok(read) => {
-                    connection.decoder.take(&self.buffer[..read]);
+                    connection.decoder.feed(&self.buffer[..read]);
                     if !self.decode(token) {
                         return self.fail(token);
                     }
@@ -229,7 +229,7 @@
         let (member, link) = connection.owner;
         loop {
             let before = connection.decoder.pending();
-            let frame: Frame = match connection.decoder.frame() {
+            let frame: Frame = match connection.decoder.next_frame() {
                 None => return true,
                 Some(Err(_)) => return false,
                 Some(Ok(message)) => message.frame,
--- a/crates/serve/src/proxy.rs
+++ b/crates/serve/src/proxy.rs
@@ -143,7 +143,7 @@
         Step::Answer { answer, launch } => {
             let answer = match answer {
                 Frame::Stands { server, .. } => Answer::Stands { server: server.clone() },
-                Frame::Refused { come_back, .. } => Answer::Refused { come_back: *come_back },
+                Frame::Refused { retry_after: come_back, .. } => Answer::Refused { come_back: *come_back },
                 _ => Answer::Failed,
             };
             return member.answer(now, id, &answer, launch);
@@ -221,7 +221,7 @@
     ) {
         let core = self.cores.get(&link).filter(|_| self.member.is_some()).cloned();
         match (message.frame, core) {
-            (Frame::Audit(audit), Some(server)) => {
+            (Frame::AuditMessage(audit), Some(server)) => {
                 let (edge, member) = (&self.edge, self.member.as_mut().expect("it was looked for"));
                 let held = |id: &DialogueId| edge.holds(id) == Some(true);
                 member.core_said(now, &server, audit, &held, effects);
@@ -413,7 +413,9 @@
             Verdict::Free { not_before } => Found::Free { not_before },
             Verdict::Answered(answer) => Found::Answered(match answer {
                 Answer::Stands { server } => Frame::Stands { dialogue: id.clone(), server },
-                Answer::Refused { come_back } => Frame::Refused { dialogue: id.clone(), come_back },
+                Answer::Refused { come_back } => {
+                    Frame::Refused { dialogue: id.clone(), retry_after: come_back }
+                }
                 Answer::Failed => Frame::Failed { dialogue: id.clone() },
             }),
             Verdict::Stands { server, launch } => {
--- a/crates/serve/src/records.rs
+++ b/crates/serve/src/records.rs
@@ -9,7 +9,7 @@
 use lotussaddle_chores::Budget;
 use lotussaddle_fleet::{Save, Stored};
 use lotussaddle_store::{Batch, Group, Keeper, Mode, Plan, RealDisk, Store};
-use lotussaddle_trunk::{Frame, copy_read};
+use lotussaddle_trunk::{Frame, decode_replica};
 
 use crate::sheet::StoreSheet;
 
@@ -79,7 +79,7 @@
     let mut given = BTreeMap::new();
     each(&mut |table, key, value| match (table, std::str::from_utf8(key)) {
         (ANSWERED, Ok(id)) => found.answered.push(DialogueId(id.into())),
-        (COPIES, Ok(id)) => match copy_read(value) {
+        (COPIES, Ok(id)) => match decode_replica(value) {
             Ok(copy) if *copy.dialogue.0 == *id => found.member.copies.push(copy),
             Ok(_) => found.refused.push(format!("copy of {id}: it is another's")),
             Err(why) => found.refused.push(format!("copy of {id}: {why}")),
--- a/crates/serve/src/run.rs
+++ b/crates/serve/src/run.rs
@@ -13,7 +13,7 @@
 use lotussaddle::interface::{DialogueId, RoutePlan};
 use lotussaddle_edge::{Decisions, Edge, LinkId, Note, Step, Wires};
 use lotussaddle_fleet::{Effects, Member, PeerLink, Save, Stored};
-use lotussaddle_links::{Bounds, Gate, Happening, Hub, Token};
+use lotussaddle_links::{Hub, HubLimits, LinkEvent, LinkToken, Listener};
 use lotussaddle_numbers::{Tables, Timestamp};
 use lotussaddle_trunk::{Frame, Message};
 use signal_hook::consts::{SIGINT, SIGTERM};
@@ -64,10 +64,10 @@
     }
 }
 
-fn bye(hub: &mut Hub, token: Token, why: &str) {
+fn bye(hub: &mut Hub, token: LinkToken, why: &str) {
     // The peer is told why, where it still takes anything.
     let why: String = why.chars().filter(|c| !c.is_control()).take(100).collect();
-    let _ = hub.say(token, Frame::Bye { why: why.into() }.into());
+    let _ = hub.send(token, Frame::Bye { why: why.into() }.into());
     hub.close(token);
 }
 
@@ -80,7 +80,7 @@
 
 impl Wires for Sockets {
     fn say(&mut self, link: LinkId, message: Message) -> bool {
-        self.hub.say(Token(link.0), message)
+        self.hub.send(LinkToken(link.0), message)
     }
 
     fn connect(&mut self, address: &str) -> LinkId {
@@ -88,7 +88,7 @@
     }
 
     fn close(&mut self, link: LinkId, why: &str) {
-        bye(&mut self.hub, Token(link.0), why);
+        bye(&mut self.hub, LinkToken(link.0), why);
     }
 
     fn record(&mut self, dialogue: &DialogueId, step: Step) -> Option<u64> {
@@ -131,7 +131,7 @@
 
 impl Effects for PeerSockets {
     fn send(&mut self, link: PeerLink, frame: Frame) -> bool {
-        self.hub.as_mut().is_some_and(|hub| hub.say(Token(link.0), frame.into()))
+        self.hub.as_mut().is_some_and(|hub| hub.send(LinkToken(link.0), frame.into()))
     }
 
     fn connect(&mut self, member: u16) -> PeerLink {
@@ -141,7 +141,7 @@
 
     fn close(&mut self, link: PeerLink, why: &str) {
         if let Some(hub) = &mut self.hub {
-            bye(hub, Token(link.0), why);
+            bye(hub, LinkToken(link.0), why);
         }
     }
 
@@ -170,10 +170,10 @@
 ) -> Result<()> {
     // A write beyond the largest file that is allowed is to fail like any other, not to end the process.
     let _ = signal_hook::flag::register(SIGXFSZ, Arc::default());
-    let bounds = Bounds { connect_within: sheet.limits.connect_within, ..Bounds::default() };
+    let bounds = HubLimits { connect_timeout: sheet.limits.connect_within, ..HubLimits::default() };
     let (hub, happenings) = Hub::new(bounds.clone()).context("no thread to begin links")?;
-    let gate =
-        Gate::open(&hub, 0, sheet.listen).with_context(|| format!("cannot listen at {}", sheet.listen))?;
+    let gate = Listener::open(&hub, 0, sheet.listen)
+        .with_context(|| format!("cannot listen at {}", sheet.listen))?;
     let chance = |n: u64| std::hash::BuildHasher::hash_one(&std::hash::RandomState::new(), n);
     let seed = sheet.seed.unwrap_or_else(|| chance(0));
     let decisions = |plan| decisions(plan, seed);
@@ -220,7 +220,7 @@
         None => None,
         Some(fleet) => {
             let (hub, happenings) = Hub::new(bounds).context("no thread to begin links of peers")?;
-            let gate = Gate::open(&hub, 0, fleet.listen)
+            let gate = Listener::open(&hub, 0, fleet.listen)
                 .with_context(|| format!("cannot listen for peers at {}", fleet.listen))?;
             (effects.hub, peers) = (Some(hub), happenings);
             effects.members = fleet.members.iter().map(|(_, address)| *address).collect();
@@ -267,8 +267,8 @@
 
 /// Where inputs come from.
 struct Inputs {
-    happenings: Receiver<Happening>,
-    peers: Receiver<Happening>,
+    happenings: Receiver<LinkEvent>,
+    peers: Receiver<LinkEvent>,
     made: Receiver<Made>,
     read: Receiver<(String, Result<Arc<Tables>, String>)>,
     replies: Receiver<(usize, Vec<u8>)>,
@@ -413,38 +413,38 @@
         }
     }
 
-    fn take(&mut self, happening: Happening) {
+    fn take(&mut self, happening: LinkEvent) {
         let now = self.now();
         let (proxy, wires, effects) = (&mut self.proxy, &mut self.wires, &mut self.effects);
         match happening {
-            Happening::Came(token, _, opened) => {
+            LinkEvent::Accepted(token, _, opened) => {
                 wires.hub.admit(token, opened);
                 proxy.linked(now, LinkId(token.0), wires);
             }
-            Happening::Up(token) => proxy.connected(now, LinkId(token.0), wires),
-            Happening::Said(token, message) => proxy.heard(now, LinkId(token.0), message, wires, effects),
-            Happening::Lost(token, why) => {
+            LinkEvent::Connected(token) => proxy.connected(now, LinkId(token.0), wires),
+            LinkEvent::Received(token, message) => proxy.heard(now, LinkId(token.0), message, wires, effects),
+            LinkEvent::Closed(token, why) => {
                 wires.hub.close(token);
                 proxy.lost(now, LinkId(token.0), &why, wires);
             }
         }
     }
 
-    fn take_peer(&mut self, happening: Happening) {
+    fn take_peer(&mut self, happening: LinkEvent) {
         let now = self.now();
         let (proxy, wires, effects) = (&mut self.proxy, &mut self.wires, &mut self.effects);
         match happening {
-            Happening::Came(token, _, opened) => {
+            LinkEvent::Accepted(token, _, opened) => {
                 if let Some(hub) = &mut effects.hub {
                     hub.admit(token, opened);
                 }
                 proxy.peer_linked(now, PeerLink(token.0));
             }
-            Happening::Up(token) => proxy.peer_connected(now, PeerLink(token.0), wires, effects),
-            Happening::Said(token, message) => {
+            LinkEvent::Connected(token) => proxy.peer_connected(now, PeerLink(token.0), wires, effects),
+            LinkEvent::Received(token, message) => {
                 proxy.peer_heard(now, PeerLink(token.0), message.frame, wires, effects);
             }
-            Happening::Lost(token, why) => {
+            LinkEvent::Closed(token, why) => {
                 if let Some(hub) = &mut effects.hub {
                     hub.close(token);
                 }
--- a/crates/standin/src/core.rs
+++ b/crates/standin/src/core.rs
@@ -7,7 +7,8 @@
 use lotussaddle::interface::{DialogueId, LaunchNo, LoadReport};
 use lotussaddle_lease::{Duty, Fence, Number};
 use lotussaddle_trunk::{
-    Act, Audit, Cause, End, Frame, HeldLine, Hello, Launch, Message, Owner, Role, VERSION,
+    AuditMessage, DialogueEnd, DutyAction, Frame, HeldLine, Hello, Launch, Message, Owner, Role,
+    TurnBackCause, VERSION,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -284,14 +285,20 @@
             Frame::Cancel { dialogue, launch } | Frame::Release { dialogue, launch } if *greeted => {
                 self.released(now, (link, dialogue, launch), floor);
             }
-            Frame::Audit(Audit::What { serial, member, life, after }) if *greeted => {
+            Frame::AuditMessage(AuditMessage::ListLines { serial, member, incarnation: life, after })
+                if *greeted =>
+            {
                 let frame = self.holds(serial, member, life, after.as_ref());
                 self.answer(link, frame, floor);
             }
-            Frame::Audit(Audit::Adopt { dialogue, owner, act }) if *greeted => {
+            Frame::AuditMessage(AuditMessage::Adopt { dialogue, owner, action: act }) if *greeted => {
                 match act.and_then(|act| self.fenced(&act).map(|highest| (act.duty, highest))) {
                     Some((duty, highest)) => {
-                        self.answer(link, Frame::Audit(Audit::Fenced { dialogue, duty, highest }), floor);
+                        self.answer(
+                            link,
+                            Frame::AuditMessage(AuditMessage::Fenced { dialogue, duty, highest }),
+                            floor,
+                        );
                     }
                     None => self.adopted(now, link, dialogue, owner, floor),
                 }
@@ -371,7 +378,7 @@
             let report = self.told(now);
             let (dialogue, launch) = (id.1.clone(), id.2);
             if id.0 != NO_LINK {
-                floor.say(id.0, Frame::Ended { dialogue, launch, end: End::Cut, report }.into());
+                floor.say(id.0, Frame::Ended { dialogue, launch, end: DialogueEnd::Cut, report }.into());
             }
         }
     }
@@ -383,8 +390,9 @@
         let mut lines: Vec<HeldLine> = (self.calls.iter())
             .filter(|(_, call)| call.stage == Stage::Stands)
             .filter_map(|((_, dialogue, launch), call)| {
-                let owner =
-                    call.owner.filter(|owner| life == 0 || owner.member == member && owner.life <= life)?;
+                let owner = call
+                    .owner
+                    .filter(|owner| life == 0 || owner.member == member && owner.incarnation <= life)?;
                 let behind = after.is_none_or(|after| dialogue > after);
                 behind.then(|| HeldLine { dialogue: dialogue.clone(), launch: *launch, owner })
             })
@@ -392,13 +400,16 @@
         lines.sort_by(|a, b| a.dialogue.cmp(&b.dialogue));
         let more = lines.len() > TOLD;
         lines.truncate(TOLD);
-        Frame::Audit(Audit::Holds { serial, more, lines })
+        Frame::AuditMessage(AuditMessage::Lines { serial, more, lines })
     }
 
     /// A duty's act that is not to be done: the highest number that was seen.
-    fn fenced(&mut self, act: &Act) -> Option<u64> {
-        let number = Number(act.number);
-        self.fence.admits(Duty(act.duty), number, act.member, act.life).err().map(|refused| refused.highest.0)
+    fn fenced(&mut self, act: &DutyAction) -> Option<u64> {
+        let number = Number(act.fencing_token);
+        self.fence
+            .admits(Duty(act.duty), number, act.member, act.incarnation)
+            .err()
+            .map(|refused| refused.highest.0)
     }
 
     /// A dialogue is another owner's from now on: what stands of it comes to this link, what is being set up ends.
@@ -421,8 +432,8 @@
                     };
                     if id.0 != NO_LINK && id.0 != link {
                         let (dialogue, launch) = (dialogue.clone(), id.2);
-                        let moved = Audit::Moved { dialogue, launch, by: owner };
-                        self.answer(id.0, Frame::Audit(moved), floor);
+                        let moved = AuditMessage::Moved { dialogue, launch, by: owner };
+                        self.answer(id.0, Frame::AuditMessage(moved), floor);
                     }
                     if stands {
                         launch = Some(id.2.0);
@@ -434,7 +445,7 @@
                 owner
             }
         };
-        self.answer(link, Frame::Audit(Audit::Adopted { dialogue, owner, launch, by }), floor);
+        self.answer(link, Frame::AuditMessage(AuditMessage::Adopted { dialogue, owner, launch, by }), floor);
     }
 
     /// Lines of dialogues that stand over no link: their owners have not come for them.
@@ -457,16 +468,20 @@
             && let Err(by) = self.owners.heard(now, &id.1, owner)
         {
             let (_, dialogue, launch) = id;
-            return self.answer(link, Frame::Audit(Audit::Moved { dialogue, launch, by }), floor);
+            return self.answer(
+                link,
+                Frame::AuditMessage(AuditMessage::Moved { dialogue, launch, by }),
+                floor,
+            );
         }
         if let Some(owner) = launch.owner {
             self.replace(now, link, &id.1, owner, floor);
         }
         let lines = self.figures.lines * self.strain.lines;
         let cause = if self.used + launch.width > lines {
-            Some(Cause::Lines)
+            Some(TurnBackCause::Lines)
         } else if self.wait(now) > self.figures.longest_wait {
-            Some(Cause::Processor)
+            Some(TurnBackCause::Processor)
         } else {
             None
         };
@@ -490,8 +505,8 @@
         let there = self.calls.iter().filter(|(id, call)| id.1 == *dialogue && lower(call));
         for id in there.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
             if id.0 != NO_LINK && id.0 != link {
-                let moved = Audit::Moved { dialogue: dialogue.clone(), launch: id.2, by: owner };
-                self.answer(id.0, Frame::Audit(moved), floor);
+                let moved = AuditMessage::Moved { dialogue: dialogue.clone(), launch: id.2, by: owner };
+                self.answer(id.0, Frame::AuditMessage(moved), floor);
             }
             self.let_go(now, &id);
         }
@@ -520,7 +535,11 @@
             self.let_go(now, &id);
             let (link, dialogue, launch) = id;
             let report = self.told(now);
-            return self.answer(link, Frame::Ended { dialogue, launch, end: End::Released, report }, floor);
+            return self.answer(
+                link,
+                Frame::Ended { dialogue, launch, end: DialogueEnd::Released, report },
+                floor,
+            );
         }
         self.let_go(now, &id);
     }
@@ -615,7 +634,11 @@
                     self.used -= call.width;
                     let report = self.told(now);
                     let (link, dialogue, launch) = id;
-                    self.answer(link, Frame::Ended { dialogue, launch, end: End::Released, report }, floor);
+                    self.answer(
+                        link,
+                        Frame::Ended { dialogue, launch, end: DialogueEnd::Released, report },
+                        floor,
+                    );
                 }
             }
         }
--- a/crates/standin/src/crowd.rs
+++ b/crates/standin/src/crowd.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::{DialledKey, DialogueId, ServerNumber};
-use lotussaddle_trunk::{Dial, End, Frame, Hello, Message, NotTaken, Role};
+use lotussaddle_trunk::{DeclineReason, Dial, DialogueEnd, Frame, Hello, Message, Role};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp};
 use rand_pcg::Pcg64Mcg;
@@ -260,7 +260,7 @@
                 let at = call.hang_up_at;
                 self.due(at, Due::HangUp(dialogue));
             }
-            Frame::Declined { dialogue, why: NotTaken::Unsure, come_back } => {
+            Frame::Declined { dialogue, why: DeclineReason::Unsure, retry_after: come_back } => {
                 // It is asked for again while there is time.
                 let until = self.calls.get(&dialogue).and_then(|call| {
                     let asked = (self.figures.fleet && call.stage == Stage::Asked).then_some(call.hang_up_at);
@@ -272,13 +272,13 @@
                     None => self.let_go(now, &dialogue, None),
                 }
             }
-            Frame::Refused { dialogue, come_back } => self.let_go(now, &dialogue, come_back),
+            Frame::Refused { dialogue, retry_after: come_back } => self.let_go(now, &dialogue, come_back),
             Frame::Failed { dialogue } | Frame::Declined { dialogue, .. } => {
                 self.let_go(now, &dialogue, None)
             }
             Frame::Over { dialogue, end } => {
                 if let Some(call) = self.forget(&dialogue)
-                    && end == End::Cut
+                    && end == DialogueEnd::Cut
                 {
                     let caller = Caller { came_back: true, ..call.caller };
                     let wait = self.figures.wait;
@@ -447,7 +447,7 @@
         call.edge = edge;
         let mut frame = dial_frame(now, id, &call.caller, left);
         if let Frame::Dial(dial) = &mut frame {
-            dial.repeat = true;
+            dial.is_repeat = true;
         }
         for there in &mut self.at_edge {
             there.remove(id);
@@ -529,9 +529,9 @@
         first_choice: caller.choice,
         width: 1.0,
         time_left: left,
-        again,
-        came_back: caller.came_back,
-        repeat: false,
+        is_retry: again,
+        redialled_after_cut: caller.came_back,
+        is_repeat: false,
         sent_at: Some(now),
         try_of: again.then(|| caller.first.clone()),
         dialled: caller.dialled.clone(),
--- a/crates/standin/src/list.rs
+++ b/crates/standin/src/list.rs
@@ -152,11 +152,11 @@
                 floor.say(link, Frame::Hello(hello).into());
                 let all: Vec<Entry> = self.known.values().map(|l| entry(now, l)).collect();
                 for (place, piece) in all.chunks(PIECE).enumerate() {
-                    floor.say(link, Frame::List { whole: place == 0, entries: piece.to_vec() }.into());
+                    floor.say(link, Frame::List { is_complete: place == 0, entries: piece.to_vec() }.into());
                 }
                 self.tell_orders(now, link, floor);
             }
-            Frame::Tabled { serial, in_force, why, .. } => {
+            Frame::TablesResult { serial, in_force, why, .. } => {
                 if self.tabled.len() < MOST_TABLED {
                     self.tabled.push(Tabled { link, serial, in_force, why });
                 }
@@ -193,7 +193,7 @@
         }
         for piece in entries.chunks(PIECE) {
             for (link, _) in self.links.iter().filter(|(_, greeted)| **greeted) {
-                floor.say(*link, Frame::List { whole: false, entries: piece.to_vec() }.into());
+                floor.say(*link, Frame::List { is_complete: false, entries: piece.to_vec() }.into());
             }
         }
     }
@@ -204,8 +204,8 @@
         server: listing.server.clone(),
         number: listing.number,
         address: listing.address.clone(),
-        listed: listing.listed,
-        life: listing.life,
+        state: listing.listed,
+        incarnation: listing.life,
         age: listing
             .started
             .map_or(Duration::ZERO, |at| now.saturating_sub(at).max(Duration::from_micros(1))),
--- a/crates/standin/src/shell.rs
+++ b/crates/standin/src/shell.rs
@@ -8,7 +8,7 @@
 
 use anyhow::{Context, Result};
 use crossbeam_channel::Receiver;
-use lotussaddle_links::{Bounds, Gate, Happening, Hub, Token};
+use lotussaddle_links::{Hub, HubLimits, LinkEvent, LinkToken, Listener};
 use lotussaddle_sheet::Sheet;
 use lotussaddle_trunk::Message;
 
@@ -21,19 +21,19 @@
 struct Sockets {
     hub: Hub,
     edges: Vec<String>,
-    begun: Vec<(Token, usize)>,
+    begun: Vec<(LinkToken, usize)>,
 }
 
 impl Floor for Sockets {
     fn say(&mut self, link: u64, message: Message) {
         // A peer that takes nothing more is given up, as an edge proxy would give up such a caller.
-        if !self.hub.say(Token(link), message) {
-            self.hub.reset(Token(link));
+        if !self.hub.send(LinkToken(link), message) {
+            self.hub.reset(LinkToken(link));
         }
     }
 
     fn close(&mut self, link: u64, reset: bool) {
-        if reset { self.hub.reset(Token(link)) } else { self.hub.close(Token(link)) }
+        if reset { self.hub.reset(LinkToken(link)) } else { self.hub.close(LinkToken(link)) }
     }
 
     fn dial_in(&mut self, edge: usize) {
@@ -48,7 +48,7 @@
 
 /// What each model does with what happens on its links.
 trait Model {
-    fn take(&mut self, now: Duration, happening: Happening, floor: &mut Sockets);
+    fn take(&mut self, now: Duration, happening: LinkEvent, floor: &mut Sockets);
     fn next_due(&self) -> Option<Duration>;
     fn alarm(&mut self, now: Duration, floor: &mut Sockets);
     fn standing(&self) -> String;
@@ -58,18 +58,18 @@
 }
 
 impl Model for CoreServer {
-    fn take(&mut self, now: Duration, happening: Happening, floor: &mut Sockets) {
+    fn take(&mut self, now: Duration, happening: LinkEvent, floor: &mut Sockets) {
         match happening {
-            Happening::Came(token, _, opened) => {
+            LinkEvent::Accepted(token, _, opened) => {
                 floor.hub.admit(token, opened);
                 self.linked(token.0, floor);
             }
-            Happening::Said(token, message) => self.heard(now, token.0, message, floor),
-            Happening::Lost(token, _) => {
+            LinkEvent::Received(token, message) => self.heard(now, token.0, message, floor),
+            LinkEvent::Closed(token, _) => {
                 floor.hub.close(token);
                 self.lost(now, token.0);
             }
-            Happening::Up(_) => {}
+            LinkEvent::Connected(_) => {}
         }
     }
 
@@ -91,18 +91,18 @@
 }
 
 impl Model for PoolList {
-    fn take(&mut self, now: Duration, happening: Happening, floor: &mut Sockets) {
+    fn take(&mut self, now: Duration, happening: LinkEvent, floor: &mut Sockets) {
         match happening {
-            Happening::Came(token, _, opened) => {
+            LinkEvent::Accepted(token, _, opened) => {
                 floor.hub.admit(token, opened);
                 self.linked(token.0);
             }
-            Happening::Said(token, message) => self.heard(now, token.0, message, floor),
-            Happening::Lost(token, _) => {
+            LinkEvent::Received(token, message) => self.heard(now, token.0, message, floor),
+            LinkEvent::Closed(token, _) => {
                 floor.hub.close(token);
                 self.lost(token.0);
             }
-            Happening::Up(_) => {}
+            LinkEvent::Connected(_) => {}
         }
     }
 
@@ -120,17 +120,17 @@
 }
 
 impl Model for Crowd {
-    fn take(&mut self, now: Duration, happening: Happening, floor: &mut Sockets) {
+    fn take(&mut self, now: Duration, happening: LinkEvent, floor: &mut Sockets) {
         match happening {
-            Happening::Up(token) => {
+            LinkEvent::Connected(token) => {
                 let begun = floor.begun.iter().position(|(known, _)| *known == token);
                 if let Some(place) = begun {
                     let (_, edge) = floor.begun.swap_remove(place);
                     self.linked(now, edge, token.0, floor);
                 }
             }
-            Happening::Said(token, message) => self.heard(now, token.0, message, floor),
-            Happening::Lost(token, _) => {
+            LinkEvent::Received(token, message) => self.heard(now, token.0, message, floor),
+            LinkEvent::Closed(token, _) => {
                 floor.hub.close(token);
                 match floor.begun.iter().position(|(known, _)| *known == token) {
                     Some(place) => {
@@ -140,7 +140,7 @@
                     None => self.lost(now, token.0),
                 }
             }
-            Happening::Came(..) => {}
+            LinkEvent::Accepted(..) => {}
         }
     }
 
@@ -163,7 +163,7 @@
 }
 
 /// Runs a model until it is over, or the process is ended.
-fn run(mut model: impl Model, mut floor: Sockets, happenings: &Receiver<Happening>) -> Result<()> {
+fn run(mut model: impl Model, mut floor: Sockets, happenings: &Receiver<LinkEvent>) -> Result<()> {
     let begun = Instant::now();
     let mut say_at = SAY_EVERY;
     while !model.is_over(begun.elapsed()) {
@@ -185,13 +185,13 @@
     Ok(())
 }
 
-fn sockets(edges: Vec<String>) -> Result<(Sockets, Receiver<Happening>)> {
-    let (hub, happenings) = Hub::new(Bounds::default()).context("no thread to begin links")?;
+fn sockets(edges: Vec<String>) -> Result<(Sockets, Receiver<LinkEvent>)> {
+    let (hub, happenings) = Hub::new(HubLimits::default()).context("no thread to begin links")?;
     Ok((Sockets { hub, edges, begun: Vec::new() }, happenings))
 }
 
-fn open(floor: &Sockets, listen: SocketAddr) -> Result<Gate> {
-    let gate = Gate::open(&floor.hub, 0, listen).with_context(|| format!("cannot listen at {listen}"))?;
+fn open(floor: &Sockets, listen: SocketAddr) -> Result<Listener> {
+    let gate = Listener::open(&floor.hub, 0, listen).with_context(|| format!("cannot listen at {listen}"))?;
     println!("listening {}", gate.address);
     std::io::stdout().flush()?;
     Ok(gate)
--- a/crates/trunk/src/codec.rs
+++ b/crates/trunk/src/codec.rs
@@ -39,8 +39,8 @@
     Twice { frame: &'static str, tag: u8 },
     #[error("{frame}: field {tag} is missing")]
     Missing { frame: &'static str, tag: u8 },
-    #[error("{frame}: field {tag} {what}")]
-    Value { frame: &'static str, tag: u8, what: &'static str },
+    #[error("{frame}: field {tag} {problem}")]
+    Value { frame: &'static str, tag: u8, problem: &'static str },
     #[error("{frame}: over {MAX_EXTRA} bytes of unknown optional fields")]
     Extra { frame: &'static str },
 }
@@ -250,7 +250,7 @@
                 to.text(CALLED, dialled);
             }
             to.whole(NUMBER, dial.first_choice.0 as u64).real(WIDTH, dial.width).time(TIME, dial.time_left);
-            let flags = [dial.again, dial.came_back, dial.repeat];
+            let flags = [dial.is_retry, dial.redialled_after_cut, dial.is_repeat];
             to.whole(FLAGS, flags.iter().enumerate().map(|(bit, set)| u64::from(*set) << bit).sum());
             DIAL
         }
@@ -262,7 +262,7 @@
             to.text(DIALOGUE, &dialogue.0).text(SERVER, &server.0);
             STANDS
         }
-        Frame::Refused { dialogue, come_back } => {
+        Frame::Refused { dialogue, retry_after: come_back } => {
             to.text(DIALOGUE, &dialogue.0);
             if let Some(come_back) = come_back {
                 to.time(TIME, *come_back);
@@ -273,7 +273,7 @@
             to.text(DIALOGUE, &dialogue.0);
             FAILED
         }
-        Frame::Declined { dialogue, why, come_back } => {
+        Frame::Declined { dialogue, why, retry_after: come_back } => {
             to.text(DIALOGUE, &dialogue.0).whole(WHY, *why as u64);
             if let Some(come_back) = come_back {
                 to.time(TIME, *come_back);
@@ -329,14 +329,14 @@
             to.report(report);
             REPORT
         }
-        Frame::List { whole, entries } => {
+        Frame::List { is_complete: whole, entries } => {
             to.whole(FLAGS, (*whole).into());
             for entry in entries {
                 let mut nested = Vec::new();
                 let mut into = Writer(&mut nested);
                 into.text(SERVER, &entry.server.0).text(ADDRESS, &entry.address);
-                into.whole(NUMBER, entry.number.0 as u64).whole(WHY, entry.listed as u64);
-                into.whole(LIFE, entry.life).time(TIME, entry.age);
+                into.whole(NUMBER, entry.number.0 as u64).whole(WHY, entry.state as u64);
+                into.whole(LIFE, entry.incarnation).time(TIME, entry.age);
                 to.bytes(ENTRY, &nested);
             }
             LIST
@@ -346,7 +346,7 @@
             put_order(order, to);
             TABLES
         }
-        Frame::Tabled { serial, in_force, name, why } => {
+        Frame::TablesResult { serial, in_force, name, why } => {
             to.whole(SERIAL, *serial).whole(OF, *in_force);
             if let Some(name) = name {
                 to.text(NAME, name);
@@ -356,8 +356,8 @@
             }
             TABLED
         }
-        Frame::Peer(peer) => member_codec::put_peer(peer, to),
-        Frame::Audit(audit) => member_codec::put_audit(audit, to),
+        Frame::PeerMessage(peer) => member_codec::put_peer(peer, to),
+        Frame::AuditMessage(audit) => member_codec::put_audit(audit, to),
     }
 }
 
@@ -403,7 +403,7 @@
     }
 
     pub fn wrong(&self, tag: u8, what: &'static str) -> TrunkError {
-        TrunkError::Value { frame: self.frame, tag, what }
+        TrunkError::Value { frame: self.frame, tag, problem: what }
     }
 
     pub fn take(&mut self, tag: u8) -> Option<&'a [u8]> {
@@ -513,16 +513,17 @@
 }
 
 const ROLES: &[Role] = &[Role::Caller, Role::Edge, Role::Core, Role::List];
-const NOT_TAKEN: &[NotTaken] = &[
-    NotTaken::Full,
-    NotTaken::Concluded,
-    NotTaken::NotYours,
-    NotTaken::Unknown,
-    NotTaken::NotReady,
-    NotTaken::Unsure,
+const NOT_TAKEN: &[DeclineReason] = &[
+    DeclineReason::Full,
+    DeclineReason::Concluded,
+    DeclineReason::NotYours,
+    DeclineReason::Unknown,
+    DeclineReason::NotReady,
+    DeclineReason::Unsure,
 ];
-const CAUSES: &[Cause] = &[Cause::Processor, Cause::Lines, Cause::NumberBusy, Cause::Fault];
-const ENDS: &[End] = &[End::Released, End::Cut];
+const CAUSES: &[TurnBackCause] =
+    &[TurnBackCause::Processor, TurnBackCause::Lines, TurnBackCause::NumberBusy, TurnBackCause::Fault];
+const ENDS: &[DialogueEnd] = &[DialogueEnd::Released, DialogueEnd::Cut];
 const LISTED: &[Listed] = &[Listed::Active, Listed::Leaving, Listed::Gone];
 
 fn entry(frame: &'static str, raw: &[u8]) -> Result<Entry, TrunkError> {
@@ -531,8 +532,8 @@
         server: f.need(SERVER, text).map(ServerId)?,
         number: f.need(NUMBER, whole).map(|n| ServerNumber(n as i64))?,
         address: f.need(ADDRESS, text)?,
-        listed: f.need(WHY, one_of(LISTED))?,
-        life: f.need(LIFE, whole)?,
+        state: f.need(WHY, one_of(LISTED))?,
+        incarnation: f.need(LIFE, whole)?,
         age: f.need(TIME, time)?,
     };
     f.rest()?;
@@ -564,9 +565,9 @@
                 first_choice: f.need(NUMBER, whole).map(|n| ServerNumber(n as i64))?,
                 width: f.need(WIDTH, real)?,
                 time_left: f.need(TIME, time)?,
-                again: flags & 1 != 0,
-                came_back: flags & 2 != 0,
-                repeat: flags & 4 != 0,
+                is_retry: flags & 1 != 0,
+                redialled_after_cut: flags & 2 != 0,
+                is_repeat: flags & 4 != 0,
                 sent_at: f.maybe(SENT_AT, time)?,
                 try_of: f.maybe(TRY_OF, text)?.map(DialogueId),
                 dialled: f.maybe(CALLED, text)?,
@@ -574,12 +575,12 @@
         }
         HANG_UP => Frame::HangUp { dialogue: f.dialogue()? },
         STANDS => Frame::Stands { dialogue: f.dialogue()?, server: f.need(SERVER, text).map(ServerId)? },
-        REFUSED => Frame::Refused { dialogue: f.dialogue()?, come_back: f.maybe(TIME, time)? },
+        REFUSED => Frame::Refused { dialogue: f.dialogue()?, retry_after: f.maybe(TIME, time)? },
         FAILED => Frame::Failed { dialogue: f.dialogue()? },
         DECLINED => Frame::Declined {
             dialogue: f.dialogue()?,
             why: f.need(WHY, one_of(NOT_TAKEN))?,
-            come_back: f.maybe(TIME, time)?,
+            retry_after: f.maybe(TIME, time)?,
         },
         OVER => Frame::Over { dialogue: f.dialogue()?, end: f.need(WHY, one_of(ENDS))? },
         LAUNCH => Frame::Launch(Launch {
@@ -616,20 +617,20 @@
             while let Some(raw) = f.take(ENTRY) {
                 entries.push(entry(name, raw)?);
             }
-            Frame::List { whole, entries }
+            Frame::List { is_complete: whole, entries }
         }
         TABLES => {
             let serial = f.need(SERIAL, whole)?;
             Frame::Tables { serial, order: order(&mut f)? }
         }
-        TABLED => Frame::Tabled {
+        TABLED => Frame::TablesResult {
             serial: f.need(SERIAL, whole)?,
             in_force: f.need(OF, whole)?,
             name: f.maybe(NAME, text)?,
             why: f.maybe(CALLED, text)?,
         },
-        AUDIT.. => Frame::Audit(member_codec::audit(*kind, &mut f)?),
-        PEER.. => Frame::Peer(member_codec::peer(*kind, &mut f)?),
+        AUDIT.. => Frame::AuditMessage(member_codec::audit(*kind, &mut f)?),
+        PEER.. => Frame::PeerMessage(member_codec::peer(*kind, &mut f)?),
         other => return Err(TrunkError::Kind(other)),
     };
     Ok(Message { frame, extra: f.rest()? })
@@ -645,7 +646,7 @@
 }
 
 impl Decoder {
-    pub fn take(&mut self, bytes: &[u8]) {
+    pub fn feed(&mut self, bytes: &[u8]) {
         if self.read > 0 && (self.read == self.held.len() || self.read >= MAX_FRAME) {
             self.held.drain(..self.read);
             self.read = 0;
@@ -660,7 +661,7 @@
         self.held.len() - self.read
     }
 
-    pub fn frame(&mut self) -> Option<Result<Message, TrunkError>> {
+    pub fn next_frame(&mut self) -> Option<Result<Message, TrunkError>> {
         let held = &self.held[self.read..];
         let length = u32::from_be_bytes(held.get(..4)?.try_into().expect("four bytes")) as usize;
         if self.broken {
--- a/crates/trunk/src/frame.rs
+++ b/crates/trunk/src/frame.rs
@@ -6,7 +6,7 @@
 use lotussaddle::interface::{DialledKey, DialogueId, LaunchNo, Listed, LoadReport, ServerId, ServerNumber};
 use serde::{Deserialize, Serialize};
 
-use crate::member::{Audit, Owner, Peer};
+use crate::member::{AuditMessage, Owner, PeerMessage};
 use crate::texts;
 
 /// A frame and the optional fields that came with it and are unknown here.
@@ -42,7 +42,7 @@
 
 /// Why a dialogue was not taken; it gets no final answer, since it was never in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum NotTaken {
+pub enum DeclineReason {
     /// The edge proxy holds as many as it may.
     Full,
     /// It has had its answer.
@@ -59,7 +59,7 @@
 
 /// How a core server turned a launch back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Cause {
+pub enum TurnBackCause {
     /// Too long a wait at its processor.
     Processor,
     /// No line free there.
@@ -71,7 +71,7 @@
 
 /// How a dialogue that stood came to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum End {
+pub enum DialogueEnd {
     /// As its caller wished.
     Released,
     /// Cut: a line lost, a processor stopped, a link gone.
@@ -115,7 +115,8 @@
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
         #[serde(default, skip_serializing_if = "Option::is_none", with = "texts::maybe_micros")]
-        come_back: Option<Duration>,
+        #[serde(rename = "come_back")]
+        retry_after: Option<Duration>,
     },
     Failed {
         #[serde(with = "texts::DialogueText")]
@@ -125,16 +126,17 @@
     Declined {
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
-        why: NotTaken,
+        why: DeclineReason,
         /// When it may be otherwise.
         #[serde(default, skip_serializing_if = "Option::is_none", with = "texts::maybe_micros")]
-        come_back: Option<Duration>,
+        #[serde(rename = "come_back")]
+        retry_after: Option<Duration>,
     },
     /// ... and the end of one that stood, where the caller did not hang up.
     Over {
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
-        end: End,
+        end: DialogueEnd,
     },
 
     // Edge proxy to core server
@@ -168,7 +170,7 @@
         dialogue: DialogueId,
         #[serde(with = "texts::LaunchText")]
         launch: LaunchNo,
-        cause: Cause,
+        cause: TurnBackCause,
         #[serde(with = "texts::ReportText")]
         report: LoadReport,
     },
@@ -187,7 +189,7 @@
         dialogue: DialogueId,
         #[serde(with = "texts::LaunchText")]
         launch: LaunchNo,
-        end: End,
+        end: DialogueEnd,
         #[serde(with = "texts::ReportText")]
         report: LoadReport,
     },
@@ -199,7 +201,8 @@
     // Pool list to edge proxy
     List {
         /// All that is listed; else what has changed.
-        whole: bool,
+        #[serde(rename = "whole")]
+        is_complete: bool,
         entries: Vec<Entry>,
     },
     /// An order about the tables by which numbers are analysed. Serials go up; one is never used twice.
@@ -210,7 +213,8 @@
 
     // Edge proxy to pool list
     /// What came of an order; `in_force` is the serial of the swap that is in force.
-    Tabled {
+    #[serde(rename = "tabled")]
+    TablesResult {
         serial: u64,
         in_force: u64,
         #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -221,9 +225,11 @@
     },
 
     /// Between members of a fleet.
-    Peer(Peer),
+    #[serde(rename = "peer")]
+    PeerMessage(PeerMessage),
     /// Between a member of a fleet and a core server, about whose a dialogue is.
-    Audit(Audit),
+    #[serde(rename = "audit")]
+    AuditMessage(AuditMessage),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -283,12 +289,15 @@
     #[serde(with = "texts::micros")]
     pub time_left: Duration,
     /// The caller has dialled before ...
-    pub again: bool,
+    #[serde(rename = "again")]
+    pub is_retry: bool,
     /// ... and stood, and was cut.
-    pub came_back: bool,
+    #[serde(rename = "came_back")]
+    pub redialled_after_cut: bool,
     /// This very dialogue was dialled before, here or at another edge proxy, and what came of it is not known.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub repeat: bool,
+    #[serde(rename = "repeat")]
+    pub is_repeat: bool,
     /// When the caller said this, by any clock of its own that only goes forward: the slowest dials of a link are
     /// told from the fastest by it, and what they lost on the way is not counted as time left.
     #[serde(default, skip_serializing_if = "Option::is_none", with = "texts::maybe_micros")]
@@ -303,7 +312,7 @@
 
 impl Dial {
     /// Shares between trunk groups go by it: the same for all tries of a caller.
-    pub fn lot(&self) -> u64 {
+    pub fn sharing_hash(&self) -> u64 {
         let own = self.try_of.as_ref().unwrap_or(&self.dialogue);
         let text = self.key.as_ref().map_or(&own.0, |key| &key.0);
         // FNV-1a: whoever judges must come to the same.
@@ -345,9 +354,11 @@
     /// Where it is reached: an address and port.
     pub address: Arc<str>,
     #[serde(with = "listed_text")]
-    pub listed: Listed,
+    #[serde(rename = "listed")]
+    pub state: Listed,
     /// Which of its lives this is; another one is a start.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// How long ago that life began; zero: long ago.
     #[serde(with = "texts::micros")]
     pub age: Duration,
@@ -393,9 +404,9 @@
             | BrokenOff { dialogue, .. }
             | Ended { dialogue, .. } => Some(dialogue),
             Hello(_) | Ping { .. } | Pong { .. } | Bye { .. } | Report { .. } | List { .. } => None,
-            Tables { .. } | Tabled { .. } => None,
-            Peer(peer) => peer.dialogue(),
-            Audit(audit) => audit.dialogue(),
+            Tables { .. } | TablesResult { .. } => None,
+            PeerMessage(peer) => peer.dialogue(),
+            AuditMessage(audit) => audit.dialogue(),
         }
     }
 }
--- a/crates/trunk/src/lib.rs
+++ b/crates/trunk/src/lib.rs
@@ -16,4 +16,4 @@
 pub use codec::{Decoder, MAX_EXTRA, MAX_FRAME, MAX_TEXT, TrunkError, VERSION};
 pub use frame::*;
 pub use member::*;
-pub use member_codec::{copy_bytes, copy_read};
+pub use member_codec::{decode_replica, encode_replica};
--- a/crates/trunk/src/member.rs
+++ b/crates/trunk/src/member.rs
@@ -16,7 +16,8 @@
 pub struct Owner {
     pub round: u32,
     pub member: u16,
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
 }
 
 /// A final answer, as it was or would be given.
@@ -37,11 +38,13 @@
 /// How far a dialogue has come, as one owner wrote it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Reached {
+pub enum Progress {
     /// Nothing of it is out, and nothing is in doubt beside what the bar says.
-    Taken,
+    #[serde(rename = "taken")]
+    Accepted,
     /// A launch is out, or was in doubt to be.
-    Out {
+    #[serde(rename = "out")]
+    Launched {
         #[serde(with = "texts::ServerText")]
         server: ServerId,
         #[serde(with = "texts::LaunchText")]
@@ -54,36 +57,41 @@
         launch: LaunchNo,
     },
     /// It has had its answer and does not stand, or stands no more.
-    Over,
+    #[serde(rename = "over")]
+    Ended,
 }
 
 /// What one owner wrote of a dialogue last. Versions of an owner go up by one. Times are spans from now.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Part {
+pub struct OwnerRecord {
     pub owner: Owner,
     pub version: u32,
-    pub reached: Reached,
+    #[serde(rename = "reached")]
+    pub progress: Progress,
     /// For so long a launch of that owner may be out, or its lines may be taken: nothing may be launched.
     #[serde(with = "texts::micros")]
-    pub bar: Duration,
+    #[serde(rename = "bar")]
+    pub blocked_for: Duration,
     /// It is forgotten after so long.
     #[serde(with = "texts::micros")]
-    pub lasts: Duration,
+    #[serde(rename = "lasts")]
+    pub expires_in: Duration,
 }
 
 /// A copy of a dialogue's state on its way.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct CopySent {
+pub struct ReplicaUpdate {
     #[serde(with = "texts::DialogueText")]
     pub dialogue: DialogueId,
-    pub parts: Vec<Part>,
+    #[serde(rename = "parts")]
+    pub owner_records: Vec<OwnerRecord>,
     /// Final answers that were written, and by whom.
-    pub answers: Vec<Given>,
+    pub answers: Vec<RecordedAnswer>,
 }
 
 /// A final answer, as an owner wrote it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Given {
+pub struct RecordedAnswer {
     pub owner: Owner,
     pub answer: Answer,
 }
@@ -94,27 +102,36 @@
 /// What members say to each other, after hello as [`crate::Role::Edge`] both ways.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "peer", rename_all = "snake_case")]
-pub enum Peer {
+pub enum PeerMessage {
     /// Who is here: the first word of both sides. `group` is a digest of all names and figures that must agree.
-    Here {
+    #[serde(rename = "here")]
+    Greeting {
         group: u64,
         member: u16,
         /// Zero while none is agreed.
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         /// The highest life of the other side that is known here, and how long ago that was last heard.
-        yours: u64,
+        #[serde(rename = "yours")]
+        known_remote_incarnation: u64,
         /// The highest count of writes on disk that the other side has told.
         saved: u64,
         #[serde(default, skip_serializing_if = "Option::is_none", with = "texts::maybe_micros")]
-        away: Option<Duration>,
+        #[serde(rename = "away")]
+        last_seen_ago: Option<Duration>,
     },
     /// Is this life new to you?
-    NewLife {
-        life: u64,
-    },
-    Life {
-        life: u64,
-        given: bool,
+    #[serde(rename = "new_life")]
+    ProposeIncarnation {
+        #[serde(rename = "life")]
+        incarnation: u64,
+    },
+    #[serde(rename = "life")]
+    IncarnationReply {
+        #[serde(rename = "life")]
+        incarnation: u64,
+        #[serde(rename = "given")]
+        granted: bool,
         /// The highest one known of the asker.
         highest: u64,
     },
@@ -124,18 +141,21 @@
         message: Vec<u8>,
     },
     /// Writes that the sender's disk has had: a disk that has had fewer later on is an older copy. Only between overlay neighbours.
-    DiskCount {
-        saved: u64,
-    },
+    DiskCount { saved: u64 },
     /// Writes of the sender, consecutive from this number of its stream to the other side; 0: outside the stream.
-    Copies {
-        life: u64,
+    #[serde(rename = "copies")]
+    Replicas {
+        #[serde(rename = "life")]
+        incarnation: u64,
         first: u64,
-        copies: Vec<CopySent>,
+        #[serde(rename = "copies")]
+        replicas: Vec<ReplicaUpdate>,
     },
     /// All writes of that life up to this number are kept, but those of dialogues that have a higher owner now.
-    Kept {
-        life: u64,
+    #[serde(rename = "kept")]
+    Acknowledge {
+        #[serde(rename = "life")]
+        incarnation: u64,
         up_to: u64,
         /// As in [`Peer::DiskCount`], this one counted.
         saved: u64,
@@ -143,17 +163,22 @@
     },
     /// What is had of the other side's stream; where that is too little, it goes on with a snapshot from here.
     Resume {
-        life: u64,
-        have: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
+        #[serde(rename = "have")]
+        received_up_to: u64,
         snapshot: Option<Cursor>,
     },
     /// A piece of a snapshot of all that the sender owns and the other side is to hold.
-    Piece {
-        life: u64,
+    #[serde(rename = "piece")]
+    SnapshotChunk {
+        #[serde(rename = "life")]
+        incarnation: u64,
         cursor: Cursor,
         /// Where the next piece begins; none: this was the last.
         next: Option<u64>,
-        copies: Vec<CopySent>,
+        #[serde(rename = "copies")]
+        replicas: Vec<ReplicaUpdate>,
     },
     /// What is known of a dialogue? The asker owns it from now on unless someone higher does; who owned it lets go.
     Ask {
@@ -162,76 +187,83 @@
         dialogue: DialogueId,
         owner: Owner,
     },
-    Know {
+    #[serde(rename = "know")]
+    AskReply {
         serial: u64,
         /// It would know, if it was told.
-        sure: bool,
+        #[serde(rename = "sure")]
+        is_authoritative: bool,
         /// Someone higher owns it.
         higher: Option<Owner>,
-        copy: Option<CopySent>,
+        #[serde(rename = "copy")]
+        replica: Option<ReplicaUpdate>,
     },
     /// Digests of what both are to hold, of `sums.len()` ranges from this one on at this level.
-    Sums {
+    #[serde(rename = "sums")]
+    RangeDigests {
         level: u8,
         from: u32,
-        sums: Vec<u64>,
+        #[serde(rename = "sums")]
+        digests: Vec<u64>,
     },
     /// What is held in a range: the hash of each id and the digest of what is held.
-    Prints {
+    #[serde(rename = "prints")]
+    DialogueDigests {
         range: u32,
-        prints: Vec<(u64, u64)>,
+        #[serde(rename = "prints")]
+        fingerprints: Vec<(u64, u64)>,
     },
     /// These, by the hashes of their ids, are wanted.
-    Want {
-        ids: Vec<u64>,
+    #[serde(rename = "want")]
+    RequestReplicas {
+        #[serde(rename = "ids")]
+        id_hashes: Vec<u64>,
     },
     /// An operator asks; answered by texts.
     Inquire {
-        what: Arc<str>,
-    },
-    Tell {
-        more: bool,
-        text: String,
+        #[serde(rename = "what")]
+        query: Arc<str>,
     },
+    #[serde(rename = "tell")]
+    InquireReply { more: bool, text: String },
     /// A word about who holds which duty, in the bytes of the package that decides it.
     Duties {
-        word: Vec<u8>,
+        #[serde(rename = "word")]
+        message: Vec<u8>,
     },
     /// An act of the duty `circuits`: look whether all that this core server holds of yours is held by you.
-    Check {
-        act: Act,
+    #[serde(rename = "check")]
+    CheckLines {
+        #[serde(rename = "act")]
+        action: DutyAction,
         #[serde(with = "texts::ServerText")]
         server: ServerId,
     },
     /// An act of the duty `publish`: this order about number tables is to be carried out.
     Publish {
-        act: Act,
+        #[serde(rename = "act")]
+        action: DutyAction,
         serial: u64,
         order: TablesOrder,
     },
     /// What came of it; none: it is done.
-    Published {
-        serial: u64,
-        why: Option<Arc<str>>,
-    },
+    Published { serial: u64, why: Option<Arc<str>> },
     /// An operator wants this generation of number tables in force on all members; said to whoever holds the duty.
-    Wanted {
-        name: Arc<str>,
-    },
+    #[serde(rename = "wanted")]
+    PublishRequest { name: Arc<str> },
     /// An act was refused: its number is lower than this one, which was seen.
-    Fenced {
-        duty: u16,
-        highest: u64,
-    },
+    Fenced { duty: u16, highest: u64 },
 }
 
 /// Under which number a duty's act is done, and by whom: receivers refuse what is lower than the highest that they have seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Act {
+pub struct DutyAction {
     pub duty: u16,
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub fencing_token: u64,
     pub member: u16,
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -261,21 +293,20 @@
 /// What is said between a member and a core server about whose a dialogue is.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "audit", rename_all = "snake_case")]
-pub enum Audit {
+pub enum AuditMessage {
     /// What stands there of this member's lives up to this one? `life` 0: of all members.
-    What {
+    #[serde(rename = "what")]
+    ListLines {
         serial: u64,
         member: u16,
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         /// Those behind this one, in the order of ids.
         #[serde(default, skip_serializing_if = "Option::is_none", with = "texts::maybe_dialogue")]
         after: Option<DialogueId>,
     },
-    Holds {
-        serial: u64,
-        more: bool,
-        lines: Vec<HeldLine>,
-    },
+    #[serde(rename = "holds")]
+    Lines { serial: u64, more: bool, lines: Vec<HeldLine> },
     /// The dialogue is this owner's from now on, whatever stands of it comes to this link; what is out of it is ended.
     Adopt {
         #[serde(with = "texts::DialogueText")]
@@ -283,7 +314,8 @@
         owner: Owner,
         /// It is a duty's act.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        act: Option<Act>,
+        #[serde(rename = "act")]
+        action: Option<DutyAction>,
     },
     Adopted {
         #[serde(with = "texts::DialogueText")]
@@ -311,7 +343,7 @@
     },
 }
 
-impl Peer {
+impl PeerMessage {
     pub fn dialogue(&self) -> Option<&DialogueId> {
         match self {
             Self::Ask { dialogue, .. } => Some(dialogue),
@@ -320,14 +352,14 @@
     }
 }
 
-impl Audit {
+impl AuditMessage {
     pub fn dialogue(&self) -> Option<&DialogueId> {
         match self {
             Self::Adopt { dialogue, .. }
             | Self::Adopted { dialogue, .. }
             | Self::Moved { dialogue, .. }
             | Self::Fenced { dialogue, .. } => Some(dialogue),
-            Self::What { .. } | Self::Holds { .. } => None,
+            Self::ListLines { .. } | Self::Lines { .. } => None,
         }
     }
 }
--- a/crates/trunk/src/member_codec.rs
+++ b/crates/trunk/src/member_codec.rs
@@ -89,22 +89,22 @@
 const ACT: u8 = 42;
 const DUTY: u8 = 43;
 
-fn act_bytes(act: &Act) -> [u8; 20] {
+fn act_bytes(act: &DutyAction) -> [u8; 20] {
     let mut raw = [0; 20];
     raw[..2].copy_from_slice(&act.duty.to_le_bytes());
-    raw[2..10].copy_from_slice(&act.number.to_le_bytes());
+    raw[2..10].copy_from_slice(&act.fencing_token.to_le_bytes());
     raw[10..12].copy_from_slice(&act.member.to_le_bytes());
-    raw[12..].copy_from_slice(&act.life.to_le_bytes());
+    raw[12..].copy_from_slice(&act.incarnation.to_le_bytes());
     raw
 }
 
-fn act(raw: &[u8]) -> Result<Act, &'static str> {
+fn act(raw: &[u8]) -> Result<DutyAction, &'static str> {
     let raw: &[u8; 20] = raw.try_into().map_err(|_| "is no act")?;
-    Ok(Act {
+    Ok(DutyAction {
         duty: u16::from_le_bytes(raw[..2].try_into().expect("two bytes")),
-        number: u64::from_le_bytes(raw[2..10].try_into().expect("eight bytes")),
+        fencing_token: u64::from_le_bytes(raw[2..10].try_into().expect("eight bytes")),
         member: u16::from_le_bytes(raw[10..12].try_into().expect("two bytes")),
-        life: u64::from_le_bytes(raw[12..].try_into().expect("eight bytes")),
+        incarnation: u64::from_le_bytes(raw[12..].try_into().expect("eight bytes")),
     })
 }
 
@@ -112,7 +112,7 @@
     let mut raw = [0; 14];
     raw[..4].copy_from_slice(&owner.round.to_le_bytes());
     raw[4..6].copy_from_slice(&owner.member.to_le_bytes());
-    raw[6..].copy_from_slice(&owner.life.to_le_bytes());
+    raw[6..].copy_from_slice(&owner.incarnation.to_le_bytes());
     raw
 }
 
@@ -120,7 +120,7 @@
     let raw: &[u8; 14] = raw.try_into().map_err(|_| "is no owner")?;
     let round = u32::from_le_bytes(raw[..4].try_into().expect("four bytes"));
     let member = u16::from_le_bytes(raw[4..6].try_into().expect("two bytes"));
-    Ok(Owner { round, member, life: u64::from_le_bytes(raw[6..].try_into().expect("eight bytes")) })
+    Ok(Owner { round, member, incarnation: u64::from_le_bytes(raw[6..].try_into().expect("eight bytes")) })
 }
 
 fn words(raw: &[u8]) -> Result<Vec<u64>, &'static str> {
@@ -137,45 +137,45 @@
     to.bytes(tag, &raw);
 }
 
-fn put_reached(to: &mut Writer, reached: &Reached) {
+fn put_reached(to: &mut Writer, reached: &Progress) {
     match reached {
-        Reached::Taken => to.whole(WHY, 0),
-        Reached::Out { server, launch } => {
+        Progress::Accepted => to.whole(WHY, 0),
+        Progress::Launched { server, launch } => {
             to.whole(WHY, 1).text(SERVER, &server.0).whole(LAUNCH_NO, launch.0.into())
         }
-        Reached::Stands { server, launch } => {
+        Progress::Stands { server, launch } => {
             to.whole(WHY, 2).text(SERVER, &server.0).whole(LAUNCH_NO, launch.0.into())
         }
-        Reached::Over => to.whole(WHY, 3),
+        Progress::Ended => to.whole(WHY, 3),
     };
 }
 
-fn reached(f: &mut Fields) -> Result<Reached, TrunkError> {
+fn reached(f: &mut Fields) -> Result<Progress, TrunkError> {
     Ok(match f.need(WHY, whole)? {
-        0 => Reached::Taken,
-        1 => Reached::Out { server: f.need(SERVER, text).map(ServerId)?, launch: f.launch()? },
-        2 => Reached::Stands { server: f.need(SERVER, text).map(ServerId)?, launch: f.launch()? },
-        3 => Reached::Over,
+        0 => Progress::Accepted,
+        1 => Progress::Launched { server: f.need(SERVER, text).map(ServerId)?, launch: f.launch()? },
+        2 => Progress::Stands { server: f.need(SERVER, text).map(ServerId)?, launch: f.launch()? },
+        3 => Progress::Ended,
         _ => return Err(f.wrong(WHY, "is not known")),
     })
 }
 
-fn put_copy(to: &mut Writer, copy: &CopySent) {
+fn put_copy(to: &mut Writer, copy: &ReplicaUpdate) {
     let (mut nested, mut inner) = (Vec::new(), Vec::new());
     let mut into = Writer(&mut nested);
     into.text(DIALOGUE, &copy.dialogue.0);
-    for part in &copy.parts {
+    for part in &copy.owner_records {
         inner.clear();
         let mut part_to = Writer(&mut inner);
         part_to.bytes(OWN, &owner_bytes(&part.owner)).whole(SERIAL, part.version.into());
-        put_reached(&mut part_to, &part.reached);
-        if !part.bar.is_zero() {
-            part_to.time(BAR, part.bar);
+        put_reached(&mut part_to, &part.progress);
+        if !part.blocked_for.is_zero() {
+            part_to.time(BAR, part.blocked_for);
         }
-        part_to.time(LASTS, part.lasts);
+        part_to.time(LASTS, part.expires_in);
         into.bytes(ENTRY, &inner);
     }
-    for Given { owner, answer } in &copy.answers {
+    for RecordedAnswer { owner, answer } in &copy.answers {
         inner.clear();
         let mut answer_to = Writer(&mut inner);
         answer_to.bytes(OWN, &owner_bytes(owner));
@@ -191,14 +191,14 @@
 }
 
 /// A copy as it stands in a frame, for whoever keeps it or cuts what is sent by its size.
-pub fn copy_bytes(copy: &CopySent) -> Vec<u8> {
+pub fn encode_replica(copy: &ReplicaUpdate) -> Vec<u8> {
     let mut raw = Vec::new();
     put_copy(&mut Writer(&mut raw), copy);
     raw
 }
 
-/// A copy from `copy_bytes`; an error names the field.
-pub fn copy_read(bytes: &[u8]) -> Result<CopySent, TrunkError> {
+/// A copy from `encode_replica`; an error names the field.
+pub fn decode_replica(bytes: &[u8]) -> Result<ReplicaUpdate, TrunkError> {
     let mut f = Fields::read("copies", bytes)?;
     let copy = copies("copies", &mut f)?.pop().ok_or(TrunkError::Missing { frame: "copies", tag: ENTRY })?;
     f.rest()?;
@@ -208,19 +208,19 @@
 /// The most owners and answers that a copy may bring: more were never written.
 const MOST_PARTS: usize = 16;
 
-fn copy(frame: &'static str, raw: &[u8]) -> Result<CopySent, TrunkError> {
+fn copy(frame: &'static str, raw: &[u8]) -> Result<ReplicaUpdate, TrunkError> {
     let mut f = Fields::read(frame, raw)?;
     let dialogue = f.dialogue()?;
     let (mut parts, mut answers) = (Vec::new(), Vec::new());
     while let Some(raw) = f.take(ENTRY) {
         let mut inner = Fields::read(frame, raw)?;
         match inner.maybe(VERDICT, whole)? {
-            None => parts.push(Part {
+            None => parts.push(OwnerRecord {
                 owner: inner.need(OWN, owner)?,
                 version: inner.need(SERIAL, small)?,
-                reached: reached(&mut inner)?,
-                bar: inner.maybe(BAR, time)?.unwrap_or_default(),
-                lasts: inner.need(LASTS, time)?,
+                progress: reached(&mut inner)?,
+                blocked_for: inner.maybe(BAR, time)?.unwrap_or_default(),
+                expires_in: inner.need(LASTS, time)?,
             }),
             Some(verdict) => {
                 let owner = inner.need(OWN, owner)?;
@@ -230,7 +230,7 @@
                     2 => Answer::Failed,
                     _ => return Err(inner.wrong(VERDICT, "is not known")),
                 };
-                answers.push(Given { owner, answer });
+                answers.push(RecordedAnswer { owner, answer });
             }
         }
         inner.rest()?;
@@ -239,10 +239,10 @@
         }
     }
     f.rest()?;
-    Ok(CopySent { dialogue, parts, answers })
+    Ok(ReplicaUpdate { dialogue, owner_records: parts, answers })
 }
 
-fn copies(frame: &'static str, f: &mut Fields) -> Result<Vec<CopySent>, TrunkError> {
+fn copies(frame: &'static str, f: &mut Fields) -> Result<Vec<ReplicaUpdate>, TrunkError> {
     let mut all = Vec::new();
     while let Some(raw) = f.take_in_order(ENTRY) {
         all.push(copy(frame, raw)?);
@@ -254,9 +254,16 @@
     to.whole(AT, cursor.at).whole(FROM, cursor.from);
 }
 
-pub fn put_peer(peer: &Peer, to: &mut Writer) -> u8 {
+pub fn put_peer(peer: &PeerMessage, to: &mut Writer) -> u8 {
     match peer {
-        Peer::Here { group, member, life, yours, saved, away } => {
+        PeerMessage::Greeting {
+            group,
+            member,
+            incarnation: life,
+            known_remote_incarnation: yours,
+            saved,
+            last_seen_ago: away,
+        } => {
             to.whole(GROUP, *group).whole(MEMBER, (*member).into()).whole(LIFE, *life).whole(YOURS, *yours);
             to.whole(SAVED, *saved);
             if let Some(away) = away {
@@ -264,29 +271,29 @@
             }
             HERE
         }
-        Peer::NewLife { life } => {
+        PeerMessage::ProposeIncarnation { incarnation: life } => {
             to.whole(LIFE, *life);
             NEW_LIFE
         }
-        Peer::Life { life, given, highest } => {
+        PeerMessage::IncarnationReply { incarnation: life, granted: given, highest } => {
             to.whole(LIFE, *life).whole(FLAGS, (*given).into()).whole(HIGHEST, *highest);
             LIFE_GIVEN
         }
-        Peer::Membership { message } => {
+        PeerMessage::Membership { message } => {
             debug_assert!(message.len() <= MAX_MEMBERSHIP_MESSAGE);
             to.bytes(BLOB, message);
             MEMBERSHIP
         }
-        Peer::DiskCount { saved } => {
+        PeerMessage::DiskCount { saved } => {
             to.whole(SAVED, *saved);
             DISK_COUNT
         }
-        Peer::Copies { life, first, copies } => {
+        PeerMessage::Replicas { incarnation: life, first, replicas: copies } => {
             to.whole(LIFE, *life).whole(AT, *first);
             copies.iter().for_each(|copy| put_copy(to, copy));
             COPIES
         }
-        Peer::Kept { life, up_to, saved, replaced } => {
+        PeerMessage::Acknowledge { incarnation: life, up_to, saved, replaced } => {
             to.whole(LIFE, *life).whole(AT, *up_to).whole(SAVED, *saved);
             for replaced in replaced {
                 let mut nested = Vec::new();
@@ -297,14 +304,14 @@
             }
             KEPT
         }
-        Peer::Resume { life, have, snapshot } => {
+        PeerMessage::Resume { incarnation: life, received_up_to: have, snapshot } => {
             to.whole(LIFE, *life).whole(HIGHEST, *have);
             if let Some(cursor) = snapshot {
                 put_cursor(to, cursor);
             }
             RESUME
         }
-        Peer::Piece { life, cursor, next, copies } => {
+        PeerMessage::SnapshotChunk { incarnation: life, cursor, next, replicas: copies } => {
             to.whole(LIFE, *life);
             put_cursor(to, cursor);
             if let Some(next) = next {
@@ -313,11 +320,11 @@
             copies.iter().for_each(|copy| put_copy(to, copy));
             PIECE
         }
-        Peer::Ask { serial, dialogue, owner } => {
+        PeerMessage::Ask { serial, dialogue, owner } => {
             to.whole(SERIAL, *serial).text(DIALOGUE, &dialogue.0).bytes(OWN, &owner_bytes(owner));
             ASK
         }
-        Peer::Know { serial, sure, higher, copy } => {
+        PeerMessage::AskReply { serial, is_authoritative: sure, higher, replica: copy } => {
             to.whole(SERIAL, *serial).whole(FLAGS, (*sure).into());
             if let Some(higher) = higher {
                 to.bytes(OWN, &owner_bytes(higher));
@@ -327,53 +334,53 @@
             }
             KNOW
         }
-        Peer::Sums { level, from, sums } => {
+        PeerMessage::RangeDigests { level, from, digests: sums } => {
             to.whole(LEVEL, (*level).into()).whole(FROM, (*from).into());
             put_words(to, WORDS, sums.iter().copied());
             SUMS
         }
-        Peer::Prints { range, prints } => {
+        PeerMessage::DialogueDigests { range, fingerprints: prints } => {
             to.whole(FROM, (*range).into());
             put_words(to, WORDS, prints.iter().flat_map(|(id, digest)| [*id, *digest]));
             PRINTS
         }
-        Peer::Want { ids } => {
+        PeerMessage::RequestReplicas { id_hashes: ids } => {
             put_words(to, WORDS, ids.iter().copied());
             WANT
         }
-        Peer::Inquire { what } => {
+        PeerMessage::Inquire { query: what } => {
             to.text(NAME, what);
             INQUIRE
         }
-        Peer::Tell { more, text } => {
+        PeerMessage::InquireReply { more, text } => {
             to.whole(FLAGS, (*more).into()).bytes(BLOB, text.as_bytes());
             TELL
         }
-        Peer::Duties { word } => {
+        PeerMessage::Duties { message: word } => {
             to.bytes(BLOB, word);
             DUTIES
         }
-        Peer::Check { act, server } => {
+        PeerMessage::CheckLines { action: act, server } => {
             to.bytes(ACT, &act_bytes(act)).text(SERVER, &server.0);
             CHECK
         }
-        Peer::Fenced { duty, highest } => {
+        PeerMessage::Fenced { duty, highest } => {
             to.whole(DUTY, (*duty).into()).whole(HIGHEST, *highest);
             PEER_FENCED
         }
-        Peer::Publish { act, serial, order } => {
+        PeerMessage::Publish { action: act, serial, order } => {
             to.bytes(ACT, &act_bytes(act)).whole(SERIAL, *serial);
             put_order(order, to);
             PUBLISH
         }
-        Peer::Published { serial, why } => {
+        PeerMessage::Published { serial, why } => {
             to.whole(SERIAL, *serial);
             if let Some(why) = why {
                 to.text(CALLED, why);
             }
             PUBLISHED
         }
-        Peer::Wanted { name } => {
+        PeerMessage::PublishRequest { name } => {
             to.text(NAME, name);
             WANTED
         }
@@ -383,16 +390,16 @@
 /// Lines of a core server in one frame, at most: an id has up to 128 bytes.
 const MOST_LINES: usize = 400;
 
-pub fn put_audit(audit: &Audit, to: &mut Writer) -> u8 {
+pub fn put_audit(audit: &AuditMessage, to: &mut Writer) -> u8 {
     match audit {
-        Audit::What { serial, member, life, after } => {
+        AuditMessage::ListLines { serial, member, incarnation: life, after } => {
             to.whole(SERIAL, *serial).whole(MEMBER, (*member).into()).whole(LIFE, *life);
             if let Some(after) = after {
                 to.text(DIALOGUE, &after.0);
             }
             WHAT
         }
-        Audit::Holds { serial, more, lines } => {
+        AuditMessage::Lines { serial, more, lines } => {
             debug_assert!(lines.len() <= MOST_LINES);
             to.whole(SERIAL, *serial).whole(FLAGS, (*more).into());
             for line in lines {
@@ -405,25 +412,25 @@
             }
             HOLDS
         }
-        Audit::Adopt { dialogue, owner, act } => {
+        AuditMessage::Adopt { dialogue, owner, action: act } => {
             to.text(DIALOGUE, &dialogue.0).bytes(OWN, &owner_bytes(owner));
             if let Some(act) = act {
                 to.bytes(ACT, &act_bytes(act));
             }
             ADOPT
         }
-        Audit::Adopted { dialogue, owner, launch, by } => {
+        AuditMessage::Adopted { dialogue, owner, launch, by } => {
             to.text(DIALOGUE, &dialogue.0).bytes(OWN, &owner_bytes(owner)).bytes(PART, &owner_bytes(by));
             if let Some(launch) = launch {
                 to.whole(LAUNCH_NO, (*launch).into());
             }
             ADOPTED
         }
-        Audit::Moved { dialogue, launch, by } => {
+        AuditMessage::Moved { dialogue, launch, by } => {
             to.text(DIALOGUE, &dialogue.0).whole(LAUNCH_NO, launch.0.into()).bytes(OWN, &owner_bytes(by));
             MOVED
         }
-        Audit::Fenced { dialogue, duty, highest } => {
+        AuditMessage::Fenced { dialogue, duty, highest } => {
             to.text(DIALOGUE, &dialogue.0).whole(DUTY, (*duty).into()).whole(HIGHEST, *highest);
             FENCED
         }
@@ -449,26 +456,30 @@
     Ok(raw.to_vec())
 }
 
-pub fn peer(kind: u8, f: &mut Fields) -> Result<Peer, TrunkError> {
+pub fn peer(kind: u8, f: &mut Fields) -> Result<PeerMessage, TrunkError> {
     let name = kind_name(kind).ok_or(TrunkError::Kind(kind))?;
     Ok(match kind {
-        HERE => Peer::Here {
+        HERE => PeerMessage::Greeting {
             group: f.need(GROUP, whole)?,
             member: f.need(MEMBER, small)?,
-            life: f.need(LIFE, whole)?,
-            yours: f.need(YOURS, whole)?,
+            incarnation: f.need(LIFE, whole)?,
+            known_remote_incarnation: f.need(YOURS, whole)?,
             saved: f.need(SAVED, whole)?,
-            away: f.maybe(TIME, time)?,
+            last_seen_ago: f.maybe(TIME, time)?,
+        },
+        NEW_LIFE => PeerMessage::ProposeIncarnation { incarnation: f.need(LIFE, whole)? },
+        LIFE_GIVEN => PeerMessage::IncarnationReply {
+            incarnation: f.need(LIFE, whole)?,
+            granted: flag(f)?,
+            highest: f.need(HIGHEST, whole)?,
+        },
+        MEMBERSHIP => PeerMessage::Membership { message: f.need(BLOB, membership_message)? },
+        DISK_COUNT => PeerMessage::DiskCount { saved: f.need(SAVED, whole)? },
+        COPIES => PeerMessage::Replicas {
+            incarnation: f.need(LIFE, whole)?,
+            first: f.need(AT, whole)?,
+            replicas: copies(name, f)?,
         },
-        NEW_LIFE => Peer::NewLife { life: f.need(LIFE, whole)? },
-        LIFE_GIVEN => {
-            Peer::Life { life: f.need(LIFE, whole)?, given: flag(f)?, highest: f.need(HIGHEST, whole)? }
-        }
-        MEMBERSHIP => Peer::Membership { message: f.need(BLOB, membership_message)? },
-        DISK_COUNT => Peer::DiskCount { saved: f.need(SAVED, whole)? },
-        COPIES => {
-            Peer::Copies { life: f.need(LIFE, whole)?, first: f.need(AT, whole)?, copies: copies(name, f)? }
-        }
         KEPT => {
             let (life, up_to, saved) = (f.need(LIFE, whole)?, f.need(AT, whole)?, f.need(SAVED, whole)?);
             let mut replaced = Vec::new();
@@ -477,30 +488,34 @@
                 replaced.push(Replaced { dialogue: inner.dialogue()?, by: inner.need(OWN, owner)? });
                 inner.rest()?;
             }
-            Peer::Kept { life, up_to, saved, replaced }
-        }
-        RESUME => {
-            Peer::Resume { life: f.need(LIFE, whole)?, have: f.need(HIGHEST, whole)?, snapshot: cursor(f)? }
+            PeerMessage::Acknowledge { incarnation: life, up_to, saved, replaced }
         }
-        PIECE => Peer::Piece {
-            life: f.need(LIFE, whole)?,
+        RESUME => PeerMessage::Resume {
+            incarnation: f.need(LIFE, whole)?,
+            received_up_to: f.need(HIGHEST, whole)?,
+            snapshot: cursor(f)?,
+        },
+        PIECE => PeerMessage::SnapshotChunk {
+            incarnation: f.need(LIFE, whole)?,
             cursor: cursor(f)?.ok_or(TrunkError::Missing { frame: name, tag: AT })?,
             next: f.maybe(NEXT, whole)?,
-            copies: copies(name, f)?,
+            replicas: copies(name, f)?,
         },
-        ASK => {
-            Peer::Ask { serial: f.need(SERIAL, whole)?, dialogue: f.dialogue()?, owner: f.need(OWN, owner)? }
-        }
-        KNOW => Peer::Know {
+        ASK => PeerMessage::Ask {
+            serial: f.need(SERIAL, whole)?,
+            dialogue: f.dialogue()?,
+            owner: f.need(OWN, owner)?,
+        },
+        KNOW => PeerMessage::AskReply {
             serial: f.need(SERIAL, whole)?,
-            sure: flag(f)?,
+            is_authoritative: flag(f)?,
             higher: f.maybe(OWN, owner)?,
-            copy: copies(name, f)?.pop(),
+            replica: copies(name, f)?.pop(),
         },
-        SUMS => Peer::Sums {
+        SUMS => PeerMessage::RangeDigests {
             level: f.need(LEVEL, small)?,
             from: f.need(FROM, small)?,
-            sums: f.need(WORDS, words)?,
+            digests: f.need(WORDS, words)?,
         },
         PRINTS => {
             let range = f.need(FROM, small)?;
@@ -509,28 +524,37 @@
             if !rest.is_empty() {
                 return Err(f.wrong(WORDS, "is not made of pairs"));
             }
-            Peer::Prints { range, prints: pairs.iter().map(|[id, digest]| (*id, *digest)).collect() }
-        }
-        WANT => Peer::Want { ids: f.need(WORDS, words)? },
-        INQUIRE => Peer::Inquire { what: f.need(NAME, text)? },
-        TELL => Peer::Tell { more: flag(f)?, text: f.need(BLOB, blob)? },
-        DUTIES => Peer::Duties { word: f.need(BLOB, |raw| Ok::<_, &'static str>(raw.to_vec()))? },
-        CHECK => Peer::Check { act: f.need(ACT, act)?, server: f.need(SERVER, text).map(ServerId)? },
-        PUBLISH => Peer::Publish { act: f.need(ACT, act)?, serial: f.need(SERIAL, whole)?, order: order(f)? },
-        PUBLISHED => Peer::Published { serial: f.need(SERIAL, whole)?, why: f.maybe(CALLED, text)? },
-        WANTED => Peer::Wanted { name: f.need(NAME, text)? },
-        PEER_FENCED => Peer::Fenced { duty: f.need(DUTY, small)?, highest: f.need(HIGHEST, whole)? },
+            PeerMessage::DialogueDigests {
+                range,
+                fingerprints: pairs.iter().map(|[id, digest]| (*id, *digest)).collect(),
+            }
+        }
+        WANT => PeerMessage::RequestReplicas { id_hashes: f.need(WORDS, words)? },
+        INQUIRE => PeerMessage::Inquire { query: f.need(NAME, text)? },
+        TELL => PeerMessage::InquireReply { more: flag(f)?, text: f.need(BLOB, blob)? },
+        DUTIES => PeerMessage::Duties { message: f.need(BLOB, |raw| Ok::<_, &'static str>(raw.to_vec()))? },
+        CHECK => {
+            PeerMessage::CheckLines { action: f.need(ACT, act)?, server: f.need(SERVER, text).map(ServerId)? }
+        }
+        PUBLISH => PeerMessage::Publish {
+            action: f.need(ACT, act)?,
+            serial: f.need(SERIAL, whole)?,
+            order: order(f)?,
+        },
+        PUBLISHED => PeerMessage::Published { serial: f.need(SERIAL, whole)?, why: f.maybe(CALLED, text)? },
+        WANTED => PeerMessage::PublishRequest { name: f.need(NAME, text)? },
+        PEER_FENCED => PeerMessage::Fenced { duty: f.need(DUTY, small)?, highest: f.need(HIGHEST, whole)? },
         other => return Err(TrunkError::Kind(other)),
     })
 }
 
-pub fn audit(kind: u8, f: &mut Fields) -> Result<Audit, TrunkError> {
+pub fn audit(kind: u8, f: &mut Fields) -> Result<AuditMessage, TrunkError> {
     let name = kind_name(kind).ok_or(TrunkError::Kind(kind))?;
     Ok(match kind {
-        WHAT => Audit::What {
+        WHAT => AuditMessage::ListLines {
             serial: f.need(SERIAL, whole)?,
             member: f.need(MEMBER, small)?,
-            life: f.need(LIFE, whole)?,
+            incarnation: f.need(LIFE, whole)?,
             after: f.maybe(DIALOGUE, text)?.map(DialogueId),
         },
         HOLDS => {
@@ -545,19 +569,23 @@
                 });
                 inner.rest()?;
             }
-            Audit::Holds { serial, more, lines }
+            AuditMessage::Lines { serial, more, lines }
         }
-        ADOPT => {
-            Audit::Adopt { dialogue: f.dialogue()?, owner: f.need(OWN, owner)?, act: f.maybe(ACT, act)? }
-        }
-        ADOPTED => Audit::Adopted {
+        ADOPT => AuditMessage::Adopt {
+            dialogue: f.dialogue()?,
+            owner: f.need(OWN, owner)?,
+            action: f.maybe(ACT, act)?,
+        },
+        ADOPTED => AuditMessage::Adopted {
             dialogue: f.dialogue()?,
             owner: f.need(OWN, owner)?,
             launch: f.maybe(LAUNCH_NO, small)?,
             by: f.need(PART, owner)?,
         },
-        MOVED => Audit::Moved { dialogue: f.dialogue()?, launch: f.launch()?, by: f.need(OWN, owner)? },
-        FENCED => Audit::Fenced {
+        MOVED => {
+            AuditMessage::Moved { dialogue: f.dialogue()?, launch: f.launch()?, by: f.need(OWN, owner)? }
+        }
+        FENCED => AuditMessage::Fenced {
             dialogue: f.dialogue()?,
             duty: f.need(DUTY, small)?,
             highest: f.need(HIGHEST, whole)?,
--- a/crates/trunk/tests/frames.rs
+++ b/crates/trunk/tests/frames.rs
@@ -36,8 +36,8 @@
     any::<u32>().prop_map(LaunchNo)
 }
 
-fn end() -> impl Strategy<Value = End> {
-    prop_oneof![Just(End::Released), Just(End::Cut)]
+fn end() -> impl Strategy<Value = DialogueEnd> {
+    prop_oneof![Just(DialogueEnd::Released), Just(DialogueEnd::Cut)]
 }
 
 fn entry() -> impl Strategy<Value = Entry> {
@@ -47,8 +47,8 @@
             server: ServerId(server),
             number: ServerNumber(number),
             address,
-            listed,
-            life,
+            state: listed,
+            incarnation: life,
             age,
         },
     )
@@ -69,9 +69,9 @@
             first_choice: ServerNumber(first_choice),
             width,
             time_left,
-            again,
-            came_back,
-            repeat,
+            is_retry: again,
+            redialled_after_cut: came_back,
+            is_repeat: repeat,
             sent_at,
             try_of,
             dialled,
@@ -89,27 +89,35 @@
 }
 
 fn owner() -> impl Strategy<Value = Owner> {
-    (any::<u32>(), any::<u16>(), any::<u64>()).prop_map(|(round, member, life)| Owner { round, member, life })
+    (any::<u32>(), any::<u16>(), any::<u64>()).prop_map(|(round, member, life)| Owner {
+        round,
+        member,
+        incarnation: life,
+    })
 }
 
-fn act() -> impl Strategy<Value = Act> {
-    (any::<u16>(), any::<u64>(), any::<u16>(), any::<u64>()).prop_map(|(duty, number, member, life)| Act {
-        duty,
-        number,
-        member,
-        life,
+fn act() -> impl Strategy<Value = DutyAction> {
+    (any::<u16>(), any::<u64>(), any::<u16>(), any::<u64>()).prop_map(|(duty, number, member, life)| {
+        DutyAction { duty, fencing_token: number, member, incarnation: life }
     })
 }
 
-fn copy() -> impl Strategy<Value = CopySent> {
+fn copy() -> impl Strategy<Value = ReplicaUpdate> {
     let reached = prop_oneof![
-        Just(Reached::Taken),
-        (text(), launch_no()).prop_map(|(s, launch)| Reached::Out { server: ServerId(s), launch }),
-        (text(), launch_no()).prop_map(|(s, launch)| Reached::Stands { server: ServerId(s), launch }),
-        Just(Reached::Over),
+        Just(Progress::Accepted),
+        (text(), launch_no()).prop_map(|(s, launch)| Progress::Launched { server: ServerId(s), launch }),
+        (text(), launch_no()).prop_map(|(s, launch)| Progress::Stands { server: ServerId(s), launch }),
+        Just(Progress::Ended),
     ];
-    let part = (owner(), any::<u32>(), reached, micros(), micros())
-        .prop_map(|(owner, version, reached, bar, lasts)| Part { owner, version, reached, bar, lasts });
+    let part = (owner(), any::<u32>(), reached, micros(), micros()).prop_map(
+        |(owner, version, reached, bar, lasts)| OwnerRecord {
+            owner,
+            version,
+            progress: reached,
+            blocked_for: bar,
+            expires_in: lasts,
+        },
+    );
     let answer = prop_oneof![
         text().prop_map(|s| Answer::Stands { server: ServerId(s) }),
         proptest::option::of(micros()).prop_map(|come_back| Answer::Refused { come_back }),
@@ -117,12 +125,17 @@
     ];
     let parts = proptest::collection::vec(part, 0..4);
     let answers = proptest::collection::vec(answer, 0..3);
-    let answers = (owner(), answers)
-        .prop_map(|(owner, answers)| answers.into_iter().map(|answer| Given { owner, answer }).collect());
-    (dialogue(), parts, answers).prop_map(|(dialogue, parts, answers)| CopySent { dialogue, parts, answers })
+    let answers = (owner(), answers).prop_map(|(owner, answers)| {
+        answers.into_iter().map(|answer| RecordedAnswer { owner, answer }).collect()
+    });
+    (dialogue(), parts, answers).prop_map(|(dialogue, parts, answers)| ReplicaUpdate {
+        dialogue,
+        owner_records: parts,
+        answers,
+    })
 }
 
-fn peer() -> impl Strategy<Value = Peer> {
+fn peer() -> impl Strategy<Value = PeerMessage> {
     let n = any::<u64>;
     let copies = || proptest::collection::vec(copy(), 0..5);
     let cursor = || (n(), n()).prop_map(|(at, from)| Cursor { at, from });
@@ -130,76 +143,109 @@
     let words = || proptest::collection::vec(n(), 0..20);
     prop_oneof![
         (n(), any::<u16>(), n(), n(), n(), proptest::option::of(micros())).prop_map(
-            |(group, member, life, yours, saved, away)| Peer::Here {
+            |(group, member, life, yours, saved, away)| PeerMessage::Greeting {
                 group,
                 member,
-                life,
-                yours,
+                incarnation: life,
+                known_remote_incarnation: yours,
                 saved,
-                away
+                last_seen_ago: away
             }
         ),
-        n().prop_map(|life| Peer::NewLife { life }),
-        (n(), any::<bool>(), n()).prop_map(|(life, given, highest)| Peer::Life { life, given, highest }),
+        n().prop_map(|life| PeerMessage::ProposeIncarnation { incarnation: life }),
+        (n(), any::<bool>(), n()).prop_map(|(life, given, highest)| PeerMessage::IncarnationReply {
+            incarnation: life,
+            granted: given,
+            highest
+        }),
         proptest::collection::vec(any::<u8>(), 0..=MAX_MEMBERSHIP_MESSAGE)
-            .prop_map(|message| Peer::Membership { message }),
-        n().prop_map(|saved| Peer::DiskCount { saved }),
-        (n(), n(), copies()).prop_map(|(life, first, copies)| Peer::Copies { life, first, copies }),
-        (n(), n(), n(), proptest::collection::vec(replaced, 0..5))
-            .prop_map(|(life, up_to, saved, replaced)| Peer::Kept { life, up_to, saved, replaced }),
-        (n(), n(), proptest::option::of(cursor())).prop_map(|(life, have, snapshot)| Peer::Resume {
-            life,
-            have,
+            .prop_map(|message| PeerMessage::Membership { message }),
+        n().prop_map(|saved| PeerMessage::DiskCount { saved }),
+        (n(), n(), copies()).prop_map(|(life, first, copies)| PeerMessage::Replicas {
+            incarnation: life,
+            first,
+            replicas: copies
+        }),
+        (n(), n(), n(), proptest::collection::vec(replaced, 0..5)).prop_map(
+            |(life, up_to, saved, replaced)| PeerMessage::Acknowledge {
+                incarnation: life,
+                up_to,
+                saved,
+                replaced
+            }
+        ),
+        (n(), n(), proptest::option::of(cursor())).prop_map(|(life, have, snapshot)| PeerMessage::Resume {
+            incarnation: life,
+            received_up_to: have,
             snapshot
         }),
-        (n(), cursor(), proptest::option::of(n()), copies())
-            .prop_map(|(life, cursor, next, copies)| Peer::Piece { life, cursor, next, copies }),
-        (n(), dialogue(), owner()).prop_map(|(serial, dialogue, owner)| Peer::Ask {
+        (n(), cursor(), proptest::option::of(n()), copies()).prop_map(|(life, cursor, next, copies)| {
+            PeerMessage::SnapshotChunk { incarnation: life, cursor, next, replicas: copies }
+        }),
+        (n(), dialogue(), owner()).prop_map(|(serial, dialogue, owner)| PeerMessage::Ask {
             serial,
             dialogue,
             owner
         }),
-        (n(), any::<bool>(), proptest::option::of(owner()), proptest::option::of(copy()))
-            .prop_map(|(serial, sure, higher, copy)| Peer::Know { serial, sure, higher, copy }),
-        (any::<u8>(), any::<u32>(), words()).prop_map(|(level, from, sums)| Peer::Sums { level, from, sums }),
+        (n(), any::<bool>(), proptest::option::of(owner()), proptest::option::of(copy())).prop_map(
+            |(serial, sure, higher, copy)| PeerMessage::AskReply {
+                serial,
+                is_authoritative: sure,
+                higher,
+                replica: copy
+            }
+        ),
+        (any::<u8>(), any::<u32>(), words()).prop_map(|(level, from, sums)| PeerMessage::RangeDigests {
+            level,
+            from,
+            digests: sums
+        }),
         (any::<u32>(), proptest::collection::vec((n(), n()), 0..9))
-            .prop_map(|(range, prints)| Peer::Prints { range, prints }),
-        words().prop_map(|ids| Peer::Want { ids }),
-        text().prop_map(|what| Peer::Inquire { what }),
-        (any::<bool>(), ".{0,300}").prop_map(|(more, text)| Peer::Tell { more, text }),
-        proptest::collection::vec(any::<u8>(), 0..300).prop_map(|word| Peer::Duties { word }),
-        (act(), text()).prop_map(|(act, server)| Peer::Check { act, server: ServerId(server) }),
-        (any::<u16>(), n()).prop_map(|(duty, highest)| Peer::Fenced { duty, highest }),
-        (act(), n(), tables_order()).prop_map(|(act, serial, order)| Peer::Publish { act, serial, order }),
-        (n(), proptest::option::of(text())).prop_map(|(serial, why)| Peer::Published { serial, why }),
-        text().prop_map(|name| Peer::Wanted { name }),
+            .prop_map(|(range, prints)| PeerMessage::DialogueDigests { range, fingerprints: prints }),
+        words().prop_map(|ids| PeerMessage::RequestReplicas { id_hashes: ids }),
+        text().prop_map(|what| PeerMessage::Inquire { query: what }),
+        (any::<bool>(), ".{0,300}").prop_map(|(more, text)| PeerMessage::InquireReply { more, text }),
+        proptest::collection::vec(any::<u8>(), 0..300).prop_map(|word| PeerMessage::Duties { message: word }),
+        (act(), text())
+            .prop_map(|(act, server)| PeerMessage::CheckLines { action: act, server: ServerId(server) }),
+        (any::<u16>(), n()).prop_map(|(duty, highest)| PeerMessage::Fenced { duty, highest }),
+        (act(), n(), tables_order()).prop_map(|(act, serial, order)| PeerMessage::Publish {
+            action: act,
+            serial,
+            order
+        }),
+        (n(), proptest::option::of(text())).prop_map(|(serial, why)| PeerMessage::Published { serial, why }),
+        text().prop_map(|name| PeerMessage::PublishRequest { name }),
     ]
 }
 
-fn audit() -> impl Strategy<Value = Audit> {
+fn audit() -> impl Strategy<Value = AuditMessage> {
     let line = (dialogue(), launch_no(), owner()).prop_map(|(dialogue, launch, owner)| HeldLine {
         dialogue,
         launch,
         owner,
     });
     prop_oneof![
-        (any::<u64>(), any::<u16>(), any::<u64>(), proptest::option::of(dialogue()))
-            .prop_map(|(serial, member, life, after)| Audit::What { serial, member, life, after }),
+        (any::<u64>(), any::<u16>(), any::<u64>(), proptest::option::of(dialogue())).prop_map(
+            |(serial, member, life, after)| AuditMessage::ListLines {
+                serial,
+                member,
+                incarnation: life,
+                after
+            }
+        ),
         (any::<u64>(), any::<bool>(), proptest::collection::vec(line, 0..9))
-            .prop_map(|(serial, more, lines)| Audit::Holds { serial, more, lines }),
-        (dialogue(), owner(), proptest::option::of(act())).prop_map(|(dialogue, owner, act)| Audit::Adopt {
-            dialogue,
-            owner,
-            act
-        }),
-        (dialogue(), any::<u16>(), any::<u64>()).prop_map(|(dialogue, duty, highest)| Audit::Fenced {
+            .prop_map(|(serial, more, lines)| AuditMessage::Lines { serial, more, lines }),
+        (dialogue(), owner(), proptest::option::of(act()))
+            .prop_map(|(dialogue, owner, act)| AuditMessage::Adopt { dialogue, owner, action: act }),
+        (dialogue(), any::<u16>(), any::<u64>()).prop_map(|(dialogue, duty, highest)| AuditMessage::Fenced {
             dialogue,
             duty,
             highest
         }),
         (dialogue(), owner(), proptest::option::of(any::<u32>()), owner())
-            .prop_map(|(dialogue, owner, launch, by)| Audit::Adopted { dialogue, owner, launch, by }),
-        (dialogue(), launch_no(), owner()).prop_map(|(dialogue, launch, by)| Audit::Moved {
+            .prop_map(|(dialogue, owner, launch, by)| AuditMessage::Adopted { dialogue, owner, launch, by }),
+        (dialogue(), launch_no(), owner()).prop_map(|(dialogue, launch, by)| AuditMessage::Moved {
             dialogue,
             launch,
             by
@@ -209,15 +255,19 @@
 
 fn frame() -> impl Strategy<Value = Frame> {
     let roles = prop_oneof![Just(Role::Caller), Just(Role::Edge), Just(Role::Core), Just(Role::List)];
-    let causes =
-        prop_oneof![Just(Cause::Processor), Just(Cause::Lines), Just(Cause::NumberBusy), Just(Cause::Fault)];
+    let causes = prop_oneof![
+        Just(TurnBackCause::Processor),
+        Just(TurnBackCause::Lines),
+        Just(TurnBackCause::NumberBusy),
+        Just(TurnBackCause::Fault)
+    ];
     let whys = prop_oneof![
-        Just(NotTaken::Full),
-        Just(NotTaken::Concluded),
-        Just(NotTaken::NotYours),
-        Just(NotTaken::Unknown),
-        Just(NotTaken::NotReady),
-        Just(NotTaken::Unsure)
+        Just(DeclineReason::Full),
+        Just(DeclineReason::Concluded),
+        Just(DeclineReason::NotYours),
+        Just(DeclineReason::Unknown),
+        Just(DeclineReason::NotReady),
+        Just(DeclineReason::Unsure)
     ];
     let of_launch = || (dialogue(), launch_no(), report());
     prop_oneof![
@@ -230,10 +280,10 @@
         dialogue().prop_map(|dialogue| Frame::HangUp { dialogue }),
         (dialogue(), text()).prop_map(|(dialogue, s)| Frame::Stands { dialogue, server: ServerId(s) }),
         (dialogue(), proptest::option::of(micros()))
-            .prop_map(|(dialogue, come_back)| Frame::Refused { dialogue, come_back }),
+            .prop_map(|(dialogue, come_back)| Frame::Refused { dialogue, retry_after: come_back }),
         dialogue().prop_map(|dialogue| Frame::Failed { dialogue }),
         (dialogue(), whys, proptest::option::of(micros()))
-            .prop_map(|(dialogue, why, come_back)| Frame::Declined { dialogue, why, come_back }),
+            .prop_map(|(dialogue, why, come_back)| Frame::Declined { dialogue, why, retry_after: come_back }),
         (dialogue(), end()).prop_map(|(dialogue, end)| Frame::Over { dialogue, end }),
         (
             (dialogue(), launch_no(), proptest::option::of(text()), any::<u16>(), 0.0..1e6, micros()),
@@ -249,7 +299,7 @@
             ),
         (any::<u64>(), tables_order()).prop_map(|(serial, order)| Frame::Tables { serial, order }),
         (any::<u64>(), any::<u64>(), proptest::option::of(text()), proptest::option::of(text()))
-            .prop_map(|(serial, in_force, name, why)| Frame::Tabled { serial, in_force, name, why }),
+            .prop_map(|(serial, in_force, name, why)| Frame::TablesResult { serial, in_force, name, why }),
         (dialogue(), launch_no()).prop_map(|(dialogue, launch)| Frame::Cancel { dialogue, launch }),
         (dialogue(), launch_no()).prop_map(|(dialogue, launch)| Frame::Release { dialogue, launch }),
         of_launch().prop_map(|(dialogue, launch, report)| Frame::Stood { dialogue, launch, report }),
@@ -268,9 +318,9 @@
         }),
         report().prop_map(|report| Frame::Report { report }),
         (any::<bool>(), proptest::collection::vec(entry(), 0..20))
-            .prop_map(|(whole, entries)| Frame::List { whole, entries }),
-        peer().prop_map(Frame::Peer),
-        audit().prop_map(Frame::Audit),
+            .prop_map(|(whole, entries)| Frame::List { is_complete: whole, entries }),
+        peer().prop_map(Frame::PeerMessage),
+        audit().prop_map(Frame::AuditMessage),
     ]
 }
 
@@ -291,8 +341,8 @@
     let mut decoder = Decoder::default();
     let mut all = Vec::new();
     for piece in bytes.chunks(piece) {
-        decoder.take(piece);
-        while let Some(message) = decoder.frame() {
+        decoder.feed(piece);
+        while let Some(message) = decoder.next_frame() {
             all.push(message);
         }
     }
@@ -349,8 +399,8 @@
     fn garbage_is_refused_in_bounded_memory(garbage in proptest::collection::vec(any::<u8>(), 0..5000)) {
         let mut decoder = Decoder::default();
         for piece in garbage.chunks(100) {
-            decoder.take(piece);
-            while let Some(message) = decoder.frame() {
+            decoder.feed(piece);
+            while let Some(message) = decoder.next_frame() {
                 if let Err(error) = message {
                     prop_assert!(!error.to_string().is_empty());
                 }
