--- a/crates/fleet/src/member/repair.rs
+++ b/crates/fleet/src/member/repair.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use lotussaddle_replica::RangeDifference;
-use lotussaddle_trunk::{Frame, Peer};
+use lotussaddle_trunk::{Frame, PeerMessage};
 
 use super::Member;
 use super::batches::in_frames;
@@ -52,7 +52,7 @@
         for member in self.plan.me + 1..self.plan.members.len() as u16 {
             if self.peers.to(member).is_some() && self.incoming[usize::from(member)].synced {
                 let (level, from, sums) = self.book.top_digests(member);
-                self.to_say.push((member, Peer::Sums { level, from, sums }));
+                self.to_say.push((member, PeerMessage::RangeDigests { level, from, digests: sums }));
             }
         }
     }
@@ -64,10 +64,14 @@
             RepairStep::Sums(level, from, sums) => {
                 for differing in self.book.compare_ranges(member, level, from, &sums) {
                     let peer = match differing {
-                        RangeDifference::Subranges(level, from, sums) => Peer::Sums { level, from, sums },
-                        RangeDifference::Leaf(range, prints) => Peer::Prints { range, prints },
+                        RangeDifference::Subranges(level, from, sums) => {
+                            PeerMessage::RangeDigests { level, from, digests: sums }
+                        }
+                        RangeDifference::Leaf(range, prints) => {
+                            PeerMessage::DialogueDigests { range, fingerprints: prints }
+                        }
                     };
-                    self.tell(link, Frame::Peer(peer), effects);
+                    self.tell(link, Frame::PeerMessage(peer), effects);
                 }
             }
             RepairStep::Prints(range, prints) => {
@@ -76,7 +80,11 @@
                 self.counts.repaired +=
                     (repair.to_send.len() + repair.to_request.len() + repair.dropped_count) as u64;
                 if !repair.to_request.is_empty() {
-                    self.tell(link, Frame::Peer(Peer::Want { ids: repair.to_request }), effects);
+                    self.tell(
+                        link,
+                        Frame::PeerMessage(PeerMessage::RequestReplicas { id_hashes: repair.to_request }),
+                        effects,
+                    );
                 }
                 copies = repair.to_send;
             }
@@ -85,7 +93,11 @@
         for copies in in_frames(copies).into_iter().filter(|copies| !copies.is_empty()) {
             self.counts.copies_sent += copies.len() as u64;
             let life = self.lives.mine();
-            self.tell(link, Frame::Peer(Peer::Copies { life, first: 0, copies }), effects);
+            self.tell(
+                link,
+                Frame::PeerMessage(PeerMessage::Replicas { incarnation: life, first: 0, replicas: copies }),
+                effects,
+            );
         }
     }
 }
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
-use lotussaddle_trunk::{Answer, CopySent, Given, Owner, Part, Reached};
+use lotussaddle_trunk::{Answer, Owner, OwnerRecord, Progress, RecordedAnswer, ReplicaUpdate};
 
 /// What is kept of owners and answers, at most: beyond it owners go that only said that they own it, then the lowest.
 pub const MAX_OWNERS: usize = 16;
@@ -23,7 +23,7 @@
 pub struct OwnerState {
     pub owner: Owner,
     pub version: u32,
-    pub progress: Reached,
+    pub progress: Progress,
     /// Until then a launch of that owner may be out, or its lines may be taken.
     pub blocked_until: Duration,
     /// It may be forgotten then.
@@ -35,7 +35,7 @@
     /// By owner, lowest first; one of each.
     parts: Vec<OwnerState>,
     /// By owner; mostly none or one.
-    answers: Vec<Given>,
+    answers: Vec<RecordedAnswer>,
 }
 
 /// What a copy means.
@@ -65,7 +65,7 @@
             parts: vec![OwnerState {
                 owner,
                 version: 0,
-                progress: Reached::Taken,
+                progress: Progress::Accepted,
                 blocked_until: Duration::ZERO,
                 expires_at: until,
             }],
@@ -77,7 +77,7 @@
         &self.parts
     }
 
-    pub fn answers(&self) -> &[Given] {
+    pub fn answers(&self) -> &[RecordedAnswer] {
         &self.answers
     }
 
@@ -135,7 +135,7 @@
                 }
             }
             Err(place) => {
-                self.answers.insert(place, Given { owner, answer: answer.clone() });
+                self.answers.insert(place, RecordedAnswer { owner, answer: answer.clone() });
                 if self.answers.len() > MAX_ANSWERS {
                     self.answers.remove(0);
                 }
@@ -144,7 +144,7 @@
     }
 
     /// The next word of an owner; a word of an owner that was not here begins at version 1.
-    pub fn write(&mut self, owner: Owner, reached: Reached, bar: Duration, until: Duration) {
+    pub fn write(&mut self, owner: Owner, reached: Progress, bar: Duration, until: Duration) {
         let version = self.state_of(owner).map_or(0, |part| part.version) + 1;
         self.take(&OwnerState { owner, version, progress: reached, blocked_until: bar, expires_at: until });
     }
@@ -167,30 +167,30 @@
     pub fn reading(&self) -> ReplicaReading<'_> {
         for part in self.parts.iter().rev() {
             match &part.progress {
-                Reached::Over => {
+                Progress::Ended => {
                     return match self.answers.last().map(|given| &given.answer) {
                         None | Some(Answer::Stands { .. }) => ReplicaReading::Ended,
                         Some(answer) => ReplicaReading::Answered(answer),
                     };
                 }
-                Reached::Stands { server, launch } => {
+                Progress::Stands { server, launch } => {
                     return ReplicaReading::Stands { server, launch: *launch, owner: part.owner };
                 }
-                Reached::Taken | Reached::Out { .. } => {}
+                Progress::Accepted | Progress::Launched { .. } => {}
             }
         }
         let bar = self.parts.iter().map(|part| part.blocked_until).max().unwrap_or_default();
-        let out = self.parts.last().is_some_and(|part| matches!(part.progress, Reached::Out { .. }));
+        let out = self.parts.last().is_some_and(|part| matches!(part.progress, Progress::Launched { .. }));
         ReplicaReading::Open { blocked_until: bar, launch_outstanding: out }
     }
 
     /// An owner above the one whose word [`Replica::reading`] goes by has a launch out, perhaps, until then: what it found it did not go
     /// by, so that the word was never said to a caller, and may be no more than a line that nobody came for.
     pub fn newer_launch_until(&self) -> Option<Duration> {
-        let definite = |part: &OwnerState| matches!(part.progress, Reached::Over | Reached::Stands { .. });
+        let definite = |part: &OwnerState| matches!(part.progress, Progress::Ended | Progress::Stands { .. });
         let above = self.parts.iter().rev().take_while(|part| !definite(part));
         self.parts.iter().any(definite).then(|| {
-            let outs = above.filter(|part| matches!(part.progress, Reached::Out { .. }));
+            let outs = above.filter(|part| matches!(part.progress, Progress::Launched { .. }));
             outs.map(|part| part.blocked_until).max()
         })?
     }
@@ -198,7 +198,7 @@
     /// When it may be forgotten: what is over by that, else when the last of its parts may.
     pub fn expires_at(&self) -> Duration {
         let over =
-            self.parts.iter().filter(|part| part.progress == Reached::Over).map(|part| part.expires_at).max();
+            self.parts.iter().filter(|part| part.progress == Progress::Ended).map(|part| part.expires_at).max();
         over.or_else(|| self.parts.iter().map(|part| part.expires_at).max()).unwrap_or_default()
     }
 
@@ -219,26 +219,34 @@
         }
     }
 
-    pub fn to_update(&self, now: Duration, dialogue: &DialogueId) -> CopySent {
+    pub fn to_update(&self, now: Duration, dialogue: &DialogueId) -> ReplicaUpdate {
         let span = |at: Duration| at.saturating_sub(now).min(MAX_SENT_SPAN);
-        let parts = self.parts.iter().map(|part| Part {
+        let parts = self.parts.iter().map(|part| OwnerRecord {
             owner: part.owner,
             version: part.version,
-            reached: part.progress.clone(),
-            bar: span(part.blocked_until),
-            lasts: span(part.expires_at),
+            progress: part.progress.clone(),
+            blocked_for: span(part.blocked_until),
+            expires_in: span(part.expires_at),
         });
-        CopySent { dialogue: dialogue.clone(), parts: parts.collect(), answers: self.answers.clone() }
+        ReplicaUpdate {
+            dialogue: dialogue.clone(),
+            owner_records: parts.collect(),
+            answers: self.answers.clone(),
+        }
     }
 
     /// As it was sent, on the clock here. The way makes its times longer, and a clock that runs fast does not make a bar
     /// shorter.
-    pub fn from_update(now: Duration, sent: &CopySent) -> Self {
+    pub fn from_update(now: Duration, sent: &ReplicaUpdate) -> Self {
         let mut copy = Self::default();
-        for part in &sent.parts {
-            let bar = if part.bar.is_zero() { Duration::ZERO } else { now + part.bar + part.bar / DRIFT };
-            let until = if part.lasts >= MAX_SENT_SPAN { FOR_EVER } else { now + part.lasts };
-            let (owner, version, reached) = (part.owner, part.version, part.reached.clone());
+        for part in &sent.owner_records {
+            let bar = if part.blocked_for.is_zero() {
+                Duration::ZERO
+            } else {
+                now + part.blocked_for + part.blocked_for / DRIFT
+            };
+            let until = if part.expires_in >= MAX_SENT_SPAN { FOR_EVER } else { now + part.expires_in };
+            let (owner, version, reached) = (part.owner, part.version, part.progress.clone());
             copy.take(&OwnerState {
                 owner,
                 version,
