--- a/crates/edge/src/edge/launch_ends.rs
+++ b/crates/edge/src/edge/launch_ends.rs
@@ -34,8 +34,8 @@
     /// lost its connection before; whatever is out by now is called off.
     #[expect(clippy::too_many_arguments)]
     pub fn over_unheard(
-        &mut self, now: Duration, link: LinkId, id: &DialogueId, launch: Option<LaunchNumber>, end: DialogueEnd,
-        report: LoadReport, wires: &mut dyn Wires,
+        &mut self, now: Duration, link: LinkId, id: &DialogueId, launch: Option<LaunchNumber>,
+        end: DialogueEnd, report: LoadReport, wires: &mut dyn Wires,
     ) {
         self.state.now = now;
         self.expire_deadlines(wires);
--- a/crates/fleet/benches/copies.rs
+++ b/crates/fleet/benches/copies.rs
@@ -129,8 +129,7 @@
                         first: 0,
                         replicas: wanted.clone(),
                     });
-                    let back =
-                        Frame::PeerMessage(PeerMessage::Replicas {
+                    let back = Frame::PeerMessage(PeerMessage::Replicas {
                         incarnation: 1,
                         first: 0,
                         replicas: repair.to_send.clone(),
--- a/crates/judge/tests/doctored.rs
+++ b/crates/judge/tests/doctored.rs
@@ -367,8 +367,12 @@
     }
     // A turn-back leaves no doubt.
     let report = LoadReport::default();
-    let back =
-        Frame::TurnedBack { dialogue: id("d9"), launch: LaunchNumber(0), cause: TurnBackCause::Lines, report };
+    let back = Frame::TurnedBack {
+        dialogue: id("d9"),
+        launch: LaunchNumber(0),
+        cause: TurnBackCause::Lines,
+        report,
+    };
     assert!(after(script().passed(6100, A, Way::In, back), 6110).is_empty());
 }
 
--- a/crates/platform/src/sessions/watch.rs
+++ b/crates/platform/src/sessions/watch.rs
@@ -46,7 +46,8 @@
         for life in self.desk.lives.values_mut() {
             match entries.iter().find(|entry| *entry.server.0 == *life.host) {
                 Some(entry) => {
-                    (life.gone, life.leaving) = (entry.state == ServerState::Gone, entry.state != ServerState::Active);
+                    (life.gone, life.leaving) =
+                        (entry.state == ServerState::Gone, entry.state != ServerState::Active);
                 }
                 None => (life.gone, life.leaving) = (life.gone | members.whole, life.leaving | members.whole),
             }
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -197,8 +197,12 @@
 
     /// When it may be forgotten: what is over by that, else when the last of its parts may.
     pub fn expires_at(&self) -> Duration {
-        let over =
-            self.parts.iter().filter(|part| part.progress == Progress::Ended).map(|part| part.expires_at).max();
+        let over = self
+            .parts
+            .iter()
+            .filter(|part| part.progress == Progress::Ended)
+            .map(|part| part.expires_at)
+            .max();
         over.or_else(|| self.parts.iter().map(|part| part.expires_at).max()).unwrap_or_default()
     }
 
--- a/crates/replica/tests/copies.rs
+++ b/crates/replica/tests/copies.rs
@@ -59,7 +59,11 @@
         answer,
     });
     (proptest::collection::vec(part, 0..24), proptest::collection::vec(given, 0..6)).prop_map(
-        |(parts, answers)| { Replica::from_update(ms(1000), &ReplicaUpdate { dialogue: id("d"), owner_records: parts, answers })
+        |(parts, answers)| {
+            Replica::from_update(
+                ms(1000),
+                &ReplicaUpdate { dialogue: id("d"), owner_records: parts, answers },
+            )
         },
     )
 }
