--- a/crates/cli/src/fleets.rs
+++ b/crates/cli/src/fleets.rs
@@ -9,9 +9,9 @@
 use anyhow::{Context, Result, bail};
 use clap::{Args, Subcommand};
 use lotussaddle::interface::DialogueId;
-use lotussaddle_replica::Copy;
+use lotussaddle_replica::Replica;
 use lotussaddle_store::{RealDisk, look};
-use lotussaddle_trunk::{Decoder, Frame, Hello, Message, Peer, Role};
+use lotussaddle_trunk::{Decoder, Frame, Hello, Message, PeerMessage, Role};
 use serde_json::Value;
 
 use crate::Failed;
@@ -129,7 +129,7 @@
     let mut bytes = Vec::new();
     for frame in [
         Frame::Hello(Hello::new(Role::Edge, OPERATOR.into())),
-        Frame::Peer(Peer::Inquire { what: what.into() }),
+        Frame::PeerMessage(PeerMessage::Inquire { query: what.into() }),
     ] {
         Message::from(frame).encode(&mut bytes);
     }
@@ -154,10 +154,10 @@
         if read == 0 {
             bail!("member at {at} closed the link before it had answered");
         }
-        decoder.take(&buffer[..read]);
-        while let Some(message) = decoder.frame() {
+        decoder.feed(&buffer[..read]);
+        while let Some(message) = decoder.next_frame() {
             match message.with_context(place)?.frame {
-                Frame::Peer(Peer::Tell { more, text: piece }) => {
+                Frame::PeerMessage(PeerMessage::InquireReply { more, text: piece }) => {
                     text.push_str(&piece);
                     if text.len() > MOST {
                         bail!("member at {at} answers with more than {MOST} bytes");
@@ -193,8 +193,8 @@
     })?;
     found.refused.iter().for_each(|why| eprintln!("refused: {why}"));
     let now = Duration::ZERO;
-    let copies = found.member.copies.iter().map(|sent| (&sent.dialogue, Copy::received(now, sent)));
-    let copies: Vec<(&DialogueId, Copy)> = copies.collect();
+    let copies = found.member.copies.iter().map(|sent| (&sent.dialogue, Replica::from_update(now, sent)));
+    let copies: Vec<(&DialogueId, Replica)> = copies.collect();
     let each = || copies.iter().map(|(id, copy)| (*id, copy));
     // The store knows places in the group, not names.
     Ok(match what {
--- a/crates/edge/benches/fleet.rs
+++ b/crates/edge/benches/fleet.rs
@@ -14,7 +14,7 @@
 struct Taken {
     links: u64,
     begun: Vec<(String, LinkId)>,
-    launched: Vec<(DialogueId, LaunchNo, LinkId)>,
+    launched: Vec<(DialogueId, LaunchNumber, LinkId)>,
 }
 
 impl EdgeEffects for Taken {
@@ -38,8 +38,8 @@
         proxies,
         products: vec![Product {
             promised: Duration::from_secs(2),
-            lasts: Duration::from_secs(8),
-            patience: Duration::from_secs(9),
+            mean_duration: Duration::from_secs(8),
+            redial_window: Duration::from_secs(9),
             gain: 1.0,
             late_share: 0.25,
             servers: None,
@@ -47,16 +47,16 @@
         tenants: vec![],
         over_quota_share: 0.2,
         tick: Duration::from_millis(5),
-        release: Duration::from_millis(300),
-        resend: Duration::ZERO,
+        release_time: Duration::from_millis(300),
+        resend_after: Duration::ZERO,
         max_launches: 6,
-        marks_again: true,
+        callers_mark_retries: true,
         may_cancel: true,
-        longest_return: Duration::ZERO,
-        cold_share: 0.35,
-        warm_after: Duration::from_secs(15),
-        fall_multiple: 2.5,
-        fall_within: Duration::from_secs(1),
+        max_retry_after: Duration::ZERO,
+        cold_start_share: 0.35,
+        warm_up_time: Duration::from_secs(15),
+        overload_multiple: 2.5,
+        overload_window: Duration::from_secs(1),
     }
 }
 
@@ -80,12 +80,12 @@
         server: ServerId(Arc::from(format!("core-{n}"))),
         number: ServerNumber(n as i64),
         address: Arc::from(format!("core-{n}")),
-        listed: Listed::Active,
-        life: 0,
+        state: ServerState::Active,
+        incarnation: 0,
         age: Duration::ZERO,
     };
     let entries = (0..cores).map(entry).collect();
-    edge.frame_received(now, list, Frame::List { whole: true, entries }.into(), &mut wires);
+    edge.frame_received(now, list, Frame::List { is_complete: true, entries }.into(), &mut wires);
     for (name, link) in wires.begun.clone().into_iter().skip(1) {
         edge.frame_received(now, link, hello(Role::Core, &name), &mut wires);
     }
@@ -117,9 +117,9 @@
             first_choice: ServerNumber((round as u64 % cores) as i64),
             width: 1.0,
             time_left: Duration::from_secs(3),
-            again: false,
-            came_back: false,
-            repeat: false,
+            is_retry: false,
+            redialled_after_cut: false,
+            is_repeat: false,
             sent_at: None,
             try_of: None,
             dialled: None,
@@ -135,7 +135,8 @@
             && let Some((caller, dialogue, launch, link)) = stands.pop_front()
         {
             let hang_up = Frame::HangUp { dialogue: dialogue.clone() };
-            let ended = Frame::Ended { dialogue, launch, end: End::Released, report: LoadReport::default() };
+            let ended =
+                Frame::Ended { dialogue, launch, end: DialogueEnd::Released, report: LoadReport::default() };
             timed(2, &mut |edge| {
                 edge.frame_received(now, caller, hang_up.clone().into(), &mut wires);
                 edge.frame_received(now, link, ended.clone().into(), &mut wires);
--- a/crates/edge/src/edge/connections.rs
+++ b/crates/edge/src/edge/connections.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, Listed, LoadReport, Outcome, ServerId};
-use lotussaddle_trunk::{End, Frame, Hello, Role};
+use lotussaddle::interface::{DialogueId, LoadReport, Outcome, ServerId, ServerState};
+use lotussaddle_trunk::{DialogueEnd, Frame, Hello, Role};
 
 use super::Edge;
 use crate::held::Stage;
@@ -131,7 +131,7 @@
             // The link to a former life of a server, or to one that is gone, ends with the last dialogue there.
             let left = |server| {
                 let core: Option<&CoreServer> = self.state.servers.get(server);
-                core.is_none_or(|core| core.link != Some(*id) || core.listed == Listed::Gone)
+                core.is_none_or(|core| core.link != Some(*id) || core.listed == ServerState::Gone)
             };
             if matches!(&link.kind, Peer::Core(server) if link.dialogues.is_empty() && left(server)) {
                 closing.push((*id, "nobody is there any more"));
@@ -223,10 +223,17 @@
                 signalling.end(id, launch, server, Outcome::BrokenOff);
             }
             Some(Stage::Standing { launch, link, .. }) => {
-                self.standing_ended(id, launch, server, link, End::Cut, LoadReport::default(), effects);
+                self.standing_ended(id, launch, server, link, DialogueEnd::Cut, LoadReport::default(), effects);
             }
             Some(Stage::Releasing { launch, link, .. }) => {
-                self.standing_ended(id, launch, server, link, End::Released, LoadReport::default(), effects);
+                self.standing_ended(
+                    id,
+                    launch,
+                    server,
+                    link,
+                    DialogueEnd::Released,
+                    LoadReport::default(), effects,
+                );
             }
             _ => {}
         }
--- a/crates/edge/src/edge/core_frames.rs
+++ b/crates/edge/src/edge/core_frames.rs
@@ -1,7 +1,7 @@
 //! Frames of core servers.
 
-use lotussaddle::interface::{DialogueId, LaunchNo, LoadReport, Outcome, ServerId};
-use lotussaddle_trunk::{Cause, Extra, Frame, Message};
+use lotussaddle::interface::{DialogueId, LaunchNumber, LoadReport, Outcome, ServerId};
+use lotussaddle_trunk::{Extra, Frame, Message, TurnBackCause};
 
 use super::Edge;
 use crate::held::Stage;
@@ -22,10 +22,10 @@
             }
             Frame::TurnedBack { dialogue, launch, cause, report } => {
                 let outcome = match cause {
-                    Cause::Processor => Outcome::TurnedBack,
-                    Cause::Lines => Outcome::LinesTaken,
-                    Cause::NumberBusy => Outcome::NumberBusy,
-                    Cause::Fault => Outcome::Fault,
+                    TurnBackCause::Processor => Outcome::TurnedBack,
+                    TurnBackCause::Lines => Outcome::NoFreeLine,
+                    TurnBackCause::NumberBusy => Outcome::NumberBusy,
+                    TurnBackCause::Fault => Outcome::Fault,
                 };
                 self.launch_ended(link, server, &dialogue, launch, outcome, report, effects);
             }
@@ -46,7 +46,7 @@
 
     /// A server says that a launch stands.
     fn launch_stood(
-        &mut self, link: LinkId, server: &ServerId, dialogue: DialogueId, launch: LaunchNo,
+        &mut self, link: LinkId, server: &ServerId, dialogue: DialogueId, launch: LaunchNumber,
         extra: Vec<Extra>, effects: &mut dyn EdgeEffects,
     ) {
         if !self.is_out(&dialogue, launch, link) {
@@ -75,12 +75,12 @@
         }
     }
 
-    pub(super) fn is_out(&self, id: &DialogueId, launch: LaunchNo, link: LinkId) -> bool {
+    pub(super) fn is_out(&self, id: &DialogueId, launch: LaunchNumber, link: LinkId) -> bool {
         let at = self.state.held.get(id).map(|held| &held.at);
         matches!(at, Some(Stage::Out { launch: out, link: over, .. }) if (*out, *over) == (launch, Some(link)))
     }
 
-    fn is_standing_or_releasing(&self, id: &DialogueId, launch: LaunchNo, link: LinkId) -> bool {
+    fn is_standing_or_releasing(&self, id: &DialogueId, launch: LaunchNumber, link: LinkId) -> bool {
         match self.state.held.get(id).map(|held| &held.at) {
             Some(
                 Stage::Standing { launch: out, link: over, .. }
@@ -90,7 +90,7 @@
         }
     }
 
-    fn is_standing(&self, id: &DialogueId, launch: LaunchNo, link: LinkId) -> bool {
+    fn is_standing(&self, id: &DialogueId, launch: LaunchNumber, link: LinkId) -> bool {
         let at = self.state.held.get(id).map(|held| &held.at);
         matches!(at, Some(Stage::Standing { launch: out, link: over, .. }) if (*out, *over) == (launch, link))
     }
--- a/crates/edge/src/edge/frames.rs
+++ b/crates/edge/src/edge/frames.rs
@@ -40,7 +40,9 @@
                     self.drop_link(link, "said what is not a core server's to say", effects);
                 }
             }
-            (Peer::List, true, Frame::List { whole, entries }) => self.listed(whole, entries, effects),
+            (Peer::List, true, Frame::List { is_complete: whole, entries }) => {
+                self.listed(whole, entries, effects)
+            }
             (Peer::List, true, Frame::Tables { serial, order }) => self.ordered(link, serial, order, effects),
             _ => self.drop_link(link, "said what is not its to say", effects),
         }
--- a/crates/edge/src/edge/launch_ends.rs
+++ b/crates/edge/src/edge/launch_ends.rs
@@ -2,8 +2,10 @@
 
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchEnd, LaunchNo, LoadReport, Outcome, ServerId, Signalling};
-use lotussaddle_trunk::{End, Frame};
+use lotussaddle::interface::{
+    DialogueId, LaunchEnd, LaunchNumber, LoadReport, Outcome, ServerId, Signalling,
+};
+use lotussaddle_trunk::{DialogueEnd, Frame};
 
 use super::Edge;
 use crate::held::Stage;
@@ -14,7 +16,7 @@
     /// A launch on this link has ended with this outcome, which no frame tells.
     #[expect(clippy::too_many_arguments)]
     pub fn launch_outcome_reported(
-        &mut self, now: Duration, link: LinkId, id: &DialogueId, launch: LaunchNo, outcome: Outcome,
+        &mut self, now: Duration, link: LinkId, id: &DialogueId, launch: LaunchNumber, outcome: Outcome,
         report: LoadReport, effects: &mut dyn EdgeEffects,
     ) {
         self.state.now = now;
@@ -32,8 +34,8 @@
     /// lost its connection before; whatever is out by now is called off.
     #[expect(clippy::too_many_arguments)]
     pub fn unanswered_launch_ended(
-        &mut self, now: Duration, link: LinkId, id: &DialogueId, launch: Option<LaunchNo>, end: End,
-        report: LoadReport, effects: &mut dyn EdgeEffects,
+        &mut self, now: Duration, link: LinkId, id: &DialogueId, launch: Option<LaunchNumber>,
+        end: DialogueEnd, report: LoadReport, effects: &mut dyn EdgeEffects,
     ) {
         self.state.now = now;
         self.expire_deadlines(effects);
@@ -43,7 +45,7 @@
             let mut signalling = ModuleSignalling { state: &mut self.state, effects };
             signalling.launch_over(id);
             signalling.fail(id);
-            let outcome = if end == End::Cut { Outcome::BrokenOff } else { Outcome::Ended };
+            let outcome = if end == DialogueEnd::Cut { Outcome::BrokenOff } else { Outcome::Ended };
             let end = LaunchEnd { dialogue: id.clone(), launch, server, outcome, closed: true, report };
             self.brain.launch_ended(now, end, &mut signalling);
         } else {
@@ -81,9 +83,9 @@
         }
         let end = LaunchEnd {
             dialogue: id.clone(),
-            launch: LaunchNo(held.launches - 1),
+            launch: LaunchNumber(held.launches - 1),
             server,
-            outcome: Outcome::CalledOff,
+            outcome: Outcome::Cancelled,
             closed: false,
             report: LoadReport::default(),
         };
@@ -104,7 +106,7 @@
     /// A dialogue that stands, or is being released, at this link's server is over, whichever launch of it that was.
     /// False: none is held there.
     pub fn standing_dialogue_ended(
-        &mut self, now: Duration, link: LinkId, id: &DialogueId, end: End, report: LoadReport,
+        &mut self, now: Duration, link: LinkId, id: &DialogueId, end: DialogueEnd, report: LoadReport,
         effects: &mut dyn EdgeEffects,
     ) -> bool {
         self.state.now = now;
@@ -125,7 +127,7 @@
 
     #[expect(clippy::too_many_arguments)]
     pub(super) fn launch_ended(
-        &mut self, link: LinkId, server: &ServerId, id: &DialogueId, launch: LaunchNo, outcome: Outcome,
+        &mut self, link: LinkId, server: &ServerId, id: &DialogueId, launch: LaunchNumber, outcome: Outcome,
         report: LoadReport, effects: &mut dyn EdgeEffects,
     ) {
         if !self.is_out(id, launch, link) {
@@ -134,7 +136,7 @@
         }
         let mut signalling = ModuleSignalling { state: &mut self.state, effects };
         signalling.launch_over(id);
-        signalling.back(id, matches!(outcome, Outcome::BrokenOff | Outcome::TimedOut | Outcome::CalledOff));
+        signalling.back(id, matches!(outcome, Outcome::BrokenOff | Outcome::TimedOut | Outcome::Cancelled));
         let end = LaunchEnd {
             dialogue: id.clone(),
             launch,
@@ -149,7 +151,7 @@
     /// A dialogue that stood is over, by its caller's release or without.
     #[expect(clippy::too_many_arguments)]
     pub(super) fn standing_ended(
-        &mut self, id: &DialogueId, launch: LaunchNo, server: &ServerId, link: LinkId, end: End,
+        &mut self, id: &DialogueId, launch: LaunchNumber, server: &ServerId, link: LinkId, end: DialogueEnd,
         report: LoadReport, effects: &mut dyn EdgeEffects,
     ) {
         let mut signalling = ModuleSignalling { state: &mut self.state, effects };
@@ -163,7 +165,7 @@
                 signalling.conclude(id);
                 signalling.effects.record(id, DialogueStep::Ended);
             }
-            Some(Stage::Standing { .. }) if end == End::Cut => signalling.cut(id),
+            Some(Stage::Standing { .. }) if end == DialogueEnd::Cut => signalling.cut(id),
             Some(Stage::Standing { .. }) => {
                 if let Some((caller, _)) = signalling.conclude(id) {
                     signalling.effects.record(id, DialogueStep::Ended);
@@ -173,7 +175,7 @@
             }
             _ => return,
         }
-        let outcome = if end == End::Cut { Outcome::BrokenOff } else { Outcome::Ended };
+        let outcome = if end == DialogueEnd::Cut { Outcome::BrokenOff } else { Outcome::Ended };
         let end =
             LaunchEnd { dialogue: id.clone(), launch, server: server.clone(), outcome, closed: true, report };
         self.brain.launch_ended(signalling.state.now, end, &mut signalling);
--- a/crates/edge/src/edge/number_analysis.rs
+++ b/crates/edge/src/edge/number_analysis.rs
@@ -66,7 +66,7 @@
             Some(numbers) => numbers.ordered(now, serial, order, effects),
             None => {
                 let why = Some(Arc::from("numbers are not analysed here"));
-                self.signalling(effects).say(link, Frame::Tabled { serial, in_force: 0, name: None, why });
+                self.signalling(effects).say(link, Frame::TablesResult { serial, in_force: 0, name: None, why });
             }
         }
         self.numbers_due(effects);
@@ -115,7 +115,7 @@
         let list = self.state.links.iter().find(|(_, link)| matches!(link.kind, Peer::List) && link.greeted);
         let list = list.map(|(id, _)| *id);
         for said in said {
-            if let Frame::Tabled { serial, in_force, name, why } = &said {
+            if let Frame::TablesResult { serial, in_force, name, why } = &said {
                 effects.tables_order_done(*serial, why.as_deref());
                 let (name, why) = (name.as_deref().unwrap_or("-"), why.as_deref().unwrap_or("done"));
                 effects.log(
--- a/crates/edge/src/edge/takeover.rs
+++ b/crates/edge/src/edge/takeover.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
-use lotussaddle_trunk::{Dial, End, Frame, NotTaken};
+use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
+use lotussaddle_trunk::{DeclineReason, Dial, DialogueEnd, Frame};
 
 use super::{Edge, NO_LAUNCH};
 use crate::held::{Deferred, HeldDialogue, Stage};
@@ -43,8 +43,8 @@
                 let mut signalling = self.signalling(effects);
                 signalling.conclude(id);
                 signalling.state.counts.declined += 1;
-                let why = NotTaken::Concluded;
-                signalling.say(caller, Frame::Declined { dialogue: id.clone(), why, come_back: None });
+                let why = DeclineReason::Concluded;
+                signalling.say(caller, Frame::Declined { dialogue: id.clone(), why, retry_after: None });
             }
             PriorOutcome::Unresolved { retry_after: come_back } => {
                 self.decline_sought(id, come_back, effects)
@@ -55,7 +55,7 @@
 
     /// It stands at that server, and goes on here; where the server cannot be reached, it is not taken.
     fn resume_standing(
-        &mut self, id: &DialogueId, caller: LinkId, server: ServerId, launch: LaunchNo,
+        &mut self, id: &DialogueId, caller: LinkId, server: ServerId, launch: LaunchNumber,
         effects: &mut dyn EdgeEffects,
     ) {
         let Some(link) = self.signalling(effects).link_to(&server) else {
@@ -74,7 +74,8 @@
         let mut signalling = self.signalling(effects);
         if let Some(held) = signalling.drop_held(id) {
             signalling.state.counts.unsure += 1;
-            let frame = Frame::Declined { dialogue: id.clone(), why: NotTaken::Unsure, come_back };
+            let frame =
+                Frame::Declined { dialogue: id.clone(), why: DeclineReason::Unsure, retry_after: come_back };
             signalling.say(held.link, frame);
         }
     }
@@ -102,7 +103,8 @@
         }
         if let Some(link) = waits {
             self.state.counts.unsure += 1;
-            let frame = Frame::Declined { dialogue: id.clone(), why: NotTaken::Unsure, come_back: None };
+            let frame =
+                Frame::Declined { dialogue: id.clone(), why: DeclineReason::Unsure, retry_after: None };
             self.signalling(effects).say(link, frame);
         }
         // It is not concluded as far as its caller is concerned, who may yet dial it here again.
@@ -125,7 +127,7 @@
         self.state.counts.replaced += 1;
         let mut signalling = self.signalling(effects);
         if let (Some(held), true, Stage::Standing { .. }) = (signalling.drop_held(id), told, at) {
-            signalling.say(held.link, Frame::Over { dialogue: id.clone(), end: End::Cut });
+            signalling.say(held.link, Frame::Over { dialogue: id.clone(), end: DialogueEnd::Cut });
         }
     }
 
@@ -152,7 +154,7 @@
         } else if self.state.held.len() < self.state.limits.max_dialogues
             && let Some(there) = self.signalling(effects).link_to(server)
         {
-            let at = Stage::Standing { server: server.clone(), launch: LaunchNo(0), link: there };
+            let at = Stage::Standing { server: server.clone(), launch: LaunchNumber(0), link: there };
             let mut held = HeldDialogue::of_dial(dial, link, now, at, Vec::new());
             held.launches = 1;
             self.state.held.insert(id.clone(), held);
--- a/crates/edge/src/edge/timers.rs
+++ b/crates/edge/src/edge/timers.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, LoadReport, Outcome, TimerId};
-use lotussaddle_trunk::End;
+use lotussaddle::interface::{DialogueId, LaunchNumber, LoadReport, Outcome, TimerId};
+use lotussaddle_trunk::DialogueEnd;
 
 use super::Edge;
 use crate::held::Stage;
@@ -69,7 +69,7 @@
         }
     }
 
-    fn timed_out(&mut self, id: &DialogueId, launch: LaunchNo, effects: &mut dyn EdgeEffects) {
+    fn timed_out(&mut self, id: &DialogueId, launch: LaunchNumber, effects: &mut dyn EdgeEffects) {
         let Some(held) = self.state.held.get(id) else { return };
         match held.at.clone() {
             Stage::Out { server, launch: out, .. } if out == launch => {
@@ -85,7 +85,14 @@
                 self.decide(&dial, effects);
             }
             Stage::Releasing { server, launch: out, link, .. } if out == launch => {
-                self.standing_ended(id, launch, &server, link, End::Released, LoadReport::default(), effects);
+                self.standing_ended(
+                    id,
+                    launch,
+                    &server,
+                    link,
+                    DialogueEnd::Released,
+                    LoadReport::default(), effects,
+                );
             }
             _ => {}
         }
--- a/crates/edge/src/signalling.rs
+++ b/crates/edge/src/signalling.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::*;
-use lotussaddle_trunk::{End, Frame, Launch, Message};
+use lotussaddle_trunk::{DialogueEnd, Frame, Launch, Message};
 
 use crate::held::{Concluded, Counts, Deadlines, Deferred, HeldDialogue, Limits, Pending, Stage};
 use crate::links::{CoreServer, Link, Peer};
@@ -52,7 +52,7 @@
     /// Gives a final answer, once it is recorded that it is given: a crash in between leaves a dialogue that is known
     /// to have been answered and was not, never one that is answered twice.
     pub fn answer(
-        &mut self, (link, cut_off): (LinkId, Duration), dialogue: &DialogueId, launch: LaunchNo,
+        &mut self, (link, cut_off): (LinkId, Duration), dialogue: &DialogueId, launch: LaunchNumber,
         message: Message,
     ) {
         match self.effects.record(dialogue, DialogueStep::Answer { answer: &message.frame, launch }) {
@@ -120,7 +120,7 @@
         if let Stage::Out { launch, .. } = self.state.held.get(id)?.at
             && let Some(server) = self.call_off(id, launch)
         {
-            self.end(id, launch, &server, Outcome::CalledOff);
+            self.end(id, launch, &server, Outcome::Cancelled);
         }
         let held = self.drop_held(id)?;
         self.state.concluded.add(self.state.now, id, &self.state.limits);
@@ -146,7 +146,7 @@
     }
 
     /// Calls a launch off where it is out; gives the server.
-    pub fn call_off(&mut self, id: &DialogueId, launch: LaunchNo) -> Option<ServerId> {
+    pub fn call_off(&mut self, id: &DialogueId, launch: LaunchNumber) -> Option<ServerId> {
         let held = self.state.held.get(id)?;
         let Stage::Out { server, launch: out, link, .. } = &held.at else { return None };
         if *out != launch {
@@ -162,7 +162,7 @@
     }
 
     /// Sends a launch, or has it wait for its link to come up.
-    fn go(&mut self, dialogue: &DialogueId, launch: LaunchNo) {
+    fn go(&mut self, dialogue: &DialogueId, launch: LaunchNumber) {
         let server = match self.state.held.get(dialogue).map(|held| &held.at) {
             Some(Stage::Out { server, launch: out, link: None, .. }) if *out == launch => server.clone(),
             _ => return,
@@ -230,7 +230,7 @@
 
     /// A held dialogue stands at that server from now on; gives its caller's link, and when that gives up.
     pub fn mark_standing(
-        &mut self, id: &DialogueId, server: &ServerId, launch: LaunchNo, link: LinkId,
+        &mut self, id: &DialogueId, server: &ServerId, launch: LaunchNumber, link: LinkId,
     ) -> Option<(LinkId, Duration)> {
         let held = self.state.held.get_mut(id)?;
         held.at = Stage::Standing { server: server.clone(), launch, link };
@@ -241,13 +241,13 @@
     }
 
     /// A launch that was never sent ends, as one whose server cannot be reached.
-    pub fn launch_unreachable(&mut self, id: &DialogueId, launch: LaunchNo, server: &ServerId) {
+    pub fn launch_unreachable(&mut self, id: &DialogueId, launch: LaunchNumber, server: &ServerId) {
         self.launch_over(id);
         self.back(id, false);
         self.end(id, launch, server, Outcome::Unreachable);
     }
 
-    pub fn end(&mut self, dialogue: &DialogueId, launch: LaunchNo, server: &ServerId, outcome: Outcome) {
+    pub fn end(&mut self, dialogue: &DialogueId, launch: LaunchNumber, server: &ServerId, outcome: Outcome) {
         self.state.ends.push_back(LaunchEnd {
             dialogue: dialogue.clone(),
             launch,
@@ -264,7 +264,7 @@
         if let Some((link, _)) = self.conclude(id) {
             self.effects.record(id, DialogueStep::Ended);
             self.flush(id);
-            self.say(link, Frame::Over { dialogue: id.clone(), end: End::Cut });
+            self.say(link, Frame::Over { dialogue: id.clone(), end: DialogueEnd::Cut });
         }
     }
 }
@@ -278,7 +278,7 @@
             let line = format!("a launch of {} is not sent: it is {:?}", dialogue.0, held.at);
             return self.effects.log(LogTopic::Mode, &line);
         }
-        let launch = LaunchNo(held.launches);
+        let launch = LaunchNumber(held.launches);
         held.launches += 1;
         held.at = Stage::Out { server: server.clone(), launch, until, link: None };
         self.state.deadlines.set(until, dialogue, launch);
@@ -298,8 +298,8 @@
             self.answer(
                 to,
                 dialogue,
-                LaunchNo(0),
-                Frame::Refused { dialogue: dialogue.clone(), come_back }.into(),
+                LaunchNumber(0),
+                Frame::Refused { dialogue: dialogue.clone(), retry_after: come_back }.into(),
             );
         }
     }
@@ -307,15 +307,15 @@
     fn fail(&mut self, dialogue: &DialogueId) {
         if let Some(to) = self.conclude(dialogue) {
             self.state.counts.failed += 1;
-            self.answer(to, dialogue, LaunchNo(0), Frame::Failed { dialogue: dialogue.clone() }.into());
+            self.answer(to, dialogue, LaunchNumber(0), Frame::Failed { dialogue: dialogue.clone() }.into());
         }
     }
 
     /// The end of the launch does not wait for the server's word: an answer that crosses the cancel finds the
     /// launch over and is released there.
-    fn cancel(&mut self, dialogue: &DialogueId, launch: LaunchNo) {
+    fn cancel(&mut self, dialogue: &DialogueId, launch: LaunchNumber) {
         if let Some(server) = self.call_off(dialogue, launch) {
-            self.end(dialogue, launch, &server, Outcome::CalledOff);
+            self.end(dialogue, launch, &server, Outcome::Cancelled);
         }
     }
 
--- a/crates/fleet/src/member/incarnations.rs
+++ b/crates/fleet/src/member/incarnations.rs
@@ -3,8 +3,8 @@
 
 use std::time::Duration;
 
-use lotussaddle_replica::Reading;
-use lotussaddle_trunk::{Audit, Frame, Owner, Peer};
+use lotussaddle_replica::ReplicaReading;
+use lotussaddle_trunk::{AuditMessage, Frame, Owner, PeerMessage};
 
 use super::Member;
 use super::interface::{Effects, Finding, Save};
@@ -45,7 +45,11 @@
             self.order(vec![Save::Asked(life)], effects);
             for member in 0..self.plan.members.len() as u16 {
                 if let Some(link) = self.peers.to(member) {
-                    self.tell(link, Frame::Peer(Peer::NewLife { life }), effects);
+                    self.tell(
+                        link,
+                        Frame::PeerMessage(PeerMessage::ProposeIncarnation { incarnation: life }),
+                        effects,
+                    );
                 }
             }
         }
@@ -70,23 +74,39 @@
     pub(super) fn life_asked(&mut self, link: PeerLink, member: u16, life: u64, effects: &mut dyn Effects) {
         let (given, highest) = self.lives.asked(member, self.view.life(member), life);
         if !given {
-            self.tell(link, Frame::Peer(Peer::Life { life, given, highest }), effects);
+            self.tell(
+                link,
+                Frame::PeerMessage(PeerMessage::IncarnationReply {
+                    incarnation: life,
+                    granted: given,
+                    highest,
+                }),
+                effects,
+            );
             return;
         }
         // A vote is kept before it is said.
         if let Some(number) = self.order(vec![Save::Given(member, life)], effects) {
             self.writes.wait_for(number, [AfterWrite::GrantLife { link, life, highest }]);
         } else {
-            self.tell(link, Frame::Peer(Peer::Life { life, given, highest }), effects);
+            self.tell(
+                link,
+                Frame::PeerMessage(PeerMessage::IncarnationReply {
+                    incarnation: life,
+                    granted: given,
+                    highest,
+                }),
+                effects,
+            );
         }
     }
 
     pub(super) fn begin_life(&mut self, life: u64, fresh: bool, effects: &mut dyn Effects) {
-        let first = self.book.life() == 0;
+        let first = self.book.incarnation() == 0;
         self.fresh = fresh && first;
         if !fresh && first && !self.book.is_empty() {
             // What the disk had is older than what was written in the life before.
-            let dropped = self.book.drop_others();
+            let dropped = self.book.drop_not_owned();
             let why = self.lives.why_older();
             effects.log(&format!("{why}: its {dropped} copies are not all that was kept, and are let go"));
         }
@@ -99,21 +119,25 @@
         }
         // By their own clocks, peers know how long this member was away: the clock on the wall may have been set in between.
         if let Some(away) = self.away.take().filter(|_| first) {
-            self.book.age(self.now, away);
+            self.book.age_restored(self.now, away);
         }
         effects.log(&format!("life {} begins", start_of(life)));
-        self.book.begin_life(self.now, life);
+        self.book.begin_incarnation(self.now, life);
         // What stands goes on under this life: its core servers are told, or it would pass for what the former one left, or, where
         // it was launched before this process had a life, end with its link.
-        let standing = self.book.each().filter_map(|(id, copy)| {
-            let owner = copy.owner().filter(|owner| (owner.member, owner.life) == (self.plan.me, life))?;
+        let standing = self.book.iter().filter_map(|(id, copy)| {
+            let owner =
+                copy.owner().filter(|owner| (owner.member, owner.incarnation) == (self.plan.me, life))?;
             match copy.reading() {
-                Reading::Stands { server, .. } => Some((server.clone(), id.clone(), owner)),
+                ReplicaReading::Stands { server, .. } => Some((server.clone(), id.clone(), owner)),
                 _ => None,
             }
         });
         let adopts = standing.map(|(server, dialogue, owner)| {
-            Finding::ToCore(server, Frame::Audit(Audit::Adopt { dialogue, owner, act: None }))
+            Finding::ToCore(
+                server,
+                Frame::AuditMessage(AuditMessage::Adopt { dialogue, owner, action: None }),
+            )
         });
         self.findings.extend(adopts);
         // An older copy has had fewer writes: from here on they are counted above all that were told.
@@ -172,7 +196,7 @@
         if life > 0 {
             // What it left in lives before this one is nobody's.
             let ended = life - 1;
-            if !self.takeovers.is_ended(Owner { round: 0, member, life: ended }) {
+            if !self.takeovers.is_ended(Owner { round: 0, member, incarnation: ended }) {
                 self.takeovers.ended(self.now, member, ended);
             }
         }
--- a/crates/judge/tests/doctored.rs
+++ b/crates/judge/tests/doctored.rs
@@ -29,8 +29,8 @@
         for (link, far) in [(CALLER, "callers"), (LIST, "list"), (A, "a"), (B, "b")] {
             script.put(0, What::Up { edge: 0, link, far: far.into() });
         }
-        let entries = vec![entry("a", Listed::Active, 0), entry("b", Listed::Active, 0)];
-        script.passed(0, LIST, Way::In, Frame::List { whole: true, entries })
+        let entries = vec![entry("a", ServerState::Active, 0), entry("b", ServerState::Active, 0)];
+        script.passed(0, LIST, Way::In, Frame::List { is_complete: true, entries })
     }
 
     fn put(&mut self, at: u64, what: What) {
@@ -56,9 +56,9 @@
             first_choice: ServerNumber(0),
             width: 1.0,
             time_left: Duration::from_millis(3000),
-            again: false,
-            came_back: false,
-            repeat: false,
+            is_retry: false,
+            redialled_after_cut: false,
+            is_repeat: false,
             sent_at: None,
             try_of: None,
             dialled: None,
@@ -75,7 +75,7 @@
         let time_left = Duration::from_millis(3000);
         let launch = Launch {
             dialogue: id(name),
-            launch: LaunchNo(launch),
+            launch: LaunchNumber(launch),
             key: None,
             product: 0,
             width: 1.0,
@@ -89,18 +89,18 @@
 
     fn stood(self, at: u64, link: u64, name: &str, launch: u32) -> Self {
         let report = LoadReport::default();
-        let frame = Frame::Stood { dialogue: id(name), launch: LaunchNo(launch), report };
+        let frame = Frame::Stood { dialogue: id(name), launch: LaunchNumber(launch), report };
         self.passed(at, link, Way::In, frame)
     }
 
     fn broken_off(self, at: u64, link: u64, name: &str, launch: u32) -> Self {
         let report = LoadReport::default();
-        let frame = Frame::BrokenOff { dialogue: id(name), launch: LaunchNo(launch), report };
+        let frame = Frame::BrokenOff { dialogue: id(name), launch: LaunchNumber(launch), report };
         self.passed(at, link, Way::In, frame)
     }
 
     fn cancel(self, at: u64, link: u64, name: &str, launch: u32) -> Self {
-        self.passed(at, link, Way::Out, Frame::Cancel { dialogue: id(name), launch: LaunchNo(launch) })
+        self.passed(at, link, Way::Out, Frame::Cancel { dialogue: id(name), launch: LaunchNumber(launch) })
     }
 
     fn stands(self, at: u64, name: &str) -> Self {
@@ -109,7 +109,7 @@
     }
 
     fn refused(self, at: u64, name: &str) -> Self {
-        self.passed(at, CALLER, Way::Out, Frame::Refused { dialogue: id(name), come_back: None })
+        self.passed(at, CALLER, Way::Out, Frame::Refused { dialogue: id(name), retry_after: None })
     }
 
     fn failed(self, at: u64, name: &str) -> Self {
@@ -121,7 +121,7 @@
     }
 
     fn list(self, at: u64, whole: bool, entries: Vec<Entry>) -> Self {
-        self.passed(at, LIST, Way::In, Frame::List { whole, entries })
+        self.passed(at, LIST, Way::In, Frame::List { is_complete: whole, entries })
     }
 
     fn verdict(self) -> Verdict {
@@ -138,13 +138,13 @@
     }
 }
 
-fn entry(name: &str, listed: Listed, life: u64) -> Entry {
+fn entry(name: &str, listed: ServerState, life: u64) -> Entry {
     Entry {
         server: ServerId(Arc::from(name)),
         number: ServerNumber(0),
         address: Arc::from("x"),
-        listed,
-        life,
+        state: listed,
+        incarnation: life,
         age: Duration::from_millis(life * 10),
     }
 }
@@ -228,7 +228,7 @@
 fn rule_1_something_after_the_answer() {
     let found = good().dial(6000, "d9").refused(6100, "d9").launch(6200, A, "d9", 0).found();
     only(&found, Rule::OneAnswer, "launched after its final answer");
-    let over = Frame::Over { dialogue: id("d9"), end: End::Cut };
+    let over = Frame::Over { dialogue: id("d9"), end: DialogueEnd::Cut };
     let found = good().dial(6000, "d9").refused(6100, "d9").passed(6200, CALLER, Way::Out, over).found();
     only(&found, Rule::OneAnswer, "told that it is over");
 }
@@ -265,8 +265,8 @@
         script.note(6600, What::Up { edge: 0, link: A, far: "a".into() }).dial(6700, "d9")
     };
     only(&again().refused(6800, "d9").found(), Rule::OneAnswer, "answered again after a restart");
-    let why = NotTaken::Concluded;
-    let declined = Frame::Declined { dialogue: id("d9"), why, come_back: None };
+    let why = DeclineReason::Concluded;
+    let declined = Frame::Declined { dialogue: id("d9"), why, retry_after: None };
     assert!(again().passed(6710, CALLER, Way::Out, declined.clone()).found().is_empty());
     let launched = again().launch(6705, A, "d9", 0).cancel(6706, A, "d9", 0);
     only(
@@ -293,9 +293,9 @@
 #[test]
 fn rule_3_a_launch_past_the_grace() {
     for (whole, entries) in [
-        (false, vec![entry("a", Listed::Leaving, 0)]),
-        (false, vec![entry("a", Listed::Gone, 0)]),
-        (true, vec![entry("b", Listed::Active, 0)]),
+        (false, vec![entry("a", ServerState::Draining, 0)]),
+        (false, vec![entry("a", ServerState::Gone, 0)]),
+        (true, vec![entry("b", ServerState::Active, 0)]),
     ] {
         let at = |time: u64| {
             let script = good().list(6000, whole, entries.clone()).dial(time - 1, "d9");
@@ -305,8 +305,8 @@
         only(&at(8010), Rule::Drain, "launched 2.010 s after the list said");
     }
     // It may be listed again.
-    let again = good().list(6000, false, vec![entry("a", Listed::Gone, 0)]);
-    let again = again.list(6500, false, vec![entry("a", Listed::Active, 1)]).dial(9000, "d9");
+    let again = good().list(6000, false, vec![entry("a", ServerState::Gone, 0)]);
+    let again = again.list(6500, false, vec![entry("a", ServerState::Active, 1)]).dial(9000, "d9");
     assert!(again.launch(9001, A, "d9", 0).refused(9100, "d9").found().is_empty());
 }
 
@@ -314,7 +314,7 @@
 fn rule_3_counts_from_when_a_proxy_that_stood_still_went_on() {
     let at = |time: u64| {
         let script = good().note(6000, What::Stalled { edge: 0 });
-        let script = script.list(6100, false, vec![entry("a", Listed::Leaving, 0)]).dial(6200, "d9");
+        let script = script.list(6100, false, vec![entry("a", ServerState::Draining, 0)]).dial(6200, "d9");
         let script = script.note(7500, What::Resumed { edge: 0 }).launch(time, A, "d9", 0);
         // Rule 1 gives it time for an answer, too.
         script.cancel(time + 10, A, "d9", 0).refused(time + 10, "d9").found()
@@ -328,7 +328,7 @@
 fn pressed(launches: u64, told: bool) -> Vec<(Rule, String)> {
     let mut script = good().note(6000, What::CoreStarted { server: "a".into(), life: 1 });
     if told {
-        script = script.list(6100, false, vec![entry("a", Listed::Active, 1)]);
+        script = script.list(6100, false, vec![entry("a", ServerState::Active, 1)]);
     }
     for n in 0..launches {
         let (at, name) = (6200 + n * 1000 / launches, format!("p{n}"));
@@ -344,8 +344,10 @@
     only(&pressed(60, true), Rule::Cold, "cold and sent more than it bears");
     assert!(pressed(60, false).is_empty(), "nobody had been told of the start");
     let fell = good().note(6000, What::CoreStarted { server: "a".into(), life: 1 });
-    let fell =
-        fell.list(6100, false, vec![entry("a", Listed::Active, 1)]).dial(6200, "d9").launch(6201, A, "d9", 0);
+    let fell = fell
+        .list(6100, false, vec![entry("a", ServerState::Active, 1)])
+        .dial(6200, "d9")
+        .launch(6201, A, "d9", 0);
     let fell = fell.note(6210, What::Fell { server: "a".into() }).refused(6300, "d9");
     only(&fell.found(), Rule::Cold, "cold and fell over");
 }
@@ -365,7 +367,12 @@
     }
     // A turn-back leaves no doubt.
     let report = LoadReport::default();
-    let back = Frame::TurnedBack { dialogue: id("d9"), launch: LaunchNo(0), cause: Cause::Lines, report };
+    let back = Frame::TurnedBack {
+        dialogue: id("d9"),
+        launch: LaunchNumber(0),
+        cause: TurnBackCause::Lines,
+        report,
+    };
     assert!(after(script().passed(6100, A, Way::In, back), 6110).is_empty());
 }
 
@@ -387,10 +394,10 @@
     let mut script = stands(Script::new().dial_as(1000, "dear", 1, |_| ()), 1400, "dear");
     script = stands(script.dial(2000, "late"), 3500, "late");
     script = stands(script.dial(4000, "cut"), 4100, "cut");
-    let over = Frame::Over { dialogue: id("cut"), end: End::Cut };
+    let over = Frame::Over { dialogue: id("cut"), end: DialogueEnd::Cut };
     script = script.passed(5000, CALLER, Way::Out, over).dial(6000, "no").refused(6100, "no");
     script = script.dial(7000, "x").refused(7100, "x");
-    script = script.dial_as(7500, "x.1", 0, |d| (d.again, d.try_of) = (true, Some(id("x"))));
+    script = script.dial_as(7500, "x.1", 0, |d| (d.is_retry, d.try_of) = (true, Some(id("x"))));
     let gain = stands(script, 7900, "x.1").verdict().gain;
     assert_eq!((gain.offered, gain.earned), (10.0, 7.25));
     assert_eq!((gain.by_product["dear"], gain.by_product["plain"]), (1.0, 1.25 / 4.0));
@@ -445,7 +452,7 @@
         suffix: "e164.arpa".into(),
     };
     let mut script = Script::new();
-    let mut second = entry("b", Listed::Active, 0);
+    let mut second = entry("b", ServerState::Active, 0);
     second.number = ServerNumber(1);
     script = script.list(1, false, vec![second]);
     type Put = Box<dyn FnOnce(Script) -> Script>;
@@ -459,7 +466,8 @@
             Box::new(move |script| {
                 let order = TablesOrder::Swap { name: "two".into(), after: Duration::ZERO };
                 let script = script.passed(at, LIST, Way::In, Frame::Tables { serial: 1, order });
-                let tabled = Frame::Tabled { serial: 1, in_force: 1, name: Some("two".into()), why: None };
+                let tabled =
+                    Frame::TablesResult { serial: 1, in_force: 1, name: Some("two".into()), why: None };
                 script.passed(at, LIST, Way::Out, tabled)
             }),
         ));
@@ -470,7 +478,7 @@
             Box::new(move |script| {
                 let launch = Launch {
                     dialogue: id("d1"),
-                    launch: LaunchNo(no as u32),
+                    launch: LaunchNumber(no as u32),
                     key: None,
                     product,
                     width: 1.0,
