--- a/crates/day/src/baseline.rs
+++ b/crates/day/src/baseline.rs
@@ -153,7 +153,9 @@
         self.rests_until = until;
     }
 
-    fn list_received(&mut self, now: Duration, whole: bool, entries: &[ListEntry], out: &mut dyn Signalling) {
+    fn server_list_received(
+        &mut self, now: Duration, whole: bool, entries: &[ListEntry], out: &mut dyn Signalling,
+    ) {
         if whole {
             self.servers.values_mut().for_each(|s| s.active = false);
         }
--- a/crates/edge/src/decisions.rs
+++ b/crates/edge/src/decisions.rs
@@ -9,7 +9,9 @@
 pub trait Decisions {
     /// Nothing is launched before.
     fn hold_launches_until(&mut self, until: Duration);
-    fn list_received(&mut self, now: Duration, whole: bool, entries: &[ListEntry], out: &mut dyn Signalling);
+    fn server_list_received(
+        &mut self, now: Duration, whole: bool, entries: &[ListEntry], out: &mut dyn Signalling,
+    );
     fn dialogue_arrived(&mut self, now: Duration, arrival: Arrival, out: &mut dyn Signalling);
     fn caller_left(&mut self, now: Duration, id: &DialogueId, out: &mut dyn Signalling);
     fn load_reported(&mut self, now: Duration, id: &ServerId, report: &LoadReport, out: &mut dyn Signalling);
@@ -25,7 +27,9 @@
     fn hold_launches_until(&mut self, until: Duration) {
         Self::hold_launches_until(self, until);
     }
-    fn list_received(&mut self, now: Duration, whole: bool, entries: &[ListEntry], out: &mut dyn Signalling) {
+    fn server_list_received(
+        &mut self, now: Duration, whole: bool, entries: &[ListEntry], out: &mut dyn Signalling,
+    ) {
         Self::server_list_received(self, now, whole, entries, out);
     }
     fn dialogue_arrived(&mut self, now: Duration, arrival: Arrival, out: &mut dyn Signalling) {
--- a/crates/edge/src/edge/server_list.rs
+++ b/crates/edge/src/edge/server_list.rs
@@ -26,7 +26,7 @@
             }
         }
         let mut signalling = ModuleSignalling { state: &mut self.state, effects };
-        self.brain.list_received(signalling.state.now, whole, &known, &mut signalling);
+        self.brain.server_list_received(signalling.state.now, whole, &known, &mut signalling);
         self.return_queued_of_inactive(effects);
         self.remove_gone(replaced_links, effects);
     }
