--- a/crates/day/tests/virtual_days.rs
+++ b/crates/day/tests/virtual_days.rs
@@ -179,7 +179,7 @@
     struct Deaf(Brain);
     impl Decisions for Deaf {
         fn hold_launches_until(&mut self, until: Duration) {
-            self.0.rest_until(until);
+            self.0.hold_launches_until(until);
         }
         fn list_received(
             &mut self, now: Duration, whole: bool, entries: &[lotussaddle::interface::ListEntry],
@@ -187,44 +187,44 @@
         ) {
             use lotussaddle::interface::ServerState;
             let active: Vec<_> = entries.iter().filter(|e| e.state == ServerState::Active).cloned().collect();
-            self.0.listed(now, whole, &active, out);
+            self.0.server_list_received(now, whole, &active, out);
         }
         fn dialogue_arrived(
             &mut self, now: Duration, arrival: lotussaddle::interface::Arrival,
             out: &mut dyn lotussaddle::interface::Signalling,
         ) {
-            self.0.arrived(now, arrival, out);
+            self.0.dialogue_arrived(now, arrival, out);
         }
         fn caller_left(
             &mut self, now: Duration, id: &lotussaddle::interface::DialogueId,
             out: &mut dyn lotussaddle::interface::Signalling,
         ) {
-            self.0.left(now, id, out);
+            self.0.caller_left(now, id, out);
         }
         fn load_reported(
             &mut self, now: Duration, id: &lotussaddle::interface::ServerId,
             report: &lotussaddle::interface::LoadReport, out: &mut dyn lotussaddle::interface::Signalling,
         ) {
-            self.0.reported(now, id, report, out);
+            self.0.load_reported(now, id, report, out);
         }
         fn dialogue_stands(
             &mut self, now: Duration, id: &lotussaddle::interface::DialogueId,
             launch: lotussaddle::interface::LaunchNumber, server: &lotussaddle::interface::ServerId,
             out: &mut dyn lotussaddle::interface::Signalling,
         ) {
-            self.0.stands(now, id, launch, server, out);
+            self.0.dialogue_stands(now, id, launch, server, out);
         }
         fn launch_ended(
             &mut self, now: Duration, end: lotussaddle::interface::LaunchEnd,
             out: &mut dyn lotussaddle::interface::Signalling,
         ) {
-            self.0.ended(now, end, out);
+            self.0.launch_ended(now, end, out);
         }
         fn timer_fired(
             &mut self, now: Duration, timer: lotussaddle::interface::TimerId,
             out: &mut dyn lotussaddle::interface::Signalling,
         ) {
-            self.0.alarm(now, timer, out);
+            self.0.timer_fired(now, timer, out);
         }
     }
 
--- a/crates/edge/src/edge/connections.rs
+++ b/crates/edge/src/edge/connections.rs
@@ -223,7 +223,15 @@
                 signalling.end(id, launch, server, Outcome::BrokenOff);
             }
             Some(Stage::Standing { launch, link, .. }) => {
-                self.standing_ended(id, launch, server, link, DialogueEnd::Cut, LoadReport::default(), effects);
+                self.standing_ended(
+                    id,
+                    launch,
+                    server,
+                    link,
+                    DialogueEnd::Cut,
+                    LoadReport::default(),
+                    effects,
+                );
             }
             Some(Stage::Releasing { launch, link, .. }) => {
                 self.standing_ended(
@@ -232,7 +240,8 @@
                     server,
                     link,
                     DialogueEnd::Released,
-                    LoadReport::default(), effects,
+                    LoadReport::default(),
+                    effects,
                 );
             }
             _ => {}
--- a/crates/edge/src/edge/number_analysis.rs
+++ b/crates/edge/src/edge/number_analysis.rs
@@ -66,7 +66,8 @@
             Some(numbers) => numbers.ordered(now, serial, order, effects),
             None => {
                 let why = Some(Arc::from("numbers are not analysed here"));
-                self.signalling(effects).say(link, Frame::TablesResult { serial, in_force: 0, name: None, why });
+                self.signalling(effects)
+                    .say(link, Frame::TablesResult { serial, in_force: 0, name: None, why });
             }
         }
         self.numbers_due(effects);
--- a/crates/edge/src/edge/timers.rs
+++ b/crates/edge/src/edge/timers.rs
@@ -91,7 +91,8 @@
                     &server,
                     link,
                     DialogueEnd::Released,
-                    LoadReport::default(), effects,
+                    LoadReport::default(),
+                    effects,
                 );
             }
             _ => {}
--- a/crates/edge/tests/hard_cases.rs
+++ b/crates/edge/tests/hard_cases.rs
@@ -676,7 +676,8 @@
     b.edge.launch_outcome_reported(
         at(&b),
         link,
-        &id("d1"), LaunchNumber(7),
+        &id("d1"),
+        LaunchNumber(7),
         Outcome::NotSent,
         report(),
         &mut b.trace,
@@ -694,19 +695,41 @@
     b.edge.launch_outcome_reported(
         at(&b),
         link,
-        &id("d1"), LaunchNumber(0),
+        &id("d1"),
+        LaunchNumber(0),
         Outcome::NotSent,
         report(),
         &mut b.trace,
     );
     assert_eq!(b.edge.counts().launches, 2, "what never left goes again at once: {}", b.trace());
     assert!(
-        !b.edge.standing_dialogue_ended(at(&b), link, &id("d1"), DialogueEnd::Released, report(), &mut b.trace),
+        !b.edge.standing_dialogue_ended(
+            at(&b),
+            link,
+            &id("d1"),
+            DialogueEnd::Released,
+            report(),
+            &mut b.trace
+        ),
         "it does not stand"
     );
     b.stood("a", "d1", 1).at(500);
-    assert!(!b.edge.standing_dialogue_ended(at(&b), LinkId(9), &id("d1"), DialogueEnd::Cut, report(), &mut b.trace));
-    assert!(b.edge.standing_dialogue_ended(at(&b), link, &id("d1"), DialogueEnd::Cut, report(), &mut b.trace));
+    assert!(!b.edge.standing_dialogue_ended(
+        at(&b),
+        LinkId(9),
+        &id("d1"),
+        DialogueEnd::Cut,
+        report(),
+        &mut b.trace
+    ));
+    assert!(b.edge.standing_dialogue_ended(
+        at(&b),
+        link,
+        &id("d1"),
+        DialogueEnd::Cut,
+        report(),
+        &mut b.trace
+    ));
     assert!(b.trace().ends_with("to 100: d1 over: Cut\n"), "{}", b.trace());
     assert_eq!((b.edge.sizes().0, b.edge.auxiliary_entries()), (0, 0));
 }
@@ -728,7 +751,8 @@
     b.edge.standing_dialogue_ended(
         ms(b.trace.now),
         link,
-        &id("d1"), DialogueEnd::Released,
+        &id("d1"),
+        DialogueEnd::Released,
         LoadReport::default(),
         &mut b.trace,
     );
