--- a/crates/day/src/virt.rs
+++ b/crates/day/src/virt.rs
@@ -516,7 +516,8 @@
             fleet.figures.bound(&mut limits);
         }
         let decisions = &self.decisions;
-        let mut made = Edge::with(&name, "list", self.day.plan.plan(), limits, |plan| decisions(plan, seed));
+        let mut made =
+            Edge::with_decisions(&name, "list", self.day.plan.plan(), limits, |plan| decisions(plan, seed));
         self.nets.lives[edge] = seat.life;
         (seat.rate, seat.wall) = self.nets.clocks[edge];
         if self.play.rests {
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -18,7 +18,7 @@
 use lotussaddle::brain::Brain;
 use lotussaddle::interface::{DialogueId, LaunchNumber, RoutePlan};
 
-use crate::held::{Concluded, Counts, Deadlines, Limits, Pending, Stage};
+use crate::held::{ConcludedDialogues, Counts, Deadlines, DeferredSends, Limits, Stage};
 use crate::numbers::NumberAnalysis;
 use crate::signalling::{ModuleSignalling, State};
 use crate::{Decisions, EdgeEffects, LinkId};
@@ -29,61 +29,62 @@
 /// One edge proxy. Inputs are method calls with the time since the start, effects are calls on [`EdgeEffects`].
 pub struct Edge<D = Brain> {
     name: Arc<str>,
-    list: Arc<str>,
-    products: usize,
-    tenants: usize,
+    list_address: Arc<str>,
+    product_count: usize,
+    tenant_count: usize,
     brain: D,
     state: State,
     numbers: Option<Box<NumberAnalysis>>,
     /// When links are looked at again, and when the list is tried again.
-    sweep_at: Duration,
-    list_at: Option<Duration>,
+    next_sweep: Duration,
+    next_list_connect: Option<Duration>,
 }
 
 impl Edge {
     /// `list` is the address of the pool list.
-    pub fn new(name: &str, list: &str, plan: RoutePlan, seed: u64, limits: Limits) -> Self {
-        Self::with(name, list, plan, limits, |plan| Brain::new(plan, seed))
+    pub fn new(name: &str, list_address: &str, plan: RoutePlan, seed: u64, limits: Limits) -> Self {
+        Self::with_decisions(name, list_address, plan, limits, |plan| Brain::new(plan, seed))
     }
 }
 
 impl<D: Decisions> Edge<D> {
     /// With other decisions than the module's, for baselines.
-    pub fn with(
-        name: &str, list: &str, plan: RoutePlan, limits: Limits, decisions: impl FnOnce(RoutePlan) -> D,
+    pub fn with_decisions(
+        name: &str, list_address: &str, plan: RoutePlan, limits: Limits,
+        decisions: impl FnOnce(RoutePlan) -> D,
     ) -> Self {
         let state = State {
             limits,
             now: Duration::ZERO,
             held: HashMap::new(),
             links: BTreeMap::new(),
-            fresh: VecDeque::new(),
-            callers: 0,
+            unidentified: VecDeque::new(),
+            caller_links: 0,
             servers: BTreeMap::new(),
             deadlines: Deadlines::default(),
-            concluded: Concluded::default(),
+            concluded: ConcludedDialogues::default(),
             counts: Counts::default(),
-            alarm: None,
-            ends: VecDeque::new(),
-            broken: VecDeque::new(),
-            pending: Pending::default(),
+            module_timer: None,
+            launch_ends: VecDeque::new(),
+            failed_links: VecDeque::new(),
+            deferred: DeferredSends::default(),
         };
         Self {
             name: Arc::from(name),
-            list: Arc::from(list),
-            products: plan.products.len(),
-            tenants: plan.tenants.len(),
+            list_address: Arc::from(list_address),
+            product_count: plan.products.len(),
+            tenant_count: plan.tenants.len(),
             brain: decisions(plan),
             state,
             numbers: None,
-            sweep_at: Duration::ZERO,
-            list_at: Some(Duration::ZERO),
+            next_sweep: Duration::ZERO,
+            next_list_connect: Some(Duration::ZERO),
         }
     }
 
     /// From now on numbers that are dialled are analysed.
     pub fn use_number_analysis(&mut self, numbers: NumberAnalysis) {
-        self.products = numbers.products();
+        self.product_count = numbers.products();
         self.numbers = Some(Box::new(numbers));
     }
 
@@ -110,7 +111,7 @@
     /// When the launch of a dialogue ends by itself, where one is out.
     pub fn launch_deadline(&self, id: &DialogueId) -> Option<Duration> {
         let held = self.state.held.get(id)?;
-        if let Stage::Out { until, .. } = held.at { Some(until) } else { None }
+        if let Stage::Launched { until, .. } = held.stage { Some(until) } else { None }
     }
 
     /// The decisions that it owns, for reading.
@@ -120,9 +121,9 @@
 
     /// What is kept of dialogues beside what is held: on links, in their queues, and answers not yet given.
     pub fn auxiliary_entries(&self) -> usize {
-        let here: usize = self.state.links.values().map(|link| link.dialogues.len()).sum();
-        let queued: usize = self.state.servers.values().map(|core| core.queued.len()).sum();
-        here + queued + self.state.pending.len() + self.state.ends.len()
+        let on_links: usize = self.state.links.values().map(|link| link.dialogues.len()).sum();
+        let queued: usize = self.state.servers.values().map(|core| core.queued_launches.len()).sum();
+        on_links + queued + self.state.deferred.len() + self.state.launch_ends.len()
     }
 
     /// A dialogue that had its final answer in a former life.
@@ -137,8 +138,8 @@
 
     /// Whether this dialogue is held, and whether it stands.
     pub fn dialogue_stands(&self, id: &DialogueId) -> Option<bool> {
-        let stands = |at: &Stage| matches!(at, Stage::Standing { .. } | Stage::Releasing { .. });
-        self.state.held.get(id).map(|held| stands(&held.at))
+        let stands = |stage: &Stage| matches!(stage, Stage::Standing { .. } | Stage::Releasing { .. });
+        self.state.held.get(id).map(|held| stands(&held.stage))
     }
 
     fn signalling<'a>(&'a mut self, effects: &'a mut dyn EdgeEffects) -> ModuleSignalling<'a> {
@@ -146,8 +147,8 @@
     }
 
     /// ModuleSignalling the module the ends that came of what it did, until there is none.
-    fn hand_over_ends(&mut self, effects: &mut dyn EdgeEffects) {
-        while let Some(mut end) = self.state.ends.pop_front() {
+    fn report_launch_ends(&mut self, effects: &mut dyn EdgeEffects) {
+        while let Some(mut end) = self.state.launch_ends.pop_front() {
             end.closed = !self.state.held.contains_key(&end.dialogue);
             let mut signalling = ModuleSignalling { state: &mut self.state, effects };
             self.brain.launch_ended(signalling.state.now, end, &mut signalling);
@@ -155,10 +156,10 @@
     }
 
     /// Ends every input: the module hears of all ends, and links that could not be written to are closed.
-    fn settle(&mut self, effects: &mut dyn EdgeEffects) {
+    fn finish_input(&mut self, effects: &mut dyn EdgeEffects) {
         loop {
-            self.hand_over_ends(effects);
-            let Some((link, why)) = self.state.broken.pop_front() else { break };
+            self.report_launch_ends(effects);
+            let Some((link, why)) = self.state.failed_links.pop_front() else { break };
             self.drop_link(link, why, effects);
         }
     }
--- a/crates/edge/src/edge/connections.rs
+++ b/crates/edge/src/edge/connections.rs
@@ -22,40 +22,41 @@
     ) -> bool {
         self.state.now = now;
         let link = self.state.servers.get(server).and_then(|core| core.link);
-        let link = link.filter(|link| self.state.links.get(link).is_some_and(|known| known.greeted));
+        let link = link.filter(|link| self.state.links.get(link).is_some_and(|known| known.handshake_done));
         if let Some(link) = link {
-            self.signalling(effects).say(link, frame);
+            self.signalling(effects).send_frame(link, frame);
         }
-        self.settle(effects);
+        self.finish_input(effects);
         link.is_some()
     }
 
     /// The server at the other end of a link that is up, where that is one.
     pub fn connected_core(&self, link: LinkId) -> Option<ServerId> {
-        self.server_of(link).filter(|_| self.state.links.get(&link).is_some_and(|known| known.greeted))
+        self.server_of_link(link)
+            .filter(|_| self.state.links.get(&link).is_some_and(|known| known.handshake_done))
     }
 
     /// Core servers to which a link is up.
     pub fn connected_cores(&self) -> impl Iterator<Item = &ServerId> {
-        let up = |core: &CoreServer| {
-            core.link.and_then(|link| self.state.links.get(&link)).is_some_and(|l| l.greeted)
+        let is_up = |core: &CoreServer| {
+            core.link.and_then(|link| self.state.links.get(&link)).is_some_and(|l| l.handshake_done)
         };
-        self.state.servers.iter().filter(move |(_, core)| up(core)).map(|(id, _)| id)
+        self.state.servers.iter().filter(move |(_, core)| is_up(core)).map(|(id, _)| id)
     }
 
     /// A link has come in.
     pub fn link_opened(&mut self, now: Duration, link: LinkId, effects: &mut dyn EdgeEffects) {
         self.state.now = now;
-        if self.state.callers >= self.state.limits.max_links {
+        if self.state.caller_links >= self.state.limits.max_links {
             self.state.counts.links_closed += 1;
             effects.close(link, "too many links");
             return;
         }
-        self.state.callers += 1;
-        self.state.links.insert(link, Link::new(Peer::Fresh, now));
-        self.state.fresh.push_back(link);
-        if self.state.fresh.len() > self.state.limits.max_unidentified_links
-            && let Some(oldest) = self.state.fresh.front().copied()
+        self.state.caller_links += 1;
+        self.state.links.insert(link, Link::new(Peer::Unidentified, now));
+        self.state.unidentified.push_back(link);
+        if self.state.unidentified.len() > self.state.limits.max_unidentified_links
+            && let Some(oldest) = self.state.unidentified.front().copied()
         {
             self.drop_link(oldest, "too many links that say no hello", effects);
         }
@@ -66,9 +67,9 @@
         self.state.now = now;
         if self.state.links.contains_key(&link) {
             let hello = Hello::new(Role::Edge, self.name.clone());
-            self.signalling(effects).say(link, Frame::Hello(hello));
+            self.signalling(effects).send_frame(link, Frame::Hello(hello));
         }
-        self.settle(effects);
+        self.finish_input(effects);
     }
 
     /// The shell vouches for a link that came in or was begun: it is up, whoever is there needs no hello, and it lasts
@@ -76,18 +77,18 @@
     pub fn link_trusted(&mut self, now: Duration, link: LinkId, effects: &mut dyn EdgeEffects) {
         self.state.now = now;
         if let Some(known) = self.state.links.get_mut(&link) {
-            (known.greeted, known.vouched) = (true, true);
-            if matches!(known.kind, Peer::Fresh) {
-                known.kind = Peer::Caller(Arc::from("callers"));
-                self.state.fresh.retain(|fresh| *fresh != link);
+            (known.handshake_done, known.trusted) = (true, true);
+            if matches!(known.peer, Peer::Unidentified) {
+                known.peer = Peer::Caller(Arc::from("callers"));
+                self.state.unidentified.retain(|known| *known != link);
             }
-            self.send_queued(link, effects);
+            self.send_queued_launches(link, effects);
         }
-        self.settle(effects);
+        self.finish_input(effects);
     }
 
-    pub(super) fn server_of(&self, link: LinkId) -> Option<ServerId> {
-        match &self.state.links.get(&link)?.kind {
+    pub(super) fn server_of_link(&self, link: LinkId) -> Option<ServerId> {
+        match &self.state.links.get(&link)?.peer {
             Peer::Core(server) => Some(server.clone()),
             _ => None,
         }
@@ -96,57 +97,61 @@
     /// A link has gone, or did not come up.
     pub fn link_closed(&mut self, now: Duration, link: LinkId, why: &str, effects: &mut dyn EdgeEffects) {
         self.state.now = now;
-        self.forget_link(link, why, effects);
-        self.settle(effects);
+        self.remove_link(link, why, effects);
+        self.finish_input(effects);
     }
 
     /// What waited for this link to come up goes.
-    pub(super) fn send_queued(&mut self, link: LinkId, effects: &mut dyn EdgeEffects) {
-        let Some(server) = self.server_of(link) else { return };
+    pub(super) fn send_queued_launches(&mut self, link: LinkId, effects: &mut dyn EdgeEffects) {
+        let Some(server) = self.server_of_link(link) else { return };
         let core = self.state.servers.get_mut(&server).filter(|core| core.link == Some(link));
-        let queued = core.map(|core| std::mem::take(&mut core.queued)).unwrap_or_default();
+        let queued = core.map(|core| std::mem::take(&mut core.queued_launches)).unwrap_or_default();
         for id in queued {
             if !self.signalling(effects).send_launch(&id, link) {
-                self.server_unreachable(&id, &server, effects);
+                self.end_launch_as_unreachable(&id, &server, effects);
             }
         }
     }
 
-    pub(super) fn server_unreachable(
+    pub(super) fn end_launch_as_unreachable(
         &mut self, id: &DialogueId, server: &ServerId, effects: &mut dyn EdgeEffects,
     ) {
-        let at = self.state.held.get(id).map(|held| &held.at);
-        if let Some(&Stage::Out { launch, .. }) = at {
-            self.signalling(effects).launch_unreachable(id, launch, server);
+        let at = self.state.held.get(id).map(|held| &held.stage);
+        if let Some(&Stage::Launched { launch, .. }) = at {
+            self.signalling(effects).end_unreachable_launch(id, launch, server);
         }
     }
 
-    pub(super) fn sweep(&mut self, effects: &mut dyn EdgeEffects) {
+    pub(super) fn check_links(&mut self, effects: &mut dyn EdgeEffects) {
         let (now, limits) = (self.state.now, self.state.limits.clone());
         let mut closing: Vec<(LinkId, &str)> = Vec::new();
-        let mut silent = Vec::new();
+        let mut unresponsive = Vec::new();
         for (id, link) in &mut self.state.links {
-            let within =
-                if matches!(link.kind, Peer::Fresh) { limits.hello_timeout } else { limits.connect_timeout };
+            let timeout = if matches!(link.peer, Peer::Unidentified) {
+                limits.hello_timeout
+            } else {
+                limits.connect_timeout
+            };
             // The link to a former life of a server, or to one that is gone, ends with the last dialogue there.
-            let left = |server| {
+            let is_abandoned = |server| {
                 let core: Option<&CoreServer> = self.state.servers.get(server);
-                core.is_none_or(|core| core.link != Some(*id) || core.listed == ServerState::Gone)
+                core.is_none_or(|core| core.link != Some(*id) || core.state == ServerState::Gone)
             };
-            if matches!(&link.kind, Peer::Core(server) if link.dialogues.is_empty() && left(server)) {
+            if matches!(&link.peer, Peer::Core(server) if link.dialogues.is_empty() && is_abandoned(server)) {
                 closing.push((*id, "nobody is there any more"));
-            } else if link.vouched {
-            } else if !link.greeted && now >= link.since + within {
+            } else if link.trusted {
+            } else if !link.handshake_done && now >= link.opened_at + timeout {
                 closing.push((*id, "no hello in time"));
-            } else if link.greeted && now >= link.heard + limits.response_timeout {
+            } else if link.handshake_done && now >= link.last_received + limits.response_timeout {
                 closing.push((*id, "silent, taken as dead"));
-            } else if link.greeted && !link.asked && now >= link.heard + limits.ping_after {
-                link.asked = true;
-                silent.push(*id);
+            } else if link.handshake_done && !link.ping_sent && now >= link.last_received + limits.ping_after
+            {
+                link.ping_sent = true;
+                unresponsive.push(*id);
             }
         }
-        for link in silent {
-            self.signalling(effects).say(link, Frame::Ping { nonce: now.as_micros() as u64 });
+        for link in unresponsive {
+            self.signalling(effects).send_frame(link, Frame::Ping { nonce: now.as_micros() as u64 });
         }
         for (link, why) in closing {
             self.drop_link(link, why, effects);
@@ -157,70 +162,74 @@
     pub(super) fn drop_link(&mut self, link: LinkId, why: &str, effects: &mut dyn EdgeEffects) {
         if self.state.links.contains_key(&link) {
             effects.close(link, why);
-            self.forget_link(link, why, effects);
+            self.remove_link(link, why, effects);
         }
     }
 
     /// What was on a link that is gone, ends.
-    fn forget_link(&mut self, link: LinkId, why: &str, effects: &mut dyn EdgeEffects) {
+    fn remove_link(&mut self, link: LinkId, why: &str, effects: &mut dyn EdgeEffects) {
         let Some(mut known) = self.state.links.remove(&link) else { return };
         self.state.counts.links_closed += 1;
         let dialogues = std::mem::take(&mut known.dialogues);
-        match known.kind {
-            Peer::Fresh => self.forget_caller_link(link, "that said no hello", dialogues, why, effects),
-            Peer::Caller(name) => self.forget_caller_link(link, &name, dialogues, why, effects),
+        match known.peer {
+            Peer::Unidentified => {
+                self.remove_caller_link(link, "that said no hello", dialogues, why, effects)
+            }
+            Peer::Caller(name) => self.remove_caller_link(link, &name, dialogues, why, effects),
             Peer::List => {
                 effects.log(LogTopic::Link, &format!("list gone: {why}"));
-                self.list_at = Some(self.state.now + LIST_RETRY_INTERVAL);
+                self.next_list_connect = Some(self.state.now + LIST_RETRY_INTERVAL);
             }
-            Peer::Core(server) => self.forget_core_link(link, &server, dialogues, why, effects),
+            Peer::Core(server) => self.remove_core_link(link, &server, dialogues, why, effects),
         }
     }
 
-    fn forget_caller_link(
+    fn remove_caller_link(
         &mut self, link: LinkId, name: &str, dialogues: BTreeSet<DialogueId>, why: &str,
         effects: &mut dyn EdgeEffects,
     ) {
-        self.state.callers -= 1;
-        self.state.fresh.retain(|fresh| *fresh != link);
+        self.state.caller_links -= 1;
+        self.state.unidentified.retain(|known| *known != link);
         let open = dialogues.len();
         effects.log(LogTopic::Link, &format!("caller {name} gone with {open} dialogues: {why}"));
         for id in dialogues {
-            self.hung_up(&id, effects);
-            self.hand_over_ends(effects);
+            self.caller_hung_up(&id, effects);
+            self.report_launch_ends(effects);
         }
     }
 
-    fn forget_core_link(
+    fn remove_core_link(
         &mut self, link: LinkId, server: &ServerId, dialogues: BTreeSet<DialogueId>, why: &str,
         effects: &mut dyn EdgeEffects,
     ) {
-        let there = dialogues.len();
-        effects.log(LogTopic::Link, &format!("link to {} gone with {there} dialogues: {why}", server.0));
+        let open = dialogues.len();
+        effects.log(LogTopic::Link, &format!("link to {} gone with {open} dialogues: {why}", server.0));
         let core = self.state.servers.get_mut(server).filter(|core| core.link == Some(link));
         let queued = core.map(|core| {
             core.link = None;
-            std::mem::take(&mut core.queued)
+            std::mem::take(&mut core.queued_launches)
         });
         for id in queued.unwrap_or_default() {
-            self.server_unreachable(&id, server, effects);
+            self.end_launch_as_unreachable(&id, server, effects);
         }
         for id in dialogues {
-            self.cut_off(&id, server, effects);
-            self.hand_over_ends(effects);
+            self.end_dialogue_of_lost_link(&id, server, effects);
+            self.report_launch_ends(effects);
         }
         self.remove_server_if_gone(server);
     }
 
     /// The link that this dialogue was on is gone.
-    fn cut_off(&mut self, id: &DialogueId, server: &ServerId, effects: &mut dyn EdgeEffects) {
-        let at = self.state.held.get(id).map(|held| held.at.clone());
+    fn end_dialogue_of_lost_link(
+        &mut self, id: &DialogueId, server: &ServerId, effects: &mut dyn EdgeEffects,
+    ) {
+        let at = self.state.held.get(id).map(|held| held.stage.clone());
         match at {
-            Some(Stage::Out { launch, .. }) => {
+            Some(Stage::Launched { launch, .. }) => {
                 let mut signalling = self.signalling(effects);
-                signalling.launch_over(id);
-                signalling.back(id, true);
-                signalling.end(id, launch, server, Outcome::BrokenOff);
+                signalling.clear_launch(id);
+                signalling.record_launch_returned(id, true);
+                signalling.queue_launch_end(id, launch, server, Outcome::BrokenOff);
             }
             Some(Stage::Standing { launch, link, .. }) => {
                 self.standing_ended(
--- a/crates/edge/src/edge/core_frames.rs
+++ b/crates/edge/src/edge/core_frames.rs
@@ -10,15 +10,15 @@
 
 impl<D: Decisions> Edge<D> {
     /// False: a frame that a core server does not send.
-    pub(super) fn core_frame(
+    pub(super) fn core_frame_received(
         &mut self, link: LinkId, server: &ServerId, frame: Frame, extra: Vec<Extra>,
         effects: &mut dyn EdgeEffects,
     ) -> bool {
         match frame {
-            Frame::Report { report } => self.reported(server, &report, effects),
+            Frame::Report { report } => self.load_reported(server, &report, effects),
             Frame::Stood { dialogue, launch, report } => {
                 self.launch_stood(link, server, dialogue, launch, extra, effects);
-                self.reported(server, &report, effects);
+                self.load_reported(server, &report, effects);
             }
             Frame::TurnedBack { dialogue, launch, cause, report } => {
                 let outcome = match cause {
@@ -49,39 +49,41 @@
         &mut self, link: LinkId, server: &ServerId, dialogue: DialogueId, launch: LaunchNumber,
         extra: Vec<Extra>, effects: &mut dyn EdgeEffects,
     ) {
-        if !self.is_out(&dialogue, launch, link) {
+        if !self.is_launched(&dialogue, launch, link) {
             // It crossed a cancel, or comes twice: unless it is the one that stands, its lines go back.
             self.state.counts.strays += 1;
             if !self.is_standing(&dialogue, launch, link) {
-                self.called_off_again(&dialogue, server.clone(), effects);
-                self.signalling(effects).say(link, Frame::Release { dialogue, launch });
+                self.restart_release_time(&dialogue, server.clone(), effects);
+                self.signalling(effects).send_frame(link, Frame::Release { dialogue, launch });
             }
             return;
         }
         let mut signalling = ModuleSignalling { state: &mut self.state, effects };
-        signalling.launch_over(&dialogue);
+        signalling.clear_launch(&dialogue);
         signalling.state.counts.stood += 1;
         if let Some(caller) = signalling.mark_standing(&dialogue, server, launch, link) {
             let stands = Frame::Stands { dialogue: dialogue.clone(), server: server.clone() };
-            signalling.answer(caller, &dialogue, launch, Message { frame: stands, extra });
+            signalling.send_final_answer(caller, &dialogue, launch, Message { frame: stands, extra });
         }
         self.brain.dialogue_stands(signalling.state.now, &dialogue, launch, server, &mut signalling);
     }
 
-    pub(super) fn reported(&mut self, server: &ServerId, report: &LoadReport, effects: &mut dyn EdgeEffects) {
+    pub(super) fn load_reported(
+        &mut self, server: &ServerId, report: &LoadReport, effects: &mut dyn EdgeEffects,
+    ) {
         if *report != LoadReport::default() {
             let mut signalling = ModuleSignalling { state: &mut self.state, effects };
             self.brain.load_reported(signalling.state.now, server, report, &mut signalling);
         }
     }
 
-    pub(super) fn is_out(&self, id: &DialogueId, launch: LaunchNumber, link: LinkId) -> bool {
-        let at = self.state.held.get(id).map(|held| &held.at);
-        matches!(at, Some(Stage::Out { launch: out, link: over, .. }) if (*out, *over) == (launch, Some(link)))
+    pub(super) fn is_launched(&self, id: &DialogueId, launch: LaunchNumber, link: LinkId) -> bool {
+        let at = self.state.held.get(id).map(|held| &held.stage);
+        matches!(at, Some(Stage::Launched { launch: out, link: over, .. }) if (*out, *over) == (launch, Some(link)))
     }
 
     fn is_standing_or_releasing(&self, id: &DialogueId, launch: LaunchNumber, link: LinkId) -> bool {
-        match self.state.held.get(id).map(|held| &held.at) {
+        match self.state.held.get(id).map(|held| &held.stage) {
             Some(
                 Stage::Standing { launch: out, link: over, .. }
                 | Stage::Releasing { launch: out, link: over, .. },
@@ -91,7 +93,7 @@
     }
 
     fn is_standing(&self, id: &DialogueId, launch: LaunchNumber, link: LinkId) -> bool {
-        let at = self.state.held.get(id).map(|held| &held.at);
+        let at = self.state.held.get(id).map(|held| &held.stage);
         matches!(at, Some(Stage::Standing { launch: out, link: over, .. }) if (*out, *over) == (launch, link))
     }
 }
--- a/crates/edge/src/edge/dialling.rs
+++ b/crates/edge/src/edge/dialling.rs
@@ -19,53 +19,53 @@
     /// It is held already, and will have its answer.
     Repeated,
     Declined(DeclineReason),
-    /// It is held from now on; `seeks`: what is known of it elsewhere is sought first.
-    Taken {
-        seeks: bool,
+    /// It is held from now on; `look_up_first`: what is known of it elsewhere is sought first.
+    Accepted {
+        look_up_first: bool,
     },
 }
 
 impl<D: Decisions> Edge<D> {
-    pub(super) fn dialled(
+    pub(super) fn dial_received(
         &mut self, link: LinkId, dial: Dial, extra: Vec<Extra>, effects: &mut dyn EdgeEffects,
     ) {
         let id = dial.dialogue.clone();
-        let seeks = match self.admission(link, &dial, effects) {
+        let look_up_first = match self.admission(link, &dial, effects) {
             Admission::Repeated => return,
             Admission::Declined(why) => {
                 self.state.counts.declined += 1;
                 return self
                     .signalling(effects)
-                    .say(link, Frame::Declined { dialogue: id, why, retry_after: None });
+                    .send_frame(link, Frame::Declined { dialogue: id, why, retry_after: None });
             }
-            Admission::Taken { seeks } => seeks,
+            Admission::Accepted { look_up_first } => look_up_first,
         };
         self.state.counts.taken += 1;
-        let cut_off = self.cut_off_of(link, &dial);
-        let held = HeldDialogue::of_dial(&dial, link, cut_off, Stage::Waiting, extra);
+        let cut_off = self.cut_off_time(link, &dial);
+        let held = HeldDialogue::from_dial(&dial, link, cut_off, Stage::Waiting, extra);
         self.state.held.insert(id.clone(), held);
-        self.signalling(effects).add_to_link(link, &id);
-        if seeks {
+        self.signalling(effects).add_dialogue_to_link(link, &id);
+        if look_up_first {
             self.state.counts.sought += 1;
             self.state.deadlines.set(cut_off, &id, NO_LAUNCH);
             if let Some(held) = self.state.held.get_mut(&id) {
-                held.at = Stage::Sought(Box::new(dial));
+                held.stage = Stage::LookingUpOutcome(Box::new(dial));
             }
             return;
         }
         effects.record(&id, DialogueStep::Accepted);
-        self.decide(&dial, effects);
+        self.submit_to_decisions(&dial, effects);
     }
 
     /// Whether a dial is taken. Where it may have been dialled before elsewhere, it is asked after on the way.
     fn admission(&mut self, link: LinkId, dial: &Dial, effects: &mut dyn EdgeEffects) -> Admission {
         let id = &dial.dialogue;
         if let Some(held) = self.state.held.get(id) {
-            if held.link == link && !matches!(held.at, Stage::Releasing { .. }) {
+            if held.caller_link == link && !matches!(held.stage, Stage::Releasing { .. }) {
                 self.state.counts.repeats += 1; // It is in already, and will have its answer.
                 return Admission::Repeated;
             }
-            return self.take_over(id, link).map_or(Admission::Repeated, Admission::Declined);
+            return self.move_to_newer_link(id, link).map_or(Admission::Repeated, Admission::Declined);
         }
         let concluded = self.state.concluded.contains(id);
         if concluded && !dial.is_repeat {
@@ -74,38 +74,38 @@
         if self.state.held.len() >= self.state.limits.max_dialogues {
             return Admission::Declined(DeclineReason::Full);
         }
-        if !self.can_be_read(dial) {
+        if !self.is_valid_dial(dial) {
             return Admission::Declined(DeclineReason::Unknown);
         }
-        if dial.dialled.is_some() && self.numbers.as_ref().is_some_and(|numbers| !numbers.is_ready()) {
+        if dial.dialled.is_some() && self.numbers.as_ref().is_some_and(|numbers| !numbers.has_tables()) {
             return Admission::Declined(DeclineReason::NotReady);
         }
-        let seeks = dial.is_repeat && effects.look_up_dialogue(id, self.state.now + dial.time_left);
-        if concluded && !seeks {
+        let look_up_first = dial.is_repeat && effects.look_up_dialogue(id, self.state.now + dial.time_left);
+        if concluded && !look_up_first {
             return Admission::Declined(DeclineReason::Concluded);
         }
-        Admission::Taken { seeks }
+        Admission::Accepted { look_up_first }
     }
 
     /// Whether product, tenant, width and time left are such as can be.
-    fn can_be_read(&self, dial: &Dial) -> bool {
-        usize::from(dial.product) < self.products
-            && dial.tenant.is_none_or(|tenant| usize::from(tenant) < self.tenants)
+    fn is_valid_dial(&self, dial: &Dial) -> bool {
+        usize::from(dial.product) < self.product_count
+            && dial.tenant.is_none_or(|tenant| usize::from(tenant) < self.tenant_count)
             && (dial.width > 0.0 && dial.width <= MAX_WIDTH)
             && !dial.time_left.is_zero()
     }
 
     /// When the caller gives this dial up. One that was long on its way has lost that time; one that lost all of it is
     /// answered at once.
-    fn cut_off_of(&mut self, link: LinkId, dial: &Dial) -> Duration {
+    fn cut_off_time(&mut self, link: LinkId, dial: &Dial) -> Duration {
         let now = self.state.now;
         let known = self.state.links.get_mut(&link).zip(dial.sent_at);
-        let delay = known.map_or(Duration::ZERO, |(known, sent_at)| known.delay.of(now, sent_at));
+        let delay = known.map_or(Duration::ZERO, |(known, sent_at)| known.delay.measure(now, sent_at));
         now + dial.time_left.saturating_sub(delay)
     }
 
     /// From now on it is for the module to decide, once its number is analysed.
-    pub(super) fn decide(&mut self, dial: &Dial, effects: &mut dyn EdgeEffects) {
+    pub(super) fn submit_to_decisions(&mut self, dial: &Dial, effects: &mut dyn EdgeEffects) {
         let now = self.state.now;
         let id = dial.dialogue.clone();
         let Some(cut_off) = self.state.held.get(&id).map(|held| held.cut_off) else { return };
@@ -132,23 +132,24 @@
 
     /// A dialogue that is held is dialled on another link: where it is the same caller's, its former link is
     /// probably dead, and the answer goes to the new one.
-    fn take_over(&mut self, id: &DialogueId, link: LinkId) -> Option<DeclineReason> {
-        let name = |link: &Link| match &link.kind {
+    fn move_to_newer_link(&mut self, id: &DialogueId, link: LinkId) -> Option<DeclineReason> {
+        let caller_name = |link: &Link| match &link.peer {
             Peer::Caller(name) => Some(name.clone()),
             _ => None,
         };
         let held = self.state.held.get_mut(id)?;
-        let before = held.link;
-        let same = self.state.links.get(&before).and_then(name) == self.state.links.get(&link).and_then(name);
-        if !same {
+        let previous_link = held.caller_link;
+        let is_same_caller = self.state.links.get(&previous_link).and_then(caller_name)
+            == self.state.links.get(&link).and_then(caller_name);
+        if !is_same_caller {
             return Some(DeclineReason::NotYours);
         }
-        if matches!(held.at, Stage::Standing { .. } | Stage::Releasing { .. }) {
+        if matches!(held.stage, Stage::Standing { .. } | Stage::Releasing { .. }) {
             return Some(DeclineReason::Concluded);
         }
-        held.link = link;
+        held.caller_link = link;
         self.state.counts.repeats += 1;
-        if let Some(known) = self.state.links.get_mut(&before) {
+        if let Some(known) = self.state.links.get_mut(&previous_link) {
             known.dialogues.remove(id);
         }
         if let Some(known) = self.state.links.get_mut(&link) {
@@ -158,36 +159,36 @@
     }
 
     /// The caller wants no more of this dialogue.
-    pub(super) fn hung_up(&mut self, id: &DialogueId, effects: &mut dyn EdgeEffects) {
+    pub(super) fn caller_hung_up(&mut self, id: &DialogueId, effects: &mut dyn EdgeEffects) {
         let now = self.state.now;
         let Some(held) = self.state.held.get_mut(id) else { return };
-        match held.at.clone() {
+        match held.stage.clone() {
             Stage::Standing { server, launch, link } => {
                 let until = now + self.state.limits.release_timeout;
-                held.at = Stage::Releasing { server, launch, link, until };
+                held.stage = Stage::Releasing { server, launch, link, until };
                 self.state.deadlines.set(until, id, launch);
-                self.signalling(effects).say(link, Frame::Release { dialogue: id.clone(), launch });
+                self.signalling(effects).send_frame(link, Frame::Release { dialogue: id.clone(), launch });
             }
             Stage::Releasing { .. } => {}
             at => {
                 self.state.counts.left += 1;
-                self.drop_unanswered(id, &at, effects);
+                self.withdraw_unanswered(id, &at, effects);
             }
         }
     }
 
     /// Lets go of a dialogue that has no answer yet, and withdraws it from whoever works on it; gives its caller's link.
-    pub(super) fn drop_unanswered(
+    pub(super) fn withdraw_unanswered(
         &mut self, id: &DialogueId, at: &Stage, effects: &mut dyn EdgeEffects,
     ) -> Option<LinkId> {
         match at {
-            Stage::Sought(_) | Stage::Barred(..) => self.clear_sought_deadline(id, at),
-            Stage::Asking => {
+            Stage::LookingUpOutcome(_) | Stage::Blocked(..) => self.clear_outcome_deadline(id, at),
+            Stage::LookingUpNumber => {
                 if let Some(numbers) = &mut self.numbers {
-                    numbers.forget(id);
+                    numbers.cancel_look_up(id);
                 }
             }
-            Stage::Waiting | Stage::Out { .. } => {
+            Stage::Waiting | Stage::Launched { .. } => {
                 let mut signalling = ModuleSignalling { state: &mut self.state, effects };
                 self.brain.caller_left(signalling.state.now, id, &mut signalling);
             }
--- a/crates/edge/src/edge/launch_ends.rs
+++ b/crates/edge/src/edge/launch_ends.rs
@@ -21,10 +21,10 @@
     ) {
         self.state.now = now;
         self.expire_deadlines(effects);
-        if let Some(server) = self.server_of(link) {
+        if let Some(server) = self.server_of_link(link) {
             self.launch_ended(link, &server, id, launch, outcome, report, effects);
         }
-        self.settle(effects);
+        self.finish_input(effects);
     }
 
     /// A launch on this link is over that has stood, or may have, though no answer came: its end is owed to the caller. What
@@ -39,11 +39,11 @@
     ) {
         self.state.now = now;
         self.expire_deadlines(effects);
-        let Some(server) = self.server_of(link) else { return self.settle(effects) };
-        let out = launch.filter(|launch| self.is_out(id, *launch, link));
+        let Some(server) = self.server_of_link(link) else { return self.finish_input(effects) };
+        let out = launch.filter(|launch| self.is_launched(id, *launch, link));
         if let Some(launch) = out {
             let mut signalling = ModuleSignalling { state: &mut self.state, effects };
-            signalling.launch_over(id);
+            signalling.clear_launch(id);
             signalling.fail(id);
             let outcome = if end == DialogueEnd::Cut { Outcome::BrokenOff } else { Outcome::Ended };
             let end = LaunchEnd { dialogue: id.clone(), launch, server, outcome, closed: true, report };
@@ -55,9 +55,9 @@
                 signalling.fail(id);
             }
             self.state.counts.strays += 1;
-            self.reported(&server, &report, effects);
+            self.load_reported(&server, &report, effects);
         }
-        self.settle(effects);
+        self.finish_input(effects);
     }
 
     /// A launch on this link has answered after it was called off: its server had not read that yet. The release time of a
@@ -67,18 +67,18 @@
     ) {
         self.state.now = now;
         self.expire_deadlines(effects);
-        if let Some(server) = self.server_of(link) {
-            self.called_off_again(id, server, effects);
+        if let Some(server) = self.server_of_link(link) {
+            self.restart_release_time(id, server, effects);
         }
-        self.settle(effects);
+        self.finish_input(effects);
     }
 
     /// Tells the module, and whoever keeps a copy of the dialogue, that its last launch was out until now.
-    pub(super) fn called_off_again(
+    pub(super) fn restart_release_time(
         &mut self, id: &DialogueId, server: ServerId, effects: &mut dyn EdgeEffects,
     ) {
         let Some(held) = self.state.held.get(id) else { return };
-        if !matches!(held.at, Stage::Waiting) || held.launches == 0 {
+        if !matches!(held.stage, Stage::Waiting) || held.launches == 0 {
             return;
         }
         let end = LaunchEnd {
@@ -90,15 +90,15 @@
             report: LoadReport::default(),
         };
         let mut signalling = ModuleSignalling { state: &mut self.state, effects };
-        signalling.back(id, true);
+        signalling.record_launch_returned(id, true);
         self.brain.launch_ended(signalling.state.now, end, &mut signalling);
     }
 
     /// Whether a dialogue that has no answer yet had a launch that is not out any more.
     pub fn has_previous_launch(&self, id: &DialogueId) -> bool {
-        self.state.held.get(id).is_some_and(|held| match held.at {
+        self.state.held.get(id).is_some_and(|held| match held.stage {
             Stage::Waiting => held.launches > 0,
-            Stage::Out { .. } => held.launches > 1,
+            Stage::Launched { .. } => held.launches > 1,
             _ => false,
         })
     }
@@ -111,17 +111,17 @@
     ) -> bool {
         self.state.now = now;
         self.expire_deadlines(effects);
-        let at = self.state.held.get(id).map(|held| &held.at);
+        let at = self.state.held.get(id).map(|held| &held.stage);
         let launch = match at {
             Some(
                 Stage::Standing { launch, link: over, .. } | Stage::Releasing { launch, link: over, .. },
             ) if *over == link => *launch,
             _ => return false,
         };
-        if let Some(server) = self.server_of(link) {
+        if let Some(server) = self.server_of_link(link) {
             self.standing_ended(id, launch, &server, link, end, report, effects);
         }
-        self.settle(effects);
+        self.finish_input(effects);
         true
     }
 
@@ -130,13 +130,16 @@
         &mut self, link: LinkId, server: &ServerId, id: &DialogueId, launch: LaunchNumber, outcome: Outcome,
         report: LoadReport, effects: &mut dyn EdgeEffects,
     ) {
-        if !self.is_out(id, launch, link) {
+        if !self.is_launched(id, launch, link) {
             self.state.counts.strays += 1;
-            return self.reported(server, &report, effects);
+            return self.load_reported(server, &report, effects);
         }
         let mut signalling = ModuleSignalling { state: &mut self.state, effects };
-        signalling.launch_over(id);
-        signalling.back(id, matches!(outcome, Outcome::BrokenOff | Outcome::TimedOut | Outcome::Cancelled));
+        signalling.clear_launch(id);
+        signalling.record_launch_returned(
+            id,
+            matches!(outcome, Outcome::BrokenOff | Outcome::TimedOut | Outcome::Cancelled),
+        );
         let end = LaunchEnd {
             dialogue: id.clone(),
             launch,
@@ -158,19 +161,19 @@
         if let Some(known) = signalling.state.links.get_mut(&link) {
             known.dialogues.remove(id);
         }
-        let at = signalling.state.held.get(id).map(|held| held.at.clone());
+        let at = signalling.state.held.get(id).map(|held| held.stage.clone());
         match at {
             Some(Stage::Releasing { until, .. }) => {
-                signalling.state.deadlines.unset(until, id, launch);
+                signalling.state.deadlines.clear(until, id, launch);
                 signalling.conclude(id);
                 signalling.effects.record(id, DialogueStep::Ended);
             }
-            Some(Stage::Standing { .. }) if end == DialogueEnd::Cut => signalling.cut(id),
+            Some(Stage::Standing { .. }) if end == DialogueEnd::Cut => signalling.cut_standing(id),
             Some(Stage::Standing { .. }) => {
                 if let Some((caller, _)) = signalling.conclude(id) {
                     signalling.effects.record(id, DialogueStep::Ended);
-                    signalling.flush(id);
-                    signalling.say(caller, Frame::Over { dialogue: id.clone(), end });
+                    signalling.send_pending_answer(id);
+                    signalling.send_frame(caller, Frame::Over { dialogue: id.clone(), end });
                 }
             }
             _ => return,
--- a/crates/edge/src/edge/number_analysis.rs
+++ b/crates/edge/src/edge/number_analysis.rs
@@ -10,7 +10,7 @@
 use super::Edge;
 use crate::held::Stage;
 use crate::links::Peer;
-use crate::numbers::Analysed;
+use crate::numbers::AnalysisResult;
 use crate::signalling::ModuleSignalling;
 use crate::{Decisions, EdgeEffects, LinkId, LogTopic};
 
@@ -21,11 +21,11 @@
     ) {
         self.state.now = now;
         if let Some(numbers) = &mut self.numbers {
-            numbers.replied(now, server, datagram, effects);
+            numbers.reply_received(now, server, datagram, effects);
         }
         self.expire_deadlines(effects);
-        self.numbers_due(effects);
-        self.settle(effects);
+        self.process_number_analysis(effects);
+        self.finish_input(effects);
     }
 
     /// What came of `EdgeEffects::load`.
@@ -38,10 +38,10 @@
             if let Err(why) = &tables {
                 effects.log(LogTopic::Link, &format!("generation {name} is not taken:\n{why}"));
             }
-            numbers.loaded(now, name, tables, effects);
+            numbers.tables_loaded(now, name, tables, effects);
         }
-        self.numbers_due(effects);
-        self.settle(effects);
+        self.process_number_analysis(effects);
+        self.finish_input(effects);
     }
 
     /// An order about tables, from elsewhere than the list; `EdgeEffects::tabled` tells what came of it.
@@ -50,73 +50,74 @@
     ) {
         self.state.now = now;
         match &mut self.numbers {
-            Some(numbers) => numbers.ordered(now, serial, order, effects),
+            Some(numbers) => numbers.order_received(now, serial, order, effects),
             None => effects.tables_order_done(serial, Some("numbers are not analysed here")),
         }
-        self.numbers_due(effects);
-        self.settle(effects);
+        self.process_number_analysis(effects);
+        self.finish_input(effects);
     }
 
     /// An order about tables came from the list.
-    pub(super) fn ordered(
+    pub(super) fn tables_order_received(
         &mut self, link: LinkId, serial: u64, order: TablesOrder, effects: &mut dyn EdgeEffects,
     ) {
         let now = self.state.now;
         match &mut self.numbers {
-            Some(numbers) => numbers.ordered(now, serial, order, effects),
+            Some(numbers) => numbers.order_received(now, serial, order, effects),
             None => {
                 let why = Some(Arc::from("numbers are not analysed here"));
                 self.signalling(effects)
-                    .say(link, Frame::TablesResult { serial, in_force: 0, name: None, why });
+                    .send_frame(link, Frame::TablesResult { serial, in_force: 0, name: None, why });
             }
         }
-        self.numbers_due(effects);
+        self.process_number_analysis(effects);
     }
 
     pub(super) fn analyse(&mut self, dial: &Dial, arrival: Arrival, effects: &mut dyn EdgeEffects) {
         let Some(numbers) = &mut self.numbers else { return };
         self.state.counts.analysed += 1;
         let id = arrival.id.clone();
-        match numbers.begin(self.state.now, dial, arrival, effects) {
-            Some(found) => self.analysed(found, effects),
+        match numbers.start_analysis(self.state.now, dial, arrival, effects) {
+            Some(found) => self.number_analysed(found, effects),
             None => {
                 self.state.counts.looked_up += 1;
                 if let Some(held) = self.state.held.get_mut(&id) {
-                    held.at = Stage::Asking;
+                    held.stage = Stage::LookingUpNumber;
                 }
             }
         }
     }
 
     /// Has generations taken apart that nobody needs any more.
-    pub(super) fn let_go_of_tables(&mut self, effects: &mut dyn EdgeEffects) {
-        let gone = self.numbers.as_mut().map(|numbers| numbers.generations.take_gone()).unwrap_or_default();
-        if !gone.is_empty() {
-            effects.drop_tables(gone);
+    pub(super) fn release_unused_tables(&mut self, effects: &mut dyn EdgeEffects) {
+        let unused = self.numbers.as_mut().map(|numbers| numbers.generations.take_gone()).unwrap_or_default();
+        if !unused.is_empty() {
+            effects.drop_tables(unused);
         }
     }
 
     /// What is due of tables and look-ups, and what came of look-ups meanwhile.
-    pub(super) fn numbers_due(&mut self, effects: &mut dyn EdgeEffects) {
+    pub(super) fn process_number_analysis(&mut self, effects: &mut dyn EdgeEffects) {
         let Some(numbers) = &mut self.numbers else { return };
-        let (found, unanswered) = numbers.due(self.state.now, effects);
-        let said = numbers.take_said();
+        let (found, unanswered) = numbers.process_due(self.state.now, effects);
+        let reports = numbers.take_reports();
         self.state.counts.unanswered += unanswered;
         for found in found {
-            self.analysed(found, effects);
-            self.hand_over_ends(effects);
+            self.number_analysed(found, effects);
+            self.report_launch_ends(effects);
         }
-        if !said.is_empty() {
-            self.tell_of_tables(said, effects);
+        if !reports.is_empty() {
+            self.report_table_orders(reports, effects);
         }
     }
 
     /// Tells the list, where its link is up, and the shell what came of orders about tables.
-    fn tell_of_tables(&mut self, said: Vec<Frame>, effects: &mut dyn EdgeEffects) {
-        let list = self.state.links.iter().find(|(_, link)| matches!(link.kind, Peer::List) && link.greeted);
+    fn report_table_orders(&mut self, reports: Vec<Frame>, effects: &mut dyn EdgeEffects) {
+        let list =
+            self.state.links.iter().find(|(_, link)| matches!(link.peer, Peer::List) && link.handshake_done);
         let list = list.map(|(id, _)| *id);
-        for said in said {
-            if let Frame::TablesResult { serial, in_force, name, why } = &said {
+        for report in reports {
+            if let Frame::TablesResult { serial, in_force, name, why } = &report {
                 effects.tables_order_done(*serial, why.as_deref());
                 let (name, why) = (name.as_deref().unwrap_or("-"), why.as_deref().unwrap_or("done"));
                 effects.log(
@@ -125,14 +126,14 @@
                 );
             }
             if let Some(list) = list {
-                self.signalling(effects).say(list, said);
+                self.signalling(effects).send_frame(list, report);
             }
         }
     }
 
-    fn analysed(&mut self, (mut arrival, found): Analysed, effects: &mut dyn EdgeEffects) {
+    fn number_analysed(&mut self, (mut arrival, found): AnalysisResult, effects: &mut dyn EdgeEffects) {
         let Some(held) = self.state.held.get_mut(&arrival.id) else { return };
-        held.at = Stage::Waiting;
+        held.stage = Stage::Waiting;
         match found {
             Ok(route) => {
                 held.product = route.product;
--- a/crates/edge/src/edge/server_list.rs
+++ b/crates/edge/src/edge/server_list.rs
@@ -15,85 +15,86 @@
 
 impl<D: Decisions> Edge<D> {
     /// A list has come, whole or with the entries that changed.
-    pub(super) fn listed(&mut self, whole: bool, entries: Vec<Entry>, effects: &mut dyn EdgeEffects) {
+    pub(super) fn list_received(&mut self, whole: bool, entries: Vec<Entry>, effects: &mut dyn EdgeEffects) {
         if whole {
-            self.state.servers.values_mut().for_each(|core| core.listed = ServerState::Gone);
+            self.state.servers.values_mut().for_each(|core| core.state = ServerState::Gone);
         }
-        let (known, replaced_links) = self.take_in(entries, effects);
+        let (known, replaced_links) = self.apply_entries(entries, effects);
         for entry in &known {
             if entry.state == ServerState::Active {
-                self.signalling(effects).link_to(&entry.server);
+                self.signalling(effects).link_to_core(&entry.server);
             }
         }
         let mut signalling = ModuleSignalling { state: &mut self.state, effects };
         self.brain.server_list_received(signalling.state.now, whole, &known, &mut signalling);
         self.return_queued_of_inactive(effects);
-        self.remove_gone(replaced_links, effects);
+        self.remove_gone_servers(replaced_links, effects);
     }
 
     /// Takes the entries in, up to the bound; gives what the module is to know of them, and the links to former lives.
-    fn take_in(
+    fn apply_entries(
         &mut self, entries: Vec<Entry>, effects: &mut dyn EdgeEffects,
     ) -> (Vec<ListEntry>, Vec<LinkId>) {
         let mut known = Vec::new();
         let mut replaced_links = Vec::new();
-        let mut left_out = 0;
+        let mut skipped = 0;
         for entry in entries {
             if !self.state.servers.contains_key(&entry.server) && self.state.servers.len() >= MAX_SERVERS {
-                left_out += 1;
+                skipped += 1;
                 continue;
             }
-            let (entry, replaced_link) = self.take_in_entry(entry);
+            let (entry, replaced_link) = self.apply_entry(entry);
             known.push(entry);
             replaced_links.extend(replaced_link);
         }
-        if left_out > 0 {
-            let line =
-                format!("{left_out} servers of the list are left out: {MAX_SERVERS} are known already");
+        if skipped > 0 {
+            let line = format!("{skipped} servers of the list are left out: {MAX_SERVERS} are known already");
             effects.log(LogTopic::Mode, &line);
         }
         (known, replaced_links)
     }
 
     /// Takes one entry in; gives the link to a former life of that server, where there is one.
-    fn take_in_entry(&mut self, entry: Entry) -> (ListEntry, Option<LinkId>) {
-        let since = since_of(self.state.now, entry.age);
+    fn apply_entry(&mut self, entry: Entry) -> (ListEntry, Option<LinkId>) {
+        let started = start_time(self.state.now, entry.age);
         let mut replaced_link = None;
         let core = self.state.servers.entry(entry.server.clone()).or_insert_with(|| CoreServer {
             address: entry.address.clone(),
-            listed: entry.state,
-            life: entry.incarnation,
-            since,
+            state: entry.state,
+            incarnation: entry.incarnation,
+            started,
             link: None,
-            queued: Vec::new(),
+            queued_launches: Vec::new(),
         });
-        if core.life != entry.incarnation || core.address != entry.address {
+        if core.incarnation != entry.incarnation || core.address != entry.address {
             // Another process answers there; what is out on the old link ends with that.
             replaced_link = core.link.take();
-            if core.life != entry.incarnation {
-                core.since = since;
+            if core.incarnation != entry.incarnation {
+                core.started = started;
             }
-            (core.address, core.life) = (entry.address.clone(), entry.incarnation);
+            (core.address, core.incarnation) = (entry.address.clone(), entry.incarnation);
         }
-        core.listed = entry.state;
-        let (number, listed, since) = (entry.number, core.listed, core.since);
-        (ListEntry { server: entry.server, number, state: listed, started: since }, replaced_link)
+        core.state = entry.state;
+        let (number, state, started) = (entry.number, core.state, core.started);
+        (ListEntry { server: entry.server, number, state, started }, replaced_link)
     }
 
     /// What waits for the link of a server that drains is not sent there when the link is up.
     fn return_queued_of_inactive(&mut self, effects: &mut dyn EdgeEffects) {
-        let leaving = self.state.servers.iter_mut().filter(|(_, core)| core.listed != ServerState::Active);
-        let returned: Vec<_> = leaving
-            .flat_map(|(id, core)| std::mem::take(&mut core.queued).into_iter().map(|d| (d, id.clone())))
+        let inactive = self.state.servers.iter_mut().filter(|(_, core)| core.state != ServerState::Active);
+        let returned: Vec<_> = inactive
+            .flat_map(|(id, core)| {
+                std::mem::take(&mut core.queued_launches).into_iter().map(|d| (d, id.clone()))
+            })
             .collect();
         for (dialogue, server) in returned {
-            self.server_unreachable(&dialogue, &server, effects);
+            self.end_launch_as_unreachable(&dialogue, &server, effects);
         }
     }
 
     /// Ends links on which nothing is left of those to former lives and to servers that are gone, and forgets the latter.
-    fn remove_gone(&mut self, mut unused_links: Vec<LinkId>, effects: &mut dyn EdgeEffects) {
-        let gone = self.state.servers.iter().filter(|(_, core)| core.listed == ServerState::Gone);
+    fn remove_gone_servers(&mut self, mut unused_links: Vec<LinkId>, effects: &mut dyn EdgeEffects) {
+        let gone = self.state.servers.iter().filter(|(_, core)| core.state == ServerState::Gone);
         let gone: Vec<ServerId> = gone.map(|(id, _)| id.clone()).collect();
         unused_links.extend(gone.iter().filter_map(|id| self.state.servers.get(id)?.link));
         for link in unused_links {
@@ -109,7 +110,7 @@
     /// Forgets a server that is gone from the list, once no link to it is left and nothing waits for one.
     pub(super) fn remove_server_if_gone(&mut self, id: &ServerId) {
         let unused = |core: &CoreServer| {
-            core.listed == ServerState::Gone && core.link.is_none() && core.queued.is_empty()
+            core.state == ServerState::Gone && core.link.is_none() && core.queued_launches.is_empty()
         };
         if self.state.servers.get(id).is_some_and(unused) {
             self.state.servers.remove(id);
@@ -119,7 +120,7 @@
 
 /// The start of a server of that age, on this clock. Zero means long ago and stays zero; no other
 /// age gives it.
-fn since_of(now: Duration, age: Duration) -> Duration {
+fn start_time(now: Duration, age: Duration) -> Duration {
     if age.is_zero() {
         return Duration::ZERO;
     }
--- a/crates/edge/src/edge/takeover.rs
+++ b/crates/edge/src/edge/takeover.rs
@@ -16,25 +16,25 @@
     ) {
         self.state.now = now;
         self.expire_deadlines(effects);
-        let at = self.state.held.get(id).map(|held| held.at.clone());
-        let Some(Stage::Sought(dial)) = at else { return self.settle(effects) };
+        let at = self.state.held.get(id).map(|held| held.stage.clone());
+        let Some(Stage::LookingUpOutcome(dial)) = at else { return self.finish_input(effects) };
         let held = self.state.held.get_mut(id).expect("it was looked up");
-        let (caller, cut_off) = (held.link, held.cut_off);
-        self.state.deadlines.unset(cut_off, id, NO_LAUNCH);
+        let (caller, cut_off) = (held.caller_link, held.cut_off);
+        self.state.deadlines.clear(cut_off, id, NO_LAUNCH);
         match found {
             PriorOutcome::Free { launch_not_before: not_before } if not_before > now => {
-                held.at = Stage::Barred(dial, not_before);
+                held.stage = Stage::Blocked(dial, not_before);
                 self.state.deadlines.set(not_before.min(cut_off), id, NO_LAUNCH);
             }
             PriorOutcome::Free { .. } => {
-                held.at = Stage::Waiting;
-                self.decide(&dial, effects);
+                held.stage = Stage::Waiting;
+                self.submit_to_decisions(&dial, effects);
             }
             PriorOutcome::Answered(frame) => {
                 self.state.counts.recognised += 1;
                 let mut signalling = self.signalling(effects);
                 signalling.conclude(id);
-                signalling.say(caller, frame);
+                signalling.send_frame(caller, frame);
             }
             PriorOutcome::Stands { server, launch } => {
                 self.resume_standing(id, caller, server, launch, effects)
@@ -44,13 +44,14 @@
                 signalling.conclude(id);
                 signalling.state.counts.declined += 1;
                 let why = DeclineReason::Concluded;
-                signalling.say(caller, Frame::Declined { dialogue: id.clone(), why, retry_after: None });
+                signalling
+                    .send_frame(caller, Frame::Declined { dialogue: id.clone(), why, retry_after: None });
             }
             PriorOutcome::Unresolved { retry_after: come_back } => {
-                self.decline_sought(id, come_back, effects)
+                self.decline_unresolved(id, come_back, effects)
             }
         }
-        self.settle(effects);
+        self.finish_input(effects);
     }
 
     /// It stands at that server, and goes on here; where the server cannot be reached, it is not taken.
@@ -58,25 +59,25 @@
         &mut self, id: &DialogueId, caller: LinkId, server: ServerId, launch: LaunchNumber,
         effects: &mut dyn EdgeEffects,
     ) {
-        let Some(link) = self.signalling(effects).link_to(&server) else {
-            return self.decline_sought(id, None, effects);
+        let Some(link) = self.signalling(effects).link_to_core(&server) else {
+            return self.decline_unresolved(id, None, effects);
         };
         self.state.counts.recognised += 1;
         let mut signalling = self.signalling(effects);
         signalling.mark_standing(id, &server, launch, link);
-        signalling.say(caller, Frame::Stands { dialogue: id.clone(), server });
+        signalling.send_frame(caller, Frame::Stands { dialogue: id.clone(), server });
     }
 
     /// What came of a dialogue dialled before cannot be told: it was never taken here.
-    pub(super) fn decline_sought(
+    pub(super) fn decline_unresolved(
         &mut self, id: &DialogueId, come_back: Option<Duration>, effects: &mut dyn EdgeEffects,
     ) {
         let mut signalling = self.signalling(effects);
-        if let Some(held) = signalling.drop_held(id) {
+        if let Some(held) = signalling.remove_held(id) {
             signalling.state.counts.unsure += 1;
             let frame =
                 Frame::Declined { dialogue: id.clone(), why: DeclineReason::Unsure, retry_after: come_back };
-            signalling.say(held.link, frame);
+            signalling.send_frame(held.caller_link, frame);
         }
     }
 
@@ -85,39 +86,39 @@
     pub fn dialogue_replaced(&mut self, now: Duration, id: &DialogueId, effects: &mut dyn EdgeEffects) {
         self.state.now = now;
         self.expire_deadlines(effects);
-        let at = self.state.held.get(id).map(|held| held.at.clone());
-        let deferred = self.state.pending.drop_of(id);
-        let mut waits = match deferred {
+        let at = self.state.held.get(id).map(|held| held.stage.clone());
+        let deferred = self.state.deferred.remove_dialogue(id);
+        let mut waiting_link = match deferred {
             Some(Deferred::Answer { link, .. }) => Some(link),
             _ => None,
         };
         match at {
             None => {}
             Some(at @ (Stage::Standing { .. } | Stage::Releasing { .. })) => {
-                self.drop_replaced_standing(id, &at, waits.is_none(), effects);
+                self.drop_replaced_standing(id, &at, waiting_link.is_none(), effects);
             }
             Some(at) => {
                 self.state.counts.replaced += 1;
-                waits = self.drop_unanswered(id, &at, effects);
+                waiting_link = self.withdraw_unanswered(id, &at, effects);
             }
         }
-        if let Some(link) = waits {
+        if let Some(link) = waiting_link {
             self.state.counts.unsure += 1;
             let frame =
                 Frame::Declined { dialogue: id.clone(), why: DeclineReason::Unsure, retry_after: None };
-            self.signalling(effects).say(link, frame);
+            self.signalling(effects).send_frame(link, frame);
         }
         // It is not concluded as far as its caller is concerned, who may yet dial it here again.
         self.state.concluded.remove(id);
-        self.settle(effects);
+        self.finish_input(effects);
     }
 
-    /// Lets go of one that stood; `told`: its caller has heard so, and hears now that it is cut.
+    /// Lets go of one that stood; `caller_notified`: its caller has heard so, and hears now that it is cut.
     fn drop_replaced_standing(
-        &mut self, id: &DialogueId, at: &Stage, told: bool, effects: &mut dyn EdgeEffects,
+        &mut self, id: &DialogueId, at: &Stage, caller_notified: bool, effects: &mut dyn EdgeEffects,
     ) {
         if let Stage::Releasing { launch, until, .. } = at {
-            self.state.deadlines.unset(*until, id, *launch);
+            self.state.deadlines.clear(*until, id, *launch);
         }
         if let Stage::Standing { link, .. } | Stage::Releasing { link, .. } = at
             && let Some(known) = self.state.links.get_mut(link)
@@ -126,17 +127,19 @@
         }
         self.state.counts.replaced += 1;
         let mut signalling = self.signalling(effects);
-        if let (Some(held), true, Stage::Standing { .. }) = (signalling.drop_held(id), told, at) {
-            signalling.say(held.link, Frame::Over { dialogue: id.clone(), end: DialogueEnd::Cut });
+        if let (Some(held), true, Stage::Standing { .. }) = (signalling.remove_held(id), caller_notified, at)
+        {
+            signalling
+                .send_frame(held.caller_link, Frame::Over { dialogue: id.clone(), end: DialogueEnd::Cut });
         }
     }
 
     /// A dialogue that was dialled before is sought no longer, nor barred: its deadline goes.
-    pub(super) fn clear_sought_deadline(&mut self, id: &DialogueId, at: &Stage) {
+    pub(super) fn clear_outcome_deadline(&mut self, id: &DialogueId, at: &Stage) {
         let Some(held) = self.state.held.get(id) else { return };
         match at {
-            Stage::Sought(_) => self.state.deadlines.unset(held.cut_off, id, NO_LAUNCH),
-            Stage::Barred(_, until) => self.state.deadlines.unset((*until).min(held.cut_off), id, NO_LAUNCH),
+            Stage::LookingUpOutcome(_) => self.state.deadlines.clear(held.cut_off, id, NO_LAUNCH),
+            Stage::Blocked(_, until) => self.state.deadlines.clear((*until).min(held.cut_off), id, NO_LAUNCH),
             _ => {}
         }
     }
@@ -152,20 +155,20 @@
         let taken = if self.state.held.contains_key(id) {
             true
         } else if self.state.held.len() < self.state.limits.max_dialogues
-            && let Some(there) = self.signalling(effects).link_to(server)
+            && let Some(there) = self.signalling(effects).link_to_core(server)
         {
             let at = Stage::Standing { server: server.clone(), launch: LaunchNumber(0), link: there };
-            let mut held = HeldDialogue::of_dial(dial, link, now, at, Vec::new());
+            let mut held = HeldDialogue::from_dial(dial, link, now, at, Vec::new());
             held.launches = 1;
             self.state.held.insert(id.clone(), held);
             let mut signalling = self.signalling(effects);
-            signalling.add_to_link(link, id);
-            signalling.add_to_link(there, id);
+            signalling.add_dialogue_to_link(link, id);
+            signalling.add_dialogue_to_link(there, id);
             true
         } else {
             false
         };
-        self.settle(effects);
+        self.finish_input(effects);
         taken
     }
 }
--- a/crates/edge/src/edge/timers.rs
+++ b/crates/edge/src/edge/timers.rs
@@ -18,9 +18,10 @@
     /// When `alarm` is to be called next.
     pub fn next_due(&self) -> Duration {
         let numbers = self.numbers.as_ref().and_then(|numbers| numbers.next_due());
-        let pending = self.state.pending.first();
-        let dues = [self.state.alarm, self.state.deadlines.first(), self.list_at, pending, numbers];
-        dues.into_iter().flatten().fold(self.sweep_at, Duration::min)
+        let pending = self.state.deferred.next_deadline();
+        let dues =
+            [self.state.module_timer, self.state.deadlines.next(), self.next_list_connect, pending, numbers];
+        dues.into_iter().flatten().fold(self.next_sweep, Duration::min)
     }
 
     /// What `EdgeEffects::record` gave this number is remembered.
@@ -28,61 +29,61 @@
         self.state.now = now;
         // After a stall, what timed out meanwhile has timed out, and is not sent any more.
         self.expire_deadlines(effects);
-        if let Some((id, deferred)) = self.state.pending.take(number) {
-            self.signalling(effects).go_on(id, deferred, true);
+        if let Some((id, deferred)) = self.state.deferred.take(number) {
+            self.signalling(effects).resume_deferred(id, deferred, true);
         }
-        self.settle(effects);
+        self.finish_input(effects);
     }
 
     /// The time given by `next_due` has come.
     pub fn timer_fired(&mut self, now: Duration, effects: &mut dyn EdgeEffects) {
         self.state.now = now;
         self.expire_deadlines(effects);
-        self.numbers_due(effects);
-        while let Some((id, deferred)) = self.state.pending.overdue(now) {
-            self.signalling(effects).go_on(id, deferred, false);
-            self.hand_over_ends(effects);
+        self.process_number_analysis(effects);
+        while let Some((id, deferred)) = self.state.deferred.take_overdue(now) {
+            self.signalling(effects).resume_deferred(id, deferred, false);
+            self.report_launch_ends(effects);
         }
-        if self.state.alarm.is_some_and(|at| at <= now) {
-            self.state.alarm = None;
+        if self.state.module_timer.is_some_and(|at| at <= now) {
+            self.state.module_timer = None;
             let mut signalling = ModuleSignalling { state: &mut self.state, effects };
             self.brain.timer_fired(now, TimerId(0), &mut signalling);
         }
-        if self.list_at.is_some_and(|at| at <= now) {
-            self.list_at = None;
-            let link = effects.connect(&self.list);
+        if self.next_list_connect.is_some_and(|at| at <= now) {
+            self.next_list_connect = None;
+            let link = effects.connect(&self.list_address);
             self.state.links.insert(link, Link::new(Peer::List, now));
         }
-        if self.sweep_at <= now {
-            self.sweep_at = now + SWEEP_INTERVAL;
-            self.sweep(effects);
-            self.let_go_of_tables(effects);
+        if self.next_sweep <= now {
+            self.next_sweep = now + SWEEP_INTERVAL;
+            self.check_links(effects);
+            self.release_unused_tables(effects);
         }
-        self.settle(effects);
+        self.finish_input(effects);
     }
 
     /// Ends every launch, search and release whose deadline has passed.
     pub(super) fn expire_deadlines(&mut self, effects: &mut dyn EdgeEffects) {
-        while let Some((id, launch)) = self.state.deadlines.pop(self.state.now) {
-            self.timed_out(&id, launch, effects);
-            self.hand_over_ends(effects);
+        while let Some((id, launch)) = self.state.deadlines.take_due(self.state.now) {
+            self.deadline_passed(&id, launch, effects);
+            self.report_launch_ends(effects);
         }
     }
 
-    fn timed_out(&mut self, id: &DialogueId, launch: LaunchNumber, effects: &mut dyn EdgeEffects) {
+    fn deadline_passed(&mut self, id: &DialogueId, launch: LaunchNumber, effects: &mut dyn EdgeEffects) {
         let Some(held) = self.state.held.get(id) else { return };
-        match held.at.clone() {
-            Stage::Out { server, launch: out, .. } if out == launch => {
+        match held.stage.clone() {
+            Stage::Launched { server, launch: out, .. } if out == launch => {
                 let mut signalling = self.signalling(effects);
-                signalling.call_off(id, launch);
-                signalling.end(id, launch, &server, Outcome::TimedOut);
+                signalling.cancel_launch(id, launch);
+                signalling.queue_launch_end(id, launch, &server, Outcome::TimedOut);
             }
-            Stage::Sought(_) => self.decline_sought(id, None, effects),
-            Stage::Barred(dial, _) => {
+            Stage::LookingUpOutcome(_) => self.decline_unresolved(id, None, effects),
+            Stage::Blocked(dial, _) => {
                 if let Some(held) = self.state.held.get_mut(id) {
-                    held.at = Stage::Waiting;
+                    held.stage = Stage::Waiting;
                 }
-                self.decide(&dial, effects);
+                self.submit_to_decisions(&dial, effects);
             }
             Stage::Releasing { server, launch: out, link, .. } if out == launch => {
                 self.standing_ended(
--- a/crates/edge/src/held.rs
+++ b/crates/edge/src/held.rs
@@ -102,14 +102,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Stage {
     /// It was dialled before, and what is known of it elsewhere is sought; the module does not know of it yet.
-    Sought(Box<Dial>),
+    LookingUpOutcome(Box<Dial>),
     /// Nor before this time: a launch of it may be out elsewhere.
-    Barred(Box<Dial>, Duration),
+    Blocked(Box<Dial>, Duration),
     /// Its number is looked up; the module does not know of it yet.
-    Asking,
+    LookingUpNumber,
     Waiting,
     /// On its way to a server; none yet of its link: it waits for that to come up.
-    Out {
+    Launched {
         server: ServerId,
         launch: LaunchNumber,
         until: Duration,
@@ -130,31 +130,33 @@
 }
 
 /// The number to be dialled on, and where it has moved to.
-pub type Numbered = (Arc<str>, Option<Arc<str>>);
+pub type AnalysedNumber = (Arc<str>, Option<Arc<str>>);
 
 pub struct HeldDialogue {
     /// The caller's link.
-    pub link: LinkId,
+    pub caller_link: LinkId,
     /// When the caller gives this try up.
     pub cut_off: Duration,
-    pub at: Stage,
+    pub stage: Stage,
     pub launches: u32,
     pub product: u16,
     pub width: f64,
     pub key: Option<DialledKey>,
     /// The number to be dialled on, and where it has moved to.
-    pub number: Option<Box<Numbered>>,
+    pub number: Option<Box<AnalysedNumber>>,
     /// Optional fields of its dial, which its launches carry on.
     pub extra: Box<[Extra]>,
 }
 
 impl HeldDialogue {
     /// A dialogue as it was dialled, with no launch yet.
-    pub fn of_dial(dial: &Dial, link: LinkId, cut_off: Duration, at: Stage, extra: Vec<Extra>) -> Self {
+    pub fn from_dial(
+        dial: &Dial, caller_link: LinkId, cut_off: Duration, stage: Stage, extra: Vec<Extra>,
+    ) -> Self {
         Self {
-            link,
+            caller_link,
             cut_off,
-            at,
+            stage,
             launches: 0,
             product: dial.product,
             width: dial.width,
@@ -167,35 +169,35 @@
 
 /// Dialogues that have had their answer, so that a repeat of their dial is not taken for a new one.
 #[derive(Default)]
-pub struct Concluded {
-    known: HashMap<DialogueId, Duration>,
-    in_order: VecDeque<(Duration, DialogueId)>,
+pub struct ConcludedDialogues {
+    concluded_at: HashMap<DialogueId, Duration>,
+    by_time: VecDeque<(Duration, DialogueId)>,
 }
 
-impl Concluded {
+impl ConcludedDialogues {
     pub fn contains(&self, id: &DialogueId) -> bool {
-        self.known.contains_key(id)
+        self.concluded_at.contains_key(id)
     }
 
     pub fn add(&mut self, now: Duration, id: &DialogueId, limits: &Limits) {
-        self.known.insert(id.clone(), now);
-        self.in_order.push_back((now, id.clone()));
-        while let Some((since, oldest)) = self.in_order.front()
-            && (self.in_order.len() > limits.max_concluded || *since + limits.concluded_retention <= now)
+        self.concluded_at.insert(id.clone(), now);
+        self.by_time.push_back((now, id.clone()));
+        while let Some((since, oldest)) = self.by_time.front()
+            && (self.by_time.len() > limits.max_concluded || *since + limits.concluded_retention <= now)
         {
-            if self.known.get(oldest) == Some(since) {
-                self.known.remove(oldest);
+            if self.concluded_at.get(oldest) == Some(since) {
+                self.concluded_at.remove(oldest);
             }
-            self.in_order.pop_front();
+            self.by_time.pop_front();
         }
     }
 
     pub fn remove(&mut self, id: &DialogueId) {
-        self.known.remove(id);
+        self.concluded_at.remove(id);
     }
 
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.concluded_at.len()
     }
 }
 
@@ -207,51 +209,51 @@
 
 /// Answers and launches that wait until they are recorded, one a dialogue.
 #[derive(Default)]
-pub struct Pending {
-    by_number: BTreeMap<u64, (Duration, DialogueId, Deferred)>,
+pub struct DeferredSends {
+    by_record: BTreeMap<u64, (Duration, DialogueId, Deferred)>,
     by_dialogue: HashMap<DialogueId, u64>,
-    dues: BTreeSet<(Duration, u64)>,
+    deadlines: BTreeSet<(Duration, u64)>,
 }
 
-impl Pending {
+impl DeferredSends {
     pub fn add(&mut self, by: Duration, number: u64, dialogue: &DialogueId, deferred: Deferred) {
         self.by_dialogue.insert(dialogue.clone(), number);
-        self.by_number.insert(number, (by, dialogue.clone(), deferred));
-        self.dues.insert((by, number));
+        self.by_record.insert(number, (by, dialogue.clone(), deferred));
+        self.deadlines.insert((by, number));
     }
 
     pub fn take(&mut self, number: u64) -> Option<(DialogueId, Deferred)> {
-        let (by, dialogue, deferred) = self.by_number.remove(&number)?;
-        self.dues.remove(&(by, number));
+        let (by, dialogue, deferred) = self.by_record.remove(&number)?;
+        self.deadlines.remove(&(by, number));
         self.by_dialogue.remove(&dialogue);
         Some((dialogue, deferred))
     }
 
     /// The caller's link of an answer of this dialogue that waits.
     pub fn answer_link(&mut self, id: &DialogueId) -> Option<&mut LinkId> {
-        match self.by_number.get_mut(self.by_dialogue.get(id)?) {
+        match self.by_record.get_mut(self.by_dialogue.get(id)?) {
             Some((_, _, Deferred::Answer { link, .. })) => Some(link),
             _ => None,
         }
     }
 
-    pub fn drop_of(&mut self, id: &DialogueId) -> Option<Deferred> {
+    pub fn remove_dialogue(&mut self, id: &DialogueId) -> Option<Deferred> {
         let number = self.by_dialogue.get(id).copied()?;
         self.take(number).map(|(_, deferred)| deferred)
     }
 
     pub fn len(&self) -> usize {
-        self.by_number.len()
+        self.by_record.len()
     }
 
     /// When the first of them has waited long enough.
-    pub fn first(&self) -> Option<Duration> {
-        self.dues.first().map(|(by, _)| *by)
+    pub fn next_deadline(&self) -> Option<Duration> {
+        self.deadlines.first().map(|(by, _)| *by)
     }
 
     /// One that has waited long enough.
-    pub fn overdue(&mut self, now: Duration) -> Option<(DialogueId, Deferred)> {
-        let (by, number) = self.dues.first().copied()?;
+    pub fn take_overdue(&mut self, now: Duration) -> Option<(DialogueId, Deferred)> {
+        let (by, number) = self.deadlines.first().copied()?;
         if by <= now { self.take(number) } else { None }
     }
 }
@@ -265,16 +267,16 @@
         self.0.insert((at, id.clone(), launch));
     }
 
-    pub fn unset(&mut self, at: Duration, id: &DialogueId, launch: LaunchNumber) {
+    pub fn clear(&mut self, at: Duration, id: &DialogueId, launch: LaunchNumber) {
         self.0.remove(&(at, id.clone(), launch));
     }
 
-    pub fn first(&self) -> Option<Duration> {
+    pub fn next(&self) -> Option<Duration> {
         self.0.first().map(|(at, ..)| *at)
     }
 
-    pub fn pop(&mut self, now: Duration) -> Option<(DialogueId, LaunchNumber)> {
-        if self.first()? > now {
+    pub fn take_due(&mut self, now: Duration) -> Option<(DialogueId, LaunchNumber)> {
+        if self.next()? > now {
             return None;
         }
         self.0.pop_first().map(|(_, id, launch)| (id, launch))
--- a/crates/edge/src/links.rs
+++ b/crates/edge/src/links.rs
@@ -10,75 +10,76 @@
 
 pub enum Peer {
     /// Accepted, and has not said hello.
-    Fresh,
+    Unidentified,
     Caller(Arc<str>),
     Core(ServerId),
     List,
 }
 
 pub struct Link {
-    pub kind: Peer,
+    pub peer: Peer,
     /// It is up and the other side has said hello.
-    pub greeted: bool,
+    pub handshake_done: bool,
     /// The shell vouches for it: no hello, no pings, never swept for silence.
-    pub vouched: bool,
+    pub trusted: bool,
     /// When it was begun.
-    pub since: Duration,
-    pub heard: Duration,
-    pub asked: bool,
-    pub delay: Delay,
+    pub opened_at: Duration,
+    pub last_received: Duration,
+    pub ping_sent: bool,
+    pub delay: TransitDelay,
     /// Dialogues that came or went over it and are still held.
     pub dialogues: BTreeSet<DialogueId>,
 }
 
 impl Link {
-    pub fn new(kind: Peer, now: Duration) -> Self {
+    pub fn new(peer: Peer, now: Duration) -> Self {
         Self {
-            kind,
-            greeted: false,
-            vouched: false,
-            since: now,
-            heard: now,
-            asked: false,
-            delay: Delay::default(),
+            peer,
+            handshake_done: false,
+            trusted: false,
+            opened_at: now,
+            last_received: now,
+            ping_sent: false,
+            delay: TransitDelay::default(),
             dialogues: BTreeSet::new(),
         }
     }
 }
 
-/// How much longer than the quickest a message of a link was on its way, by the sender's clock and this one. A
+/// How much longer than the minimum a message of a link was on its way, by the sender's clock and this one. A
 /// reader that stood still, a link that trickles and a peer that could not write show alike.
 #[derive(Default)]
-pub struct Delay {
+pub struct TransitDelay {
     /// This clock less the sender's, at the quickest message, in microseconds; and when that was last seen to.
-    quickest: Option<(i64, Duration)>,
+    minimum: Option<(i64, Duration)>,
 }
 
-impl Delay {
-    /// Clocks drift apart by less than this, in parts of a million.
-    const DRIFT: u64 = 500;
+impl TransitDelay {
+    /// Clocks drift offset by less than this, in parts of a million.
+    const MAX_DRIFT_PPM: u64 = 500;
 
-    pub fn of(&mut self, now: Duration, sent_at: Duration) -> Duration {
-        let apart = now.as_micros() as i64 - sent_at.as_micros() as i64;
-        let quickest = self.quickest.map_or(apart, |(quickest, since)| {
-            let drift = (now.saturating_sub(since).as_micros() as u64 * Self::DRIFT / 1_000_000) as i64;
-            apart.min(quickest + drift)
+    pub fn measure(&mut self, now: Duration, sent_at: Duration) -> Duration {
+        let offset = now.as_micros() as i64 - sent_at.as_micros() as i64;
+        let minimum = self.minimum.map_or(offset, |(minimum, since)| {
+            let drift =
+                (now.saturating_sub(since).as_micros() as u64 * Self::MAX_DRIFT_PPM / 1_000_000) as i64;
+            offset.min(minimum + drift)
         });
-        self.quickest = Some((quickest, now));
-        Duration::from_micros((apart - quickest) as u64)
+        self.minimum = Some((minimum, now));
+        Duration::from_micros((offset - minimum) as u64)
     }
 }
 
 /// A core server as the list names it.
 pub struct CoreServer {
     pub address: Arc<str>,
-    pub listed: ServerState,
+    pub state: ServerState,
     /// Which life of it is known, and since when that runs on this clock: it is told as an age, which wavers
     /// with the list's delay, and a start must not seem to be another one for that.
-    pub life: u64,
-    pub since: Duration,
+    pub incarnation: u64,
+    pub started: Duration,
     /// The link for new launches.
     pub link: Option<LinkId>,
     /// Launches that wait for that link to come up.
-    pub queued: Vec<DialogueId>,
+    pub queued_launches: Vec<DialogueId>,
 }
--- a/crates/edge/src/numbers.rs
+++ b/crates/edge/src/numbers.rs
@@ -13,36 +13,36 @@
 use crate::EdgeEffects;
 
 /// Orders that wait until a generation is read; beyond it an order is answered with a no.
-const MOST_ORDERS: usize = 256;
+const MAX_QUEUED_ORDERS: usize = 256;
 /// Signs of a reason that goes over the wire; the log has it whole.
-const MOST_WHY: usize = 100;
+const MAX_REASON_BYTES: usize = 100;
 
 /// What an edge proxy has to know of its plan to analyse numbers.
 pub struct NumberAnalysis {
     /// Promised times, by product.
-    promised: Vec<Duration>,
-    groups: usize,
+    promised_times: Vec<Duration>,
+    group_count: usize,
     /// The time of day at the start of the clock that all else goes by.
-    wall: Timestamp,
+    wall_at_start: Timestamp,
     pub generations: Generations,
     pub client: Option<Client>,
-    asking: HashMap<u64, Asking>,
+    pending: HashMap<u64, PendingLookUp>,
     by_dialogue: HashMap<DialogueId, u64>,
-    dues: BTreeSet<(Duration, u64)>,
-    waiter: u64,
+    deadlines: BTreeSet<(Duration, u64)>,
+    last_waiter: u64,
     /// Orders in the order they came; nothing goes on while a generation is read.
-    orders: VecDeque<(u64, Waiting)>,
-    reading: Option<(u64, Arc<str>)>,
-    said: Vec<Frame>,
+    orders: VecDeque<(u64, QueuedOrder)>,
+    loading: Option<(u64, Arc<str>)>,
+    reports: Vec<Frame>,
 }
 
-enum Waiting {
+enum QueuedOrder {
     Load(Arc<str>),
     Order(Order),
 }
 
 /// A dialogue whose look-up is out.
-struct Asking {
+struct PendingLookUp {
     arrival: Arrival,
     dial: (u16, f64),
     analysis: Analysis,
@@ -51,7 +51,7 @@
 
 /// Where a dialogue goes.
 #[derive(Debug)]
-pub struct Found {
+pub struct AnalysedRoute {
     pub product: u16,
     /// The product as the module knows it: with its trunk group.
     pub module_product: usize,
@@ -61,12 +61,12 @@
     pub routing: Option<Digits>,
 }
 
-pub type Analysed = (Arrival, Result<Found, Refusal>);
+pub type AnalysisResult = (Arrival, Result<AnalysedRoute, Refusal>);
 
 /// The client's datagrams, by the effects.
-struct Datagrams<'a>(&'a mut dyn EdgeEffects);
+struct LookUpSender<'a>(&'a mut dyn EdgeEffects);
 
-impl Outside for Datagrams<'_> {
+impl Outside for LookUpSender<'_> {
     fn send(&mut self, server: usize, bytes: &[u8]) {
         self.0.send_look_up(server, bytes);
     }
@@ -75,21 +75,22 @@
 impl NumberAnalysis {
     /// `look_ups`: none where nothing is looked up, and what would be goes on unanswered at once.
     pub fn new(
-        promised: Vec<Duration>, groups: usize, wall: Timestamp, look_ups: Option<(Plan, u64)>,
+        promised_times: Vec<Duration>, group_count: usize, wall_at_start: Timestamp,
+        look_ups: Option<(Plan, u64)>,
     ) -> Self {
         Self {
-            promised,
-            groups,
-            wall,
+            promised_times,
+            group_count,
+            wall_at_start,
             generations: Generations::default(),
             client: look_ups.map(|(plan, seed)| Client::new(plan, seed)),
-            asking: HashMap::new(),
+            pending: HashMap::new(),
             by_dialogue: HashMap::new(),
-            dues: BTreeSet::new(),
-            waiter: 0,
+            deadlines: BTreeSet::new(),
+            last_waiter: 0,
             orders: VecDeque::new(),
-            reading: None,
-            said: Vec::new(),
+            loading: None,
+            reports: Vec::new(),
         }
     }
 
@@ -100,72 +101,74 @@
 
     /// Products as callers name them.
     pub fn products(&self) -> usize {
-        self.promised.len()
+        self.promised_times.len()
     }
 
     /// The product that the module knows: each comes once without a trunk group, and once for each of them.
     pub fn module_product(&self, product: u16, group: Option<u16>) -> usize {
-        usize::from(product) * (self.groups + 1) + group.map_or(0, |group| usize::from(group) + 1)
+        usize::from(product) * (self.group_count + 1) + group.map_or(0, |group| usize::from(group) + 1)
     }
 
-    pub fn is_ready(&self) -> bool {
+    pub fn has_tables(&self) -> bool {
         self.generations.in_force().is_some()
     }
 
     /// The machine's clock says so; it may be set while this runs.
     pub fn set_wall_clock(&mut self, now: Duration, wall: Timestamp) {
-        self.wall = wall.checked_sub(now).unwrap_or(wall);
+        self.wall_at_start = wall.checked_sub(now).unwrap_or(wall);
     }
 
-    fn wall(&self, now: Duration) -> Timestamp {
-        self.wall.checked_add(now).unwrap_or(self.wall)
+    fn wall_time(&self, now: Duration) -> Timestamp {
+        self.wall_at_start.checked_add(now).unwrap_or(self.wall_at_start)
     }
 
     pub fn next_due(&self) -> Option<Duration> {
-        let dues = [
-            self.dues.first().map(|(due, _)| *due),
+        let deadlines = [
+            self.deadlines.first().map(|(due, _)| *due),
             self.generations.next_due(),
             self.client.as_ref().and_then(Client::next_due),
         ];
-        dues.into_iter().flatten().min()
+        deadlines.into_iter().flatten().min()
     }
 
     /// Dialogues that wait for a look-up.
     pub fn pending_look_ups(&self) -> usize {
-        self.asking.len()
+        self.pending.len()
     }
 
     /// Begins to analyse a number; none: its look-up is out.
-    pub fn begin(
+    pub fn start_analysis(
         &mut self, now: Duration, dial: &Dial, arrival: Arrival, effects: &mut dyn EdgeEffects,
-    ) -> Option<Analysed> {
+    ) -> Option<AnalysisResult> {
         let dialled = dial.dialled.as_deref().unwrap_or_default();
         let Some(tables) = self.generations.in_force().cloned() else {
             return Some((arrival, Err(Refusal::NoTenant)));
         };
         let (mut analysis, step) =
-            Analysis::begin(tables, dial.tenant, dialled, self.wall(now), dial.sharing_hash(), false);
-        let own = (dial.product, dial.width);
-        let Step::Ask { number, late, within } = step else { return Some((arrival, self.out(own, step))) };
-        let patience = Patience {
+            Analysis::begin(tables, dial.tenant, dialled, self.wall_time(now), dial.sharing_hash(), false);
+        let dialled_as = (dial.product, dial.width);
+        let Step::Ask { number, late, within } = step else {
+            return Some((arrival, self.result_of(dialled_as, step)));
+        };
+        let wait_policy = Patience {
             dialled: arrival.dialled_at,
-            promised: self.promised[usize::from(dial.product)],
+            promised: self.promised_times[usize::from(dial.product)],
             cut_off: arrival.cut_off,
             within,
             late,
         };
-        self.waiter += 1;
-        let (waiter, tenant) = (self.waiter, dial.tenant.map_or(u32::MAX, u32::from));
+        self.last_waiter += 1;
+        let (waiter, tenant) = (self.last_waiter, dial.tenant.map_or(u32::MAX, u32::from));
         let asked = match &mut self.client {
-            Some(client) => client.ask(now, tenant, number, waiter, &mut Datagrams(effects)),
+            Some(client) => client.ask(now, tenant, number, waiter, &mut LookUpSender(effects)),
             None => Asked::Never,
         };
-        let step = match (asked, patience.wait(now)) {
+        let step = match (asked, wait_policy.wait(now)) {
             (Asked::Now(moved), _) => analysis.told(moved.routing()),
             (Asked::Waits, Wait::Until(until)) => {
-                self.dues.insert((until, waiter));
+                self.deadlines.insert((until, waiter));
                 self.by_dialogue.insert(arrival.id.clone(), waiter);
-                self.asking.insert(waiter, Asking { arrival, dial: own, analysis, until });
+                self.pending.insert(waiter, PendingLookUp { arrival, dial: dialled_as, analysis, until });
                 return None;
             }
             (Asked::Waits, Wait::Not) => {
@@ -175,14 +178,14 @@
             }
             (Asked::Never, _) => analysis.gives_up(),
         };
-        Some((arrival, self.out(own, step)))
+        Some((arrival, self.result_of(dialled_as, step)))
     }
 
-    fn out(&self, (product, width): (u16, f64), step: Step) -> Result<Found, Refusal> {
+    fn result_of(&self, (product, width): (u16, f64), step: Step) -> Result<AnalysedRoute, Refusal> {
         match step {
             Step::Route(route) => {
                 let product = route.product.unwrap_or(product);
-                Ok(Found {
+                Ok(AnalysedRoute {
                     product,
                     module_product: self.module_product(product, Some(route.group)),
                     first: route.first,
@@ -198,163 +201,169 @@
     }
 
     /// Its caller has hung up.
-    pub fn forget(&mut self, id: &DialogueId) {
+    pub fn cancel_look_up(&mut self, id: &DialogueId) {
         if let Some(waiter) = self.by_dialogue.get(id).copied() {
-            self.take(waiter);
+            self.remove_look_up(waiter);
             if let Some(client) = &mut self.client {
                 client.forget(waiter);
             }
         }
     }
 
-    fn take(&mut self, waiter: u64) -> Option<Asking> {
-        let asking = self.asking.remove(&waiter)?;
-        self.by_dialogue.remove(&asking.arrival.id);
-        self.dues.remove(&(asking.until, waiter));
-        Some(asking)
+    fn remove_look_up(&mut self, waiter: u64) -> Option<PendingLookUp> {
+        let look_up = self.pending.remove(&waiter)?;
+        self.by_dialogue.remove(&look_up.arrival.id);
+        self.deadlines.remove(&(look_up.until, waiter));
+        Some(look_up)
     }
 
-    pub fn replied(&mut self, now: Duration, server: usize, datagram: &[u8], effects: &mut dyn EdgeEffects) {
+    pub fn reply_received(
+        &mut self, now: Duration, server: usize, datagram: &[u8], effects: &mut dyn EdgeEffects,
+    ) {
         if let Some(client) = &mut self.client {
-            client.heard(now, server, datagram, &mut Datagrams(effects));
+            client.heard(now, server, datagram, &mut LookUpSender(effects));
         }
     }
 
     /// Dialogues whose look-up has come to something or is waited for no longer, and how many of the latter.
-    pub fn due(&mut self, now: Duration, effects: &mut dyn EdgeEffects) -> (Vec<Analysed>, u64) {
-        let wall = self.wall(now);
+    pub fn process_due(
+        &mut self, now: Duration, effects: &mut dyn EdgeEffects,
+    ) -> (Vec<AnalysisResult>, u64) {
+        let wall = self.wall_time(now);
         for swapped in self.generations.alarm(now, wall) {
-            self.tell(swapped);
+            self.report_swap(swapped);
         }
         let mut found = Vec::new();
         let mut unanswered = 0;
-        let mut told = Vec::new();
+        let mut answers = Vec::new();
         if let Some(client) = &mut self.client {
             if client.next_due().is_some_and(|due| due <= now) {
-                client.alarm(now, &mut Datagrams(effects));
+                client.alarm(now, &mut LookUpSender(effects));
             }
-            told = client.take_told();
+            answers = client.take_told();
         }
-        for told in told {
-            let Some(mut asking) = self.take(told.waiter) else { continue };
-            // One whose patience ended while all stood still has waited long enough, whatever lies here by now; the
+        for answer in answers {
+            let Some(mut look_up) = self.remove_look_up(answer.waiter) else { continue };
+            // One whose wait_policy ended while all stood still has waited long enough, whatever lies here by now; the
             // answer is known to the next.
-            let known = match told.outcome {
-                Outcome::Known(moved) if now < asking.until => Some(moved.routing()),
+            let known = match answer.outcome {
+                Outcome::Known(moved) if now < look_up.until => Some(moved.routing()),
                 _ => None,
             };
             let step = match known {
-                Some(routing) => asking.analysis.told(routing),
+                Some(routing) => look_up.analysis.told(routing),
                 None => {
                     unanswered += 1;
-                    asking.analysis.gives_up()
+                    look_up.analysis.gives_up()
                 }
             };
-            found.push((asking.arrival, self.out(asking.dial, step)));
+            found.push((look_up.arrival, self.result_of(look_up.dial, step)));
         }
-        while let Some((_, waiter)) = self.dues.first().copied().filter(|(due, _)| *due <= now) {
-            let Some(mut asking) = self.take(waiter) else { continue };
+        while let Some((_, waiter)) = self.deadlines.first().copied().filter(|(due, _)| *due <= now) {
+            let Some(mut look_up) = self.remove_look_up(waiter) else { continue };
             if let Some(client) = &mut self.client {
                 client.forget(waiter);
             }
             unanswered += 1;
-            let step = asking.analysis.gives_up();
-            found.push((asking.arrival, self.out(asking.dial, step)));
+            let step = look_up.analysis.gives_up();
+            found.push((look_up.arrival, self.result_of(look_up.dial, step)));
         }
         (found, unanswered)
     }
 
     // Generations
 
-    pub fn ordered(&mut self, now: Duration, serial: u64, order: TablesOrder, effects: &mut dyn EdgeEffects) {
-        if self.orders.len() >= MOST_ORDERS {
+    pub fn order_received(
+        &mut self, now: Duration, serial: u64, order: TablesOrder, effects: &mut dyn EdgeEffects,
+    ) {
+        if self.orders.len() >= MAX_QUEUED_ORDERS {
             let why = "too many orders wait";
-            return self.say(serial, None, Some(why.into()));
+            return self.report(serial, None, Some(why.into()));
         }
-        let waiting = match order {
-            TablesOrder::Load { name } => Waiting::Load(name),
+        let queued = match order {
+            TablesOrder::Load { name } => QueuedOrder::Load(name),
             TablesOrder::Swap { name, after } => {
-                Waiting::Order(Order::Swap { name: name.to_string(), at: now + after })
+                QueuedOrder::Order(Order::Swap { name: name.to_string(), at: now + after })
             }
             TablesOrder::Undo { of, to } => {
-                Waiting::Order(Order::Undo { of, to: to.map(|to| to.to_string()) })
+                QueuedOrder::Order(Order::Undo { of, to: to.map(|to| to.to_string()) })
             }
-            TablesOrder::Drop { of } => Waiting::Order(Order::Drop { of }),
+            TablesOrder::Drop { of } => QueuedOrder::Order(Order::Drop { of }),
         };
-        self.orders.push_back((serial, waiting));
+        self.orders.push_back((serial, queued));
         self.run_orders(now, effects);
     }
 
     fn run_orders(&mut self, now: Duration, effects: &mut dyn EdgeEffects) {
-        while self.reading.is_none()
-            && let Some((serial, waiting)) = self.orders.pop_front()
+        while self.loading.is_none()
+            && let Some((serial, queued)) = self.orders.pop_front()
         {
-            match waiting {
+            match queued {
                 // What is ready, or in force, need not be read again.
-                Waiting::Load(name) if self.generations.named(&name).is_some() => {
+                QueuedOrder::Load(name) if self.generations.named(&name).is_some() => {
                     self.generations.used(serial);
-                    self.say(serial, Some(&name), None);
+                    self.report(serial, Some(&name), None);
                 }
-                Waiting::Load(name) => {
+                QueuedOrder::Load(name) => {
                     self.generations.used(serial);
                     let bases = self.generations.all();
                     if effects.load_tables(&name, bases) {
-                        self.reading = Some((serial, name));
+                        self.loading = Some((serial, name));
                     } else {
-                        self.say(serial, Some(&name), Some("tables cannot be read now".into()));
+                        self.report(serial, Some(&name), Some("tables cannot be read now".into()));
                     }
                 }
-                Waiting::Order(order) => {
-                    let wall = self.wall(now);
+                QueuedOrder::Order(order) => {
+                    let wall = self.wall_time(now);
                     let swapped = self.generations.order(now, wall, serial, order);
-                    self.tell(swapped);
+                    self.report_swap(swapped);
                 }
             }
         }
     }
 
-    pub fn loaded(
+    pub fn tables_loaded(
         &mut self, now: Duration, name: &str, tables: Result<Arc<Tables>, String>,
         effects: &mut dyn EdgeEffects,
     ) {
-        let awaited = self.reading.take_if(|(_, awaited)| **awaited == *name);
+        let awaited = self.loading.take_if(|(_, awaited)| **awaited == *name);
         let serial = awaited.map_or(0, |(serial, _)| serial);
         match tables {
             Ok(tables) => {
                 self.generations.stage(tables);
-                self.say(serial, Some(name), None);
+                self.report(serial, Some(name), None);
             }
-            Err(why) => self.say(serial, Some(name), Some(why)),
+            Err(why) => self.report(serial, Some(name), Some(why)),
         }
         self.run_orders(now, effects);
     }
 
-    fn tell(&mut self, swapped: Swapped) {
+    fn report_swap(&mut self, swapped: Swapped) {
         match swapped {
             // Of several that came up together after a stall, each was in force for a moment.
-            Swapped::InForce(serial, name) => self.say_of(serial, serial, Some(&name), None),
-            Swapped::Waits(serial) => self.say(serial, None, Some("waits for its time".into())),
-            Swapped::Dropped(serial) => self.say(serial, None, None),
-            Swapped::Not(serial, why) => self.say(serial, None, Some(why.to_string())),
+            Swapped::InForce(serial, name) => self.report_as_of(serial, serial, Some(&name), None),
+            Swapped::Waits(serial) => self.report(serial, None, Some("waits for its time".into())),
+            Swapped::Dropped(serial) => self.report(serial, None, None),
+            Swapped::Not(serial, why) => self.report(serial, None, Some(why.to_string())),
         }
     }
 
-    fn say(&mut self, serial: u64, name: Option<&str>, why: Option<String>) {
-        self.say_of(serial, self.generations.serial(), name, why);
+    fn report(&mut self, serial: u64, name: Option<&str>, why: Option<String>) {
+        self.report_as_of(serial, self.generations.serial(), name, why);
     }
 
-    fn say_of(&mut self, serial: u64, in_force: u64, name: Option<&str>, why: Option<String>) {
+    fn report_as_of(&mut self, serial: u64, in_force: u64, name: Option<&str>, why: Option<String>) {
         let short = |why: String| -> Arc<str> {
             let plain = why.chars().map(|c| if c.is_control() { ' ' } else { c });
-            let mut text: String = plain.take(MOST_WHY).collect();
-            text.truncate(text.floor_char_boundary(MOST_WHY));
+            let mut text: String = plain.take(MAX_REASON_BYTES).collect();
+            text.truncate(text.floor_char_boundary(MAX_REASON_BYTES));
             text.into()
         };
         let name = name.map(|name| short(name.into()));
-        self.said.push(Frame::TablesResult { serial, in_force, name, why: why.map(short) });
+        self.reports.push(Frame::TablesResult { serial, in_force, name, why: why.map(short) });
     }
 
-    pub fn take_said(&mut self) -> Vec<Frame> {
-        std::mem::take(&mut self.said)
+    pub fn take_reports(&mut self) -> Vec<Frame> {
+        std::mem::take(&mut self.reports)
     }
 }
--- a/crates/edge/src/signalling.rs
+++ b/crates/edge/src/signalling.rs
@@ -6,7 +6,9 @@
 use lotussaddle::interface::*;
 use lotussaddle_trunk::{DialogueEnd, Frame, Launch, Message};
 
-use crate::held::{Concluded, Counts, Deadlines, Deferred, HeldDialogue, Limits, Pending, Stage};
+use crate::held::{
+    ConcludedDialogues, Counts, Deadlines, Deferred, DeferredSends, HeldDialogue, Limits, Stage,
+};
 use crate::links::{CoreServer, Link, Peer};
 use crate::{DialogueStep, EdgeEffects, LinkId, LogTopic};
 
@@ -16,19 +18,19 @@
     pub now: Duration,
     pub held: HashMap<DialogueId, HeldDialogue>,
     pub links: BTreeMap<LinkId, Link>,
-    pub fresh: VecDeque<LinkId>,
-    pub callers: usize,
+    pub unidentified: VecDeque<LinkId>,
+    pub caller_links: usize,
     pub servers: BTreeMap<ServerId, CoreServer>,
     pub deadlines: Deadlines,
-    pub concluded: Concluded,
+    pub concluded: ConcludedDialogues,
     pub counts: Counts,
     /// When the module wants its alarm.
-    pub alarm: Option<Duration>,
+    pub module_timer: Option<Duration>,
     /// Ends that came of what the module itself did; it hears of them as the next inputs.
-    pub ends: VecDeque<LaunchEnd>,
+    pub launch_ends: VecDeque<LaunchEnd>,
     /// Links that turned out to be of no use while they were written to.
-    pub broken: VecDeque<(LinkId, &'static str)>,
-    pub pending: Pending,
+    pub failed_links: VecDeque<(LinkId, &'static str)>,
+    pub deferred: DeferredSends,
 }
 
 /// State and effects, lent to the module for one input.
@@ -39,19 +41,19 @@
 
 impl ModuleSignalling<'_> {
     /// A link that cannot take a message is given up: what was to be said is not to be lost in silence.
-    pub fn say(&mut self, link: LinkId, frame: Frame) {
-        self.tell(link, frame.into());
+    pub fn send_frame(&mut self, link: LinkId, frame: Frame) {
+        self.send_message(link, frame.into());
     }
 
-    pub fn tell(&mut self, link: LinkId, message: Message) {
+    pub fn send_message(&mut self, link: LinkId, message: Message) {
         if !self.effects.send(link, message) {
-            self.state.broken.push_back((link, "its queue is full"));
+            self.state.failed_links.push_back((link, "its queue is full"));
         }
     }
 
     /// Gives a final answer, once it is recorded that it is given: a crash in between leaves a dialogue that is known
     /// to have been answered and was not, never one that is answered twice.
-    pub fn answer(
+    pub fn send_final_answer(
         &mut self, (link, cut_off): (LinkId, Duration), dialogue: &DialogueId, launch: LaunchNumber,
         message: Message,
     ) {
@@ -59,56 +61,56 @@
             // After a stall there may be no time to wait for it.
             Some(number) if self.state.now < cut_off => {
                 let by = cut_off.min(self.state.now + self.state.limits.answer_record_timeout);
-                self.state.pending.add(by, number, dialogue, Deferred::Answer { link, message });
+                self.state.deferred.add(by, number, dialogue, Deferred::Answer { link, message });
             }
             _ => {
                 self.state.counts.unrecorded += u64::from(!self.state.limits.answer_record_timeout.is_zero());
-                self.tell(link, message);
+                self.send_message(link, message);
             }
         }
     }
 
     /// A dialogue may be over before its caller is told that it stands: then it is told that first.
-    pub fn flush(&mut self, id: &DialogueId) {
-        if let Some(Deferred::Answer { link, message }) = self.state.pending.drop_of(id) {
+    pub fn send_pending_answer(&mut self, id: &DialogueId) {
+        if let Some(Deferred::Answer { link, message }) = self.state.deferred.remove_dialogue(id) {
             self.state.counts.unrecorded += 1;
-            self.tell(link, message);
+            self.send_message(link, message);
         }
     }
 
-    /// What waited for its record is recorded, or waits no longer: `kept` tells which.
-    pub fn go_on(&mut self, id: DialogueId, deferred: Deferred, kept: bool) {
+    /// What waited for its record is recorded, or waits no longer: `is_recorded` tells which.
+    pub fn resume_deferred(&mut self, id: DialogueId, deferred: Deferred, is_recorded: bool) {
         match deferred {
             Deferred::Answer { link, message } => {
-                self.state.counts.unrecorded += u64::from(!kept);
-                self.tell(link, message);
+                self.state.counts.unrecorded += u64::from(!is_recorded);
+                self.send_message(link, message);
             }
-            Deferred::Launch(launch) if !kept && self.state.limits.withhold_unrecorded_launches => {
+            Deferred::Launch(launch) if !is_recorded && self.state.limits.withhold_unrecorded_launches => {
                 self.state.counts.withheld += 1;
-                let server = self.state.held.get(&id).and_then(|held| match &held.at {
-                    Stage::Out { server, launch: out, .. } if *out == launch => Some(server.clone()),
+                let server = self.state.held.get(&id).and_then(|held| match &held.stage {
+                    Stage::Launched { server, launch: out, .. } if *out == launch => Some(server.clone()),
                     _ => None,
                 });
                 if let Some(server) = server {
-                    self.launch_unreachable(&id, launch, &server);
+                    self.end_unreachable_launch(&id, launch, &server);
                 }
             }
             Deferred::Launch(launch) => {
-                self.state.counts.launched_unrecorded += u64::from(!kept);
-                self.go(&id, launch);
+                self.state.counts.launched_unrecorded += u64::from(!is_recorded);
+                self.send_or_queue_launch(&id, launch);
             }
         }
     }
 
     /// No launch of it is out any more, and it does not stand.
-    pub fn back(&mut self, id: &DialogueId, doubt: bool) {
-        self.effects.record(id, DialogueStep::LaunchReturned { outcome_unknown: doubt });
+    pub fn record_launch_returned(&mut self, id: &DialogueId, outcome_unknown: bool) {
+        self.effects.record(id, DialogueStep::LaunchReturned { outcome_unknown });
     }
 
     /// Takes out a dialogue that is over for its caller.
-    pub fn drop_held(&mut self, id: &DialogueId) -> Option<HeldDialogue> {
+    pub fn remove_held(&mut self, id: &DialogueId) -> Option<HeldDialogue> {
         let held = self.state.held.remove(id)?;
-        if let Some(link) = self.state.links.get_mut(&held.link) {
+        if let Some(link) = self.state.links.get_mut(&held.caller_link) {
             link.dialogues.remove(id);
         }
         Some(held)
@@ -117,71 +119,72 @@
     /// Its caller's link, and when that gives up. Where the module may call nothing off, a launch may still be out:
     /// it ends here, or its line stayed busy and the module counted it for ever.
     pub fn conclude(&mut self, id: &DialogueId) -> Option<(LinkId, Duration)> {
-        if let Stage::Out { launch, .. } = self.state.held.get(id)?.at
-            && let Some(server) = self.call_off(id, launch)
+        if let Stage::Launched { launch, .. } = self.state.held.get(id)?.stage
+            && let Some(server) = self.cancel_launch(id, launch)
         {
-            self.end(id, launch, &server, Outcome::Cancelled);
+            self.queue_launch_end(id, launch, &server, Outcome::Cancelled);
         }
-        let held = self.drop_held(id)?;
+        let held = self.remove_held(id)?;
         self.state.concluded.add(self.state.now, id, &self.state.limits);
-        Some((held.link, held.cut_off))
+        Some((held.caller_link, held.cut_off))
     }
 
     /// The launch is over as far as this edge proxy is concerned.
-    pub fn launch_over(&mut self, id: &DialogueId) {
+    pub fn clear_launch(&mut self, id: &DialogueId) {
         let Some(held) = self.state.held.get_mut(id) else { return };
-        let Stage::Out { server, launch, until, link } = std::mem::replace(&mut held.at, Stage::Waiting)
+        let Stage::Launched { server, launch, until, link } =
+            std::mem::replace(&mut held.stage, Stage::Waiting)
         else {
             return;
         };
-        self.state.deadlines.unset(until, id, launch);
-        self.state.pending.drop_of(id); // If it waited for its record, it is not sent.
+        self.state.deadlines.clear(until, id, launch);
+        self.state.deferred.remove_dialogue(id); // If it waited for its record, it is not sent.
         match link {
             Some(link) => self.state.links.get_mut(&link).map(|link| link.dialogues.remove(id)),
             None => self.state.servers.get_mut(&server).map(|core| {
-                core.queued.retain(|queued| queued != id);
+                core.queued_launches.retain(|queued| queued != id);
                 true
             }),
         };
     }
 
     /// Calls a launch off where it is out; gives the server.
-    pub fn call_off(&mut self, id: &DialogueId, launch: LaunchNumber) -> Option<ServerId> {
+    pub fn cancel_launch(&mut self, id: &DialogueId, launch: LaunchNumber) -> Option<ServerId> {
         let held = self.state.held.get(id)?;
-        let Stage::Out { server, launch: out, link, .. } = &held.at else { return None };
+        let Stage::Launched { server, launch: out, link, .. } = &held.stage else { return None };
         if *out != launch {
             return None;
         }
         let (server, link) = (server.clone(), *link);
-        self.launch_over(id);
-        self.back(id, link.is_some());
+        self.clear_launch(id);
+        self.record_launch_returned(id, link.is_some());
         if let Some(link) = link {
-            self.say(link, Frame::Cancel { dialogue: id.clone(), launch });
+            self.send_frame(link, Frame::Cancel { dialogue: id.clone(), launch });
         }
         Some(server)
     }
 
     /// Sends a launch, or has it wait for its link to come up.
-    fn go(&mut self, dialogue: &DialogueId, launch: LaunchNumber) {
-        let server = match self.state.held.get(dialogue).map(|held| &held.at) {
-            Some(Stage::Out { server, launch: out, link: None, .. }) if *out == launch => server.clone(),
+    fn send_or_queue_launch(&mut self, dialogue: &DialogueId, launch: LaunchNumber) {
+        let server = match self.state.held.get(dialogue).map(|held| &held.stage) {
+            Some(Stage::Launched { server, launch: out, link: None, .. }) if *out == launch => server.clone(),
             _ => return,
         };
-        let link = self.link_to(&server);
-        let up = link.filter(|link| self.state.links.get(link).is_some_and(|l| l.greeted));
+        let link = self.link_to_core(&server);
+        let open_link = link.filter(|link| self.state.links.get(link).is_some_and(|l| l.handshake_done));
         let limit = self.state.limits.max_queued_launches;
-        let sent = match up {
+        let sent = match open_link {
             Some(link) => self.send_launch(dialogue, link),
             None => self.state.servers.get_mut(&server).is_some_and(|core| {
-                let room = core.queued.len() < limit;
-                if room {
-                    core.queued.push(dialogue.clone());
+                let has_space = core.queued_launches.len() < limit;
+                if has_space {
+                    core.queued_launches.push(dialogue.clone());
                 }
-                room
+                has_space
             }),
         };
         if !sent {
-            self.launch_unreachable(dialogue, launch, &server);
+            self.end_unreachable_launch(dialogue, launch, &server);
         }
     }
 
@@ -189,7 +192,7 @@
     pub fn send_launch(&mut self, id: &DialogueId, link: LinkId) -> bool {
         let now = self.state.now;
         let Some(held) = self.state.held.get_mut(id) else { return true };
-        let Stage::Out { launch, until, link: over, .. } = &mut held.at else { return true };
+        let Stage::Launched { launch, until, link: sent_on, .. } = &mut held.stage else { return true };
         let frame = Frame::Launch(Launch {
             dialogue: id.clone(),
             launch: *launch,
@@ -204,14 +207,14 @@
         if !self.effects.send(link, Message { frame, extra: held.extra.to_vec() }) {
             return false;
         }
-        *over = Some(link);
+        *sent_on = Some(link);
         self.state.counts.launches += 1;
-        self.add_to_link(link, id);
+        self.add_dialogue_to_link(link, id);
         true
     }
 
     /// The link for new launches to a server; begun where there is none.
-    pub fn link_to(&mut self, id: &ServerId) -> Option<LinkId> {
+    pub fn link_to_core(&mut self, id: &ServerId) -> Option<LinkId> {
         let core = self.state.servers.get_mut(id)?;
         if core.link.is_none() {
             let link = self.effects.connect(&core.address);
@@ -222,7 +225,7 @@
     }
 
     /// A dialogue comes or goes over this link from now on.
-    pub fn add_to_link(&mut self, link: LinkId, id: &DialogueId) {
+    pub fn add_dialogue_to_link(&mut self, link: LinkId, id: &DialogueId) {
         if let Some(known) = self.state.links.get_mut(&link) {
             known.dialogues.insert(id.clone());
         }
@@ -233,22 +236,24 @@
         &mut self, id: &DialogueId, server: &ServerId, launch: LaunchNumber, link: LinkId,
     ) -> Option<(LinkId, Duration)> {
         let held = self.state.held.get_mut(id)?;
-        held.at = Stage::Standing { server: server.clone(), launch, link };
+        held.stage = Stage::Standing { server: server.clone(), launch, link };
         held.extra = Box::default(); // No launch will carry it any more.
-        let caller = (held.link, held.cut_off);
-        self.add_to_link(link, id);
+        let caller = (held.caller_link, held.cut_off);
+        self.add_dialogue_to_link(link, id);
         Some(caller)
     }
 
     /// A launch that was never sent ends, as one whose server cannot be reached.
-    pub fn launch_unreachable(&mut self, id: &DialogueId, launch: LaunchNumber, server: &ServerId) {
-        self.launch_over(id);
-        self.back(id, false);
-        self.end(id, launch, server, Outcome::Unreachable);
+    pub fn end_unreachable_launch(&mut self, id: &DialogueId, launch: LaunchNumber, server: &ServerId) {
+        self.clear_launch(id);
+        self.record_launch_returned(id, false);
+        self.queue_launch_end(id, launch, server, Outcome::Unreachable);
     }
 
-    pub fn end(&mut self, dialogue: &DialogueId, launch: LaunchNumber, server: &ServerId, outcome: Outcome) {
-        self.state.ends.push_back(LaunchEnd {
+    pub fn queue_launch_end(
+        &mut self, dialogue: &DialogueId, launch: LaunchNumber, server: &ServerId, outcome: Outcome,
+    ) {
+        self.state.launch_ends.push_back(LaunchEnd {
             dialogue: dialogue.clone(),
             launch,
             server: server.clone(),
@@ -259,12 +264,12 @@
     }
 
     /// A standing dialogue is cut: its caller is told.
-    pub fn cut(&mut self, id: &DialogueId) {
+    pub fn cut_standing(&mut self, id: &DialogueId) {
         self.state.counts.cut += 1;
         if let Some((link, _)) = self.conclude(id) {
             self.effects.record(id, DialogueStep::Ended);
-            self.flush(id);
-            self.say(link, Frame::Over { dialogue: id.clone(), end: DialogueEnd::Cut });
+            self.send_pending_answer(id);
+            self.send_frame(link, Frame::Over { dialogue: id.clone(), end: DialogueEnd::Cut });
         }
     }
 }
@@ -274,28 +279,28 @@
         let until = self.state.now + time_out;
         let Some(held) = self.state.held.get_mut(dialogue) else { return };
         // Rule 2 is the module's to keep; whoever decides otherwise is not helped to break it.
-        if held.at != Stage::Waiting {
-            let line = format!("a launch of {} is not sent: it is {:?}", dialogue.0, held.at);
+        if held.stage != Stage::Waiting {
+            let line = format!("a launch of {} is not sent: it is {:?}", dialogue.0, held.stage);
             return self.effects.log(LogTopic::Mode, &line);
         }
         let launch = LaunchNumber(held.launches);
         held.launches += 1;
-        held.at = Stage::Out { server: server.clone(), launch, until, link: None };
+        held.stage = Stage::Launched { server: server.clone(), launch, until, link: None };
         self.state.deadlines.set(until, dialogue, launch);
         let within = self.state.limits.launch_record_timeout;
         match self.effects.record(dialogue, DialogueStep::Launch { server, launch, until }) {
             Some(number) if !within.is_zero() => {
                 let by = until.min(self.state.now + within);
-                self.state.pending.add(by, number, dialogue, Deferred::Launch(launch));
+                self.state.deferred.add(by, number, dialogue, Deferred::Launch(launch));
             }
-            _ => self.go(dialogue, launch),
+            _ => self.send_or_queue_launch(dialogue, launch),
         }
     }
 
     fn refuse(&mut self, dialogue: &DialogueId, come_back: Option<Duration>) {
         if let Some(to) = self.conclude(dialogue) {
             self.state.counts.refused += 1;
-            self.answer(
+            self.send_final_answer(
                 to,
                 dialogue,
                 LaunchNumber(0),
@@ -307,20 +312,25 @@
     fn fail(&mut self, dialogue: &DialogueId) {
         if let Some(to) = self.conclude(dialogue) {
             self.state.counts.failed += 1;
-            self.answer(to, dialogue, LaunchNumber(0), Frame::Failed { dialogue: dialogue.clone() }.into());
+            self.send_final_answer(
+                to,
+                dialogue,
+                LaunchNumber(0),
+                Frame::Failed { dialogue: dialogue.clone() }.into(),
+            );
         }
     }
 
     /// The end of the launch does not wait for the server's word: an answer that crosses the cancel finds the
     /// launch over and is released there.
     fn cancel(&mut self, dialogue: &DialogueId, launch: LaunchNumber) {
-        if let Some(server) = self.call_off(dialogue, launch) {
-            self.end(dialogue, launch, &server, Outcome::Cancelled);
+        if let Some(server) = self.cancel_launch(dialogue, launch) {
+            self.queue_launch_end(dialogue, launch, &server, Outcome::Cancelled);
         }
     }
 
     fn set_timer(&mut self, _timer: TimerId, after: Duration) {
-        self.state.alarm = Some(self.state.now + after);
+        self.state.module_timer = Some(self.state.now + after);
     }
 
     fn log(&mut self, line: &str) {
--- a/crates/serve/src/run.rs
+++ b/crates/serve/src/run.rs
@@ -177,7 +177,8 @@
     let chance = |n: u64| std::hash::BuildHasher::hash_one(&std::hash::RandomState::new(), n);
     let seed = sheet.seed.unwrap_or_else(|| chance(0));
     let decisions = |plan| decisions(plan, seed);
-    let mut edge = Edge::with(&sheet.name, &sheet.list, sheet.plan.plan(), sheet.limits.clone(), decisions);
+    let mut edge =
+        Edge::with_decisions(&sheet.name, &sheet.list, sheet.plan.plan(), sheet.limits.clone(), decisions);
     // Whether there was a former life is not known; that a launch of it may be out yet, is.
     edge.hold_launches_until(sheet.plan.release);
     let log = Log::begin(sheet.name.clone()).context("no thread for the log")?;
