--- a/crates/day/src/live.rs
+++ b/crates/day/src/live.rs
@@ -242,7 +242,7 @@
     fn shut_core(&mut self, core: usize, shut: bool) {
         let Some(gate) = self.gates.get_mut(core + 1) else { return };
         if shut {
-            gate.shut();
+            gate.close();
         } else if let Err(error) = gate.reopen(&self.hub) {
             self.trouble.get_or_insert(anyhow::anyhow!("cannot listen again at {}: {error}", gate.address));
         }
--- a/crates/links/src/hub.rs
+++ b/crates/links/src/hub.rs
@@ -1,4 +1,4 @@
-//! The links of one owner.
+//! A hub: the links of one owner, their events and their threads.
 
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
@@ -11,23 +11,25 @@
 use crossbeam_channel::{Receiver, Sender, TrySendError, bounded, unbounded};
 use lotussaddle_trunk::{Decoder, Message};
 
-/// Stack of each reader and writer thread.
-const STACK: usize = 64 * 1024;
-/// Bytes read at once, and bytes gathered before they are written.
-const CHUNK: usize = 16 * 1024;
+/// Stack size of each thread of a link.
+const STACK_BYTES: usize = 64 * 1024;
+/// Bytes read at once, and bytes collected before a write.
+const CHUNK_BYTES: usize = 16 * 1024;
 
-/// A link of a hub, never used again.
+/// Identifies a link of a hub; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkToken(pub u64);
 
+/// Limits of a hub's queues and waits.
 #[derive(Clone, Debug)]
 pub struct HubLimits {
-    /// Messages that wait to be written to one link.
+    /// Maximum messages queued for one link.
     pub max_queued_messages: usize,
-    /// Happenings that wait for the owner.
+    /// Maximum events queued for the owner.
     pub max_queued_events: usize,
-    /// How long a write may stand still.
+    /// Maximum time for which a write may make no progress.
     pub write_timeout: Duration,
+    /// Maximum time to establish a connection.
     pub connect_timeout: Duration,
 }
 
@@ -42,242 +44,260 @@
     }
 }
 
-/// What the owner of a hub is told.
+/// An event of a link, as reported to the hub's owner.
 pub enum LinkEvent {
-    /// A link came in at the gate of this number; it is closed again unless the hub admits it.
+    /// A connection was accepted by the listener with this number. It is closed unless the owner passes it to
+    /// [`Hub::admit`].
     Accepted(LinkToken, u32, OpenLink),
-    /// A link begun by `Hub::connect` is up.
+    /// A connection started by [`Hub::connect`] is established.
     Connected(LinkToken),
+    /// A message was received.
     Received(LinkToken, Message),
-    /// A link is gone; nothing more comes of it.
+    /// The link was closed, for this reason; it has no further events.
     Closed(LinkToken, String),
 }
 
-/// This end of a link whose threads run.
+/// The owner's end of a link whose threads are running.
 pub struct OpenLink {
-    to: Sender<Message>,
+    outgoing: Sender<Message>,
     stream: Option<Arc<TcpStream>>,
-    gone: Arc<AtomicBool>,
-    /// It is to end in a reset, not in order.
-    abrupt: Arc<AtomicBool>,
-    drip: Arc<AtomicU64>,
+    is_closed: Arc<AtomicBool>,
+    /// Whether the connection is to be reset instead of closed in order.
+    reset_on_close: Arc<AtomicBool>,
+    byte_gap_ms: Arc<AtomicU64>,
 }
 
-/// Gives tokens, to a hub and to the threads of its gates.
+/// Allocates tokens for a hub and the threads of its listeners.
 #[derive(Clone)]
-pub(crate) struct Tokens(Arc<AtomicU64>);
+pub(crate) struct TokenAllocator(Arc<AtomicU64>);
 
-impl Tokens {
+impl TokenAllocator {
     pub fn next(&self) -> LinkToken {
         LinkToken(self.0.fetch_add(1, Ordering::Relaxed))
     }
 }
 
-/// Only its owner's thread calls it. None of its calls touches a socket but `reset`: links are begun by a thread
-/// of their own, and the threads of a link end when its end of the queue is let go.
+/// The links of one owner, used only by the owner's thread. No method except `reset` uses a socket: connections are
+/// started by a separate thread, and the threads of a link end when the owner's end of its queue is dropped.
 pub struct Hub {
-    bounds: HubLimits,
-    tokens: Tokens,
-    inbox: Sender<LinkEvent>,
+    limits: HubLimits,
+    tokens: TokenAllocator,
+    events: Sender<LinkEvent>,
     open: HashMap<LinkToken, OpenLink>,
-    to_begin: Sender<(Ends, String, Receiver<Message>)>,
+    to_connect: Sender<(LinkWorker, String, Receiver<Message>)>,
 }
 
-/// Links that wait to be begun.
-const TO_BEGIN: usize = 1024;
+/// Maximum number of connections waiting to be started.
+const MAX_PENDING_CONNECTIONS: usize = 1024;
 
 impl Hub {
-    pub fn new(bounds: HubLimits) -> std::io::Result<(Self, Receiver<LinkEvent>)> {
-        let (inbox, happenings) = bounded(bounds.max_queued_events);
-        let (to_begin, begun) = bounded::<(Ends, String, Receiver<Message>)>(TO_BEGIN);
-        let within = bounds.connect_timeout;
-        thread::Builder::new().name("connector".into()).stack_size(STACK).spawn(move || {
-            while let Ok((ends, address, messages)) = begun.recv() {
-                let refused = ends.clone();
-                let begin = move || ends.begin(&address, within, messages);
-                let begun = thread::Builder::new().name("connect".into()).stack_size(STACK).spawn(begin);
-                if let Err(error) = begun {
-                    refused.lost(format!("no thread for it: {error}"));
+    /// Starts the connecting thread and returns the hub with the receiver of its events. Fails if the thread cannot be
+    /// started.
+    pub fn new(limits: HubLimits) -> std::io::Result<(Self, Receiver<LinkEvent>)> {
+        let (events, receiver) = bounded(limits.max_queued_events);
+        let (to_connect, pending) =
+            bounded::<(LinkWorker, String, Receiver<Message>)>(MAX_PENDING_CONNECTIONS);
+        let timeout = limits.connect_timeout;
+        thread::Builder::new().name("connector".into()).stack_size(STACK_BYTES).spawn(move || {
+            while let Ok((worker, address, messages)) = pending.recv() {
+                let failed = worker.clone();
+                let connect = move || worker.connect(&address, timeout, messages);
+                let started =
+                    thread::Builder::new().name("connect".into()).stack_size(STACK_BYTES).spawn(connect);
+                if let Err(error) = started {
+                    failed.report_closed(format!("link threads could not be started: {error}"));
                 }
             }
         })?;
-        let hub = Self { bounds, tokens: Tokens(Arc::default()), inbox, open: HashMap::new(), to_begin };
-        Ok((hub, happenings))
+        let hub =
+            Self { limits, tokens: TokenAllocator(Arc::default()), events, open: HashMap::new(), to_connect };
+        Ok((hub, receiver))
     }
 
-    pub(crate) fn maker(&self) -> Maker {
-        Maker { tokens: self.tokens.clone(), inbox: self.inbox.clone(), bounds: self.bounds.clone() }
+    pub(crate) fn link_factory(&self) -> LinkFactory {
+        LinkFactory { tokens: self.tokens.clone(), events: self.events.clone(), limits: self.limits.clone() }
     }
 
-    /// Keeps a link that came in.
-    pub fn admit(&mut self, token: LinkToken, opened: OpenLink) {
-        self.open.insert(token, opened);
+    /// Takes over an accepted link.
+    pub fn admit(&mut self, token: LinkToken, link: OpenLink) {
+        self.open.insert(token, link);
     }
 
+    /// Starts a connection to an address; its result is reported as an event.
     pub fn connect(&mut self, address: &str) -> LinkToken {
         let token = self.tokens.next();
-        let (ends, opened, messages) = self.maker().link(token);
-        self.open.insert(token, opened);
-        if let Err(TrySendError::Full((ends, ..)) | TrySendError::Disconnected((ends, ..))) =
-            self.to_begin.try_send((ends, address.into(), messages))
+        let (worker, link, messages) = self.link_factory().link(token);
+        self.open.insert(token, link);
+        if let Err(TrySendError::Full((worker, ..)) | TrySendError::Disconnected((worker, ..))) =
+            self.to_connect.try_send((worker, address.into(), messages))
         {
-            // The owner reads this from the channel that it owns: where even that is full, its link is lost
-            // when it next says something there.
-            ends.gone.store(true, Ordering::Relaxed);
-            let _ = self.inbox.try_send(LinkEvent::Closed(token, "too many links to begin".into()));
+            // The owner's thread also reads the event channel, so that it must not block on it. If the channel is full,
+            // the owner learns of the closed link from its next `send`.
+            worker.is_closed.store(true, Ordering::Relaxed);
+            let _ = self.events.try_send(LinkEvent::Closed(token, "too many pending connections".into()));
         }
         token
     }
 
-    /// Queues a message; false where the queue is full or the link gone.
+    /// Queues a message. Returns false if the queue is full or the link is closed.
     pub fn send(&mut self, token: LinkToken, message: Message) -> bool {
-        let open = self.open.get(&token).filter(|open| open.to.len() < self.bounds.max_queued_messages);
-        open.is_some_and(|open| open.to.send(message).is_ok())
+        let open = self.open.get(&token).filter(|open| open.outgoing.len() < self.limits.max_queued_messages);
+        open.is_some_and(|open| open.outgoing.send(message).is_ok())
     }
 
-    /// From now on this link is written a byte at a time, so far apart; zero: as it comes.
+    /// Writes this link one byte at a time from now on, with this gap between bytes; zero restores normal writing.
     pub fn throttle(&mut self, token: LinkToken, gap: Duration) {
         if let Some(open) = self.open.get(&token) {
-            open.drip.store(gap.as_millis() as u64, Ordering::Relaxed);
+            open.byte_gap_ms.store(gap.as_millis() as u64, Ordering::Relaxed);
         }
     }
 
-    /// Ends a link, once what is queued has been written. Nothing is told of it any more.
+    /// Closes a link after its queued messages have been written. It has no further events.
     pub fn close(&mut self, token: LinkToken) {
         if let Some(open) = self.open.remove(&token) {
-            open.gone.store(true, Ordering::Relaxed);
+            open.is_closed.store(true, Ordering::Relaxed);
         }
     }
 
-    /// Ends a link that came in so that its peer sees a reset at once.
+    /// Closes an accepted link so that its peer sees a connection reset immediately.
     pub fn reset(&mut self, token: LinkToken) {
         if let Some(open) = self.open.remove(&token) {
-            open.gone.store(true, Ordering::Relaxed);
+            open.is_closed.store(true, Ordering::Relaxed);
             if let Some(stream) = &open.stream {
-                // With no time to linger, the last one to let go of the socket resets the connection.
-                open.abrupt.store(true, Ordering::Relaxed);
+                // With a linger time of zero the connection is reset when the last handle of the socket is dropped.
+                open.reset_on_close.store(true, Ordering::Relaxed);
                 let _ = socket2::SockRef::from(&**stream).set_linger(Some(Duration::ZERO));
                 let _ = stream.shutdown(Shutdown::Read);
             }
         }
     }
 
-    /// Messages queued to a link.
+    /// Number of messages queued for a link.
     pub fn queued(&self, token: LinkToken) -> usize {
-        self.open.get(&token).map_or(0, |open| open.to.len())
+        self.open.get(&token).map_or(0, |open| open.outgoing.len())
     }
 
+    /// Number of open links.
     pub fn links(&self) -> usize {
         self.open.len()
     }
 }
 
-/// Makes links, for a hub and for the threads of its gates.
+/// Creates links for a hub and the threads of its listeners.
 #[derive(Clone)]
-pub(crate) struct Maker {
-    pub tokens: Tokens,
-    pub inbox: Sender<LinkEvent>,
-    bounds: HubLimits,
+pub(crate) struct LinkFactory {
+    pub tokens: TokenAllocator,
+    pub events: Sender<LinkEvent>,
+    limits: HubLimits,
 }
 
-impl Maker {
-    fn link(&self, token: LinkToken) -> (Ends, OpenLink, Receiver<Message>) {
-        // Bounded by its one sender, in `Hub::say`: a bounded channel of this library holds all its slots from the
-        // start, half a megabyte a link.
-        let (to, messages) = unbounded();
-        let opened =
-            OpenLink { to, stream: None, gone: Arc::default(), abrupt: Arc::default(), drip: Arc::default() };
-        let ends = Ends {
+impl LinkFactory {
+    fn link(&self, token: LinkToken) -> (LinkWorker, OpenLink, Receiver<Message>) {
+        // `Hub::send` limits the length of this queue: a bounded channel of this library allocates all its slots at
+        // once, half a megabyte per link.
+        let (outgoing, messages) = unbounded();
+        let link = OpenLink {
+            outgoing,
+            stream: None,
+            is_closed: Arc::default(),
+            reset_on_close: Arc::default(),
+            byte_gap_ms: Arc::default(),
+        };
+        let worker = LinkWorker {
             token,
-            inbox: self.inbox.clone(),
-            gone: opened.gone.clone(),
-            abrupt: opened.abrupt.clone(),
-            drip: opened.drip.clone(),
-            write_within: self.bounds.write_timeout,
+            events: self.events.clone(),
+            is_closed: link.is_closed.clone(),
+            reset_on_close: link.reset_on_close.clone(),
+            byte_gap_ms: link.byte_gap_ms.clone(),
+            write_timeout: self.limits.write_timeout,
         };
-        (ends, opened, messages)
+        (worker, link, messages)
     }
 
-    /// Starts the threads of a link that came in, and tells its owner; false where the owner is gone.
-    pub fn came(&self, stream: TcpStream, gate: u32) -> bool {
+    /// Reports an accepted connection and starts the threads of its link. Returns false if the owner has dropped the
+    /// event channel.
+    pub fn accept(&self, stream: TcpStream, listener: u32) -> bool {
         let token = self.tokens.next();
-        let (ends, mut opened, messages) = self.link(token);
+        let (worker, mut link, messages) = self.link(token);
         let stream = Arc::new(stream);
-        opened.stream = Some(stream.clone());
-        if self.inbox.send(LinkEvent::Accepted(token, gate, opened)).is_err() {
+        link.stream = Some(stream.clone());
+        if self.events.send(LinkEvent::Accepted(token, listener, link)).is_err() {
             return false;
         }
-        if let Err(error) = ends.clone().run(stream, messages) {
-            ends.lost(format!("no thread for it: {error}"));
+        if let Err(error) = worker.clone().run(stream, messages) {
+            worker.report_closed(format!("link threads could not be started: {error}"));
         }
         true
     }
 }
 
-/// What the two threads of a link share.
+/// The state shared by the threads of a link.
 #[derive(Clone)]
-struct Ends {
+struct LinkWorker {
     token: LinkToken,
-    inbox: Sender<LinkEvent>,
-    gone: Arc<AtomicBool>,
-    abrupt: Arc<AtomicBool>,
-    drip: Arc<AtomicU64>,
-    write_within: Duration,
+    events: Sender<LinkEvent>,
+    is_closed: Arc<AtomicBool>,
+    reset_on_close: Arc<AtomicBool>,
+    byte_gap_ms: Arc<AtomicU64>,
+    write_timeout: Duration,
 }
 
-impl Ends {
-    /// The first end that is seen is told, and only that.
-    fn lost(&self, why: String) {
-        if !self.gone.swap(true, Ordering::Relaxed) {
-            let _ = self.inbox.send(LinkEvent::Closed(self.token, why));
+impl LinkWorker {
+    /// Reports that the link is closed, with the first reason only.
+    fn report_closed(&self, why: String) {
+        if !self.is_closed.swap(true, Ordering::Relaxed) {
+            let _ = self.events.send(LinkEvent::Closed(self.token, why));
         }
     }
 
-    fn begin(self, address: &str, within: Duration, messages: Receiver<Message>) {
+    /// Connects to an address and runs the link.
+    fn connect(self, address: &str, timeout: Duration, messages: Receiver<Message>) {
         let stream = match address.parse::<SocketAddr>() {
-            Ok(address) => TcpStream::connect_timeout(&address, within).map_err(|e| e.to_string()),
-            Err(_) => Err("its address cannot be read".to_string()),
+            Ok(address) => TcpStream::connect_timeout(&address, timeout).map_err(|e| e.to_string()),
+            Err(_) => Err("invalid address".to_string()),
         };
         match stream {
-            // Given up meanwhile.
-            _ if self.gone.load(Ordering::Relaxed) => {}
+            // The owner closed the link in the meantime.
+            _ if self.is_closed.load(Ordering::Relaxed) => {}
             Ok(stream) => {
-                let _ = self.inbox.send(LinkEvent::Connected(self.token));
+                let _ = self.events.send(LinkEvent::Connected(self.token));
                 if let Err(error) = self.clone().run(Arc::new(stream), messages) {
-                    self.lost(format!("no thread for it: {error}"));
+                    self.report_closed(format!("link threads could not be started: {error}"));
                 }
             }
-            Err(error) => self.lost(format!("not reached: {error}")),
+            Err(error) => self.report_closed(format!("connection failed: {error}")),
         }
     }
 
+    /// Starts the writer and the reader thread.
     fn run(self, stream: Arc<TcpStream>, messages: Receiver<Message>) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
-        stream.set_write_timeout(Some(self.write_within))?;
+        stream.set_write_timeout(Some(self.write_timeout))?;
         let (read, write) = (stream.clone(), stream);
         let writer = self.clone();
-        thread::Builder::new().name("writer".into()).stack_size(STACK).spawn(move || {
+        thread::Builder::new().name("writer".into()).stack_size(STACK_BYTES).spawn(move || {
             if let Err(error) = writer.write(&write, &messages) {
-                writer.lost(error.to_string());
+                writer.report_closed(error.to_string());
             }
-            if !writer.abrupt.load(Ordering::Relaxed) {
+            if !writer.reset_on_close.load(Ordering::Relaxed) {
                 let _ = write.shutdown(Shutdown::Both);
             }
         })?;
-        thread::Builder::new().name("reader".into()).stack_size(STACK).spawn(move || {
+        thread::Builder::new().name("reader".into()).stack_size(STACK_BYTES).spawn(move || {
             let why = self.read(&read);
             let _ = read.shutdown(Shutdown::Read);
-            self.lost(why);
+            self.report_closed(why);
         })?;
         Ok(())
     }
 
+    /// Reads until the link ends and returns the reason.
     fn read(&self, mut stream: &TcpStream) -> String {
         let mut decoder = Decoder::default();
-        let mut chunk = vec![0; CHUNK];
+        let mut chunk = vec![0; CHUNK_BYTES];
         loop {
             let read = match stream.read(&mut chunk) {
-                Ok(0) if decoder.pending() > 0 => return "closed in the middle of a frame".into(),
+                Ok(0) if decoder.pending() > 0 => return "closed by its peer within a frame".into(),
                 Ok(0) => return "closed by its peer".into(),
                 Ok(read) => read,
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
@@ -286,34 +306,35 @@
             decoder.feed(&chunk[..read]);
             while let Some(message) = decoder.next_frame() {
                 match message {
-                    _ if self.gone.load(Ordering::Relaxed) => return String::new(),
+                    _ if self.is_closed.load(Ordering::Relaxed) => return String::new(),
                     Ok(message) => {
-                        if self.inbox.send(LinkEvent::Received(self.token, message)).is_err() {
-                            return "its owner is gone".into();
+                        if self.events.send(LinkEvent::Received(self.token, message)).is_err() {
+                            return "the event channel is closed".into();
                         }
                     }
-                    Err(error) => return format!("unreadable: {error}"),
+                    Err(error) => return format!("invalid frame: {error}"),
                 }
             }
         }
     }
 
+    /// Writes messages until the queue is closed.
     fn write(&self, mut stream: &TcpStream, messages: &Receiver<Message>) -> std::io::Result<()> {
         let mut bytes = Vec::new();
         while let Ok(message) = messages.recv() {
             message.encode(&mut bytes);
-            while bytes.len() < CHUNK
+            while bytes.len() < CHUNK_BYTES
                 && let Ok(message) = messages.try_recv()
             {
                 message.encode(&mut bytes);
             }
-            match self.drip.load(Ordering::Relaxed) {
+            match self.byte_gap_ms.load(Ordering::Relaxed) {
                 0 => stream.write_all(&bytes)?,
-                gap => {
+                gap_ms => {
                     for byte in &bytes {
                         stream.write_all(std::slice::from_ref(byte))?;
-                        if self.drip.load(Ordering::Relaxed) > 0 {
-                            thread::sleep(Duration::from_millis(gap));
+                        if self.byte_gap_ms.load(Ordering::Relaxed) > 0 {
+                            thread::sleep(Duration::from_millis(gap_ms));
                         }
                     }
                 }
--- a/crates/links/src/lib.rs
+++ b/crates/links/src/lib.rs
@@ -1,9 +1,10 @@
-//! Trunk links on sockets: bytes in and out, each link with a reader and a writer thread of small stacks and a
-//! bounded queue. It decides nothing; whoever owns the [`Hub`] reads its [`Happening`]s from one channel.
+//! Trunk links on TCP sockets. Each link has a reader and a writer thread with small stacks and a bounded queue. The
+//! package contains no routing logic; the owner of a [`Hub`] reads [`LinkEvent`]s from a single channel.
 //!
-//! Bounds: a queue to a link holds `Bounds::queue` messages, and [`Hub::say`] tells when one is full; the channel
-//! of happenings holds `Bounds::inbox`, and readers wait on it, so that a slow owner slows its peers, not itself.
-//! A writer that makes no headway for `Bounds::write_within` ends its link.
+//! Limits: the queue of a link holds [`HubLimits::max_queued_messages`], and [`Hub::send`] returns false when it is
+//! full. The event channel holds [`HubLimits::max_queued_events`], and reader threads block on it, so that a slow
+//! owner slows down its peers instead of using more memory. A writer that makes no progress for
+//! [`HubLimits::write_timeout`] closes its link.
 
 mod hub;
 mod listener;
--- a/crates/links/src/listener.rs
+++ b/crates/links/src/listener.rs
@@ -1,4 +1,4 @@
-//! A gate: where links come in. It can be shut, so that connects are refused, and opened again at its address.
+//! A listener that accepts links. It can be closed, so that connections are refused, and reopened at its address.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -10,72 +10,81 @@
 
 use crate::hub::Hub;
 
-const STACK: usize = 64 * 1024;
+/// Stack size of the accepting thread.
+const STACK_BYTES: usize = 64 * 1024;
+/// Connections that the system queues for a listener.
+const ACCEPT_BACKLOG: i32 = 1024;
+/// Pause after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Time-out of the connection that wakes the accepting thread.
+const WAKE_UP_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Listens where a former life may have listened a moment ago.
+/// Listens at an address that a previous incarnation may have used until a moment ago.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
-    socket.listen(1024)?;
+    socket.listen(ACCEPT_BACKLOG)?;
     Ok(socket.into())
 }
 
-/// One listening address of a hub.
+/// A listening address of a hub.
 pub struct Listener {
     number: u32,
+    /// The address listened at, with the port that the system chose if it was 0.
     pub address: SocketAddr,
-    shut: Arc<AtomicBool>,
+    is_closed: Arc<AtomicBool>,
 }
 
 impl Listener {
-    /// Listens at an address; port 0 lets the system choose one.
+    /// Listens at an address; with port 0 the system chooses a port. `number` identifies the listener in
+    /// [`LinkEvent::Accepted`](crate::LinkEvent::Accepted).
     pub fn open(hub: &Hub, number: u32, address: SocketAddr) -> std::io::Result<Self> {
-        let mut gate = Self { number, address, shut: Arc::new(AtomicBool::new(true)) };
-        gate.reopen(hub)?;
-        Ok(gate)
+        let mut listener = Self { number, address, is_closed: Arc::new(AtomicBool::new(true)) };
+        listener.reopen(hub)?;
+        Ok(listener)
     }
 
-    /// Listens again, at the address it had.
+    /// Listens again at the same address. Does nothing while the listener is open.
     pub fn reopen(&mut self, hub: &Hub) -> std::io::Result<()> {
-        if !self.shut.load(Ordering::Relaxed) {
+        if !self.is_closed.load(Ordering::Relaxed) {
             return Ok(());
         }
         let listener = listen(self.address)?;
         self.address = listener.local_addr()?;
-        self.shut = Arc::default();
-        let (shut, maker, number) = (self.shut.clone(), hub.maker(), self.number);
-        thread::Builder::new().name("gate".into()).stack_size(STACK).spawn(move || {
+        self.is_closed = Arc::default();
+        let (is_closed, factory, number) = (self.is_closed.clone(), hub.link_factory(), self.number);
+        thread::Builder::new().name("gate".into()).stack_size(STACK_BYTES).spawn(move || {
             loop {
                 let accepted = listener.accept();
-                if shut.load(Ordering::Relaxed) {
+                if is_closed.load(Ordering::Relaxed) {
                     return;
                 }
                 match accepted {
                     Ok((stream, _)) => {
-                        if !maker.came(stream, number) {
+                        if !factory.accept(stream, number) {
                             return;
                         }
                     }
-                    // Out of descriptors, say: it may pass, and must not spin until then.
-                    Err(_) => thread::sleep(Duration::from_millis(50)),
+                    // For example, no file descriptor is free. The error may be temporary; waiting avoids a busy loop.
+                    Err(_) => thread::sleep(ACCEPT_RETRY_DELAY),
                 }
             }
         })?;
         Ok(())
     }
 
-    /// From now on connects are refused; links that are up stay.
-    pub fn shut(&mut self) {
-        if !self.shut.swap(true, Ordering::Relaxed) {
-            // The thread wakes from its accept to see that it is over, and with it the listening socket.
-            let _ = TcpStream::connect_timeout(&self.address, Duration::from_millis(200));
+    /// Refuses further connections; established links stay open.
+    pub fn close(&mut self) {
+        if !self.is_closed.swap(true, Ordering::Relaxed) {
+            // The connection wakes the accepting thread, which then ends and closes the listening socket.
+            let _ = TcpStream::connect_timeout(&self.address, WAKE_UP_TIMEOUT);
         }
     }
 }
 
 impl Drop for Listener {
     fn drop(&mut self) {
-        self.shut();
+        self.close();
     }
 }
--- a/crates/trunk/src/codec.rs
+++ b/crates/trunk/src/codec.rs
@@ -1,5 +1,5 @@
-//! Frames to bytes and back. Whatever comes in, a frame's memory is bounded by its stated length, and an
-//! error names the frame, the field and what is wrong with it.
+//! The binary codec of frames. The memory for a received frame is bounded by its stated length, and an error names the
+//! frame, the field and the problem.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,42 +10,52 @@
 use crate::frame::*;
 use crate::member_codec;
 
-/// The version that this build speaks; a peer of another one is told so and its link is closed.
+/// Protocol version of this build. A peer with another version is notified and its link is closed.
 pub const VERSION: u16 = 1;
-/// Bytes of a frame after its length, at most.
+/// Maximum bytes of a frame after its length.
 pub const MAX_FRAME: usize = 64 * 1024;
-/// Bytes of an id, a key, a name or an address, at most.
+/// Maximum bytes of an id, key, name or address.
 pub const MAX_TEXT: usize = 128;
-/// Bytes of all unknown optional fields of a frame, at most.
+/// Maximum bytes of all unknown optional fields of a frame.
 pub const MAX_EXTRA: usize = 256;
-/// Times beyond this (some 11 days) are refused, so that sums of a few never overflow.
+/// Longer times (over about 11 days) are rejected, so that sums of a few times never overflow.
 const MAX_MICROS: u64 = 1_000_000_000_000;
-/// From this tag on a field may be unknown.
-const OPTIONAL: u8 = 128;
+/// Lowest tag of optional fields, which a reader need not know.
+const FIRST_OPTIONAL_TAG: u8 = 128;
 
+/// Why received bytes are not a valid frame.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum TrunkError {
-    #[error("a frame of {0} bytes, over the {MAX_FRAME} allowed")]
+    /// The stated length exceeds [`MAX_FRAME`].
+    #[error("frame of {0} bytes exceeds the maximum of {MAX_FRAME}")]
     TooLong(usize),
-    #[error("an empty frame")]
+    /// The stated length is zero.
+    #[error("empty frame")]
     Empty,
-    #[error("frame kind {0} is not known")]
-    Kind(u8),
-    #[error("{frame}: the field at byte {at} is cut short")]
-    CutShort { frame: &'static str, at: usize },
-    #[error("{frame}: field {tag} is not known")]
-    Tag { frame: &'static str, tag: u8 },
-    #[error("{frame}: field {tag} comes twice")]
-    Twice { frame: &'static str, tag: u8 },
+    /// No frame has this kind.
+    #[error("unknown frame kind {0}")]
+    UnknownKind(u8),
+    /// A field extends beyond the end of the frame.
+    #[error("{frame}: the field at byte {at} is truncated")]
+    Truncated { frame: &'static str, at: usize },
+    /// A mandatory field that the frame does not have.
+    #[error("{frame}: unknown field {tag}")]
+    UnknownField { frame: &'static str, tag: u8 },
+    /// A field that may occur only once is repeated.
+    #[error("{frame}: field {tag} is repeated")]
+    RepeatedField { frame: &'static str, tag: u8 },
+    /// A required field is missing.
     #[error("{frame}: field {tag} is missing")]
-    Missing { frame: &'static str, tag: u8 },
+    MissingField { frame: &'static str, tag: u8 },
+    /// A field has an invalid value.
     #[error("{frame}: field {tag} {problem}")]
-    Value { frame: &'static str, tag: u8, problem: &'static str },
-    #[error("{frame}: over {MAX_EXTRA} bytes of unknown optional fields")]
-    Extra { frame: &'static str },
+    InvalidValue { frame: &'static str, tag: u8, problem: &'static str },
+    /// The unknown optional fields exceed [`MAX_EXTRA`].
+    #[error("{frame}: more than {MAX_EXTRA} bytes of unknown optional fields")]
+    TooManyExtraBytes { frame: &'static str },
 }
 
-// Kinds on the wire. A number is never given to another frame.
+// Frame kinds on the wire. A number is never reused for another frame.
 const HELLO: u8 = 1;
 const PING: u8 = 2;
 const PONG: u8 = 3;
@@ -67,11 +77,13 @@
 const REPORT: u8 = 39;
 const LIST: u8 = 48;
 const TABLES: u8 = 49;
-const TABLED: u8 = 50;
-/// Kinds from here on are between members, those from `AUDIT` on between member and core server.
-pub(crate) const PEER: u8 = 64;
-pub(crate) const AUDIT: u8 = 96;
+const TABLES_RESULT: u8 = 50;
+/// Lowest kind of messages between members.
+pub(crate) const FIRST_PEER_KIND: u8 = 64;
+/// Lowest kind of messages between members and core servers.
+pub(crate) const FIRST_AUDIT_KIND: u8 = 96;
 
+/// The name of a frame kind, as in traffic records.
 fn kind_name(kind: u8) -> Option<&'static str> {
     Some(match kind {
         HELLO => "hello",
@@ -95,15 +107,15 @@
         REPORT => "report",
         LIST => "list",
         TABLES => "tables",
-        TABLED => "tabled",
-        PEER.. => return member_codec::kind_name(kind),
+        TABLES_RESULT => "tabled",
+        FIRST_PEER_KIND.. => return member_codec::kind_name(kind),
         _ => return None,
     })
 }
 
-// Fields. A tag has one meaning in all frames.
+// Field tags. A tag has the same meaning in all frames.
 pub(crate) const DIALOGUE: u8 = 1;
-pub(crate) const LAUNCH_NO: u8 = 2;
+pub(crate) const LAUNCH_NUMBER: u8 = 2;
 pub(crate) const SERVER: u8 = 3;
 pub(crate) const WHY: u8 = 4;
 pub(crate) const TIME: u8 = 5;
@@ -121,22 +133,25 @@
 pub(crate) const NAME: u8 = 17;
 pub(crate) const ENTRY: u8 = 18;
 const ADDRESS: u8 = 19;
-pub(crate) const LIFE: u8 = 20;
+pub(crate) const INCARNATION: u8 = 20;
 const SENT_AT: u8 = 21;
 pub(crate) const SERIAL: u8 = 22;
 const OF: u8 = 23;
 pub(crate) const CALLED: u8 = 24;
 const ROUTING: u8 = 25;
-/// Fields from 26 on are `member_codec`'s; from 128 to 143 they are optional and known: they are never passed on.
+// Tags from 26 on are defined in `member_codec`.
+/// Optional tags from 128 to 143 are reserved for fields of this version
+/// and never forwarded.
 pub(crate) const OWNER: u8 = 128;
-const KNOWN_TO: u8 = 143;
+const LAST_RESERVED_OPTIONAL_TAG: u8 = 143;
 
+/// Appends fields to a buffer.
 pub(crate) struct Writer<'a>(pub &'a mut Vec<u8>);
 
 impl Writer<'_> {
     pub fn bytes(&mut self, tag: u8, value: &[u8]) -> &mut Self {
         self.0.push(tag);
-        leb(self.0, value.len() as u64);
+        write_leb128(self.0, value.len() as u64);
         self.0.extend_from_slice(value);
         self
     }
@@ -145,33 +160,34 @@
         self.bytes(tag, text.as_bytes())
     }
 
-    pub fn whole(&mut self, tag: u8, value: u64) -> &mut Self {
+    /// Writes a little-endian integer without its leading zero bytes.
+    pub fn integer(&mut self, tag: u8, value: u64) -> &mut Self {
         let raw = value.to_le_bytes();
         let used = 8 - value.leading_zeros() as usize / 8;
         self.bytes(tag, &raw[..used])
     }
 
     pub fn time(&mut self, tag: u8, time: Duration) -> &mut Self {
-        self.whole(tag, (time.as_micros() as u64).min(MAX_MICROS))
+        self.integer(tag, (time.as_micros() as u64).min(MAX_MICROS))
     }
 
-    fn real(&mut self, tag: u8, value: f64) -> &mut Self {
+    fn float(&mut self, tag: u8, value: f64) -> &mut Self {
         self.bytes(tag, &value.to_le_bytes())
     }
 
     fn launch(&mut self, dialogue: &DialogueId, launch: LaunchNo) -> &mut Self {
-        self.text(DIALOGUE, &dialogue.0).whole(LAUNCH_NO, launch.0.into())
+        self.text(DIALOGUE, &dialogue.0).integer(LAUNCH_NUMBER, launch.0.into())
     }
 
-    /// Six figures; what is not told is left out, by a bit each.
+    /// Writes a bit mask of the figures present, followed by these figures. A report without figures is left out.
     fn report(&mut self, report: &LoadReport) -> &mut Self {
         let wait = report.wait.map(|w| w.as_secs_f64());
-        let told = [report.free_lines, report.lines, report.busy, report.queue, wait, report.rate];
-        if told.iter().all(Option::is_none) {
+        let figures = [report.free_lines, report.lines, report.busy, report.queue, wait, report.rate];
+        if figures.iter().all(Option::is_none) {
             return self;
         }
         let mut value = vec![0];
-        for (bit, figure) in told.iter().enumerate() {
+        for (bit, figure) in figures.iter().enumerate() {
             if let Some(figure) = figure {
                 value[0] |= 1 << bit;
                 value.extend_from_slice(&figure.to_le_bytes());
@@ -181,7 +197,7 @@
     }
 }
 
-pub(crate) fn leb(out: &mut Vec<u8>, mut value: u64) {
+pub(crate) fn write_leb128(out: &mut Vec<u8>, mut value: u64) {
     while value >= 128 {
         out.push(value as u8 | 128);
         value >>= 7;
@@ -190,20 +206,20 @@
 }
 
 impl Message {
-    /// Appends the frame with its length. A frame that would be over [`MAX_FRAME`] is the sender's mistake:
-    /// lists are cut into pieces before.
+    /// Appends the frame with its length. Keeping a frame within [`MAX_FRAME`] is up to the sender, which splits long
+    /// lists beforehand.
     pub fn encode(&self, out: &mut Vec<u8>) {
         let start = out.len();
         out.extend_from_slice(&[0; 5]);
         let mut to = Writer(out);
-        let kind = put(&self.frame, &mut to);
+        let kind = write_frame(&self.frame, &mut to);
         for extra in &self.extra {
             to.bytes(extra.tag, &extra.value);
         }
         let length = out.len() - start - 4;
         debug_assert!(
             length <= MAX_FRAME,
-            "a {} frame of {length} bytes",
+            "{} frame of {length} bytes exceeds the maximum",
             kind_name(kind).unwrap_or_default()
         );
         out[start..start + 4].copy_from_slice(&(length as u32).to_be_bytes());
@@ -211,21 +227,24 @@
     }
 }
 
-fn put(frame: &Frame, to: &mut Writer) -> u8 {
+/// Writes the fields of a frame and returns its kind.
+fn write_frame(frame: &Frame, to: &mut Writer) -> u8 {
     match frame {
         Frame::Hello(hello) => {
-            to.whole(PROTOCOL, hello.version.into()).whole(ROLE, hello.role as u64).text(NAME, &hello.name);
+            to.integer(PROTOCOL, hello.version.into())
+                .integer(ROLE, hello.role as u64)
+                .text(NAME, &hello.name);
             if let Some(sent_at) = hello.sent_at {
                 to.time(SENT_AT, sent_at);
             }
             HELLO
         }
         Frame::Ping { nonce } => {
-            to.whole(NONCE, *nonce);
+            to.integer(NONCE, *nonce);
             PING
         }
         Frame::Pong { nonce } => {
-            to.whole(NONCE, *nonce);
+            to.integer(NONCE, *nonce);
             PONG
         }
         Frame::Bye { why } => {
@@ -233,12 +252,12 @@
             BYE
         }
         Frame::Dial(dial) => {
-            to.text(DIALOGUE, &dial.dialogue.0).whole(PRODUCT, dial.product.into());
+            to.text(DIALOGUE, &dial.dialogue.0).integer(PRODUCT, dial.product.into());
             if let Some(key) = &dial.key {
                 to.text(KEY, &key.0);
             }
             if let Some(tenant) = dial.tenant {
-                to.whole(TENANT, tenant.into());
+                to.integer(TENANT, tenant.into());
             }
             if let Some(first) = &dial.try_of {
                 to.text(TRY_OF, &first.0);
@@ -249,9 +268,11 @@
             if let Some(dialled) = &dial.dialled {
                 to.text(CALLED, dialled);
             }
-            to.whole(NUMBER, dial.first_choice.0 as u64).real(WIDTH, dial.width).time(TIME, dial.time_left);
+            to.integer(NUMBER, dial.first_choice.0 as u64)
+                .float(WIDTH, dial.width)
+                .time(TIME, dial.time_left);
             let flags = [dial.is_retry, dial.redialled_after_cut, dial.is_repeat];
-            to.whole(FLAGS, flags.iter().enumerate().map(|(bit, set)| u64::from(*set) << bit).sum());
+            to.integer(FLAGS, flags.iter().enumerate().map(|(bit, set)| u64::from(*set) << bit).sum());
             DIAL
         }
         Frame::HangUp { dialogue } => {
@@ -262,10 +283,10 @@
             to.text(DIALOGUE, &dialogue.0).text(SERVER, &server.0);
             STANDS
         }
-        Frame::Refused { dialogue, retry_after: come_back } => {
+        Frame::Refused { dialogue, retry_after } => {
             to.text(DIALOGUE, &dialogue.0);
-            if let Some(come_back) = come_back {
-                to.time(TIME, *come_back);
+            if let Some(retry_after) = retry_after {
+                to.time(TIME, *retry_after);
             }
             REFUSED
         }
@@ -273,19 +294,19 @@
             to.text(DIALOGUE, &dialogue.0);
             FAILED
         }
-        Frame::Declined { dialogue, why, retry_after: come_back } => {
-            to.text(DIALOGUE, &dialogue.0).whole(WHY, *why as u64);
-            if let Some(come_back) = come_back {
-                to.time(TIME, *come_back);
+        Frame::Declined { dialogue, why, retry_after } => {
+            to.text(DIALOGUE, &dialogue.0).integer(WHY, *why as u64);
+            if let Some(retry_after) = retry_after {
+                to.time(TIME, *retry_after);
             }
             DECLINED
         }
         Frame::Over { dialogue, end } => {
-            to.text(DIALOGUE, &dialogue.0).whole(WHY, *end as u64);
+            to.text(DIALOGUE, &dialogue.0).integer(WHY, *end as u64);
             OVER
         }
         Frame::Launch(launch) => {
-            to.launch(&launch.dialogue, launch.launch).whole(PRODUCT, launch.product.into());
+            to.launch(&launch.dialogue, launch.launch).integer(PRODUCT, launch.product.into());
             if let Some(key) = &launch.key {
                 to.text(KEY, &key.0);
             }
@@ -295,9 +316,9 @@
             if let Some(routing) = &launch.routing {
                 to.text(ROUTING, routing);
             }
-            to.real(WIDTH, launch.width).time(TIME, launch.time_left);
+            to.float(WIDTH, launch.width).time(TIME, launch.time_left);
             if let Some(owner) = &launch.owner {
-                to.bytes(OWNER, &member_codec::owner_bytes(owner));
+                to.bytes(OWNER, &member_codec::encode_owner(owner));
             }
             LAUNCH
         }
@@ -314,7 +335,7 @@
             STOOD
         }
         Frame::TurnedBack { dialogue, launch, cause, report } => {
-            to.launch(dialogue, *launch).whole(WHY, *cause as u64).report(report);
+            to.launch(dialogue, *launch).integer(WHY, *cause as u64).report(report);
             TURNED_BACK
         }
         Frame::BrokenOff { dialogue, launch, report } => {
@@ -322,88 +343,88 @@
             BROKEN_OFF
         }
         Frame::Ended { dialogue, launch, end, report } => {
-            to.launch(dialogue, *launch).whole(WHY, *end as u64).report(report);
+            to.launch(dialogue, *launch).integer(WHY, *end as u64).report(report);
             ENDED
         }
         Frame::Report { report } => {
             to.report(report);
             REPORT
         }
-        Frame::List { is_complete: whole, entries } => {
-            to.whole(FLAGS, (*whole).into());
+        Frame::List { is_complete, entries } => {
+            to.integer(FLAGS, (*is_complete).into());
             for entry in entries {
                 let mut nested = Vec::new();
                 let mut into = Writer(&mut nested);
                 into.text(SERVER, &entry.server.0).text(ADDRESS, &entry.address);
-                into.whole(NUMBER, entry.number.0 as u64).whole(WHY, entry.state as u64);
-                into.whole(LIFE, entry.incarnation).time(TIME, entry.age);
+                into.integer(NUMBER, entry.number.0 as u64).integer(WHY, entry.state as u64);
+                into.integer(INCARNATION, entry.incarnation).time(TIME, entry.age);
                 to.bytes(ENTRY, &nested);
             }
             LIST
         }
         Frame::Tables { serial, order } => {
-            to.whole(SERIAL, *serial);
-            put_order(order, to);
+            to.integer(SERIAL, *serial);
+            write_order(order, to);
             TABLES
         }
         Frame::TablesResult { serial, in_force, name, why } => {
-            to.whole(SERIAL, *serial).whole(OF, *in_force);
+            to.integer(SERIAL, *serial).integer(OF, *in_force);
             if let Some(name) = name {
                 to.text(NAME, name);
             }
             if let Some(why) = why {
                 to.text(CALLED, why);
             }
-            TABLED
+            TABLES_RESULT
         }
-        Frame::PeerMessage(peer) => member_codec::put_peer(peer, to),
-        Frame::AuditMessage(audit) => member_codec::put_audit(audit, to),
+        Frame::PeerMessage(message) => member_codec::write_peer_message(message, to),
+        Frame::AuditMessage(message) => member_codec::write_audit_message(message, to),
     }
 }
 
-/// The fields of one frame; each is taken out once.
+/// The fields of a received frame, which are removed as they are read.
 pub(crate) struct Fields<'a> {
     frame: &'static str,
     fields: Vec<(u8, &'a [u8])>,
-    /// Those before this one were looked at by `take_in_order`.
-    next: usize,
+    /// Index at which `take_in_order` continues.
+    next_in_order: usize,
 }
 
-/// Stands in the place of a field that was taken in order. No field has it.
-const DONE: u8 = 0;
+/// Replaces the tag of a field that was taken in order; no field on the wire may have it.
+const TAKEN_TAG: u8 = 0;
 
 impl<'a> Fields<'a> {
     pub fn read(frame: &'static str, body: &'a [u8]) -> Result<Self, TrunkError> {
         let (mut fields, mut at) = (Vec::new(), 0);
         while at < body.len() {
-            let short = TrunkError::CutShort { frame, at };
+            let truncated = TrunkError::Truncated { frame, at };
             let (tag, mut place, mut length, mut shift) = (body[at], at + 1, 0usize, 0);
             loop {
-                let byte = *body.get(place).ok_or(short.clone())?;
+                let byte = *body.get(place).ok_or(truncated.clone())?;
                 length |= usize::from(byte & 127) << shift;
                 (place, shift) = (place + 1, shift + 7);
                 if byte & 128 == 0 {
                     break;
                 }
                 if shift > 21 {
-                    return Err(short);
+                    return Err(truncated);
                 }
             }
-            let value = body.get(place..place + length).ok_or(short)?;
-            if tag == DONE {
-                return Err(TrunkError::Tag { frame, tag });
+            let value = body.get(place..place + length).ok_or(truncated)?;
+            if tag == TAKEN_TAG {
+                return Err(TrunkError::UnknownField { frame, tag });
             }
-            if tag != ENTRY && tag < OPTIONAL && fields.iter().any(|(t, _)| *t == tag) {
-                return Err(TrunkError::Twice { frame, tag });
+            if tag != ENTRY && tag < FIRST_OPTIONAL_TAG && fields.iter().any(|(t, _)| *t == tag) {
+                return Err(TrunkError::RepeatedField { frame, tag });
             }
             fields.push((tag, value));
             at = place + length;
         }
-        Ok(Self { frame, fields, next: 0 })
+        Ok(Self { frame, fields, next_in_order: 0 })
     }
 
-    pub fn wrong(&self, tag: u8, what: &'static str) -> TrunkError {
-        TrunkError::Value { frame: self.frame, tag, problem: what }
+    pub fn invalid(&self, tag: u8, problem: &'static str) -> TrunkError {
+        TrunkError::InvalidValue { frame: self.frame, tag, problem }
     }
 
     pub fn take(&mut self, tag: u8) -> Option<&'a [u8]> {
@@ -411,109 +432,121 @@
         Some(self.fields.remove(place).1)
     }
 
-    /// The next of many of one tag. They are taken from the front, and a list of them costs no more than its length.
+    /// Takes the next of several fields with this tag, in order. Reading a list takes time linear in the number of
+    /// fields.
     pub fn take_in_order(&mut self, tag: u8) -> Option<&'a [u8]> {
-        let place = self.fields[self.next..].iter().position(|(t, _)| *t == tag)? + self.next;
-        self.next = place + 1;
+        let place =
+            self.fields[self.next_in_order..].iter().position(|(t, _)| *t == tag)? + self.next_in_order;
+        self.next_in_order = place + 1;
         let value = self.fields[place].1;
-        self.fields[place].0 = DONE;
+        self.fields[place].0 = TAKEN_TAG;
         Some(value)
     }
 
-    pub fn maybe<T>(
+    pub fn optional<T>(
         &mut self, tag: u8, read: impl Fn(&'a [u8]) -> Result<T, &'static str>,
     ) -> Result<Option<T>, TrunkError> {
         let value = self.take(tag);
-        value.map(read).transpose().map_err(|what| self.wrong(tag, what))
+        value.map(read).transpose().map_err(|problem| self.invalid(tag, problem))
     }
 
-    pub fn need<T>(
+    pub fn required<T>(
         &mut self, tag: u8, read: impl Fn(&'a [u8]) -> Result<T, &'static str>,
     ) -> Result<T, TrunkError> {
-        self.maybe(tag, read)?.ok_or(TrunkError::Missing { frame: self.frame, tag })
+        self.optional(tag, read)?.ok_or(TrunkError::MissingField { frame: self.frame, tag })
     }
 
     pub fn dialogue(&mut self) -> Result<DialogueId, TrunkError> {
-        self.need(DIALOGUE, text).map(DialogueId)
+        self.required(DIALOGUE, read_text).map(DialogueId)
     }
 
     pub fn launch(&mut self) -> Result<LaunchNo, TrunkError> {
-        self.need(LAUNCH_NO, small).map(LaunchNo)
+        self.required(LAUNCH_NUMBER, read_integer).map(LaunchNo)
     }
 
     fn report(&mut self) -> Result<LoadReport, TrunkError> {
-        Ok(self.maybe(LOAD, report)?.unwrap_or_default())
+        Ok(self.optional(LOAD, read_report)?.unwrap_or_default())
     }
 
-    /// What is left must be optional.
-    pub fn rest(mut self) -> Result<Vec<Extra>, TrunkError> {
+    /// Returns the remaining fields; fails if one of them is not optional.
+    pub fn finish(mut self) -> Result<Vec<Extra>, TrunkError> {
         let frame = self.frame;
-        if let Some((tag, _)) = self.fields.iter().find(|(tag, _)| *tag != DONE && *tag < OPTIONAL) {
-            return Err(TrunkError::Tag { frame, tag: *tag });
+        if let Some((tag, _)) =
+            self.fields.iter().find(|(tag, _)| *tag != TAKEN_TAG && *tag < FIRST_OPTIONAL_TAG)
+        {
+            return Err(TrunkError::UnknownField { frame, tag: *tag });
         }
-        // A caller must not speak for the edge proxy that passes its fields on.
-        self.fields.retain(|(tag, _)| *tag > KNOWN_TO);
+        // Reserved tags are not forwarded, so that a caller cannot pass off its fields as the edge proxy's.
+        self.fields.retain(|(tag, _)| *tag > LAST_RESERVED_OPTIONAL_TAG);
         if self.fields.iter().map(|(_, value)| value.len() + 1).sum::<usize>() > MAX_EXTRA {
-            return Err(TrunkError::Extra { frame });
+            return Err(TrunkError::TooManyExtraBytes { frame });
         }
         Ok(self.fields.into_iter().map(|(tag, value)| Extra { tag, value: value.to_vec() }).collect())
     }
 }
 
-pub(crate) fn text(raw: &[u8]) -> Result<Arc<str>, &'static str> {
-    let text = std::str::from_utf8(raw).map_err(|_| "is no UTF-8")?;
+/// Reads a non-empty text of at most [`MAX_TEXT`] bytes without control characters.
+pub(crate) fn read_text(raw: &[u8]) -> Result<Arc<str>, &'static str> {
+    let text = std::str::from_utf8(raw).map_err(|_| "is not valid UTF-8")?;
     match text.len() {
         0 => Err("is empty"),
         n if n > MAX_TEXT => Err("is too long"),
-        _ if text.chars().any(char::is_control) => Err("has control characters"),
+        _ if text.chars().any(char::is_control) => Err("contains control characters"),
         _ => Ok(Arc::from(text)),
     }
 }
 
-pub(crate) fn whole(raw: &[u8]) -> Result<u64, &'static str> {
+/// Reads a little-endian integer of up to 8 bytes.
+pub(crate) fn read_u64(raw: &[u8]) -> Result<u64, &'static str> {
     let mut all = [0; 8];
-    all.get_mut(..raw.len()).ok_or("is over 64 bits")?.copy_from_slice(raw);
+    all.get_mut(..raw.len()).ok_or("is longer than 64 bits")?.copy_from_slice(raw);
     Ok(u64::from_le_bytes(all))
 }
 
-pub(crate) fn small<T: TryFrom<u64>>(raw: &[u8]) -> Result<T, &'static str> {
-    T::try_from(whole(raw)?).map_err(|_| "is too large")
+pub(crate) fn read_integer<T: TryFrom<u64>>(raw: &[u8]) -> Result<T, &'static str> {
+    T::try_from(read_u64(raw)?).map_err(|_| "is too large")
 }
 
-pub(crate) fn time(raw: &[u8]) -> Result<Duration, &'static str> {
-    Some(whole(raw)?).filter(|t| *t <= MAX_MICROS).map(Duration::from_micros).ok_or("is too long a time")
+pub(crate) fn read_time(raw: &[u8]) -> Result<Duration, &'static str> {
+    Some(read_u64(raw)?)
+        .filter(|t| *t <= MAX_MICROS)
+        .map(Duration::from_micros)
+        .ok_or("exceeds the maximum time")
 }
 
-fn real(raw: &[u8]) -> Result<f64, &'static str> {
-    let value = f64::from_le_bytes(raw.try_into().map_err(|_| "has not 8 bytes")?);
-    Some(value).filter(|v| v.is_finite() && *v >= 0.0).ok_or("is no figure")
+fn read_f64(raw: &[u8]) -> Result<f64, &'static str> {
+    let value = f64::from_le_bytes(raw.try_into().map_err(|_| "is not 8 bytes long")?);
+    Some(value).filter(|v| v.is_finite() && *v >= 0.0).ok_or("is not a finite non-negative number")
 }
 
-fn report(raw: &[u8]) -> Result<LoadReport, &'static str> {
-    let (bits, mut figures) = raw.split_first().ok_or("is empty")?;
-    let mut told = [None; 6];
-    for (bit, figure) in told.iter_mut().enumerate() {
-        if bits & (1 << bit) != 0 {
-            let (value, rest) = figures.split_at_checked(8).ok_or("is cut short")?;
-            (*figure, figures) = (Some(real(value)?), rest);
+fn read_report(raw: &[u8]) -> Result<LoadReport, &'static str> {
+    let (present, mut encoded) = raw.split_first().ok_or("is empty")?;
+    let mut figures = [None; 6];
+    for (bit, figure) in figures.iter_mut().enumerate() {
+        if present & (1 << bit) != 0 {
+            let (value, rest) = encoded.split_at_checked(8).ok_or("is truncated")?;
+            (*figure, encoded) = (Some(read_f64(value)?), rest);
         }
     }
-    if *bits >= 1 << 6 || !figures.is_empty() {
-        return Err("has more than is known");
+    if *present >= 1 << 6 || !encoded.is_empty() {
+        return Err("has unknown figures or trailing bytes");
     }
-    let [free_lines, lines, busy, queue, wait, rate] = told;
+    let [free_lines, lines, busy, queue, wait, rate] = figures;
     let wait =
         wait.map(|w| Duration::try_from_secs_f64(w).ok().filter(|w| w.as_micros() < MAX_MICROS.into()));
-    let wait = wait.map(|w| w.ok_or("is too long a time")).transpose()?;
+    let wait = wait.map(|w| w.ok_or("exceeds the maximum time")).transpose()?;
     Ok(LoadReport { free_lines, lines, busy, queue, wait, rate })
 }
 
-fn one_of<T: Copy>(all: &'static [T]) -> impl Fn(&[u8]) -> Result<T, &'static str> {
-    move |raw| all.get(usize::try_from(whole(raw)?).unwrap_or(usize::MAX)).copied().ok_or("is not known")
+/// Reads an index into the values of an enum.
+fn read_one_of<T: Copy>(all: &'static [T]) -> impl Fn(&[u8]) -> Result<T, &'static str> {
+    move |raw| {
+        all.get(usize::try_from(read_u64(raw)?).unwrap_or(usize::MAX)).copied().ok_or("has an unknown value")
+    }
 }
 
 const ROLES: &[Role] = &[Role::Caller, Role::Edge, Role::Core, Role::List];
-const NOT_TAKEN: &[DeclineReason] = &[
+const DECLINE_REASONS: &[DeclineReason] = &[
     DeclineReason::Full,
     DeclineReason::Concluded,
     DeclineReason::NotYours,
@@ -521,78 +554,80 @@
     DeclineReason::NotReady,
     DeclineReason::Unsure,
 ];
-const CAUSES: &[TurnBackCause] =
+const TURN_BACK_CAUSES: &[TurnBackCause] =
     &[TurnBackCause::Processor, TurnBackCause::Lines, TurnBackCause::NumberBusy, TurnBackCause::Fault];
-const ENDS: &[DialogueEnd] = &[DialogueEnd::Released, DialogueEnd::Cut];
-const LISTED: &[Listed] = &[Listed::Active, Listed::Leaving, Listed::Gone];
+const DIALOGUE_ENDS: &[DialogueEnd] = &[DialogueEnd::Released, DialogueEnd::Cut];
+const SERVER_STATES: &[Listed] = &[Listed::Active, Listed::Leaving, Listed::Gone];
 
-fn entry(frame: &'static str, raw: &[u8]) -> Result<Entry, TrunkError> {
+fn read_entry(frame: &'static str, raw: &[u8]) -> Result<Entry, TrunkError> {
     let mut f = Fields::read(frame, raw)?;
     let entry = Entry {
-        server: f.need(SERVER, text).map(ServerId)?,
-        number: f.need(NUMBER, whole).map(|n| ServerNumber(n as i64))?,
-        address: f.need(ADDRESS, text)?,
-        state: f.need(WHY, one_of(LISTED))?,
-        incarnation: f.need(LIFE, whole)?,
-        age: f.need(TIME, time)?,
+        server: f.required(SERVER, read_text).map(ServerId)?,
+        number: f.required(NUMBER, read_u64).map(|n| ServerNumber(n as i64))?,
+        address: f.required(ADDRESS, read_text)?,
+        state: f.required(WHY, read_one_of(SERVER_STATES))?,
+        incarnation: f.required(INCARNATION, read_u64)?,
+        age: f.required(TIME, read_time)?,
     };
-    f.rest()?;
+    f.finish()?;
     Ok(entry)
 }
 
-/// Reads the frame after its length.
+/// Decodes a frame without its length.
 fn decode(raw: &[u8]) -> Result<Message, TrunkError> {
     let (kind, body) = raw.split_first().ok_or(TrunkError::Empty)?;
-    let name = kind_name(*kind).ok_or(TrunkError::Kind(*kind))?;
+    let name = kind_name(*kind).ok_or(TrunkError::UnknownKind(*kind))?;
     let mut f = Fields::read(name, body)?;
     let frame = match *kind {
         HELLO => Frame::Hello(Hello {
-            version: f.need(PROTOCOL, small)?,
-            role: f.need(ROLE, one_of(ROLES))?,
-            name: f.need(NAME, text)?,
-            sent_at: f.maybe(SENT_AT, time)?,
+            version: f.required(PROTOCOL, read_integer)?,
+            role: f.required(ROLE, read_one_of(ROLES))?,
+            name: f.required(NAME, read_text)?,
+            sent_at: f.optional(SENT_AT, read_time)?,
         }),
-        PING => Frame::Ping { nonce: f.need(NONCE, whole)? },
-        PONG => Frame::Pong { nonce: f.need(NONCE, whole)? },
-        BYE => Frame::Bye { why: f.need(NAME, text)? },
+        PING => Frame::Ping { nonce: f.required(NONCE, read_u64)? },
+        PONG => Frame::Pong { nonce: f.required(NONCE, read_u64)? },
+        BYE => Frame::Bye { why: f.required(NAME, read_text)? },
         DIAL => {
-            let flags: u8 = f.need(FLAGS, small)?;
+            let flags: u8 = f.required(FLAGS, read_integer)?;
             Frame::Dial(Dial {
                 dialogue: f.dialogue()?,
-                key: f.maybe(KEY, text)?.map(DialledKey),
-                product: f.need(PRODUCT, small)?,
-                tenant: f.maybe(TENANT, small)?,
-                first_choice: f.need(NUMBER, whole).map(|n| ServerNumber(n as i64))?,
-                width: f.need(WIDTH, real)?,
-                time_left: f.need(TIME, time)?,
+                key: f.optional(KEY, read_text)?.map(DialledKey),
+                product: f.required(PRODUCT, read_integer)?,
+                tenant: f.optional(TENANT, read_integer)?,
+                first_choice: f.required(NUMBER, read_u64).map(|n| ServerNumber(n as i64))?,
+                width: f.required(WIDTH, read_f64)?,
+                time_left: f.required(TIME, read_time)?,
                 is_retry: flags & 1 != 0,
                 redialled_after_cut: flags & 2 != 0,
                 is_repeat: flags & 4 != 0,
-                sent_at: f.maybe(SENT_AT, time)?,
-                try_of: f.maybe(TRY_OF, text)?.map(DialogueId),
-                dialled: f.maybe(CALLED, text)?,
+                sent_at: f.optional(SENT_AT, read_time)?,
+                try_of: f.optional(TRY_OF, read_text)?.map(DialogueId),
+                dialled: f.optional(CALLED, read_text)?,
             })
         }
         HANG_UP => Frame::HangUp { dialogue: f.dialogue()? },
-        STANDS => Frame::Stands { dialogue: f.dialogue()?, server: f.need(SERVER, text).map(ServerId)? },
-        REFUSED => Frame::Refused { dialogue: f.dialogue()?, retry_after: f.maybe(TIME, time)? },
+        STANDS => {
+            Frame::Stands { dialogue: f.dialogue()?, server: f.required(SERVER, read_text).map(ServerId)? }
+        }
+        REFUSED => Frame::Refused { dialogue: f.dialogue()?, retry_after: f.optional(TIME, read_time)? },
         FAILED => Frame::Failed { dialogue: f.dialogue()? },
         DECLINED => Frame::Declined {
             dialogue: f.dialogue()?,
-            why: f.need(WHY, one_of(NOT_TAKEN))?,
-            retry_after: f.maybe(TIME, time)?,
+            why: f.required(WHY, read_one_of(DECLINE_REASONS))?,
+            retry_after: f.optional(TIME, read_time)?,
         },
-        OVER => Frame::Over { dialogue: f.dialogue()?, end: f.need(WHY, one_of(ENDS))? },
+        OVER => Frame::Over { dialogue: f.dialogue()?, end: f.required(WHY, read_one_of(DIALOGUE_ENDS))? },
         LAUNCH => Frame::Launch(Launch {
             dialogue: f.dialogue()?,
             launch: f.launch()?,
-            key: f.maybe(KEY, text)?.map(DialledKey),
-            product: f.need(PRODUCT, small)?,
-            width: f.need(WIDTH, real)?,
-            time_left: f.need(TIME, time)?,
-            number: f.maybe(CALLED, text)?,
-            routing: f.maybe(ROUTING, text)?,
-            owner: f.maybe(OWNER, member_codec::owner)?,
+            key: f.optional(KEY, read_text)?.map(DialledKey),
+            product: f.required(PRODUCT, read_integer)?,
+            width: f.required(WIDTH, read_f64)?,
+            time_left: f.required(TIME, read_time)?,
+            number: f.optional(CALLED, read_text)?,
+            routing: f.optional(ROUTING, read_text)?,
+            owner: f.optional(OWNER, member_codec::read_owner)?,
         }),
         CANCEL => Frame::Cancel { dialogue: f.dialogue()?, launch: f.launch()? },
         RELEASE => Frame::Release { dialogue: f.dialogue()?, launch: f.launch()? },
@@ -600,105 +635,107 @@
         TURNED_BACK => Frame::TurnedBack {
             dialogue: f.dialogue()?,
             launch: f.launch()?,
-            cause: f.need(WHY, one_of(CAUSES))?,
+            cause: f.required(WHY, read_one_of(TURN_BACK_CAUSES))?,
             report: f.report()?,
         },
         BROKEN_OFF => Frame::BrokenOff { dialogue: f.dialogue()?, launch: f.launch()?, report: f.report()? },
         ENDED => Frame::Ended {
             dialogue: f.dialogue()?,
             launch: f.launch()?,
-            end: f.need(WHY, one_of(ENDS))?,
+            end: f.required(WHY, read_one_of(DIALOGUE_ENDS))?,
             report: f.report()?,
         },
         REPORT => Frame::Report { report: f.report()? },
         LIST => {
-            let whole = f.need(FLAGS, small::<u8>)? == 1;
+            let is_complete = f.required(FLAGS, read_integer::<u8>)? == 1;
             let mut entries = Vec::new();
             while let Some(raw) = f.take(ENTRY) {
-                entries.push(entry(name, raw)?);
+                entries.push(read_entry(name, raw)?);
             }
-            Frame::List { is_complete: whole, entries }
+            Frame::List { is_complete, entries }
         }
         TABLES => {
-            let serial = f.need(SERIAL, whole)?;
-            Frame::Tables { serial, order: order(&mut f)? }
-        }
-        TABLED => Frame::TablesResult {
-            serial: f.need(SERIAL, whole)?,
-            in_force: f.need(OF, whole)?,
-            name: f.maybe(NAME, text)?,
-            why: f.maybe(CALLED, text)?,
+            let serial = f.required(SERIAL, read_u64)?;
+            Frame::Tables { serial, order: read_order(&mut f)? }
+        }
+        TABLES_RESULT => Frame::TablesResult {
+            serial: f.required(SERIAL, read_u64)?,
+            in_force: f.required(OF, read_u64)?,
+            name: f.optional(NAME, read_text)?,
+            why: f.optional(CALLED, read_text)?,
         },
-        AUDIT.. => Frame::AuditMessage(member_codec::audit(*kind, &mut f)?),
-        PEER.. => Frame::PeerMessage(member_codec::peer(*kind, &mut f)?),
-        other => return Err(TrunkError::Kind(other)),
+        FIRST_AUDIT_KIND.. => Frame::AuditMessage(member_codec::read_audit_message(*kind, &mut f)?),
+        FIRST_PEER_KIND.. => Frame::PeerMessage(member_codec::read_peer_message(*kind, &mut f)?),
+        other => return Err(TrunkError::UnknownKind(other)),
     };
-    Ok(Message { frame, extra: f.rest()? })
+    Ok(Message { frame, extra: f.finish()? })
 }
 
-/// Takes bytes in whatever pieces they come and gives frames. After an error it gives nothing more: where the
-/// next frame begins is not known.
+/// Splits a stream of bytes, received in pieces of any size, into frames. After an error it returns no more frames,
+/// since the start of the next frame is unknown.
 #[derive(Default)]
 pub struct Decoder {
-    held: Vec<u8>,
-    read: usize,
-    broken: bool,
+    buffer: Vec<u8>,
+    consumed: usize,
+    has_failed: bool,
 }
 
 impl Decoder {
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
-        if self.read > 0 && (self.read == self.held.len() || self.read >= MAX_FRAME) {
-            self.held.drain(..self.read);
-            self.read = 0;
+        if self.consumed > 0 && (self.consumed == self.buffer.len() || self.consumed >= MAX_FRAME) {
+            self.buffer.drain(..self.consumed);
+            self.consumed = 0;
         }
-        if !self.broken {
-            self.held.extend_from_slice(bytes);
+        if !self.has_failed {
+            self.buffer.extend_from_slice(bytes);
         }
     }
 
-    /// Bytes held of a frame that is not whole yet.
+    /// Buffered bytes that have not been returned as frames yet.
     pub fn pending(&self) -> usize {
-        self.held.len() - self.read
+        self.buffer.len() - self.consumed
     }
 
+    /// Returns the next complete frame, or the error that ends the stream.
     pub fn next_frame(&mut self) -> Option<Result<Message, TrunkError>> {
-        let held = &self.held[self.read..];
-        let length = u32::from_be_bytes(held.get(..4)?.try_into().expect("four bytes")) as usize;
-        if self.broken {
+        let unread = &self.buffer[self.consumed..];
+        let length = u32::from_be_bytes(unread.get(..4)?.try_into().expect("four bytes")) as usize;
+        if self.has_failed {
             return None;
         }
         let message = if length > MAX_FRAME {
             Err(TrunkError::TooLong(length))
         } else {
-            let whole = held.get(4..4 + length)?;
-            self.read += 4 + length;
-            decode(whole)
+            let frame = unread.get(4..4 + length)?;
+            self.consumed += 4 + length;
+            decode(frame)
         };
-        self.broken = message.is_err();
+        self.has_failed = message.is_err();
         Some(message)
     }
 }
 
-pub(crate) fn put_order(order: &TablesOrder, to: &mut Writer) {
+pub(crate) fn write_order(order: &TablesOrder, to: &mut Writer) {
     match order {
-        TablesOrder::Load { name } => to.whole(WHY, 0).text(NAME, name),
-        TablesOrder::Swap { name, after } => to.whole(WHY, 1).text(NAME, name).time(TIME, *after),
+        TablesOrder::Load { name } => to.integer(WHY, 0).text(NAME, name),
+        TablesOrder::Swap { name, after } => to.integer(WHY, 1).text(NAME, name).time(TIME, *after),
         TablesOrder::Undo { of, to: name } => {
             if let Some(name) = name {
                 to.text(NAME, name);
             }
-            to.whole(WHY, 2).whole(OF, *of)
+            to.integer(WHY, 2).integer(OF, *of)
         }
-        TablesOrder::Drop { of } => to.whole(WHY, 3).whole(OF, *of),
+        TablesOrder::Drop { of } => to.integer(WHY, 3).integer(OF, *of),
     };
 }
 
-pub(crate) fn order(f: &mut Fields) -> Result<TablesOrder, TrunkError> {
-    Ok(match f.need(WHY, whole)? {
-        0 => TablesOrder::Load { name: f.need(NAME, text)? },
-        1 => TablesOrder::Swap { name: f.need(NAME, text)?, after: f.need(TIME, time)? },
-        2 => TablesOrder::Undo { of: f.need(OF, whole)?, to: f.maybe(NAME, text)? },
-        3 => TablesOrder::Drop { of: f.need(OF, whole)? },
-        _ => return Err(f.wrong(WHY, "is not known")),
+pub(crate) fn read_order(f: &mut Fields) -> Result<TablesOrder, TrunkError> {
+    Ok(match f.required(WHY, read_u64)? {
+        0 => TablesOrder::Load { name: f.required(NAME, read_text)? },
+        1 => TablesOrder::Swap { name: f.required(NAME, read_text)?, after: f.required(TIME, read_time)? },
+        2 => TablesOrder::Undo { of: f.required(OF, read_u64)?, to: f.optional(NAME, read_text)? },
+        3 => TablesOrder::Drop { of: f.required(OF, read_u64)? },
+        _ => return Err(f.invalid(WHY, "has an unknown value")),
     })
 }
--- a/crates/trunk/src/frame.rs
+++ b/crates/trunk/src/frame.rs
@@ -1,4 +1,4 @@
-//! What is said on a trunk link, by whom to whom.
+//! The frames of a trunk link, grouped by sender and receiver.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use crate::member::{AuditMessage, Owner, PeerMessage};
 use crate::texts;
 
-/// A frame and the optional fields that came with it and are unknown here.
+/// A frame with the optional fields that were received with it and that this version does not know.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
     #[serde(flatten)]
@@ -18,7 +18,7 @@
     pub extra: Vec<Extra>,
 }
 
-/// A field with a tag of 128 or more that this version does not know.
+/// An optional field (tag 128 or higher) that this version does not know; it is forwarded unchanged.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Extra {
     pub tag: u8,
@@ -31,7 +31,7 @@
     }
 }
 
-/// Who speaks at the other end of a link.
+/// The kind of peer at the other end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Role {
     Caller,
@@ -40,77 +40,76 @@
     List,
 }
 
-/// Why a dialogue was not taken; it gets no final answer, since it was never in.
+/// Why an edge proxy did not accept a dialogue. A declined dialogue gets no final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DeclineReason {
-    /// The edge proxy holds as many as it may.
+    /// The edge proxy holds its maximum number of dialogues.
     Full,
-    /// It has had its answer.
+    /// The dialogue has already had its final answer.
     Concluded,
-    /// Its id is that of another caller's dialogue.
+    /// Its id belongs to another caller's dialogue.
     NotYours,
-    /// A product, tenant, width or time that the edge proxy does not know.
+    /// A product, tenant, width or time that the edge proxy does not accept.
     Unknown,
-    /// Its number cannot be analysed yet: no tables are in force.
+    /// Its number cannot be analysed yet, because no number tables are in force.
     NotReady,
-    /// It was dialled before, and not enough of those are reached who would know what came of it.
+    /// It was dialled before, and too few of the members that would know its outcome can be reached.
     Unsure,
 }
 
 /// How a core server turned a launch back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TurnBackCause {
-    /// Too long a wait at its processor.
+    /// The wait for its processor is too long.
     Processor,
-    /// No line free there.
+    /// It has no free line.
     Lines,
     /// All lines of the dialled number are busy.
     NumberBusy,
+    /// An internal fault.
     Fault,
 }
 
-/// How a dialogue that stood came to its end.
+/// How a dialogue that stood ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DialogueEnd {
-    /// As its caller wished.
+    /// Released by its caller.
     Released,
-    /// Cut: a line lost, a processor stopped, a link gone.
+    /// Cut by the loss of a line, a stopped processor or a closed link.
     Cut,
 }
 
-/// What is said. Times are spans: no machine's clock is compared with another's.
+/// A frame of the trunk protocol. Times are durations, since the clocks of two machines are never compared.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "frame", rename_all = "snake_case")]
 pub enum Frame {
-    /// The first frame of each side of a link.
+    /// The first frame that each side sends.
     Hello(Hello),
-    /// Is the other end still there? Answered by the link, not by a processor.
-    Ping {
-        nonce: u64,
-    },
-    Pong {
-        nonce: u64,
-    },
-    /// The last frame of a link that is closed on purpose.
-    Bye {
-        why: Arc<str>,
-    },
+    /// Checks that the peer responds. The link answers it, not a core server's processor.
+    Ping { nonce: u64 },
+    /// The answer to `Ping`, with its nonce.
+    Pong { nonce: u64 },
+    /// The last frame before a link is closed deliberately.
+    Bye { why: Arc<str> },
 
     // Caller to edge proxy
+    /// Requests a dialogue.
     Dial(Dial),
-    /// The caller gives this dialogue up, whether it stands or not.
+    /// The caller abandons this dialogue, whether or not it stands.
     HangUp {
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
     },
 
-    // Edge proxy to caller: the three final answers ...
+    // Edge proxy to caller: the three final answers (`Stands`, `Refused`, `Failed`), `Declined` and `Over`
+    /// Final answer: the dialogue stands at this core server.
     Stands {
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
         #[serde(with = "texts::ServerText")]
         server: ServerId,
     },
+    /// Final answer: the dialogue is refused; the caller may retry after `retry_after`.
     Refused {
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
@@ -118,21 +117,22 @@
         #[serde(rename = "come_back")]
         retry_after: Option<Duration>,
     },
+    /// Final answer: the dialogue could not be set up.
     Failed {
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
     },
-    /// ... what was never taken ...
+    /// The dialogue was not accepted; this is not a final answer.
     Declined {
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
         why: DeclineReason,
-        /// When it may be otherwise.
+        /// When a new attempt may be accepted.
         #[serde(default, skip_serializing_if = "Option::is_none", with = "texts::maybe_micros")]
         #[serde(rename = "come_back")]
         retry_after: Option<Duration>,
     },
-    /// ... and the end of one that stood, where the caller did not hang up.
+    /// The end of a dialogue that stood and that the caller did not hang up.
     Over {
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
@@ -140,15 +140,16 @@
     },
 
     // Edge proxy to core server
+    /// Requests a set-up.
     Launch(Launch),
-    /// The launch is called off; it is answered if the answer is not under way already.
+    /// Cancels a launch. The core server answers with `Ended` unless another answer was already sent.
     Cancel {
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
         #[serde(with = "texts::LaunchText")]
         launch: LaunchNo,
     },
-    /// A dialogue that stands is over.
+    /// Releases a dialogue that stands.
     Release {
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
@@ -157,6 +158,7 @@
     },
 
     // Core server to edge proxy
+    /// The launch succeeded.
     Stood {
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
@@ -165,6 +167,7 @@
         #[serde(with = "texts::ReportText")]
         report: LoadReport,
     },
+    /// The launch was turned back.
     TurnedBack {
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
@@ -183,7 +186,7 @@
         #[serde(with = "texts::ReportText")]
         report: LoadReport,
     },
-    /// A dialogue that stood is over, or a launch is called off.
+    /// A dialogue that stood has ended, or a launch was cancelled.
     Ended {
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
@@ -193,89 +196,91 @@
         #[serde(with = "texts::ReportText")]
         report: LoadReport,
     },
+    /// A load report that is not part of an answer.
     Report {
         #[serde(with = "texts::ReportText")]
         report: LoadReport,
     },
 
     // Pool list to edge proxy
+    /// The listed core servers.
     List {
-        /// All that is listed; else what has changed.
+        /// Whether `entries` is the complete list; otherwise it holds only the changes.
         #[serde(rename = "whole")]
         is_complete: bool,
         entries: Vec<Entry>,
     },
-    /// An order about the tables by which numbers are analysed. Serials go up; one is never used twice.
-    Tables {
-        serial: u64,
-        order: TablesOrder,
-    },
+    /// An order about the number tables. Serials increase and are never reused.
+    Tables { serial: u64, order: TablesOrder },
 
     // Edge proxy to pool list
-    /// What came of an order; `in_force` is the serial of the swap that is in force.
+    /// The result of an order; `in_force` is the serial of the swap that is in force.
     #[serde(rename = "tabled")]
     TablesResult {
         serial: u64,
         in_force: u64,
         #[serde(default, skip_serializing_if = "Option::is_none")]
         name: Option<Arc<str>>,
-        /// Why it was not carried out.
+        /// Why the order was not carried out; absent on success.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         why: Option<Arc<str>>,
     },
 
-    /// Between members of a fleet.
+    /// A message between members of a fleet.
     #[serde(rename = "peer")]
     PeerMessage(PeerMessage),
-    /// Between a member of a fleet and a core server, about whose a dialogue is.
+    /// A message between a member of a fleet and a core server about the ownership of dialogues.
     #[serde(rename = "audit")]
     AuditMessage(AuditMessage),
 }
 
+/// An order about a generation of number tables.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TablesOrder {
-    /// Read and check a generation, and keep it ready.
+    /// Read and check a generation and hold it ready.
     Load { name: Arc<str> },
-    /// It is in force after this time.
+    /// Put a generation in force after this delay.
     Swap {
         name: Arc<str>,
         #[serde(with = "texts::micros")]
         after: Duration,
     },
-    /// What was in force before that swap is in force again, if that swap is the last one. An edge proxy that started
-    /// since then does not know what that was, and is told.
+    /// Undo the swap with serial `of`, if it is the last one. `to` names the generation that was in force before, for
+    /// edge proxies that started after that swap.
     Undo {
         of: u64,
         #[serde(default, skip_serializing_if = "Option::is_none")]
         to: Option<Arc<str>>,
     },
-    /// A swap that waits for its time is dropped.
+    /// Drop a swap whose delay has not yet passed.
     Drop { of: u64 },
 }
 
+/// Identifies the sender of a link's first frame.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Hello {
     pub version: u16,
     pub role: Role,
     pub name: Arc<str>,
-    /// As in a dial.
+    /// Sender's clock, as in [`Dial::sent_at`].
     #[serde(default, skip_serializing_if = "Option::is_none", with = "texts::maybe_micros")]
     pub sent_at: Option<Duration>,
 }
 
 impl Hello {
-    /// In the version that this build speaks.
+    /// A greeting with this build's protocol version.
     pub fn new(role: Role, name: Arc<str>) -> Self {
         Self { version: crate::VERSION, role, name, sent_at: None }
     }
 }
 
+/// A caller's request for a dialogue.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Dial {
     #[serde(with = "texts::DialogueText")]
     pub dialogue: DialogueId,
-    /// Stands for what was dialled.
+    /// Opaque key of the dialled destination.
     #[serde(default, skip_serializing_if = "Option::is_none", with = "texts::maybe_key")]
     pub key: Option<DialledKey>,
     pub product: u16,
@@ -283,44 +288,45 @@
     pub tenant: Option<u16>,
     #[serde(with = "texts::NumberText")]
     pub first_choice: ServerNumber,
-    /// Lines that it takes.
+    /// Number of lines that the dialogue occupies.
     pub width: f64,
-    /// Until the caller gives this try up.
+    /// Time until the caller gives this attempt up.
     #[serde(with = "texts::micros")]
     pub time_left: Duration,
-    /// The caller has dialled before ...
+    /// Whether the caller has dialled before.
     #[serde(rename = "again")]
     pub is_retry: bool,
-    /// ... and stood, and was cut.
+    /// Whether the caller dials again because a dialogue of its that stood was cut.
     #[serde(rename = "came_back")]
     pub redialled_after_cut: bool,
-    /// This very dialogue was dialled before, here or at another edge proxy, and what came of it is not known.
+    /// Whether this same dialogue was dialled before, at this or another edge proxy, with unknown outcome.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     #[serde(rename = "repeat")]
     pub is_repeat: bool,
-    /// When the caller said this, by any clock of its own that only goes forward: the slowest dials of a link are
-    /// told from the fastest by it, and what they lost on the way is not counted as time left.
+    /// When the caller sent the frame, by any monotonic clock of its own. The edge proxy compares the delays of a
+    /// link's dials and subtracts the time lost in transit from the time left.
     #[serde(default, skip_serializing_if = "Option::is_none", with = "texts::maybe_micros")]
     pub sent_at: Option<Duration>,
-    /// The dialogue that was its first try.
+    /// The dialogue of the caller's first attempt, if this one is a retry.
     #[serde(default, skip_serializing_if = "Option::is_none", with = "texts::maybe_dialogue")]
     pub try_of: Option<DialogueId>,
-    /// As it was dialled. Where it is there, the number decides what can take the dialogue.
+    /// The number as dialled. If present, it decides which core servers can take the dialogue.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub dialled: Option<Arc<str>>,
 }
 
 impl Dial {
-    /// Shares between trunk groups go by it: the same for all tries of a caller.
+    /// Hash by which dialogues are shared between trunk groups; equal for all attempts of a caller.
     pub fn sharing_hash(&self) -> u64 {
-        let own = self.try_of.as_ref().unwrap_or(&self.dialogue);
-        let text = self.key.as_ref().map_or(&own.0, |key| &key.0);
-        // FNV-1a: whoever judges must come to the same.
+        let first = self.try_of.as_ref().unwrap_or(&self.dialogue);
+        let text = self.key.as_ref().map_or(&first.0, |key| &key.0);
+        // FNV-1a: the judge of traffic records has to compute the same value.
         text.bytes()
-            .fold(0xcbf2_9ce4_8422_2325, |lot, byte| (lot ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3))
+            .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3))
     }
 }
 
+/// An edge proxy's request for a set-up at a core server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Launch {
     #[serde(with = "texts::DialogueText")]
@@ -331,61 +337,62 @@
     pub key: Option<DialledKey>,
     pub product: u16,
     pub width: f64,
-    /// Until the edge proxy takes it as timed out.
+    /// Time until the edge proxy treats the launch as timed out.
     #[serde(with = "texts::micros")]
     pub time_left: Duration,
-    /// The number that analysis came to ...
+    /// The number that results from number analysis.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub number: Option<Arc<str>>,
-    /// ... and where it has moved to.
+    /// The routing number, if `number` has been ported.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub routing: Option<Arc<str>>,
-    /// Whose dialogue it is, where edge proxies act as a fleet: then what stands outlasts its link.
+    /// The dialogue's owner, if the edge proxies form a fleet: a dialogue that stands then survives its link.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub owner: Option<Owner>,
 }
 
+/// A core server in the pool list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
     #[serde(with = "texts::ServerText")]
     pub server: ServerId,
     #[serde(with = "texts::NumberText")]
     pub number: ServerNumber,
-    /// Where it is reached: an address and port.
+    /// Its address and port.
     pub address: Arc<str>,
-    #[serde(with = "listed_text")]
+    #[serde(with = "server_state_text")]
     #[serde(rename = "listed")]
     pub state: Listed,
-    /// Which of its lives this is; another one is a start.
+    /// The core server's incarnation; a new value means that it has restarted.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// How long ago that life began; zero: long ago.
+    /// Time since that incarnation began; zero means a long time.
     #[serde(with = "texts::micros")]
     pub age: Duration,
 }
 
-mod listed_text {
+mod server_state_text {
     use super::*;
 
     #[derive(Serialize, Deserialize)]
     #[serde(remote = "Listed")]
-    enum ListedText {
+    enum ServerStateText {
         Active,
         Leaving,
         Gone,
     }
 
-    pub fn serialize<S: serde::Serializer>(listed: &Listed, out: S) -> Result<S::Ok, S::Error> {
-        ListedText::serialize(listed, out)
+    pub fn serialize<S: serde::Serializer>(state: &Listed, out: S) -> Result<S::Ok, S::Error> {
+        ServerStateText::serialize(state, out)
     }
 
     pub fn deserialize<'de, D: serde::Deserializer<'de>>(input: D) -> Result<Listed, D::Error> {
-        ListedText::deserialize(input)
+        ServerStateText::deserialize(input)
     }
 }
 
 impl Frame {
-    /// The dialogue that it speaks of, if one.
+    /// The dialogue that the frame concerns, if any.
     pub fn dialogue(&self) -> Option<&DialogueId> {
         use Frame::*;
         match self {
@@ -405,8 +412,8 @@
             | Ended { dialogue, .. } => Some(dialogue),
             Hello(_) | Ping { .. } | Pong { .. } | Bye { .. } | Report { .. } | List { .. } => None,
             Tables { .. } | TablesResult { .. } => None,
-            PeerMessage(peer) => peer.dialogue(),
-            AuditMessage(audit) => audit.dialogue(),
+            PeerMessage(message) => message.dialogue(),
+            AuditMessage(message) => message.dialogue(),
         }
     }
 }
--- a/crates/trunk/src/lib.rs
+++ b/crates/trunk/src/lib.rs
@@ -1,11 +1,12 @@
-//! The trunk protocol: what caller, edge proxy, core server and pool list say to each other.
+//! The trunk protocol: the frames exchanged by callers, edge proxies, core servers and pool lists.
 //!
-//! It knows types and bytes and no socket, clock or thread. Start reading at [`Frame`]; [`Decoder`] takes
-//! bytes as they come and gives frames, [`Message::encode`] is the way back.
+//! The package holds types and their codec; it uses no socket, clock or thread. [`Frame`] is the entry point:
+//! [`Decoder`] turns a stream of bytes into frames and [`Message::encode`] turns a frame into bytes.
 //!
-//! On the wire a frame is a length (four bytes, big-endian, of what follows; at most [`MAX_FRAME`]), a kind
-//! (one byte) and fields: a tag (one byte), a length (LEB128) and the value. A reader that does not know a tag
-//! below 128 closes the link; tags from 128 on are optional: unknown ones are kept and passed on (`extra`).
+//! On the wire a frame is a length (four bytes, big-endian, of the bytes that follow; at most [`MAX_FRAME`]), a
+//! kind (one byte) and fields. A field is a tag (one byte), a length (LEB128) and the value. A reader that does not
+//! know a tag below 128 closes the link. Tags from 128 on are optional: unknown ones are retained and forwarded
+//! (`extra`).
 
 mod codec;
 mod frame;
--- a/crates/trunk/src/member.rs
+++ b/crates/trunk/src/member.rs
@@ -1,5 +1,5 @@
-//! What members of a fleet say to each other, and to core servers about whose a dialogue is. Only where a sheet has a
-//! fleet; nothing of it is said by callers or lists.
+//! Messages between members of a fleet, and between members and core servers about the ownership of dialogues. They
+//! are used only where the configuration defines a fleet; callers and pool lists send none of them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,8 +10,8 @@
 use crate::frame::TablesOrder;
 use crate::texts;
 
-/// Who writes a dialogue's state: a member of the fleet, by its place in the group, in one of its lives. With each
-/// change of owner the round goes up; of two owners of one round the one that compares higher counts.
+/// The writer of a dialogue's state: a member of the fleet, by its index in the group, in one of its incarnations. Each
+/// change of owner increases the round; of two owners of the same round the greater one takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Owner {
     pub round: u32,
@@ -20,29 +20,33 @@
     pub incarnation: u64,
 }
 
-/// A final answer, as it was or would be given.
+/// A final answer to a caller, sent or about to be sent.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Answer {
+    /// The dialogue stands at this core server.
     Stands {
         #[serde(with = "texts::ServerText")]
         server: ServerId,
     },
+    /// The dialogue is refused. Verdict texts of the judge contain the name `come_back`, since they print answers in
+    /// their debug form.
     Refused {
         #[serde(default, skip_serializing_if = "Option::is_none", with = "texts::maybe_micros")]
         come_back: Option<Duration>,
     },
+    /// The dialogue could not be set up.
     Failed,
 }
 
-/// How far a dialogue has come, as one owner wrote it.
+/// The progress of a dialogue, as recorded by one owner.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Progress {
-    /// Nothing of it is out, and nothing is in doubt beside what the bar says.
+    /// No launch is in progress, and none is unresolved beyond the time in `blocked_for`.
     #[serde(rename = "taken")]
     Accepted,
-    /// A launch is out, or was in doubt to be.
+    /// A launch is in progress, or its outcome is unknown.
     #[serde(rename = "out")]
     Launched {
         #[serde(with = "texts::ServerText")]
@@ -50,99 +54,104 @@
         #[serde(with = "texts::LaunchText")]
         launch: LaunchNo,
     },
+    /// The dialogue stands.
     Stands {
         #[serde(with = "texts::ServerText")]
         server: ServerId,
         #[serde(with = "texts::LaunchText")]
         launch: LaunchNo,
     },
-    /// It has had its answer and does not stand, or stands no more.
+    /// The dialogue has had its final answer and does not stand, or no longer stands.
     #[serde(rename = "over")]
     Ended,
 }
 
-/// What one owner wrote of a dialogue last. Versions of an owner go up by one. Times are spans from now.
+/// The last state of a dialogue that one owner wrote. Each write of an owner increases the version by one. Times are
+/// durations from now.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct OwnerRecord {
     pub owner: Owner,
     pub version: u32,
     #[serde(rename = "reached")]
     pub progress: Progress,
-    /// For so long a launch of that owner may be out, or its lines may be taken: nothing may be launched.
+    /// For this time a launch of that owner may be in progress or hold lines, so that no other launch is allowed.
     #[serde(with = "texts::micros")]
     #[serde(rename = "bar")]
     pub blocked_for: Duration,
-    /// It is forgotten after so long.
+    /// Time until the record expires.
     #[serde(with = "texts::micros")]
     #[serde(rename = "lasts")]
     pub expires_in: Duration,
 }
 
-/// A copy of a dialogue's state on its way.
+/// A replica of a dialogue's state, as sent to another member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaUpdate {
     #[serde(with = "texts::DialogueText")]
     pub dialogue: DialogueId,
     #[serde(rename = "parts")]
     pub owner_records: Vec<OwnerRecord>,
-    /// Final answers that were written, and by whom.
+    /// The final answers recorded so far, with their owners.
     pub answers: Vec<RecordedAnswer>,
 }
 
-/// A final answer, as an owner wrote it.
+/// A final answer and the owner that recorded it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RecordedAnswer {
     pub owner: Owner,
     pub answer: Answer,
 }
 
-/// The longest message of the membership protocol that a frame carries.
+/// Maximum bytes of a membership protocol message in a frame.
 pub const MAX_MEMBERSHIP_MESSAGE: usize = 2048;
 
-/// What members say to each other, after hello as [`crate::Role::Edge`] both ways.
+/// Messages between members, after both sides have sent a hello as [`crate::Role::Edge`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "peer", rename_all = "snake_case")]
 pub enum PeerMessage {
-    /// Who is here: the first word of both sides. `group` is a digest of all names and figures that must agree.
+    /// The first message of both sides. `group` is a digest of all names and figures on which members must agree.
     #[serde(rename = "here")]
     Greeting {
         group: u64,
         member: u16,
-        /// Zero while none is agreed.
+        /// Zero until an incarnation is agreed.
         #[serde(rename = "life")]
         incarnation: u64,
-        /// The highest life of the other side that is known here, and how long ago that was last heard.
+        /// The highest known incarnation of the receiver; `last_seen_ago` is the time since it was last seen.
         #[serde(rename = "yours")]
         known_remote_incarnation: u64,
-        /// The highest count of writes on disk that the other side has told.
+        /// The highest disk write count that the receiver has reported.
         saved: u64,
         #[serde(default, skip_serializing_if = "Option::is_none", with = "texts::maybe_micros")]
         #[serde(rename = "away")]
         last_seen_ago: Option<Duration>,
     },
-    /// Is this life new to you?
+    /// Asks whether this incarnation is new to the receiver.
     #[serde(rename = "new_life")]
     ProposeIncarnation {
         #[serde(rename = "life")]
         incarnation: u64,
     },
+    /// Grants or rejects a proposed incarnation.
     #[serde(rename = "life")]
     IncarnationReply {
         #[serde(rename = "life")]
         incarnation: u64,
         #[serde(rename = "given")]
         granted: bool,
-        /// The highest one known of the asker.
+        /// The highest known incarnation of the asker.
         highest: u64,
     },
-    /// A message of the membership protocol, in the bytes of the package that decides it; only between overlay neighbours.
+    /// A membership protocol message, encoded by the package that implements it; only between overlay neighbours.
     Membership {
         /// At most [`MAX_MEMBERSHIP_MESSAGE`] bytes.
         message: Vec<u8>,
     },
-    /// Writes that the sender's disk has had: a disk that has had fewer later on is an older copy. Only between overlay neighbours.
+    /// The number of writes to the sender's disk. A disk that later reports fewer is an older copy. Sent only between
+    /// overlay neighbours.
     DiskCount { saved: u64 },
-    /// Writes of the sender, consecutive from this number of its stream to the other side; 0: outside the stream.
+    /// Writes of the sender, numbered consecutively from `first` in its stream to the receiver; 0 means outside the
+    /// stream.
     #[serde(rename = "copies")]
     Replicas {
         #[serde(rename = "life")]
@@ -151,17 +160,18 @@
         #[serde(rename = "copies")]
         replicas: Vec<ReplicaUpdate>,
     },
-    /// All writes of that life up to this number are kept, but those of dialogues that have a higher owner now.
+    /// All writes of that incarnation up to this number are stored, except for dialogues that now have a higher owner.
     #[serde(rename = "kept")]
     Acknowledge {
         #[serde(rename = "life")]
         incarnation: u64,
         up_to: u64,
-        /// As in [`Peer::DiskCount`], this one counted.
+        /// As in [`PeerMessage::DiskCount`], including this write.
         saved: u64,
         replaced: Vec<Replaced>,
     },
-    /// What is had of the other side's stream; where that is too little, it goes on with a snapshot from here.
+    /// How much of the receiver's stream the sender has. If the stream no longer reaches back that far, the receiver
+    /// continues with a snapshot from this cursor.
     Resume {
         #[serde(rename = "life")]
         incarnation: u64,
@@ -169,36 +179,38 @@
         received_up_to: u64,
         snapshot: Option<Cursor>,
     },
-    /// A piece of a snapshot of all that the sender owns and the other side is to hold.
+    /// A chunk of a snapshot of all dialogues that the sender owns and the receiver replicates.
     #[serde(rename = "piece")]
     SnapshotChunk {
         #[serde(rename = "life")]
         incarnation: u64,
         cursor: Cursor,
-        /// Where the next piece begins; none: this was the last.
+        /// Where the next chunk begins; absent in the last one.
         next: Option<u64>,
         #[serde(rename = "copies")]
         replicas: Vec<ReplicaUpdate>,
     },
-    /// What is known of a dialogue? The asker owns it from now on unless someone higher does; who owned it lets go.
+    /// Asks for the state of a dialogue. The asker becomes its owner unless a higher owner is known; the previous owner
+    /// releases it.
     Ask {
         serial: u64,
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
         owner: Owner,
     },
+    /// The answer to `Ask`.
     #[serde(rename = "know")]
     AskReply {
         serial: u64,
-        /// It would know, if it was told.
+        /// Whether the sender would have the dialogue's state if any was sent to it.
         #[serde(rename = "sure")]
         is_authoritative: bool,
-        /// Someone higher owns it.
+        /// The higher owner, if there is one.
         higher: Option<Owner>,
         #[serde(rename = "copy")]
         replica: Option<ReplicaUpdate>,
     },
-    /// Digests of what both are to hold, of `sums.len()` ranges from this one on at this level.
+    /// Digests of the replicas that both sides should hold, for `digests.len()` ranges from `from` on at this level.
     #[serde(rename = "sums")]
     RangeDigests {
         level: u8,
@@ -206,32 +218,34 @@
         #[serde(rename = "sums")]
         digests: Vec<u64>,
     },
-    /// What is held in a range: the hash of each id and the digest of what is held.
+    /// The replicas held in a range: the hash of each dialogue's id and the fingerprint of its state.
     #[serde(rename = "prints")]
     DialogueDigests {
         range: u32,
         #[serde(rename = "prints")]
         fingerprints: Vec<(u64, u64)>,
     },
-    /// These, by the hashes of their ids, are wanted.
+    /// Requests the replicas of dialogues by the hashes of their ids.
     #[serde(rename = "want")]
     RequestReplicas {
         #[serde(rename = "ids")]
         id_hashes: Vec<u64>,
     },
-    /// An operator asks; answered by texts.
+    /// An operator's query, answered by `InquireReply`.
     Inquire {
         #[serde(rename = "what")]
         query: Arc<str>,
     },
+    /// One part of the answer to `Inquire`; `more` means that further parts follow.
     #[serde(rename = "tell")]
     InquireReply { more: bool, text: String },
-    /// A word about who holds which duty, in the bytes of the package that decides it.
+    /// A message about the assignment of duties, encoded by the package that implements it.
     Duties {
         #[serde(rename = "word")]
         message: Vec<u8>,
     },
-    /// An act of the duty `circuits`: look whether all that this core server holds of yours is held by you.
+    /// An action of the duty `circuits`: check that the receiver holds every dialogue for which this core server holds a
+    /// line of the receiver's.
     #[serde(rename = "check")]
     CheckLines {
         #[serde(rename = "act")]
@@ -239,23 +253,25 @@
         #[serde(with = "texts::ServerText")]
         server: ServerId,
     },
-    /// An act of the duty `publish`: this order about number tables is to be carried out.
+    /// An action of the duty `publish`: carry out this order about number tables.
     Publish {
         #[serde(rename = "act")]
         action: DutyAction,
         serial: u64,
         order: TablesOrder,
     },
-    /// What came of it; none: it is done.
+    /// The result of a published order; `why` is absent on success.
     Published { serial: u64, why: Option<Arc<str>> },
-    /// An operator wants this generation of number tables in force on all members; said to whoever holds the duty.
+    /// An operator's request to put this generation of number tables in force on all members, sent to the holder of the
+    /// duty.
     #[serde(rename = "wanted")]
     PublishRequest { name: Arc<str> },
-    /// An act was refused: its number is lower than this one, which was seen.
+    /// An action was refused because its fencing token is lower than the highest one seen.
     Fenced { duty: u16, highest: u64 },
 }
 
-/// Under which number a duty's act is done, and by whom: receivers refuse what is lower than the highest that they have seen.
+/// The fencing token and the member under which an action of a duty is carried out. Receivers refuse a token that is
+/// lower than the highest that they have seen for the duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DutyAction {
     pub duty: u16,
@@ -266,6 +282,7 @@
     pub incarnation: u64,
 }
 
+/// A dialogue that has a higher owner than the acknowledged write.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Replaced {
     #[serde(with = "texts::DialogueText")]
@@ -273,14 +290,14 @@
     pub by: Owner,
 }
 
-/// Where a snapshot stands: it began when the stream had this number, and goes on from this hash of an id.
+/// The position of a snapshot: it began when the stream was at number `at` and continues from the id hash `from`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cursor {
     pub at: u64,
     pub from: u64,
 }
 
-/// A line in use, as its core server knows whose it is.
+/// A line in use and its owner, as known to its core server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeldLine {
     #[serde(with = "texts::DialogueText")]
@@ -290,43 +307,46 @@
     pub owner: Owner,
 }
 
-/// What is said between a member and a core server about whose a dialogue is.
+/// Messages between a member and a core server about the ownership of dialogues.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "audit", rename_all = "snake_case")]
 pub enum AuditMessage {
-    /// What stands there of this member's lives up to this one? `life` 0: of all members.
+    /// Asks for the lines held for this member's incarnations up to this one; `incarnation` 0 means all members.
     #[serde(rename = "what")]
     ListLines {
         serial: u64,
         member: u16,
         #[serde(rename = "life")]
         incarnation: u64,
-        /// Those behind this one, in the order of ids.
+        /// Only lines of dialogues after this one, in the order of ids.
         #[serde(default, skip_serializing_if = "Option::is_none", with = "texts::maybe_dialogue")]
         after: Option<DialogueId>,
     },
+    /// One part of the answer to `ListLines`; `more` means that further lines follow.
     #[serde(rename = "holds")]
     Lines { serial: u64, more: bool, lines: Vec<HeldLine> },
-    /// The dialogue is this owner's from now on, whatever stands of it comes to this link; what is out of it is ended.
+    /// Makes this owner the owner of the dialogue: a launch of it that stands moves to this link, and one that does not
+    /// stand yet is ended.
     Adopt {
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
         owner: Owner,
-        /// It is a duty's act.
+        /// Set if the adoption is an action of a duty.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         #[serde(rename = "act")]
         action: Option<DutyAction>,
     },
+    /// The answer to `Adopt`.
     Adopted {
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
         owner: Owner,
-        /// What stands of it, if anything does and is the asker's now.
+        /// The launch that stands and now belongs to the asker, if any.
         launch: Option<u32>,
-        /// Who owns it as far as is known there: someone higher, if not the asker.
+        /// The owner known to the core server: a higher one, if not the asker.
         by: Owner,
     },
-    /// What stood for the other side on this link is another's now.
+    /// A dialogue that stood for the receiver on this link now belongs to another owner.
     Moved {
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
@@ -334,7 +354,7 @@
         launch: LaunchNo,
         by: Owner,
     },
-    /// An act was refused: its number is lower than this one, which was seen.
+    /// An action was refused because its fencing token is lower than the highest one seen.
     Fenced {
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
@@ -344,6 +364,7 @@
 }
 
 impl PeerMessage {
+    /// The dialogue that the message concerns, if any.
     pub fn dialogue(&self) -> Option<&DialogueId> {
         match self {
             Self::Ask { dialogue, .. } => Some(dialogue),
@@ -353,6 +374,7 @@
 }
 
 impl AuditMessage {
+    /// The dialogue that the message concerns, if any.
     pub fn dialogue(&self) -> Option<&DialogueId> {
         match self {
             Self::Adopt { dialogue, .. }
--- a/crates/trunk/src/member_codec.rs
+++ b/crates/trunk/src/member_codec.rs
@@ -1,67 +1,68 @@
-//! Frames between members, and between member and core server, to bytes and back.
+//! The binary codec of messages between members, and between members and core servers.
 
 use lotussaddle::interface::{DialogueId, ServerId};
 
 use crate::codec::*;
 use crate::member::*;
 
-// Kinds on the wire. A number is never given to another frame.
-const HERE: u8 = PEER;
-const NEW_LIFE: u8 = PEER + 1;
-const LIFE_GIVEN: u8 = PEER + 2;
-// PEER + 3 was a heartbeat with a bit for each member.
-const COPIES: u8 = PEER + 4;
-const KEPT: u8 = PEER + 5;
-const RESUME: u8 = PEER + 6;
-const PIECE: u8 = PEER + 7;
-const ASK: u8 = PEER + 8;
-const KNOW: u8 = PEER + 9;
-const SUMS: u8 = PEER + 10;
-const PRINTS: u8 = PEER + 11;
-const WANT: u8 = PEER + 12;
-const INQUIRE: u8 = PEER + 13;
-const TELL: u8 = PEER + 14;
-const DUTIES: u8 = PEER + 15;
-const CHECK: u8 = PEER + 16;
-const PEER_FENCED: u8 = PEER + 17;
-const PUBLISH: u8 = PEER + 18;
-const PUBLISHED: u8 = PEER + 19;
-const WANTED: u8 = PEER + 20;
-const MEMBERSHIP: u8 = PEER + 21;
-const DISK_COUNT: u8 = PEER + 22;
-const WHAT: u8 = AUDIT;
-const HOLDS: u8 = AUDIT + 1;
-const ADOPT: u8 = AUDIT + 2;
-const ADOPTED: u8 = AUDIT + 3;
-const MOVED: u8 = AUDIT + 4;
-const FENCED: u8 = AUDIT + 5;
+// Frame kinds on the wire. A number is never reused for another frame.
+const GREETING: u8 = FIRST_PEER_KIND;
+const PROPOSE_INCARNATION: u8 = FIRST_PEER_KIND + 1;
+const INCARNATION_REPLY: u8 = FIRST_PEER_KIND + 2;
+// FIRST_PEER_KIND + 3 is retired: it was a heartbeat with a bit for each member.
+const REPLICAS: u8 = FIRST_PEER_KIND + 4;
+const ACKNOWLEDGE: u8 = FIRST_PEER_KIND + 5;
+const RESUME: u8 = FIRST_PEER_KIND + 6;
+const SNAPSHOT_CHUNK: u8 = FIRST_PEER_KIND + 7;
+const ASK: u8 = FIRST_PEER_KIND + 8;
+const ASK_REPLY: u8 = FIRST_PEER_KIND + 9;
+const RANGE_DIGESTS: u8 = FIRST_PEER_KIND + 10;
+const DIALOGUE_DIGESTS: u8 = FIRST_PEER_KIND + 11;
+const REQUEST_REPLICAS: u8 = FIRST_PEER_KIND + 12;
+const INQUIRE: u8 = FIRST_PEER_KIND + 13;
+const INQUIRE_REPLY: u8 = FIRST_PEER_KIND + 14;
+const DUTIES: u8 = FIRST_PEER_KIND + 15;
+const CHECK_LINES: u8 = FIRST_PEER_KIND + 16;
+const PEER_FENCED: u8 = FIRST_PEER_KIND + 17;
+const PUBLISH: u8 = FIRST_PEER_KIND + 18;
+const PUBLISHED: u8 = FIRST_PEER_KIND + 19;
+const PUBLISH_REQUEST: u8 = FIRST_PEER_KIND + 20;
+const MEMBERSHIP: u8 = FIRST_PEER_KIND + 21;
+const DISK_COUNT: u8 = FIRST_PEER_KIND + 22;
+const LIST_LINES: u8 = FIRST_AUDIT_KIND;
+const LINES: u8 = FIRST_AUDIT_KIND + 1;
+const ADOPT: u8 = FIRST_AUDIT_KIND + 2;
+const ADOPTED: u8 = FIRST_AUDIT_KIND + 3;
+const MOVED: u8 = FIRST_AUDIT_KIND + 4;
+const FENCED: u8 = FIRST_AUDIT_KIND + 5;
 
+/// The name of a frame kind, as in traffic records.
 pub fn kind_name(kind: u8) -> Option<&'static str> {
     Some(match kind {
-        HERE => "here",
-        NEW_LIFE => "new_life",
-        LIFE_GIVEN => "life",
-        COPIES => "copies",
-        KEPT => "kept",
+        GREETING => "here",
+        PROPOSE_INCARNATION => "new_life",
+        INCARNATION_REPLY => "life",
+        REPLICAS => "copies",
+        ACKNOWLEDGE => "kept",
         RESUME => "resume",
-        PIECE => "piece",
+        SNAPSHOT_CHUNK => "piece",
         ASK => "ask",
-        KNOW => "know",
-        SUMS => "sums",
-        PRINTS => "prints",
-        WANT => "want",
+        ASK_REPLY => "know",
+        RANGE_DIGESTS => "sums",
+        DIALOGUE_DIGESTS => "prints",
+        REQUEST_REPLICAS => "want",
         INQUIRE => "inquire",
-        TELL => "tell",
+        INQUIRE_REPLY => "tell",
         DUTIES => "duties",
-        CHECK => "check",
+        CHECK_LINES => "check",
         PEER_FENCED | FENCED => "fenced",
         PUBLISH => "publish",
         PUBLISHED => "published",
-        WANTED => "wanted",
+        PUBLISH_REQUEST => "wanted",
         MEMBERSHIP => "membership",
         DISK_COUNT => "disk_count",
-        WHAT => "what",
-        HOLDS => "holds",
+        LIST_LINES => "what",
+        LINES => "holds",
         ADOPT => "adopt",
         ADOPTED => "adopted",
         MOVED => "moved",
@@ -69,37 +70,37 @@
     })
 }
 
-// Fields, beside those of `codec`.
+// Field tags, in addition to those of `codec`.
 const GROUP: u8 = 26;
 const MEMBER: u8 = 27;
-const YOURS: u8 = 28;
+const REMOTE_INCARNATION: u8 = 28;
 const HIGHEST: u8 = 29;
-const WORDS: u8 = 30;
-const OWN: u8 = 31;
+const HASHES: u8 = 30;
+const RECORD_OWNER: u8 = 31;
 const FROM: u8 = 32;
 const AT: u8 = 33;
 const NEXT: u8 = 34;
 const LEVEL: u8 = 35;
 const BLOB: u8 = 36;
-const BAR: u8 = 37;
-const LASTS: u8 = 38;
-const PART: u8 = 39;
-const VERDICT: u8 = 40;
+const BLOCKED_FOR: u8 = 37;
+const EXPIRES_IN: u8 = 38;
+const CURRENT_OWNER: u8 = 39;
+const ANSWER: u8 = 40;
 const SAVED: u8 = 41;
-const ACT: u8 = 42;
+const ACTION: u8 = 42;
 const DUTY: u8 = 43;
 
-fn act_bytes(act: &DutyAction) -> [u8; 20] {
+fn encode_action(action: &DutyAction) -> [u8; 20] {
     let mut raw = [0; 20];
-    raw[..2].copy_from_slice(&act.duty.to_le_bytes());
-    raw[2..10].copy_from_slice(&act.fencing_token.to_le_bytes());
-    raw[10..12].copy_from_slice(&act.member.to_le_bytes());
-    raw[12..].copy_from_slice(&act.incarnation.to_le_bytes());
+    raw[..2].copy_from_slice(&action.duty.to_le_bytes());
+    raw[2..10].copy_from_slice(&action.fencing_token.to_le_bytes());
+    raw[10..12].copy_from_slice(&action.member.to_le_bytes());
+    raw[12..].copy_from_slice(&action.incarnation.to_le_bytes());
     raw
 }
 
-fn act(raw: &[u8]) -> Result<DutyAction, &'static str> {
-    let raw: &[u8; 20] = raw.try_into().map_err(|_| "is no act")?;
+fn read_action(raw: &[u8]) -> Result<DutyAction, &'static str> {
+    let raw: &[u8; 20] = raw.try_into().map_err(|_| "is not a duty action")?;
     Ok(DutyAction {
         duty: u16::from_le_bytes(raw[..2].try_into().expect("two bytes")),
         fencing_token: u64::from_le_bytes(raw[2..10].try_into().expect("eight bytes")),
@@ -108,7 +109,7 @@
     })
 }
 
-pub fn owner_bytes(owner: &Owner) -> [u8; 14] {
+pub fn encode_owner(owner: &Owner) -> [u8; 14] {
     let mut raw = [0; 14];
     raw[..4].copy_from_slice(&owner.round.to_le_bytes());
     raw[4..6].copy_from_slice(&owner.member.to_le_bytes());
@@ -116,168 +117,177 @@
     raw
 }
 
-pub fn owner(raw: &[u8]) -> Result<Owner, &'static str> {
-    let raw: &[u8; 14] = raw.try_into().map_err(|_| "is no owner")?;
+pub fn read_owner(raw: &[u8]) -> Result<Owner, &'static str> {
+    let raw: &[u8; 14] = raw.try_into().map_err(|_| "is not an owner")?;
     let round = u32::from_le_bytes(raw[..4].try_into().expect("four bytes"));
     let member = u16::from_le_bytes(raw[4..6].try_into().expect("two bytes"));
     Ok(Owner { round, member, incarnation: u64::from_le_bytes(raw[6..].try_into().expect("eight bytes")) })
 }
 
-fn words(raw: &[u8]) -> Result<Vec<u64>, &'static str> {
-    let (words, rest) = raw.as_chunks::<8>();
-    if rest.is_empty() {
-        Ok(words.iter().map(|word| u64::from_le_bytes(*word)).collect())
+/// Reads a sequence of integers of 8 bytes each.
+fn read_integers(raw: &[u8]) -> Result<Vec<u64>, &'static str> {
+    let (integers, remainder) = raw.as_chunks::<8>();
+    if remainder.is_empty() {
+        Ok(integers.iter().map(|integer| u64::from_le_bytes(*integer)).collect())
     } else {
-        Err("is not made of 8 bytes each")
+        Err("is not a multiple of 8 bytes")
     }
 }
 
-fn put_words(to: &mut Writer, tag: u8, words: impl IntoIterator<Item = u64>) {
-    let raw: Vec<u8> = words.into_iter().flat_map(u64::to_le_bytes).collect();
+fn write_integers(to: &mut Writer, tag: u8, integers: impl IntoIterator<Item = u64>) {
+    let raw: Vec<u8> = integers.into_iter().flat_map(u64::to_le_bytes).collect();
     to.bytes(tag, &raw);
 }
 
-fn put_reached(to: &mut Writer, reached: &Progress) {
-    match reached {
-        Progress::Accepted => to.whole(WHY, 0),
+fn write_progress(to: &mut Writer, progress: &Progress) {
+    match progress {
+        Progress::Accepted => to.integer(WHY, 0),
         Progress::Launched { server, launch } => {
-            to.whole(WHY, 1).text(SERVER, &server.0).whole(LAUNCH_NO, launch.0.into())
+            to.integer(WHY, 1).text(SERVER, &server.0).integer(LAUNCH_NUMBER, launch.0.into())
         }
         Progress::Stands { server, launch } => {
-            to.whole(WHY, 2).text(SERVER, &server.0).whole(LAUNCH_NO, launch.0.into())
+            to.integer(WHY, 2).text(SERVER, &server.0).integer(LAUNCH_NUMBER, launch.0.into())
         }
-        Progress::Ended => to.whole(WHY, 3),
+        Progress::Ended => to.integer(WHY, 3),
     };
 }
 
-fn reached(f: &mut Fields) -> Result<Progress, TrunkError> {
-    Ok(match f.need(WHY, whole)? {
+fn read_progress(f: &mut Fields) -> Result<Progress, TrunkError> {
+    Ok(match f.required(WHY, read_u64)? {
         0 => Progress::Accepted,
-        1 => Progress::Launched { server: f.need(SERVER, text).map(ServerId)?, launch: f.launch()? },
-        2 => Progress::Stands { server: f.need(SERVER, text).map(ServerId)?, launch: f.launch()? },
+        1 => Progress::Launched { server: f.required(SERVER, read_text).map(ServerId)?, launch: f.launch()? },
+        2 => Progress::Stands { server: f.required(SERVER, read_text).map(ServerId)?, launch: f.launch()? },
         3 => Progress::Ended,
-        _ => return Err(f.wrong(WHY, "is not known")),
+        _ => return Err(f.invalid(WHY, "has an unknown value")),
     })
 }
 
-fn put_copy(to: &mut Writer, copy: &ReplicaUpdate) {
+fn write_replica(to: &mut Writer, replica: &ReplicaUpdate) {
     let (mut nested, mut inner) = (Vec::new(), Vec::new());
     let mut into = Writer(&mut nested);
-    into.text(DIALOGUE, &copy.dialogue.0);
-    for part in &copy.owner_records {
+    into.text(DIALOGUE, &replica.dialogue.0);
+    for record in &replica.owner_records {
         inner.clear();
-        let mut part_to = Writer(&mut inner);
-        part_to.bytes(OWN, &owner_bytes(&part.owner)).whole(SERIAL, part.version.into());
-        put_reached(&mut part_to, &part.progress);
-        if !part.blocked_for.is_zero() {
-            part_to.time(BAR, part.blocked_for);
+        let mut record_to = Writer(&mut inner);
+        record_to.bytes(RECORD_OWNER, &encode_owner(&record.owner)).integer(SERIAL, record.version.into());
+        write_progress(&mut record_to, &record.progress);
+        if !record.blocked_for.is_zero() {
+            record_to.time(BLOCKED_FOR, record.blocked_for);
         }
-        part_to.time(LASTS, part.expires_in);
+        record_to.time(EXPIRES_IN, record.expires_in);
         into.bytes(ENTRY, &inner);
     }
-    for RecordedAnswer { owner, answer } in &copy.answers {
+    for RecordedAnswer { owner, answer } in &replica.answers {
         inner.clear();
         let mut answer_to = Writer(&mut inner);
-        answer_to.bytes(OWN, &owner_bytes(owner));
+        answer_to.bytes(RECORD_OWNER, &encode_owner(owner));
         match answer {
-            Answer::Stands { server } => answer_to.whole(VERDICT, 0).text(SERVER, &server.0),
-            Answer::Refused { come_back: None } => answer_to.whole(VERDICT, 1),
-            Answer::Refused { come_back: Some(time) } => answer_to.whole(VERDICT, 1).time(TIME, *time),
-            Answer::Failed => answer_to.whole(VERDICT, 2),
+            Answer::Stands { server } => answer_to.integer(ANSWER, 0).text(SERVER, &server.0),
+            Answer::Refused { come_back: None } => answer_to.integer(ANSWER, 1),
+            Answer::Refused { come_back: Some(time) } => answer_to.integer(ANSWER, 1).time(TIME, *time),
+            Answer::Failed => answer_to.integer(ANSWER, 2),
         };
         into.bytes(ENTRY, &inner);
     }
     to.bytes(ENTRY, &nested);
 }
 
-/// A copy as it stands in a frame, for whoever keeps it or cuts what is sent by its size.
-pub fn encode_replica(copy: &ReplicaUpdate) -> Vec<u8> {
+/// Encodes a replica as in a frame, to store it or to split messages by size.
+pub fn encode_replica(replica: &ReplicaUpdate) -> Vec<u8> {
     let mut raw = Vec::new();
-    put_copy(&mut Writer(&mut raw), copy);
+    write_replica(&mut Writer(&mut raw), replica);
     raw
 }
 
-/// A copy from `encode_replica`; an error names the field.
+/// Decodes the output of [`encode_replica`]; an error names the field.
 pub fn decode_replica(bytes: &[u8]) -> Result<ReplicaUpdate, TrunkError> {
     let mut f = Fields::read("copies", bytes)?;
-    let copy = copies("copies", &mut f)?.pop().ok_or(TrunkError::Missing { frame: "copies", tag: ENTRY })?;
-    f.rest()?;
-    Ok(copy)
+    let replica = read_replicas("copies", &mut f)?
+        .pop()
+        .ok_or(TrunkError::MissingField { frame: "copies", tag: ENTRY })?;
+    f.finish()?;
+    Ok(replica)
 }
 
-/// The most owners and answers that a copy may bring: more were never written.
-const MOST_PARTS: usize = 16;
+/// Maximum number of owners and of answers in a replica; members never write more.
+const MAX_REPLICA_RECORDS: usize = 16;
 
-fn copy(frame: &'static str, raw: &[u8]) -> Result<ReplicaUpdate, TrunkError> {
+fn read_replica(frame: &'static str, raw: &[u8]) -> Result<ReplicaUpdate, TrunkError> {
     let mut f = Fields::read(frame, raw)?;
     let dialogue = f.dialogue()?;
-    let (mut parts, mut answers) = (Vec::new(), Vec::new());
+    let (mut owner_records, mut answers) = (Vec::new(), Vec::new());
     while let Some(raw) = f.take(ENTRY) {
         let mut inner = Fields::read(frame, raw)?;
-        match inner.maybe(VERDICT, whole)? {
-            None => parts.push(OwnerRecord {
-                owner: inner.need(OWN, owner)?,
-                version: inner.need(SERIAL, small)?,
-                progress: reached(&mut inner)?,
-                blocked_for: inner.maybe(BAR, time)?.unwrap_or_default(),
-                expires_in: inner.need(LASTS, time)?,
+        match inner.optional(ANSWER, read_u64)? {
+            None => owner_records.push(OwnerRecord {
+                owner: inner.required(RECORD_OWNER, read_owner)?,
+                version: inner.required(SERIAL, read_integer)?,
+                progress: read_progress(&mut inner)?,
+                blocked_for: inner.optional(BLOCKED_FOR, read_time)?.unwrap_or_default(),
+                expires_in: inner.required(EXPIRES_IN, read_time)?,
             }),
-            Some(verdict) => {
-                let owner = inner.need(OWN, owner)?;
-                let answer = match verdict {
-                    0 => Answer::Stands { server: inner.need(SERVER, text).map(ServerId)? },
-                    1 => Answer::Refused { come_back: inner.maybe(TIME, time)? },
+            Some(kind) => {
+                let owner = inner.required(RECORD_OWNER, read_owner)?;
+                let answer = match kind {
+                    0 => Answer::Stands { server: inner.required(SERVER, read_text).map(ServerId)? },
+                    1 => Answer::Refused { come_back: inner.optional(TIME, read_time)? },
                     2 => Answer::Failed,
-                    _ => return Err(inner.wrong(VERDICT, "is not known")),
+                    _ => return Err(inner.invalid(ANSWER, "has an unknown value")),
                 };
                 answers.push(RecordedAnswer { owner, answer });
             }
         }
-        inner.rest()?;
-        if parts.len() > MOST_PARTS || answers.len() > MOST_PARTS {
-            return Err(f.wrong(ENTRY, "comes too often"));
+        inner.finish()?;
+        if owner_records.len() > MAX_REPLICA_RECORDS || answers.len() > MAX_REPLICA_RECORDS {
+            return Err(f.invalid(ENTRY, "occurs too often"));
         }
     }
-    f.rest()?;
-    Ok(ReplicaUpdate { dialogue, owner_records: parts, answers })
+    f.finish()?;
+    Ok(ReplicaUpdate { dialogue, owner_records, answers })
 }
 
-fn copies(frame: &'static str, f: &mut Fields) -> Result<Vec<ReplicaUpdate>, TrunkError> {
+fn read_replicas(frame: &'static str, f: &mut Fields) -> Result<Vec<ReplicaUpdate>, TrunkError> {
     let mut all = Vec::new();
     while let Some(raw) = f.take_in_order(ENTRY) {
-        all.push(copy(frame, raw)?);
+        all.push(read_replica(frame, raw)?);
     }
     Ok(all)
 }
 
-fn put_cursor(to: &mut Writer, cursor: &Cursor) {
-    to.whole(AT, cursor.at).whole(FROM, cursor.from);
+fn write_cursor(to: &mut Writer, cursor: &Cursor) {
+    to.integer(AT, cursor.at).integer(FROM, cursor.from);
 }
 
-pub fn put_peer(peer: &PeerMessage, to: &mut Writer) -> u8 {
-    match peer {
+/// Writes the fields of a message and returns its kind.
+pub fn write_peer_message(message: &PeerMessage, to: &mut Writer) -> u8 {
+    match message {
         PeerMessage::Greeting {
             group,
             member,
-            incarnation: life,
-            known_remote_incarnation: yours,
+            incarnation,
+            known_remote_incarnation,
             saved,
-            last_seen_ago: away,
+            last_seen_ago,
         } => {
-            to.whole(GROUP, *group).whole(MEMBER, (*member).into()).whole(LIFE, *life).whole(YOURS, *yours);
-            to.whole(SAVED, *saved);
-            if let Some(away) = away {
-                to.time(TIME, *away);
+            to.integer(GROUP, *group)
+                .integer(MEMBER, (*member).into())
+                .integer(INCARNATION, *incarnation)
+                .integer(REMOTE_INCARNATION, *known_remote_incarnation);
+            to.integer(SAVED, *saved);
+            if let Some(last_seen_ago) = last_seen_ago {
+                to.time(TIME, *last_seen_ago);
             }
-            HERE
+            GREETING
         }
-        PeerMessage::ProposeIncarnation { incarnation: life } => {
-            to.whole(LIFE, *life);
-            NEW_LIFE
+        PeerMessage::ProposeIncarnation { incarnation } => {
+            to.integer(INCARNATION, *incarnation);
+            PROPOSE_INCARNATION
         }
-        PeerMessage::IncarnationReply { incarnation: life, granted: given, highest } => {
-            to.whole(LIFE, *life).whole(FLAGS, (*given).into()).whole(HIGHEST, *highest);
-            LIFE_GIVEN
+        PeerMessage::IncarnationReply { incarnation, granted, highest } => {
+            to.integer(INCARNATION, *incarnation)
+                .integer(FLAGS, (*granted).into())
+                .integer(HIGHEST, *highest);
+            INCARNATION_REPLY
         }
         PeerMessage::Membership { message } => {
             debug_assert!(message.len() <= MAX_MEMBERSHIP_MESSAGE);
@@ -285,96 +295,100 @@
             MEMBERSHIP
         }
         PeerMessage::DiskCount { saved } => {
-            to.whole(SAVED, *saved);
+            to.integer(SAVED, *saved);
             DISK_COUNT
         }
-        PeerMessage::Replicas { incarnation: life, first, replicas: copies } => {
-            to.whole(LIFE, *life).whole(AT, *first);
-            copies.iter().for_each(|copy| put_copy(to, copy));
-            COPIES
+        PeerMessage::Replicas { incarnation, first, replicas } => {
+            to.integer(INCARNATION, *incarnation).integer(AT, *first);
+            replicas.iter().for_each(|replica| write_replica(to, replica));
+            REPLICAS
         }
-        PeerMessage::Acknowledge { incarnation: life, up_to, saved, replaced } => {
-            to.whole(LIFE, *life).whole(AT, *up_to).whole(SAVED, *saved);
+        PeerMessage::Acknowledge { incarnation, up_to, saved, replaced } => {
+            to.integer(INCARNATION, *incarnation).integer(AT, *up_to).integer(SAVED, *saved);
             for replaced in replaced {
                 let mut nested = Vec::new();
                 Writer(&mut nested)
                     .text(DIALOGUE, &replaced.dialogue.0)
-                    .bytes(OWN, &owner_bytes(&replaced.by));
+                    .bytes(RECORD_OWNER, &encode_owner(&replaced.by));
                 to.bytes(ENTRY, &nested);
             }
-            KEPT
+            ACKNOWLEDGE
         }
-        PeerMessage::Resume { incarnation: life, received_up_to: have, snapshot } => {
-            to.whole(LIFE, *life).whole(HIGHEST, *have);
+        PeerMessage::Resume { incarnation, received_up_to, snapshot } => {
+            to.integer(INCARNATION, *incarnation).integer(HIGHEST, *received_up_to);
             if let Some(cursor) = snapshot {
-                put_cursor(to, cursor);
+                write_cursor(to, cursor);
             }
             RESUME
         }
-        PeerMessage::SnapshotChunk { incarnation: life, cursor, next, replicas: copies } => {
-            to.whole(LIFE, *life);
-            put_cursor(to, cursor);
+        PeerMessage::SnapshotChunk { incarnation, cursor, next, replicas } => {
+            to.integer(INCARNATION, *incarnation);
+            write_cursor(to, cursor);
             if let Some(next) = next {
-                to.whole(NEXT, *next);
+                to.integer(NEXT, *next);
             }
-            copies.iter().for_each(|copy| put_copy(to, copy));
-            PIECE
+            replicas.iter().for_each(|replica| write_replica(to, replica));
+            SNAPSHOT_CHUNK
         }
         PeerMessage::Ask { serial, dialogue, owner } => {
-            to.whole(SERIAL, *serial).text(DIALOGUE, &dialogue.0).bytes(OWN, &owner_bytes(owner));
+            to.integer(SERIAL, *serial).text(DIALOGUE, &dialogue.0).bytes(RECORD_OWNER, &encode_owner(owner));
             ASK
         }
-        PeerMessage::AskReply { serial, is_authoritative: sure, higher, replica: copy } => {
-            to.whole(SERIAL, *serial).whole(FLAGS, (*sure).into());
+        PeerMessage::AskReply { serial, is_authoritative, higher, replica } => {
+            to.integer(SERIAL, *serial).integer(FLAGS, (*is_authoritative).into());
             if let Some(higher) = higher {
-                to.bytes(OWN, &owner_bytes(higher));
+                to.bytes(RECORD_OWNER, &encode_owner(higher));
             }
-            if let Some(copy) = copy {
-                put_copy(to, copy);
+            if let Some(replica) = replica {
+                write_replica(to, replica);
             }
-            KNOW
-        }
-        PeerMessage::RangeDigests { level, from, digests: sums } => {
-            to.whole(LEVEL, (*level).into()).whole(FROM, (*from).into());
-            put_words(to, WORDS, sums.iter().copied());
-            SUMS
-        }
-        PeerMessage::DialogueDigests { range, fingerprints: prints } => {
-            to.whole(FROM, (*range).into());
-            put_words(to, WORDS, prints.iter().flat_map(|(id, digest)| [*id, *digest]));
-            PRINTS
-        }
-        PeerMessage::RequestReplicas { id_hashes: ids } => {
-            put_words(to, WORDS, ids.iter().copied());
-            WANT
-        }
-        PeerMessage::Inquire { query: what } => {
-            to.text(NAME, what);
+            ASK_REPLY
+        }
+        PeerMessage::RangeDigests { level, from, digests } => {
+            to.integer(LEVEL, (*level).into()).integer(FROM, (*from).into());
+            write_integers(to, HASHES, digests.iter().copied());
+            RANGE_DIGESTS
+        }
+        PeerMessage::DialogueDigests { range, fingerprints } => {
+            to.integer(FROM, (*range).into());
+            write_integers(
+                to,
+                HASHES,
+                fingerprints.iter().flat_map(|(id_hash, fingerprint)| [*id_hash, *fingerprint]),
+            );
+            DIALOGUE_DIGESTS
+        }
+        PeerMessage::RequestReplicas { id_hashes } => {
+            write_integers(to, HASHES, id_hashes.iter().copied());
+            REQUEST_REPLICAS
+        }
+        PeerMessage::Inquire { query } => {
+            to.text(NAME, query);
             INQUIRE
         }
         PeerMessage::InquireReply { more, text } => {
-            to.whole(FLAGS, (*more).into()).bytes(BLOB, text.as_bytes());
-            TELL
+            to.integer(FLAGS, (*more).into()).bytes(BLOB, text.as_bytes());
+            INQUIRE_REPLY
         }
-        PeerMessage::Duties { message: word } => {
-            to.bytes(BLOB, word);
+        PeerMessage::Duties { message } => {
+            to.bytes(BLOB, message);
             DUTIES
         }
-        PeerMessage::CheckLines { action: act, server } => {
-            to.bytes(ACT, &act_bytes(act)).text(SERVER, &server.0);
-            CHECK
+        PeerMessage::CheckLines { action, server } => {
+            to.bytes(ACTION, &encode_action(action)).text(SERVER, &server.0);
+            CHECK_LINES
         }
         PeerMessage::Fenced { duty, highest } => {
-            to.whole(DUTY, (*duty).into()).whole(HIGHEST, *highest);
+            to.integer(DUTY, (*duty).into()).integer(HIGHEST, *highest);
             PEER_FENCED
         }
-        PeerMessage::Publish { action: act, serial, order } => {
-            to.bytes(ACT, &act_bytes(act)).whole(SERIAL, *serial);
-            put_order(order, to);
+        PeerMessage::Publish { action, serial, order } => {
+            to.bytes(ACTION, &encode_action(action)).integer(SERIAL, *serial);
+            write_order(order, to);
             PUBLISH
         }
         PeerMessage::Published { serial, why } => {
-            to.whole(SERIAL, *serial);
+            to.integer(SERIAL, *serial);
             if let Some(why) = why {
                 to.text(CALLED, why);
             }
@@ -382,214 +396,239 @@
         }
         PeerMessage::PublishRequest { name } => {
             to.text(NAME, name);
-            WANTED
+            PUBLISH_REQUEST
         }
     }
 }
 
-/// Lines of a core server in one frame, at most: an id has up to 128 bytes.
-const MOST_LINES: usize = 400;
+/// Maximum lines of a core server in one frame, given ids of up to 128 bytes.
+const MAX_LINES_PER_FRAME: usize = 400;
 
-pub fn put_audit(audit: &AuditMessage, to: &mut Writer) -> u8 {
-    match audit {
-        AuditMessage::ListLines { serial, member, incarnation: life, after } => {
-            to.whole(SERIAL, *serial).whole(MEMBER, (*member).into()).whole(LIFE, *life);
+/// Writes the fields of a message and returns its kind.
+pub fn write_audit_message(message: &AuditMessage, to: &mut Writer) -> u8 {
+    match message {
+        AuditMessage::ListLines { serial, member, incarnation, after } => {
+            to.integer(SERIAL, *serial).integer(MEMBER, (*member).into()).integer(INCARNATION, *incarnation);
             if let Some(after) = after {
                 to.text(DIALOGUE, &after.0);
             }
-            WHAT
+            LIST_LINES
         }
         AuditMessage::Lines { serial, more, lines } => {
-            debug_assert!(lines.len() <= MOST_LINES);
-            to.whole(SERIAL, *serial).whole(FLAGS, (*more).into());
+            debug_assert!(lines.len() <= MAX_LINES_PER_FRAME);
+            to.integer(SERIAL, *serial).integer(FLAGS, (*more).into());
             for line in lines {
                 let mut nested = Vec::new();
                 Writer(&mut nested)
                     .text(DIALOGUE, &line.dialogue.0)
-                    .whole(LAUNCH_NO, line.launch.0.into())
-                    .bytes(OWN, &owner_bytes(&line.owner));
+                    .integer(LAUNCH_NUMBER, line.launch.0.into())
+                    .bytes(RECORD_OWNER, &encode_owner(&line.owner));
                 to.bytes(ENTRY, &nested);
             }
-            HOLDS
+            LINES
         }
-        AuditMessage::Adopt { dialogue, owner, action: act } => {
-            to.text(DIALOGUE, &dialogue.0).bytes(OWN, &owner_bytes(owner));
-            if let Some(act) = act {
-                to.bytes(ACT, &act_bytes(act));
+        AuditMessage::Adopt { dialogue, owner, action } => {
+            to.text(DIALOGUE, &dialogue.0).bytes(RECORD_OWNER, &encode_owner(owner));
+            if let Some(action) = action {
+                to.bytes(ACTION, &encode_action(action));
             }
             ADOPT
         }
         AuditMessage::Adopted { dialogue, owner, launch, by } => {
-            to.text(DIALOGUE, &dialogue.0).bytes(OWN, &owner_bytes(owner)).bytes(PART, &owner_bytes(by));
+            to.text(DIALOGUE, &dialogue.0)
+                .bytes(RECORD_OWNER, &encode_owner(owner))
+                .bytes(CURRENT_OWNER, &encode_owner(by));
             if let Some(launch) = launch {
-                to.whole(LAUNCH_NO, (*launch).into());
+                to.integer(LAUNCH_NUMBER, (*launch).into());
             }
             ADOPTED
         }
         AuditMessage::Moved { dialogue, launch, by } => {
-            to.text(DIALOGUE, &dialogue.0).whole(LAUNCH_NO, launch.0.into()).bytes(OWN, &owner_bytes(by));
+            to.text(DIALOGUE, &dialogue.0)
+                .integer(LAUNCH_NUMBER, launch.0.into())
+                .bytes(RECORD_OWNER, &encode_owner(by));
             MOVED
         }
         AuditMessage::Fenced { dialogue, duty, highest } => {
-            to.text(DIALOGUE, &dialogue.0).whole(DUTY, (*duty).into()).whole(HIGHEST, *highest);
+            to.text(DIALOGUE, &dialogue.0).integer(DUTY, (*duty).into()).integer(HIGHEST, *highest);
             FENCED
         }
     }
 }
 
-fn flag(f: &mut Fields) -> Result<bool, TrunkError> {
-    Ok(f.need(FLAGS, small::<u8>)? == 1)
+fn read_flag(f: &mut Fields) -> Result<bool, TrunkError> {
+    Ok(f.required(FLAGS, read_integer::<u8>)? == 1)
 }
 
-fn cursor(f: &mut Fields) -> Result<Option<Cursor>, TrunkError> {
-    Ok(f.maybe(AT, whole)?.zip(f.maybe(FROM, whole)?).map(|(at, from)| Cursor { at, from }))
+fn read_cursor(f: &mut Fields) -> Result<Option<Cursor>, TrunkError> {
+    Ok(f.optional(AT, read_u64)?.zip(f.optional(FROM, read_u64)?).map(|(at, from)| Cursor { at, from }))
 }
 
-fn blob(raw: &[u8]) -> Result<String, &'static str> {
-    std::str::from_utf8(raw).map(String::from).map_err(|_| "is no UTF-8")
+/// Reads text of any length, which may be empty and contain control characters.
+fn read_long_text(raw: &[u8]) -> Result<String, &'static str> {
+    std::str::from_utf8(raw).map(String::from).map_err(|_| "is not valid UTF-8")
 }
 
-fn membership_message(raw: &[u8]) -> Result<Vec<u8>, &'static str> {
+fn read_membership_message(raw: &[u8]) -> Result<Vec<u8>, &'static str> {
     if raw.len() > MAX_MEMBERSHIP_MESSAGE {
         return Err("is too long");
     }
     Ok(raw.to_vec())
 }
 
-pub fn peer(kind: u8, f: &mut Fields) -> Result<PeerMessage, TrunkError> {
-    let name = kind_name(kind).ok_or(TrunkError::Kind(kind))?;
+pub fn read_peer_message(kind: u8, f: &mut Fields) -> Result<PeerMessage, TrunkError> {
+    let name = kind_name(kind).ok_or(TrunkError::UnknownKind(kind))?;
     Ok(match kind {
-        HERE => PeerMessage::Greeting {
-            group: f.need(GROUP, whole)?,
-            member: f.need(MEMBER, small)?,
-            incarnation: f.need(LIFE, whole)?,
-            known_remote_incarnation: f.need(YOURS, whole)?,
-            saved: f.need(SAVED, whole)?,
-            last_seen_ago: f.maybe(TIME, time)?,
+        GREETING => PeerMessage::Greeting {
+            group: f.required(GROUP, read_u64)?,
+            member: f.required(MEMBER, read_integer)?,
+            incarnation: f.required(INCARNATION, read_u64)?,
+            known_remote_incarnation: f.required(REMOTE_INCARNATION, read_u64)?,
+            saved: f.required(SAVED, read_u64)?,
+            last_seen_ago: f.optional(TIME, read_time)?,
         },
-        NEW_LIFE => PeerMessage::ProposeIncarnation { incarnation: f.need(LIFE, whole)? },
-        LIFE_GIVEN => PeerMessage::IncarnationReply {
-            incarnation: f.need(LIFE, whole)?,
-            granted: flag(f)?,
-            highest: f.need(HIGHEST, whole)?,
+        PROPOSE_INCARNATION => {
+            PeerMessage::ProposeIncarnation { incarnation: f.required(INCARNATION, read_u64)? }
+        }
+        INCARNATION_REPLY => PeerMessage::IncarnationReply {
+            incarnation: f.required(INCARNATION, read_u64)?,
+            granted: read_flag(f)?,
+            highest: f.required(HIGHEST, read_u64)?,
         },
-        MEMBERSHIP => PeerMessage::Membership { message: f.need(BLOB, membership_message)? },
-        DISK_COUNT => PeerMessage::DiskCount { saved: f.need(SAVED, whole)? },
-        COPIES => PeerMessage::Replicas {
-            incarnation: f.need(LIFE, whole)?,
-            first: f.need(AT, whole)?,
-            replicas: copies(name, f)?,
+        MEMBERSHIP => PeerMessage::Membership { message: f.required(BLOB, read_membership_message)? },
+        DISK_COUNT => PeerMessage::DiskCount { saved: f.required(SAVED, read_u64)? },
+        REPLICAS => PeerMessage::Replicas {
+            incarnation: f.required(INCARNATION, read_u64)?,
+            first: f.required(AT, read_u64)?,
+            replicas: read_replicas(name, f)?,
         },
-        KEPT => {
-            let (life, up_to, saved) = (f.need(LIFE, whole)?, f.need(AT, whole)?, f.need(SAVED, whole)?);
+        ACKNOWLEDGE => {
+            let (incarnation, up_to, saved) =
+                (f.required(INCARNATION, read_u64)?, f.required(AT, read_u64)?, f.required(SAVED, read_u64)?);
             let mut replaced = Vec::new();
             while let Some(raw) = f.take_in_order(ENTRY) {
                 let mut inner = Fields::read(name, raw)?;
-                replaced.push(Replaced { dialogue: inner.dialogue()?, by: inner.need(OWN, owner)? });
-                inner.rest()?;
+                replaced.push(Replaced {
+                    dialogue: inner.dialogue()?,
+                    by: inner.required(RECORD_OWNER, read_owner)?,
+                });
+                inner.finish()?;
             }
-            PeerMessage::Acknowledge { incarnation: life, up_to, saved, replaced }
+            PeerMessage::Acknowledge { incarnation, up_to, saved, replaced }
         }
         RESUME => PeerMessage::Resume {
-            incarnation: f.need(LIFE, whole)?,
-            received_up_to: f.need(HIGHEST, whole)?,
-            snapshot: cursor(f)?,
+            incarnation: f.required(INCARNATION, read_u64)?,
+            received_up_to: f.required(HIGHEST, read_u64)?,
+            snapshot: read_cursor(f)?,
         },
-        PIECE => PeerMessage::SnapshotChunk {
-            incarnation: f.need(LIFE, whole)?,
-            cursor: cursor(f)?.ok_or(TrunkError::Missing { frame: name, tag: AT })?,
-            next: f.maybe(NEXT, whole)?,
-            replicas: copies(name, f)?,
+        SNAPSHOT_CHUNK => PeerMessage::SnapshotChunk {
+            incarnation: f.required(INCARNATION, read_u64)?,
+            cursor: read_cursor(f)?.ok_or(TrunkError::MissingField { frame: name, tag: AT })?,
+            next: f.optional(NEXT, read_u64)?,
+            replicas: read_replicas(name, f)?,
         },
         ASK => PeerMessage::Ask {
-            serial: f.need(SERIAL, whole)?,
+            serial: f.required(SERIAL, read_u64)?,
             dialogue: f.dialogue()?,
-            owner: f.need(OWN, owner)?,
+            owner: f.required(RECORD_OWNER, read_owner)?,
         },
-        KNOW => PeerMessage::AskReply {
-            serial: f.need(SERIAL, whole)?,
-            is_authoritative: flag(f)?,
-            higher: f.maybe(OWN, owner)?,
-            replica: copies(name, f)?.pop(),
+        ASK_REPLY => PeerMessage::AskReply {
+            serial: f.required(SERIAL, read_u64)?,
+            is_authoritative: read_flag(f)?,
+            higher: f.optional(RECORD_OWNER, read_owner)?,
+            replica: read_replicas(name, f)?.pop(),
         },
-        SUMS => PeerMessage::RangeDigests {
-            level: f.need(LEVEL, small)?,
-            from: f.need(FROM, small)?,
-            digests: f.need(WORDS, words)?,
+        RANGE_DIGESTS => PeerMessage::RangeDigests {
+            level: f.required(LEVEL, read_integer)?,
+            from: f.required(FROM, read_integer)?,
+            digests: f.required(HASHES, read_integers)?,
         },
-        PRINTS => {
-            let range = f.need(FROM, small)?;
-            let all = f.need(WORDS, words)?;
+        DIALOGUE_DIGESTS => {
+            let range = f.required(FROM, read_integer)?;
+            let all = f.required(HASHES, read_integers)?;
             let (pairs, rest) = all.as_chunks::<2>();
             if !rest.is_empty() {
-                return Err(f.wrong(WORDS, "is not made of pairs"));
+                return Err(f.invalid(HASHES, "is not a sequence of pairs"));
             }
             PeerMessage::DialogueDigests {
                 range,
-                fingerprints: pairs.iter().map(|[id, digest]| (*id, *digest)).collect(),
+                fingerprints: pairs.iter().map(|[id_hash, fingerprint]| (*id_hash, *fingerprint)).collect(),
             }
         }
-        WANT => PeerMessage::RequestReplicas { id_hashes: f.need(WORDS, words)? },
-        INQUIRE => PeerMessage::Inquire { query: f.need(NAME, text)? },
-        TELL => PeerMessage::InquireReply { more: flag(f)?, text: f.need(BLOB, blob)? },
-        DUTIES => PeerMessage::Duties { message: f.need(BLOB, |raw| Ok::<_, &'static str>(raw.to_vec()))? },
-        CHECK => {
-            PeerMessage::CheckLines { action: f.need(ACT, act)?, server: f.need(SERVER, text).map(ServerId)? }
+        REQUEST_REPLICAS => PeerMessage::RequestReplicas { id_hashes: f.required(HASHES, read_integers)? },
+        INQUIRE => PeerMessage::Inquire { query: f.required(NAME, read_text)? },
+        INQUIRE_REPLY => {
+            PeerMessage::InquireReply { more: read_flag(f)?, text: f.required(BLOB, read_long_text)? }
         }
+        DUTIES => {
+            PeerMessage::Duties { message: f.required(BLOB, |raw| Ok::<_, &'static str>(raw.to_vec()))? }
+        }
+        CHECK_LINES => PeerMessage::CheckLines {
+            action: f.required(ACTION, read_action)?,
+            server: f.required(SERVER, read_text).map(ServerId)?,
+        },
         PUBLISH => PeerMessage::Publish {
-            action: f.need(ACT, act)?,
-            serial: f.need(SERIAL, whole)?,
-            order: order(f)?,
+            action: f.required(ACTION, read_action)?,
+            serial: f.required(SERIAL, read_u64)?,
+            order: read_order(f)?,
+        },
+        PUBLISHED => PeerMessage::Published {
+            serial: f.required(SERIAL, read_u64)?,
+            why: f.optional(CALLED, read_text)?,
+        },
+        PUBLISH_REQUEST => PeerMessage::PublishRequest { name: f.required(NAME, read_text)? },
+        PEER_FENCED => PeerMessage::Fenced {
+            duty: f.required(DUTY, read_integer)?,
+            highest: f.required(HIGHEST, read_u64)?,
         },
-        PUBLISHED => PeerMessage::Published { serial: f.need(SERIAL, whole)?, why: f.maybe(CALLED, text)? },
-        WANTED => PeerMessage::PublishRequest { name: f.need(NAME, text)? },
-        PEER_FENCED => PeerMessage::Fenced { duty: f.need(DUTY, small)?, highest: f.need(HIGHEST, whole)? },
-        other => return Err(TrunkError::Kind(other)),
+        other => return Err(TrunkError::UnknownKind(other)),
     })
 }
 
-pub fn audit(kind: u8, f: &mut Fields) -> Result<AuditMessage, TrunkError> {
-    let name = kind_name(kind).ok_or(TrunkError::Kind(kind))?;
+pub fn read_audit_message(kind: u8, f: &mut Fields) -> Result<AuditMessage, TrunkError> {
+    let name = kind_name(kind).ok_or(TrunkError::UnknownKind(kind))?;
     Ok(match kind {
-        WHAT => AuditMessage::ListLines {
-            serial: f.need(SERIAL, whole)?,
-            member: f.need(MEMBER, small)?,
-            incarnation: f.need(LIFE, whole)?,
-            after: f.maybe(DIALOGUE, text)?.map(DialogueId),
+        LIST_LINES => AuditMessage::ListLines {
+            serial: f.required(SERIAL, read_u64)?,
+            member: f.required(MEMBER, read_integer)?,
+            incarnation: f.required(INCARNATION, read_u64)?,
+            after: f.optional(DIALOGUE, read_text)?.map(DialogueId),
         },
-        HOLDS => {
-            let (serial, more) = (f.need(SERIAL, whole)?, flag(f)?);
+        LINES => {
+            let (serial, more) = (f.required(SERIAL, read_u64)?, read_flag(f)?);
             let mut lines = Vec::new();
             while let Some(raw) = f.take_in_order(ENTRY) {
                 let mut inner = Fields::read(name, raw)?;
                 lines.push(HeldLine {
                     dialogue: inner.dialogue()?,
                     launch: inner.launch()?,
-                    owner: inner.need(OWN, owner)?,
+                    owner: inner.required(RECORD_OWNER, read_owner)?,
                 });
-                inner.rest()?;
+                inner.finish()?;
             }
             AuditMessage::Lines { serial, more, lines }
         }
         ADOPT => AuditMessage::Adopt {
             dialogue: f.dialogue()?,
-            owner: f.need(OWN, owner)?,
-            action: f.maybe(ACT, act)?,
+            owner: f.required(RECORD_OWNER, read_owner)?,
+            action: f.optional(ACTION, read_action)?,
         },
         ADOPTED => AuditMessage::Adopted {
             dialogue: f.dialogue()?,
-            owner: f.need(OWN, owner)?,
-            launch: f.maybe(LAUNCH_NO, small)?,
-            by: f.need(PART, owner)?,
+            owner: f.required(RECORD_OWNER, read_owner)?,
+            launch: f.optional(LAUNCH_NUMBER, read_integer)?,
+            by: f.required(CURRENT_OWNER, read_owner)?,
+        },
+        MOVED => AuditMessage::Moved {
+            dialogue: f.dialogue()?,
+            launch: f.launch()?,
+            by: f.required(RECORD_OWNER, read_owner)?,
         },
-        MOVED => {
-            AuditMessage::Moved { dialogue: f.dialogue()?, launch: f.launch()?, by: f.need(OWN, owner)? }
-        }
         FENCED => AuditMessage::Fenced {
             dialogue: f.dialogue()?,
-            duty: f.need(DUTY, small)?,
-            highest: f.need(HIGHEST, whole)?,
+            duty: f.required(DUTY, read_integer)?,
+            highest: f.required(HIGHEST, read_u64)?,
         },
-        other => return Err(TrunkError::Kind(other)),
+        other => return Err(TrunkError::UnknownKind(other)),
     })
 }
--- a/crates/trunk/src/texts.rs
+++ b/crates/trunk/src/texts.rs
@@ -1,27 +1,31 @@
-//! How the ids of the interface, its reports and times are written in a record of traffic.
+//! Serde representations of the ids, load reports and times of `lotussaddle::interface` in traffic records.
 
 use std::sync::Arc;
 
 use lotussaddle::interface::{DialledKey, DialogueId, LaunchNo, LoadReport, ServerId, ServerNumber};
 use serde::{Deserialize, Serialize};
 
+/// A dialogue's id as a string.
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "DialogueId")]
 pub struct DialogueText(Arc<str>);
 
+/// A core server's id as a string.
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "ServerId")]
 pub struct ServerText(Arc<str>);
 
+/// A core server's number as an integer.
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "ServerNumber")]
 pub struct NumberText(i64);
 
+/// A launch's number within its dialogue as an integer.
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "LaunchNo")]
 pub struct LaunchText(u32);
 
-/// Times are whole microseconds, on the wire and in a record.
+/// Durations as whole microseconds, as on the wire.
 pub mod micros {
     use super::*;
     use std::time::Duration;
@@ -59,6 +63,7 @@
 optional!(maybe_dialogue, DialogueId, |text: Arc<str>| DialogueId(text), |id| id.0.clone());
 optional!(maybe_micros, std::time::Duration, std::time::Duration::from_micros, |t| t.as_micros() as u64);
 
+/// A load report; absent figures are left out.
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "LoadReport")]
 pub struct ReportText {
