--- a/crates/fleet/src/member/core_servers.rs
+++ b/crates/fleet/src/member/core_servers.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
-use lotussaddle_replica::Copy;
+use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
+use lotussaddle_replica::Replica;
 use lotussaddle_trunk::{AuditMessage, Frame, HeldLine, Progress};
 
 use super::Member;
@@ -50,12 +50,12 @@
                     lines.iter().map(|line| line.dialogue.clone()).filter(|id| self.is_coming(id)).collect();
                 let whose = |line: &HeldLine| {
                     if line.owner.member == me
-                        && line.owner.incarnation == book.life()
+                        && line.owner.incarnation == book.incarnation()
                         && held(&line.dialogue)
                     {
                         return LineOf::Held;
                     }
-                    let owner = book.get(&line.dialogue).and_then(Copy::owner);
+                    let owner = book.get(&line.dialogue).and_then(Replica::owner);
                     match kept.contains(&line.dialogue) || owner.is_some_and(|owner| owner > line.owner) {
                         true => LineOf::Claimed,
                         false => LineOf::Nobody,
@@ -68,14 +68,14 @@
                 }
             }
             AuditMessage::Adopted { dialogue, owner, launch, by } => {
-                let launch = launch.map(LaunchNo);
+                let launch = launch.map(LaunchNumber);
                 let actions = self.redials.adopted(&dialogue, server, owner, launch, by);
                 self.do_redial_actions(actions);
                 let actions = self.takeovers.adopted(now, &dialogue, server, owner, launch, by);
                 self.do_takeover_actions(actions);
             }
             AuditMessage::Moved { dialogue, by, .. } => {
-                self.book.replaced(now, &dialogue, by);
+                self.book.write_refused(now, &dialogue, by);
                 self.takeovers.drop_of(&dialogue);
                 self.findings.push(Finding::Replaced(dialogue));
             }
@@ -128,7 +128,7 @@
                 }
                 TakeoverAction::Own { dialogue, owner, server, launch } => {
                     self.counts.taken_over += 1;
-                    self.book.claim(self.now, &dialogue, owner, &Copy::default());
+                    self.book.claim(self.now, &dialogue, owner, &Replica::default());
                     let reached = Progress::Stands { server, launch };
                     self.write(&dialogue, reached, Duration::ZERO, None, self.now, 0);
                 }
@@ -137,7 +137,7 @@
                     self.findings.push(Finding::ToCore(server, Frame::Release { dialogue, launch }));
                 }
                 TakeoverAction::Over { dialogue, owner } => {
-                    self.book.claim(self.now, &dialogue, owner, &Copy::default());
+                    self.book.claim(self.now, &dialogue, owner, &Replica::default());
                     self.write(&dialogue, Progress::Ended, Duration::ZERO, None, self.now, 0);
                 }
                 TakeoverAction::What { server, serial, member, life, after } => {
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
+use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
 use lotussaddle_fleet::{DutyPlan, Effects, Finding, Member, PeerLink, Plan, Save, Stored, Verdict};
 use lotussaddle_trunk::{
     Answer, AuditMessage, DutyAction, Frame, HeldLine, Hello, Owner, PeerMessage, Progress, Role,
@@ -314,13 +314,13 @@
         let now = self.now;
         let member = self.member(place);
         member.taken(now, id);
-        member.launch(now, id, &server(), LaunchNo(0), now + lasts);
+        member.launch(now, id, &server(), LaunchNumber(0), now + lasts);
         self.settle();
     }
 
     fn answers(&mut self, place: usize, id: &DialogueId, answer: Answer) {
         let now = self.now;
-        self.member(place).answer(now, id, &answer, LaunchNo(0));
+        self.member(place).answer(now, id, &answer, LaunchNumber(0));
         self.settle();
     }
 
@@ -372,9 +372,9 @@
     /// A dialogue of which member 0 is a candidate, the members that keep copies of it, and one that does not.
     fn dialogue(&self) -> (DialogueId, Vec<usize>, usize) {
         let group = self.plan.group();
-        let candidates = |id: &DialogueId| group.candidates(lotussaddle_replica::print(id));
+        let candidates = |id: &DialogueId| group.candidates(lotussaddle_replica::fingerprint(id));
         let id = (0..).map(|n| id(&format!("d{n}"))).find(|id| candidates(id).contains(0)).unwrap();
-        let holders = group.holders(lotussaddle_replica::print(&id), 0).map(usize::from).collect();
+        let holders = group.holders(lotussaddle_replica::fingerprint(&id), 0).map(usize::from).collect();
         let other = (1..self.members.len()).find(|place| !candidates(&id).contains(*place as u16));
         (id.clone(), holders, other.unwrap_or(1))
     }
@@ -385,7 +385,7 @@
 }
 
 fn stands() -> Option<Verdict> {
-    Some(Verdict::Stands { server: server(), launch: LaunchNo(0) })
+    Some(Verdict::Stands { server: server(), launch: LaunchNumber(0) })
 }
 
 #[test]
@@ -458,7 +458,7 @@
     net.heal();
     // Both are known at the other holder: that it stood by one's word, and that another has launched it since.
     let copy = net.member(holders[1]).book().get(&d).unwrap().clone();
-    assert!(copy.launched_since().is_some(), "{copy:?}");
+    assert!(copy.newer_launch_until().is_some(), "{copy:?}");
     net.kill(holders[0]);
     net.seek(other, &d);
     net.run(ms(60));
@@ -511,7 +511,7 @@
         .into_iter()
         .map(|place| {
             let copy = net.member(place).book().get(&d).expect("it is known").clone();
-            assert!(copy.differs() && copy.answers().len() == 2, "{copy:?}");
+            assert!(copy.has_conflicting_answers() && copy.answers().len() == 2, "{copy:?}");
             lotussaddle_fleet::show(now, &d, Some(&copy), &[])["reads"].to_string()
         })
         .collect();
@@ -623,7 +623,7 @@
     net.adopts(other, &d);
     // It is under this member's name there, and its edge proxy does not hold it yet.
     let owner = net.adopting(other, &d).unwrap();
-    let lines = vec![lotussaddle_trunk::HeldLine { dialogue: d.clone(), launch: LaunchNo(0), owner }];
+    let lines = vec![lotussaddle_trunk::HeldLine { dialogue: d.clone(), launch: LaunchNumber(0), owner }];
     let serial = asked.expect("its own lines are asked for");
     net.core_says(other, AuditMessage::Lines { serial, more: false, lines });
     net.heal();
@@ -638,7 +638,7 @@
     let mut net = Net::new(5, false, |_| ());
     let tells = |net: &mut Net, life: u64| {
         let owner = Owner { round: 0, member: 0, incarnation: life };
-        let lines = vec![lotussaddle_trunk::HeldLine { dialogue: id("x"), launch: LaunchNo(0), owner }];
+        let lines = vec![lotussaddle_trunk::HeldLine { dialogue: id("x"), launch: LaunchNumber(0), owner }];
         net.core_says(0, AuditMessage::Lines { serial: 1, more: false, lines });
         net.run(ms(2000));
         net.member(0).life()
@@ -659,7 +659,7 @@
     for n in 0..3000 {
         let d = id(&format!("d{n}"));
         net.member(0).taken(now, &d);
-        net.member(0).answer(now, &d, &Answer::Failed, LaunchNo(0));
+        net.member(0).answer(now, &d, &Answer::Failed, LaunchNumber(0));
     }
     net.settle();
     net.kill(1);
@@ -672,7 +672,7 @@
     net.run(ms(3000));
     assert_eq!(net.member(1).book().len(), 3000);
     assert!(net.member(1).caught_up() && (11..100).contains(&breaks), "{breaks}");
-    let reached = net.member(1).book().get(&id("d7")).unwrap().parts()[0].reached.clone();
+    let reached = net.member(1).book().get(&id("d7")).unwrap().owner_states()[0].progress.clone();
     assert_eq!(reached, Progress::Ended);
 }
 
@@ -682,7 +682,7 @@
     let group = net.plan.group();
     let d = (0..)
         .map(|n| id(&format!("d{n}")))
-        .find(|id| group.holders(lotussaddle_replica::print(id), 0).eq([1]));
+        .find(|id| group.holders(lotussaddle_replica::fingerprint(id), 0).eq([1]));
     let d = d.unwrap();
     net.slow.insert(1);
     net.launches(0, &d, ms(1000));
@@ -720,7 +720,7 @@
                     asked += 1;
                     let owner = |dialogue: &str| HeldLine {
                         dialogue: id(dialogue),
-                        launch: LaunchNo(0),
+                        launch: LaunchNumber(0),
                         owner: Owner {
                             round: 0,
                             member,
@@ -826,7 +826,7 @@
         let group = self.plan.group();
         let holds = |id: &DialogueId| {
             group
-                .holders(lotussaddle_replica::print(id), owner as u16)
+                .holders(lotussaddle_replica::fingerprint(id), owner as u16)
                 .any(|place| usize::from(place) == holder)
         };
         (0..).map(|n| id(&format!("d{n}"))).find(holds).expect("one of many")
--- a/crates/fleet/tests/unit/batches.rs
+++ b/crates/fleet/tests/unit/batches.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
+use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
 use lotussaddle_trunk::{Owner, OwnerRecord, RecordedAnswer, encode_replica};
 
 use super::*;
@@ -11,7 +11,7 @@
 fn a_copy_takes_no_more_than_is_reckoned() {
     let owner = Owner { round: u32::MAX, member: u16::MAX, incarnation: u64::MAX };
     let server = ServerId("s".repeat(128).into());
-    let stands = Progress::Stands { server: server.clone(), launch: LaunchNo(u32::MAX) };
+    let stands = Progress::Stands { server: server.clone(), launch: LaunchNumber(u32::MAX) };
     let most = Duration::from_secs(900_000);
     for reached in [Progress::Accepted, Progress::Ended, stands] {
         for answer in [
--- a/crates/standin/src/core.rs
+++ b/crates/standin/src/core.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, LoadReport};
-use lotussaddle_lease::{Duty, Fence, Number};
+use lotussaddle::interface::{DialogueId, LaunchNumber, LoadReport};
+use lotussaddle_lease::{Duty, Fence, FencingToken};
 use lotussaddle_trunk::{
     AuditMessage, DialogueEnd, DutyAction, Frame, HeldLine, Hello, Launch, Message, Owner, Role,
     TurnBackCause, VERSION,
@@ -94,7 +94,7 @@
     }
 }
 
-type CallId = (u64, DialogueId, LaunchNo);
+type CallId = (u64, DialogueId, LaunchNumber);
 
 /// Stands for the link of what stands and lost it: its owner is to come for it.
 const NO_LINK: u64 = u64::MAX;
@@ -251,7 +251,7 @@
 
     pub fn lost(&mut self, now: Duration, link: u64) {
         self.links.remove(&link);
-        let from = (link, DialogueId(Arc::from("")), LaunchNo(0));
+        let from = (link, DialogueId(Arc::from("")), LaunchNumber(0));
         let there: Vec<CallId> =
             self.calls.range(from..).take_while(|(id, _)| id.0 == link).map(|(id, _)| id.clone()).collect();
         for id in there {
@@ -405,9 +405,9 @@
 
     /// A duty's act that is not to be done: the highest number that was seen.
     fn fenced(&mut self, act: &DutyAction) -> Option<u64> {
-        let number = Number(act.fencing_token);
+        let number = FencingToken(act.fencing_token);
         self.fence
-            .admits(Duty(act.duty), number, act.member, act.incarnation)
+            .admit(Duty(act.duty), number, act.member, act.incarnation)
             .err()
             .map(|refused| refused.highest.0)
     }
@@ -673,10 +673,10 @@
         let lines = self.figures.lines * self.strain.lines;
         let report = LoadReport {
             free_lines: told.lines.then_some((lines - self.used).max(0.0)),
-            lines: told.lines.then_some(lines),
-            busy: told.busy.then_some(busy.min(1.0)),
-            queue: told.queue.then_some(self.queue.len() as f64),
-            wait: told.wait.then(|| self.wait(now)),
+            total_lines: told.lines.then_some(lines),
+            processor_busy: told.busy.then_some(busy.min(1.0)),
+            processor_queue: told.queue.then_some(self.queue.len() as f64),
+            processor_wait: told.wait.then(|| self.wait(now)),
             rate: told.rate.then(|| self.figures.capacity() * self.level(now) / self.strain.slower),
         };
         self.taken.push_back((now, report));
--- a/crates/trunk/src/codec.rs
+++ b/crates/trunk/src/codec.rs
@@ -4,7 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lotussaddle::interface::{DialledKey, DialogueId, LaunchNo, Listed, LoadReport, ServerId, ServerNumber};
+use lotussaddle::interface::{
+    DialledKey, DialogueId, LaunchNumber, LoadReport, ServerId, ServerNumber, ServerState,
+};
 use thiserror::Error;
 
 use crate::frame::*;
@@ -175,14 +177,21 @@
         self.bytes(tag, &value.to_le_bytes())
     }
 
-    fn launch(&mut self, dialogue: &DialogueId, launch: LaunchNo) -> &mut Self {
+    fn launch(&mut self, dialogue: &DialogueId, launch: LaunchNumber) -> &mut Self {
         self.text(DIALOGUE, &dialogue.0).integer(LAUNCH_NUMBER, launch.0.into())
     }
 
     /// Writes a bit mask of the figures present, followed by these figures. A report without figures is left out.
     fn report(&mut self, report: &LoadReport) -> &mut Self {
-        let wait = report.wait.map(|w| w.as_secs_f64());
-        let figures = [report.free_lines, report.lines, report.busy, report.queue, wait, report.rate];
+        let wait = report.processor_wait.map(|w| w.as_secs_f64());
+        let figures = [
+            report.free_lines,
+            report.total_lines,
+            report.processor_busy,
+            report.processor_queue,
+            wait,
+            report.rate,
+        ];
         if figures.iter().all(Option::is_none) {
             return self;
         }
@@ -460,8 +469,8 @@
         self.required(DIALOGUE, read_text).map(DialogueId)
     }
 
-    pub fn launch(&mut self) -> Result<LaunchNo, TrunkError> {
-        self.required(LAUNCH_NUMBER, read_integer).map(LaunchNo)
+    pub fn launch(&mut self) -> Result<LaunchNumber, TrunkError> {
+        self.required(LAUNCH_NUMBER, read_integer).map(LaunchNumber)
     }
 
     fn report(&mut self) -> Result<LoadReport, TrunkError> {
@@ -535,7 +544,14 @@
     let wait =
         wait.map(|w| Duration::try_from_secs_f64(w).ok().filter(|w| w.as_micros() < MAX_MICROS.into()));
     let wait = wait.map(|w| w.ok_or("exceeds the maximum time")).transpose()?;
-    Ok(LoadReport { free_lines, lines, busy, queue, wait, rate })
+    Ok(LoadReport {
+        free_lines,
+        total_lines: lines,
+        processor_busy: busy,
+        processor_queue: queue,
+        processor_wait: wait,
+        rate,
+    })
 }
 
 /// Reads an index into the values of an enum.
@@ -557,7 +573,7 @@
 const TURN_BACK_CAUSES: &[TurnBackCause] =
     &[TurnBackCause::Processor, TurnBackCause::Lines, TurnBackCause::NumberBusy, TurnBackCause::Fault];
 const DIALOGUE_ENDS: &[DialogueEnd] = &[DialogueEnd::Released, DialogueEnd::Cut];
-const SERVER_STATES: &[Listed] = &[Listed::Active, Listed::Leaving, Listed::Gone];
+const SERVER_STATES: &[ServerState] = &[ServerState::Active, ServerState::Draining, ServerState::Gone];
 
 fn read_entry(frame: &'static str, raw: &[u8]) -> Result<Entry, TrunkError> {
     let mut f = Fields::read(frame, raw)?;
--- a/crates/trunk/src/frame.rs
+++ b/crates/trunk/src/frame.rs
@@ -3,7 +3,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lotussaddle::interface::{DialledKey, DialogueId, LaunchNo, Listed, LoadReport, ServerId, ServerNumber};
+use lotussaddle::interface::{
+    DialledKey, DialogueId, LaunchNumber, LoadReport, ServerId, ServerNumber, ServerState,
+};
 use serde::{Deserialize, Serialize};
 
 use crate::member::{AuditMessage, Owner, PeerMessage};
@@ -147,14 +149,14 @@
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
         #[serde(with = "texts::LaunchText")]
-        launch: LaunchNo,
+        launch: LaunchNumber,
     },
     /// Releases a dialogue that stands.
     Release {
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
         #[serde(with = "texts::LaunchText")]
-        launch: LaunchNo,
+        launch: LaunchNumber,
     },
 
     // Core server to edge proxy
@@ -163,7 +165,7 @@
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
         #[serde(with = "texts::LaunchText")]
-        launch: LaunchNo,
+        launch: LaunchNumber,
         #[serde(with = "texts::ReportText")]
         report: LoadReport,
     },
@@ -172,7 +174,7 @@
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
         #[serde(with = "texts::LaunchText")]
-        launch: LaunchNo,
+        launch: LaunchNumber,
         cause: TurnBackCause,
         #[serde(with = "texts::ReportText")]
         report: LoadReport,
@@ -182,7 +184,7 @@
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
         #[serde(with = "texts::LaunchText")]
-        launch: LaunchNo,
+        launch: LaunchNumber,
         #[serde(with = "texts::ReportText")]
         report: LoadReport,
     },
@@ -191,7 +193,7 @@
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
         #[serde(with = "texts::LaunchText")]
-        launch: LaunchNo,
+        launch: LaunchNumber,
         end: DialogueEnd,
         #[serde(with = "texts::ReportText")]
         report: LoadReport,
@@ -332,7 +334,7 @@
     #[serde(with = "texts::DialogueText")]
     pub dialogue: DialogueId,
     #[serde(with = "texts::LaunchText")]
-    pub launch: LaunchNo,
+    pub launch: LaunchNumber,
     #[serde(default, skip_serializing_if = "Option::is_none", with = "texts::maybe_key")]
     pub key: Option<DialledKey>,
     pub product: u16,
@@ -362,7 +364,7 @@
     pub address: Arc<str>,
     #[serde(with = "server_state_text")]
     #[serde(rename = "listed")]
-    pub state: Listed,
+    pub state: ServerState,
     /// The core server's incarnation; a new value means that it has restarted.
     #[serde(rename = "life")]
     pub incarnation: u64,
@@ -375,18 +377,19 @@
     use super::*;
 
     #[derive(Serialize, Deserialize)]
-    #[serde(remote = "Listed")]
+    #[serde(remote = "ServerState")]
     enum ServerStateText {
         Active,
-        Leaving,
+        #[serde(rename = "Leaving")]
+        Draining,
         Gone,
     }
 
-    pub fn serialize<S: serde::Serializer>(state: &Listed, out: S) -> Result<S::Ok, S::Error> {
+    pub fn serialize<S: serde::Serializer>(state: &ServerState, out: S) -> Result<S::Ok, S::Error> {
         ServerStateText::serialize(state, out)
     }
 
-    pub fn deserialize<'de, D: serde::Deserializer<'de>>(input: D) -> Result<Listed, D::Error> {
+    pub fn deserialize<'de, D: serde::Deserializer<'de>>(input: D) -> Result<ServerState, D::Error> {
         ServerStateText::deserialize(input)
     }
 }
--- a/crates/trunk/src/member.rs
+++ b/crates/trunk/src/member.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
+use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
 use serde::{Deserialize, Serialize};
 
 use crate::frame::TablesOrder;
@@ -52,14 +52,14 @@
         #[serde(with = "texts::ServerText")]
         server: ServerId,
         #[serde(with = "texts::LaunchText")]
-        launch: LaunchNo,
+        launch: LaunchNumber,
     },
     /// The dialogue stands.
     Stands {
         #[serde(with = "texts::ServerText")]
         server: ServerId,
         #[serde(with = "texts::LaunchText")]
-        launch: LaunchNo,
+        launch: LaunchNumber,
     },
     /// The dialogue has had its final answer and does not stand, or no longer stands.
     #[serde(rename = "over")]
@@ -303,7 +303,7 @@
     #[serde(with = "texts::DialogueText")]
     pub dialogue: DialogueId,
     #[serde(with = "texts::LaunchText")]
-    pub launch: LaunchNo,
+    pub launch: LaunchNumber,
     pub owner: Owner,
 }
 
@@ -351,7 +351,7 @@
         #[serde(with = "texts::DialogueText")]
         dialogue: DialogueId,
         #[serde(with = "texts::LaunchText")]
-        launch: LaunchNo,
+        launch: LaunchNumber,
         by: Owner,
     },
     /// An action was refused because its fencing token is lower than the highest one seen.
