--- a/crates/lease/src/clock.rs
+++ b/crates/lease/src/clock.rs
@@ -2,12 +2,13 @@
 
 use std::time::Duration;
 
-/// Two clocks that run at rates up to a twentieth from true still agree by these: what one may count on ...
+/// The part of a span that may be relied on. Two clocks whose rates are within 5 % of true time agree when one uses this and the
+/// other [`extended_for_drift`].
 pub fn shortened_for_drift(span: Duration) -> Duration {
     span - span / 16
 }
 
-/// ... and what another has to wait.
+/// The time to wait until a span has passed on every clock.
 pub fn extended_for_drift(span: Duration) -> Duration {
     span + span / 8
 }
--- a/crates/lease/src/fence.rs
+++ b/crates/lease/src/fence.rs
@@ -1,4 +1,4 @@
-//! What a receiver of acts keeps: of each duty the highest number that it has seen, and whose it was.
+//! The receiver's side of fencing: the highest token accepted of each duty, and its holder.
 
 use std::collections::BTreeMap;
 
@@ -6,43 +6,50 @@
 
 use crate::ids::{Duty, FencingToken};
 
+/// An act was refused because its token is outdated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FenceRefusal {
-    /// The highest number that was seen: an act has to bear a higher one, or this one from the same member.
+    /// The highest token accepted so far: an act needs a higher one, or this one from the same member and incarnation.
     pub highest: FencingToken,
 }
 
-/// To be kept past a restart of the receiver.
+/// The highest token accepted of each duty. Has to be persisted across restarts of the receiver.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fence {
-    seen: BTreeMap<Duty, (FencingToken, u16, u64)>,
+    /// Token, member and incarnation.
+    accepted: BTreeMap<Duty, (FencingToken, u16, u64)>,
 }
 
 impl Fence {
-    /// An act of this duty under this number is to be done: may it be? `Ok(true)`: the number is new and is to be kept first.
+    /// Checks whether an act of this duty under this token may be performed. `Ok(true)`: the token is new, and the fence has to be
+    /// persisted before the act is performed.
     ///
     /// # Errors
-    /// A higher number was seen, or another member's or life's act under the same one: the act is not to be done.
+    /// A higher token was accepted, or the same one of another member or incarnation: the act must not be performed.
     pub fn admit(
-        &mut self, duty: Duty, number: FencingToken, member: u16, life: u64,
+        &mut self, duty: Duty, token: FencingToken, member: u16, incarnation: u64,
     ) -> Result<bool, FenceRefusal> {
-        // Nobody's number: it was never given.
-        let seen = self.seen.get(&duty).copied().unwrap_or_default();
-        if number.0 == 0 || number < seen.0 || number == seen.0 && (member, life) != (seen.1, seen.2) {
-            return Err(FenceRefusal { highest: seen.0 });
+        let accepted = self.accepted.get(&duty).copied().unwrap_or_default();
+        // Token 0 is never issued.
+        if token.0 == 0
+            || token < accepted.0
+            || token == accepted.0 && (member, incarnation) != (accepted.1, accepted.2)
+        {
+            return Err(FenceRefusal { highest: accepted.0 });
         }
-        let new = number > seen.0;
-        if new {
-            if self.seen.len() >= crate::table::MAX_DUTIES && !self.seen.contains_key(&duty) {
+        let is_new = token > accepted.0;
+        if is_new {
+            if self.accepted.len() >= crate::table::MAX_DUTIES && !self.accepted.contains_key(&duty) {
                 return Err(FenceRefusal { highest: FencingToken(0) });
             }
-            self.seen.insert(duty, (number, member, life));
+            self.accepted.insert(duty, (token, member, incarnation));
         }
-        Ok(new)
+        Ok(is_new)
     }
 
+    /// The highest token accepted of each duty, in order of duties.
     pub fn highest_tokens(&self) -> impl Iterator<Item = (Duty, FencingToken)> {
-        self.seen.iter().map(|(duty, seen)| (*duty, seen.0))
+        self.accepted.iter().map(|(duty, accepted)| (*duty, accepted.0))
     }
 }
 
@@ -51,7 +58,7 @@
     use super::*;
 
     #[test]
-    fn numbers_never_go_down_and_none_is_two_members() {
+    fn tokens_never_decrease_and_belong_to_one_incarnation() {
         let mut fence = Fence::default();
         assert_eq!(
             fence.admit(Duty(0), FencingToken(0), 1, 7),
@@ -66,13 +73,17 @@
         assert_eq!(
             fence.admit(Duty(0), FencingToken(4), 1, 8),
             Err(FenceRefusal { highest: FencingToken(4) }),
-            "another life"
+            "same member, another incarnation"
         );
         assert_eq!(
             fence.admit(Duty(0), FencingToken(3), 1, 7),
             Err(FenceRefusal { highest: FencingToken(4) })
         );
-        assert_eq!(fence.admit(Duty(1), FencingToken(3), 1, 7), Ok(true), "each duty by itself");
+        assert_eq!(
+            fence.admit(Duty(1), FencingToken(3), 1, 7),
+            Ok(true),
+            "duties are independent of each other"
+        );
         assert_eq!(fence.admit(Duty(0), FencingToken(9), 2, 7), Ok(true));
         assert_eq!(
             fence.admit(Duty(0), FencingToken(4), 1, 7),
--- a/crates/lease/src/leader.rs
+++ b/crates/lease/src/leader.rs
@@ -1,4 +1,4 @@
-//! What the chair of a term knows of the others, how long it may act, and what it makes of the table.
+//! The leader of a term: what it knows of the other members, how long it may act, and how it changes the table.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -9,159 +9,179 @@
 use crate::plan::Plan;
 use crate::table::{ChangeReason, MAX_CHECKPOINT_BYTES, NO_MEMBER, Table};
 
-/// Beats whose time of sending is remembered; an answer to an older one counts for nothing.
-const MOST_SENT: usize = 64;
-/// A member that loses its duties by silence is passed over for so many leases at most.
-const MOST_PASSED: u32 = 64;
+/// Heartbeat rounds whose send time is remembered; a reply to an older one does not prove that the member is responsive.
+const MAX_REMEMBERED_HEARTBEATS: usize = 64;
+/// Upper limit, in leases, of the time for which a member that lost its duties by being unresponsive is passed over.
+const MAX_PENALTY_LEASES: u32 = 64;
 
+/// What the leader knows of one member.
 #[derive(Clone, Default)]
-struct Seen {
-    /// The last answer, when it came, and which beat it answered.
-    back: u64,
-    back_at: Option<Duration>,
-    serial: u64,
-    /// When the last beat that it answered was sent: one that speaks and does not hear is not there.
-    hears_at: Option<Duration>,
+struct MemberView {
+    /// The number of its last reply, when that came, and the latest heartbeat it answered.
+    last_reply: u64,
+    last_reply_at: Option<Duration>,
+    answered_serial: u64,
+    /// When the last heartbeat that it answered was sent: a member that sends but does not receive counts as unresponsive.
+    answered_sent_at: Option<Duration>,
     table: TableId,
-    life: u64,
-    willing: bool,
-    /// Until when its leases may run: those of this life, and of lives before it.
-    lent_until: Duration,
-    former_until: Duration,
-    strikes: u32,
-    passed_until: Duration,
-    gives: BTreeMap<Duty, HandOver>,
-    refused: BTreeMap<Duty, FencingToken>,
+    incarnation: u64,
+    accepts_duties: bool,
+    /// Until when its leases may run: those of this incarnation, and those of previous ones.
+    lease_until: Duration,
+    previous_lease_until: Duration,
+    /// The current length of its penalty, in leases; it doubles with each repetition.
+    penalty_leases: u32,
+    ineligible_until: Duration,
+    hand_overs: BTreeMap<Duty, HandOver>,
+    refused_tokens: BTreeMap<Duty, FencingToken>,
 }
 
 pub(crate) struct Leadership {
     pub term: Term,
-    pub began: Duration,
-    serial: u64,
-    sent: VecDeque<(u64, Duration)>,
-    seen: Vec<Seen>,
-    /// A majority keeps the table.
-    pub agreed: bool,
-    pub beat_at: Duration,
-    marks: BTreeMap<Duty, Checkpoint>,
-    /// What operators want, and until when it is tried.
-    moves: BTreeMap<Duty, (Option<u16>, Duration)>,
-    voters: Option<Vec<u16>>,
+    pub started_at: Duration,
+    heartbeat_serial: u64,
+    /// Heartbeat rounds by serial, with the time when each was sent.
+    sent_heartbeats: VecDeque<(u64, Duration)>,
+    members: Vec<MemberView>,
+    /// Whether a majority has persisted the table.
+    pub is_committed: bool,
+    pub next_heartbeat_at: Duration,
+    checkpoints: BTreeMap<Duty, Checkpoint>,
+    /// Moves requested by operators, and until when each is attempted.
+    requested_moves: BTreeMap<Duty, (Option<u16>, Duration)>,
+    requested_voters: Option<Vec<u16>>,
 }
 
-impl Seen {
-    fn is_there(&self, now: Duration, plan: &Plan) -> bool {
-        self.hears_at.is_some_and(|at| now < at + plan.lease_duration / 2)
+impl MemberView {
+    fn is_responsive(&self, now: Duration, plan: &Plan) -> bool {
+        self.answered_sent_at.is_some_and(|at| now < at + plan.lease_duration / 2)
     }
 }
 
 impl Leadership {
-    /// Nobody knows what was lent before: it may run for a whole lease yet.
+    /// The leases that earlier leaders granted are not known: each may still run for its whole duration.
     pub fn new(now: Duration, term: Term, plan: &Plan) -> Self {
         let until = now + extended_for_drift(plan.lease_duration);
-        let seen = Seen { lent_until: until, former_until: until, ..Seen::default() };
+        let view = MemberView { lease_until: until, previous_lease_until: until, ..MemberView::default() };
         Self {
             term,
-            began: now,
-            serial: 0,
-            sent: VecDeque::new(),
-            seen: vec![seen; usize::from(plan.member_count)],
-            agreed: false,
-            beat_at: now,
-            marks: BTreeMap::new(),
-            moves: BTreeMap::new(),
-            voters: None,
+            started_at: now,
+            heartbeat_serial: 0,
+            sent_heartbeats: VecDeque::new(),
+            members: vec![view; usize::from(plan.member_count)],
+            is_committed: false,
+            next_heartbeat_at: now,
+            checkpoints: BTreeMap::new(),
+            requested_moves: BTreeMap::new(),
+            requested_voters: None,
         }
     }
 
-    /// Until when a majority of voters has promised to help nobody else, counted from before it was asked.
-    pub fn until(&self, table: &Table, promise: Duration) -> Duration {
-        let mut heard: Vec<Duration> =
-            table.voters.iter().filter_map(|voter| self.seen.get(usize::from(*voter))?.hears_at).collect();
-        heard.sort_unstable_by(|a, b| b.cmp(a));
-        heard.get(table.majority() - 1).map_or(Duration::ZERO, |at| *at + shortened_for_drift(promise))
+    /// Until when a majority of voters supports no other candidate, counted from the time before they were asked.
+    pub fn authority_until(&self, table: &Table, vote_lock_duration: Duration) -> Duration {
+        let mut answered: Vec<Duration> = table
+            .voters
+            .iter()
+            .filter_map(|voter| self.members.get(usize::from(*voter))?.answered_sent_at)
+            .collect();
+        answered.sort_unstable_by(|a, b| b.cmp(a));
+        answered
+            .get(table.majority() - 1)
+            .map_or(Duration::ZERO, |at| *at + shortened_for_drift(vote_lock_duration))
     }
 
-    /// An answer. False: it is an old one.
-    pub fn heard(&mut self, now: Duration, from: u16, back: HeartbeatReply, plan: &Plan) -> bool {
-        let Some(seen) = self.seen.get_mut(usize::from(from)) else { return false };
-        if back.incarnation < seen.life || back.incarnation == seen.life && back.reply_number <= seen.back {
+    /// Handles a reply of a member. False: it is outdated.
+    pub fn reply_received(&mut self, now: Duration, from: u16, reply: HeartbeatReply, plan: &Plan) -> bool {
+        let Some(view) = self.members.get_mut(usize::from(from)) else { return false };
+        if reply.incarnation < view.incarnation
+            || reply.incarnation == view.incarnation && reply.reply_number <= view.last_reply
+        {
             return false;
         }
-        if back.incarnation > seen.life {
-            // What was lent to the process before runs on.
-            let former_until = seen.former_until.max(seen.lent_until);
-            // A life that is heard for the first time in this term may be the one that holds what the table says.
-            let lent_until = if seen.life == 0 { seen.lent_until } else { Duration::ZERO };
-            let (strikes, passed_until) = (seen.strikes, seen.passed_until);
-            *seen = Seen {
-                life: back.incarnation,
-                former_until,
-                lent_until,
-                strikes,
-                passed_until,
-                ..Seen::default()
+        if reply.incarnation > view.incarnation {
+            // Leases granted to the previous process continue to run.
+            let previous_lease_until = view.previous_lease_until.max(view.lease_until);
+            // The first incarnation seen in this term may be the one that holds what the table assigns.
+            let lease_until = if view.incarnation == 0 { view.lease_until } else { Duration::ZERO };
+            let (penalty_leases, ineligible_until) = (view.penalty_leases, view.ineligible_until);
+            *view = MemberView {
+                incarnation: reply.incarnation,
+                previous_lease_until,
+                lease_until,
+                penalty_leases,
+                ineligible_until,
+                ..MemberView::default()
             };
         }
-        (seen.back, seen.back_at, seen.willing) = (back.reply_number, Some(now), back.accepts_duties);
-        if let Some((_, at)) = self.sent.iter().find(|(sent, _)| *sent == back.heartbeat_serial) {
-            seen.hears_at = seen.hears_at.max(Some(*at));
+        (view.last_reply, view.last_reply_at, view.accepts_duties) =
+            (reply.reply_number, Some(now), reply.accepts_duties);
+        if let Some((_, at)) =
+            self.sent_heartbeats.iter().find(|(serial, _)| *serial == reply.heartbeat_serial)
+        {
+            view.answered_sent_at = view.answered_sent_at.max(Some(*at));
         }
-        (seen.serial, seen.table) = (seen.serial.max(back.heartbeat_serial), back.table);
-        let give = |give: HandOver| (give.duty, give);
-        seen.gives = back.hand_overs.into_iter().take(plan.preferred_holders.len()).map(give).collect();
-        let marks = back.checkpoints.into_iter().filter(|mark| mark.data.len() <= MAX_CHECKPOINT_BYTES);
-        self.marks.extend(marks.take(plan.preferred_holders.len()).map(|mark| (mark.duty, mark)));
-        seen.refused = back.refused_tokens.into_iter().take(plan.preferred_holders.len()).collect();
+        (view.answered_serial, view.table) = (view.answered_serial.max(reply.heartbeat_serial), reply.table);
+        let by_duty = |hand_over: HandOver| (hand_over.duty, hand_over);
+        view.hand_overs =
+            reply.hand_overs.into_iter().take(plan.preferred_holders.len()).map(by_duty).collect();
+        let checkpoints =
+            reply.checkpoints.into_iter().filter(|checkpoint| checkpoint.data.len() <= MAX_CHECKPOINT_BYTES);
+        self.checkpoints.extend(
+            checkpoints.take(plan.preferred_holders.len()).map(|checkpoint| (checkpoint.duty, checkpoint)),
+        );
+        view.refused_tokens = reply.refused_tokens.into_iter().take(plan.preferred_holders.len()).collect();
         true
     }
 
-    pub fn wants(&mut self, now: Duration, duty: Duty, to: Option<u16>, plan: &Plan) {
+    pub fn request_move(&mut self, now: Duration, duty: Duty, to: Option<u16>, plan: &Plan) {
         if usize::from(duty.0) < plan.preferred_holders.len() {
-            self.moves.insert(duty, (to, now + plan.lease_duration));
+            self.requested_moves.insert(duty, (to, now + plan.lease_duration));
         }
     }
 
-    /// Another set of voters, one more or one less.
-    pub fn wants_voters(&mut self, voters: Vec<u16>) {
-        self.voters = Some(voters);
+    /// Requests another set of voters; it is reached one voter at a time.
+    pub fn request_voters(&mut self, voters: Vec<u16>) {
+        self.requested_voters = Some(voters);
     }
 
-    /// It answers, takes duties, and has not lost them again and again.
-    fn is_fit(&self, now: Duration, member: u16, plan: &Plan) -> bool {
-        self.seen
-            .get(usize::from(member))
-            .is_some_and(|seen| seen.is_there(now, plan) && seen.willing && now >= seen.passed_until)
+    /// Whether a member can be given a duty: it responds, accepts duties, and is not under a penalty.
+    fn is_eligible(&self, now: Duration, member: u16, plan: &Plan) -> bool {
+        self.members.get(usize::from(member)).is_some_and(|view| {
+            view.is_responsive(now, plan) && view.accepts_duties && now >= view.ineligible_until
+        })
     }
 
-    fn next_for(&self, now: Duration, duty: Duty, but: u16, wanted: Option<u16>, plan: &Plan) -> Option<u16> {
-        let fit = |member: &u16| *member != but && self.is_fit(now, *member, plan);
+    fn next_holder(
+        &self, now: Duration, duty: Duty, excluded: u16, wanted: Option<u16>, plan: &Plan,
+    ) -> Option<u16> {
+        let is_candidate = |member: &u16| *member != excluded && self.is_eligible(now, *member, plan);
         wanted
-            .filter(fit)
-            .or_else(|| plan.preferred_holders.get(usize::from(duty.0))?.iter().copied().find(fit))
+            .filter(is_candidate)
+            .or_else(|| plan.preferred_holders.get(usize::from(duty.0))?.iter().copied().find(is_candidate))
     }
 
-    /// Whether a majority keeps the table; true: only now.
-    pub fn count(&mut self, table: &Table) -> bool {
-        let kept =
-            |voter: &&u16| self.seen.get(usize::from(**voter)).is_some_and(|seen| seen.table == table.id);
-        let agreed = table.voters.iter().filter(kept).count() >= table.majority();
-        !std::mem::replace(&mut self.agreed, agreed) && agreed
+    /// Updates whether the table is committed. True: it has just become so.
+    pub fn update_commitment(&mut self, table: &Table) -> bool {
+        let has_table =
+            |voter: &&u16| self.members.get(usize::from(**voter)).is_some_and(|view| view.table == table.id);
+        let is_committed = table.voters.iter().filter(has_table).count() >= table.majority();
+        !std::mem::replace(&mut self.is_committed, is_committed) && is_committed
     }
 
-    /// The table that is to follow the one that is agreed on, if another is to.
-    pub fn decide(&mut self, now: Duration, table: &Table, plan: &Plan) -> Option<Table> {
-        if !self.agreed || now >= self.until(table, plan.vote_lock_duration()) {
+    /// The successor of the committed table, if anything in it is to change.
+    pub fn next_table(&mut self, now: Duration, table: &Table, plan: &Plan) -> Option<Table> {
+        if !self.is_committed || now >= self.authority_until(table, plan.vote_lock_duration()) {
             return None;
         }
         let mut next = table.clone();
-        for (duty, mark) in std::mem::take(&mut self.marks) {
-            let seat = next.assignment_mut(duty).filter(|seat| seat.token == mark.token);
-            seat.into_iter().for_each(|seat| seat.checkpoint.clone_from(&mark.data));
+        for (duty, checkpoint) in std::mem::take(&mut self.checkpoints) {
+            let assignment =
+                next.assignment_mut(duty).filter(|assignment| assignment.token == checkpoint.token);
+            assignment.into_iter().for_each(|assignment| assignment.checkpoint.clone_from(&checkpoint.data));
         }
-        self.moves.retain(|_, (_, until)| now < *until);
-        for place in 0..plan.preferred_holders.len() {
-            self.decide_on(now, Duty(place as u16), &mut next, plan);
+        self.requested_moves.retain(|_, (_, until)| now < *until);
+        for index in 0..plan.preferred_holders.len() {
+            self.update_assignment(now, Duty(index as u16), &mut next, plan);
         }
         if next == *table {
             next.voters = self.next_voters(table, plan);
@@ -170,117 +190,133 @@
             return None;
         }
         next.id.version = next.id.version.saturating_add(1);
-        self.agreed = false;
+        self.is_committed = false;
         Some(next)
     }
 
-    fn decide_on(&mut self, now: Duration, duty: Duty, next: &mut Table, plan: &Plan) {
-        let wanted = self.moves.get(&duty).and_then(|(to, _)| *to);
-        let Some(seat) = next.assignment(duty).filter(|seat| seat.member != NO_MEMBER) else {
-            // At first all get a moment to answer, or whoever answers first would have everything.
-            let all = self.seen.iter().all(|seen| seen.hears_at.is_some());
-            let may = all || now >= self.began + plan.heartbeat_interval();
-            if let Some(member) = self.next_for(now, duty, NO_MEMBER, wanted, plan).filter(|_| may) {
-                next.assign(duty, member, self.seen[usize::from(member)].life, ChangeReason::Free);
+    fn update_assignment(&mut self, now: Duration, duty: Duty, next: &mut Table, plan: &Plan) {
+        let wanted = self.requested_moves.get(&duty).and_then(|(to, _)| *to);
+        let Some(assignment) = next.assignment(duty).filter(|assignment| assignment.member != NO_MEMBER)
+        else {
+            // At the start of a term all members get time to answer, or the first to answer would be given every duty.
+            let all_answered = self.members.iter().all(|view| view.answered_sent_at.is_some());
+            let may_assign = all_answered || now >= self.started_at + plan.heartbeat_interval();
+            if let Some(member) = self.next_holder(now, duty, NO_MEMBER, wanted, plan).filter(|_| may_assign)
+            {
+                next.assign(duty, member, self.members[usize::from(member)].incarnation, ChangeReason::Free);
             }
             return;
         };
-        let (holder, life, number) = (seat.member, seat.incarnation, seat.token);
-        let seen = &self.seen[usize::from(holder)];
-        let given = seen.gives.get(&duty).filter(|give| give.token == number && seen.life == life).copied();
-        if let Some(give) = given {
-            self.moves.remove(&duty);
-            let to = self.next_for(now, duty, holder, wanted.or(give.to), plan);
+        let (holder, incarnation, token) = (assignment.member, assignment.incarnation, assignment.token);
+        let view = &self.members[usize::from(holder)];
+        let hand_over = view
+            .hand_overs
+            .get(&duty)
+            .filter(|hand_over| hand_over.token == token && view.incarnation == incarnation)
+            .copied();
+        if let Some(hand_over) = hand_over {
+            self.requested_moves.remove(&duty);
+            let to = self.next_holder(now, duty, holder, wanted.or(hand_over.to), plan);
             match to {
-                Some(member) => {
-                    next.assign(duty, member, self.seen[usize::from(member)].life, ChangeReason::Given)
-                }
+                Some(member) => next.assign(
+                    duty,
+                    member,
+                    self.members[usize::from(member)].incarnation,
+                    ChangeReason::Given,
+                ),
                 None => {
-                    // Its holder has let go; nobody is there to take it.
+                    // The holder has stopped and no other member is eligible.
                     next.assign(duty, NO_MEMBER, 0, ChangeReason::Given);
                 }
             }
             return;
         }
-        // All voters had lost the table, and receivers know of later numbers: it gets one above those.
-        if let Some(highest) =
-            seen.refused.get(&duty).filter(|highest| **highest >= number && seen.life == life)
+        // All voters had lost the table and receivers know later tokens: the duty gets a token above those.
+        if let Some(highest) = view
+            .refused_tokens
+            .get(&duty)
+            .filter(|highest| **highest >= token && view.incarnation == incarnation)
         {
             next.highest_token = next.highest_token.max(*highest);
-            return next.assign(duty, holder, life, ChangeReason::Refused);
+            return next.assign(duty, holder, incarnation, ChangeReason::Refused);
         }
-        // By its lease it may hold it still.
-        let until = if seen.life == life { seen.lent_until } else { seen.former_until };
-        if now < until || seen.life == life && seen.is_there(now, plan) {
+        // The holder's lease may still run.
+        let until =
+            if view.incarnation == incarnation { view.lease_until } else { view.previous_lease_until };
+        if now < until || view.incarnation == incarnation && view.is_responsive(now, plan) {
             return;
         }
-        let restarted = seen.life > life;
+        let was_restarted = view.incarnation > incarnation;
         if let Some(member) =
-            self.next_for(now, duty, if restarted { NO_MEMBER } else { holder }, wanted, plan)
+            self.next_holder(now, duty, if was_restarted { NO_MEMBER } else { holder }, wanted, plan)
         {
-            if !restarted {
-                let seen = &mut self.seen[usize::from(holder)];
-                if now >= seen.passed_until + plan.lease_duration * MOST_PASSED {
-                    seen.strikes = 0;
+            if !was_restarted {
+                let view = &mut self.members[usize::from(holder)];
+                if now >= view.ineligible_until + plan.lease_duration * MAX_PENALTY_LEASES {
+                    view.penalty_leases = 0;
                 }
-                seen.strikes = (seen.strikes * 2).clamp(1, MOST_PASSED);
-                seen.passed_until = now + plan.lease_duration * seen.strikes;
+                view.penalty_leases = (view.penalty_leases * 2).clamp(1, MAX_PENALTY_LEASES);
+                view.ineligible_until = now + plan.lease_duration * view.penalty_leases;
             }
-            let why = if restarted { ChangeReason::Restarted } else { ChangeReason::Silent };
-            next.assign(duty, member, self.seen[usize::from(member)].life, why);
+            let reason = if was_restarted { ChangeReason::Restarted } else { ChangeReason::Silent };
+            next.assign(duty, member, self.members[usize::from(member)].incarnation, reason);
         }
     }
 
-    /// One voter more or less than those that are agreed on: two majorities of the old and the new set always meet.
+    /// The voters with one added or removed on the way to the requested set: any majorities of two such sets intersect.
     fn next_voters(&mut self, table: &Table, plan: &Plan) -> Vec<u16> {
-        let Some(wanted) = &self.voters else { return table.voters.clone() };
+        let Some(wanted) = &self.requested_voters else { return table.voters.clone() };
         let mut next = table.voters.clone();
-        if let Some(more) = wanted.iter().find(|voter| **voter < plan.member_count && !next.contains(voter)) {
-            next.push(*more);
-        } else if let Some(place) = next.iter().position(|voter| !wanted.contains(voter)) {
-            next.remove(place);
+        if let Some(added) = wanted.iter().find(|voter| **voter < plan.member_count && !next.contains(voter))
+        {
+            next.push(*added);
+        } else if let Some(index) = next.iter().position(|voter| !wanted.contains(voter)) {
+            next.remove(index);
         } else {
-            self.voters = None;
+            self.requested_voters = None;
         }
         next
     }
 
-    /// The beat for a member; its leases are counted by it.
-    pub fn beat(&mut self, now: Duration, to: u16, table: &Table, plan: &Plan) -> Heartbeat {
-        let lends = self.agreed && now < self.until(table, plan.vote_lock_duration());
-        let seen = &mut self.seen[usize::from(to)];
-        let mut lent = 0;
-        // Nothing is lent to one that does not hear: it could not know, and its time would never end.
-        if let Some(at) = seen.back_at.filter(|_| lends && seen.is_there(now, plan)) {
-            lent = seen.back;
-            seen.lent_until = seen.lent_until.max(at + extended_for_drift(plan.lease_duration));
+    /// The heartbeat for a member; the lease that it grants is recorded.
+    pub fn heartbeat_for(&mut self, now: Duration, to: u16, table: &Table, plan: &Plan) -> Heartbeat {
+        let may_grant = self.is_committed && now < self.authority_until(table, plan.vote_lock_duration());
+        let view = &mut self.members[usize::from(to)];
+        let mut lease_from_reply = 0;
+        // No lease for a member that does not receive heartbeats: it would not know of it, and the lease would be renewed for ever.
+        if let Some(at) = view.last_reply_at.filter(|_| may_grant && view.is_responsive(now, plan)) {
+            lease_from_reply = view.last_reply;
+            view.lease_until = view.lease_until.max(at + extended_for_drift(plan.lease_duration));
         }
-        let moved = self.moves.keys().filter_map(|duty| table.assignment(*duty));
-        let give = moved.filter(|seat| seat.member == to).map(|seat| (seat.duty, seat.token)).collect();
-        let whole = (seen.table != table.id).then(|| table.clone());
-        let (term, serial) = (self.term, self.serial);
+        let moving = self.requested_moves.keys().filter_map(|duty| table.assignment(*duty));
+        let duties_to_release = moving
+            .filter(|assignment| assignment.member == to)
+            .map(|assignment| (assignment.duty, assignment.token))
+            .collect();
+        let full_table = (view.table != table.id).then(|| table.clone());
+        let (term, serial) = (self.term, self.heartbeat_serial);
         Heartbeat {
             term,
             serial,
             table: table.id,
-            is_committed: self.agreed,
-            lease_from_reply: lent,
-            duties_to_release: give,
-            full_table: whole,
+            is_committed: self.is_committed,
+            lease_from_reply,
+            duties_to_release,
+            full_table,
         }
     }
 
-    /// Beats that go out together bear one number, and the time before they go.
-    pub fn begin_beats(&mut self, now: Duration) {
-        self.serial += 1;
-        if self.sent.len() >= MOST_SENT {
-            self.sent.pop_front();
+    /// Starts a round of heartbeats: they share one serial, and their send time is taken before any of them is sent.
+    pub fn begin_heartbeat_round(&mut self, now: Duration) {
+        self.heartbeat_serial += 1;
+        if self.sent_heartbeats.len() >= MAX_REMEMBERED_HEARTBEATS {
+            self.sent_heartbeats.pop_front();
         }
-        self.sent.push_back((self.serial, now));
+        self.sent_heartbeats.push_back((self.heartbeat_serial, now));
     }
 
-    /// When something may be due that no answer brings.
+    /// When the leader has to act next although no reply has come.
     pub fn next_due(&self) -> Duration {
-        self.beat_at
+        self.next_heartbeat_at
     }
 }
--- a/crates/lease/src/lease/election.rs
+++ b/crates/lease/src/lease/election.rs
@@ -1,150 +1,151 @@
-//! Election: a trial vote, a vote that is kept on disk, and the end of a candidacy or a term.
+//! Election: a pre-vote, a vote that is persisted, and the end of a candidacy or a term.
 
-use super::dispatch::Owed;
+use super::dispatch::DeferredAction;
 use super::interface::Effect;
 use super::{Lease, Role};
 use crate::clock::extended_for_drift;
 use crate::ids::{TableId, Term};
 use crate::leader::Leadership;
 use crate::messages::LeaseMessage;
-use crate::random::draw;
+use crate::random::next_random;
 use crate::table::Table;
 
 impl Lease {
-    /// A part of one, drawn: those who would try at once are spread by it.
-    pub(super) fn part(&mut self) -> f64 {
-        draw(&mut self.chance) as f64 / (1u64 << 31) as f64
+    /// A random number from 0 to 1: it spreads candidacies that would otherwise start at once.
+    pub(super) fn random_fraction(&mut self) -> f64 {
+        next_random(&mut self.random_state) as f64 / (1u64 << 31) as f64
     }
 
-    pub(super) fn waits_to_try(&mut self) {
-        let promise = self.plan.vote_lock_duration();
-        self.try_at = self.now + extended_for_drift(promise) + promise.mul_f64(self.part() / 2.0);
+    pub(super) fn schedule_candidacy(&mut self) {
+        let vote_lock = self.plan.vote_lock_duration();
+        self.candidacy_at =
+            self.now + extended_for_drift(vote_lock) + vote_lock.mul_f64(self.random_fraction() / 2.0);
     }
 
-    pub(super) fn try_it(&mut self) {
-        self.waits_to_try();
+    pub(super) fn start_pre_vote(&mut self) {
+        self.schedule_candidacy();
         if !self.table().is_voter(self.plan.self_member)
             || !self.voter.is_consistent
-            || self.ending
-            || self.life == 0
+            || self.is_shutting_down
+            || self.incarnation == 0
         {
             return;
         }
-        // What others know is known here too, before it asks.
-        self.voter.state.term = self.voter.state.term.max(self.known);
-        if self.voter.is_promised(self.now) {
+        // The highest term known from others counts for this member too before it asks for votes.
+        self.voter.state.term = self.voter.state.term.max(self.highest_known_term);
+        if self.voter.is_vote_locked(self.now) {
             return;
         }
-        let at = self.now + self.plan.vote_lock_duration() / 2;
-        self.role = Role::Tries { yes: vec![self.plan.self_member], at };
-        let word = LeaseMessage::PreVoteRequest { above_term: self.voter.state.term, table: self.table().id };
-        self.say_voters(&word);
-        self.tried();
+        let deadline = self.now + self.plan.vote_lock_duration() / 2;
+        self.role = Role::PreCandidate { supporters: vec![self.plan.self_member], deadline };
+        let request =
+            LeaseMessage::PreVoteRequest { above_term: self.voter.state.term, table: self.table().id };
+        self.send_to_voters(&request);
+        self.check_pre_vote();
     }
 
-    pub(super) fn tried(&mut self) {
-        let Role::Tries { yes, .. } = &self.role else { return };
-        if yes.len() < self.table().majority() {
+    /// Asks for votes if a majority would vote for this member.
+    pub(super) fn check_pre_vote(&mut self) {
+        let Role::PreCandidate { supporters, .. } = &self.role else { return };
+        if supporters.len() < self.table().majority() {
             return;
         }
-        let drawn = draw(&mut self.chance);
-        let term = self.voter.state.term.max(self.known).next(self.plan.self_member, drawn);
+        let random = next_random(&mut self.random_state);
+        let term = self.voter.state.term.max(self.highest_known_term).next(self.plan.self_member, random);
         let table = self.table().id;
-        if self.voter.vote(self.now, term, table).is_none() {
+        if self.voter.cast_vote(self.now, term, table).is_none() {
             return;
         }
-        self.known = self.known.max(term);
-        let at = self.now + self.plan.vote_lock_duration();
-        self.role = Role::Asks { term, yes: Vec::new(), at };
-        let word = LeaseMessage::VoteRequest { term, table };
+        self.highest_known_term = self.highest_known_term.max(term);
+        let deadline = self.now + self.plan.vote_lock_duration();
+        self.role = Role::Candidate { term, supporters: Vec::new(), deadline };
+        let request = LeaseMessage::VoteRequest { term, table };
         let others = self.table().voters.iter().filter(|voter| **voter != self.plan.self_member);
-        let mut owed: Vec<Owed> = others.map(|voter| Owed::Send(*voter, word.clone())).collect();
-        owed.push(Owed::Own(term));
-        self.keep(owed);
+        let mut then: Vec<DeferredAction> =
+            others.map(|voter| DeferredAction::Send(*voter, request.clone())).collect();
+        then.push(DeferredAction::CountOwnVote(term));
+        self.persist(then);
     }
 
-    pub(super) fn asked(&mut self, from: u16, term: Term, table: TableId) {
-        self.known = self.known.max(term);
-        let newer = (self.table().id > table).then(|| self.table().clone());
-        // Whether its disk is older than what it said is known once its life is agreed on.
-        let given = if self.life > 0 { self.voter.vote(self.now, term, table) } else { None };
-        let known = self.known;
-        let vote = LeaseMessage::VoteReply {
-            term,
-            granted: given.is_some(),
-            highest_term: known,
-            newer_table: newer,
-        };
-        match given {
-            None => self.say(from, vote),
+    pub(super) fn vote_requested(&mut self, from: u16, term: Term, table: TableId) {
+        self.highest_known_term = self.highest_known_term.max(term);
+        let newer_table = (self.table().id > table).then(|| self.table().clone());
+        // Whether the disk is older than what this member has sent is known only once its incarnation is agreed on.
+        let vote = if self.incarnation > 0 { self.voter.cast_vote(self.now, term, table) } else { None };
+        let highest_term = self.highest_known_term;
+        let reply = LeaseMessage::VoteReply { term, granted: vote.is_some(), highest_term, newer_table };
+        match vote {
+            None => self.send(from, reply),
             Some(_) => {
-                self.step_down("another is voted for");
-                self.waits_to_try();
-                // A vote is kept before it is said; one that was given before may be on its way to the disk yet.
-                self.keep(vec![Owed::Send(from, vote)]);
+                self.step_down("voted for another candidate");
+                self.schedule_candidacy();
+                // A vote is persisted before it is sent; one that was cast before may still be on its way to the disk.
+                self.persist(vec![DeferredAction::Send(from, reply)]);
             }
         }
     }
 
-    pub(super) fn vote_came(&mut self, from: u16, term: Term, yes: bool, known: Term, newer: Option<Table>) {
-        self.known = self.known.max(known);
-        if let Some(table) =
-            newer.filter(|table| !table.is_malformed(self.plan.member_count) && table.id > self.table().id)
+    pub(super) fn vote_reply_received(
+        &mut self, from: u16, term: Term, granted: bool, highest_term: Term, newer_table: Option<Table>,
+    ) {
+        self.highest_known_term = self.highest_known_term.max(highest_term);
+        if let Some(table) = newer_table
+            .filter(|table| !table.is_malformed(self.plan.member_count) && table.id > self.table().id)
         {
-            // With this it may be elected another time.
+            // With the newer table a later candidacy can succeed.
             self.voter.state.table = table;
-            self.keep(Vec::new());
+            self.persist(Vec::new());
         }
-        if yes {
-            return self.voted(from, term);
+        if granted {
+            return self.count_vote(from, term);
         }
-        let outvoted = match &self.role {
-            Role::Asks { term: mine, .. } => *mine == term,
-            Role::Leads(chair) => known > chair.term,
+        let is_outvoted = match &self.role {
+            Role::Candidate { term: own_term, .. } => *own_term == term,
+            Role::Leader(leadership) => highest_term > leadership.term,
             _ => false,
         };
-        if outvoted {
-            self.step_down("a later term is known");
-            self.waits_to_try();
+        if is_outvoted {
+            self.step_down("a later term exists");
+            self.schedule_candidacy();
         }
     }
 
-    pub(super) fn voted(&mut self, from: u16, voted: Term) {
+    pub(super) fn count_vote(&mut self, from: u16, voted_term: Term) {
         let majority = self.table().majority();
         let is_voter = self.table().is_voter(from);
-        let Role::Asks { term, yes, .. } = &mut self.role else { return };
-        if *term != voted || !is_voter || yes.contains(&from) {
+        let Role::Candidate { term, supporters, .. } = &mut self.role else { return };
+        if *term != voted_term || !is_voter || supporters.contains(&from) {
             return;
         }
-        yes.push(from);
-        // Its own vote has to be kept as well.
-        if yes.len() < majority || !yes.contains(&self.plan.self_member) {
+        supporters.push(from);
+        // The candidate's own vote has to be persisted as well.
+        if supporters.len() < majority || !supporters.contains(&self.plan.self_member) {
             return;
         }
         let term = *term;
-        self.out.push(Effect::Log(format!("chair of term {}", term.count())));
-        self.role = Role::Leads(Box::new(Leadership::new(self.now, term, &self.plan)));
-        // What was known is said again under this term: only what is agreed under it counts.
+        self.effects.push(Effect::Log(format!("elected leader of term {}", term.count())));
+        self.role = Role::Leader(Box::new(Leadership::new(self.now, term, &self.plan)));
+        // The known table is issued anew under this term: only a table of the leader's own term can be committed.
         self.voter.state.table.id = TableId { term, version: 1 };
-        self.keep(Vec::new());
-        self.beats();
+        self.persist(Vec::new());
+        self.send_heartbeats();
     }
 
-    pub(super) fn step_down(&mut self, why: &str) {
+    pub(super) fn step_down(&mut self, reason: &str) {
         if self.is_leader() {
-            self.out.push(Effect::Log(format!("chair no more: {why}")));
+            self.effects.push(Effect::Log(format!("no longer leader: {reason}")));
         }
-        if !matches!(self.role, Role::Follows) {
-            self.role = Role::Follows;
-            self.waits_to_try();
+        if !matches!(self.role, Role::Follower) {
+            self.role = Role::Follower;
+            self.schedule_candidacy();
         }
     }
 
-    pub(super) fn recovers(&mut self) {
-        if self.voter.recovers(self.now, self.plan.self_member) {
-            self.out.push(Effect::Log("votes again: others have told what was lost".into()));
-            self.keep(Vec::new());
-            self.waits_to_try();
+    pub(super) fn try_recover_state(&mut self) {
+        if self.voter.try_recover(self.now, self.plan.self_member) {
+            self.effects.push(Effect::Log("voting again: lost state recovered from other voters".into()));
+            self.persist(Vec::new());
+            self.schedule_candidacy();
         }
     }
 }
--- a/crates/lease/src/lease/holding.rs
+++ b/crates/lease/src/lease/holding.rs
@@ -1,4 +1,4 @@
-//! The holder of duties: what the table gives it, for as long as its lease runs, and what it gives up.
+//! The holder of duties: it holds what the table assigns to it while its lease runs, and hands duties over.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,206 +10,214 @@
 use crate::messages::{Checkpoint, HandOver, Heartbeat, HeartbeatReply, LeaseMessage};
 use crate::table::MAX_CHECKPOINT_BYTES;
 
-/// Answers whose time of sending is remembered.
-const MOST_SENT: usize = 64;
-/// So often late by an eighth of a lease within one lease: this process falls behind, and gives its duties away.
-const LATE: u32 = 3;
-/// A member that gave its duties away since it fell behind takes none for so many leases.
-const SHY: u32 = 4;
+/// Replies whose send time is remembered.
+const MAX_REMEMBERED_REPLIES: usize = 64;
+/// Timers late by a heartbeat interval, within one lease, after which this process is falling behind and hands its duties over.
+const MAX_LATE_TIMERS_PER_LEASE: u32 = 3;
+/// Leases for which a member that handed its duties over because it fell behind takes none.
+const LATENESS_COOL_DOWN_LEASES: u32 = 4;
 
 impl Lease {
-    /// Does this member hold the duty, as far as its own clock tells? The number is what its acts bear.
+    /// The token for acts of the duty, if this member holds it by its own clock.
     pub fn held_token(&self, now: Duration, duty: Duty) -> Option<FencingToken> {
         self.held.get(&duty).copied().filter(|_| now < self.lease_until)
     }
 
-    /// How far this holder has come: [`Effect::CheckpointCommitted`] tells when whoever follows will know.
-    pub fn report_checkpoint(&mut self, now: Duration, duty: Duty, mark: Vec<u8>) -> bool {
+    /// Reports the progress of a duty to the leader; [`Effect::CheckpointCommitted`] follows once the next holder will know it. False:
+    /// the duty is not held, or the data is too long.
+    pub fn report_checkpoint(&mut self, now: Duration, duty: Duty, data: Vec<u8>) -> bool {
         self.now = now;
-        let Some(number) = self.held_token(now, duty).filter(|_| mark.len() <= MAX_CHECKPOINT_BYTES) else {
+        let Some(token) = self.held_token(now, duty).filter(|_| data.len() <= MAX_CHECKPOINT_BYTES) else {
             return false;
         };
-        self.marks.insert(duty, Checkpoint { duty, token: number, data: mark });
-        self.say_back();
-        self.settle();
+        self.checkpoints.insert(duty, Checkpoint { duty, token, data });
+        self.send_reply();
+        self.process_messages_to_self();
         true
     }
 
-    /// A receiver refused an act, since it has seen this number.
+    /// A receiver refused an act of this member because it has accepted this token.
     pub fn token_refused(&mut self, now: Duration, duty: Duty, highest: FencingToken) {
         self.now = now;
-        // Where another has it by now that is no news.
-        let Some(seat) = self.table().assignment(duty).filter(|seat| seat.member == self.plan.self_member)
+        // If the duty is already assigned to another member, the leader knows of a higher token.
+        let Some(assignment) =
+            self.table().assignment(duty).filter(|assignment| assignment.member == self.plan.self_member)
         else {
             return;
         };
-        if highest >= seat.token && seat.incarnation == self.life {
-            self.refused.insert(duty, highest);
+        if highest >= assignment.token && assignment.incarnation == self.incarnation {
+            self.refused_tokens.insert(duty, highest);
         }
-        self.say_back();
-        self.settle();
+        self.send_reply();
+        self.process_messages_to_self();
     }
 
-    /// Gives a duty up, to that member if it can have it.
+    /// Hands a duty over, to the given member if that is eligible.
     pub fn hand_over(&mut self, now: Duration, duty: Duty, to: Option<u16>) {
         self.now = now;
-        self.let_go(duty, to, "given up");
-        self.say_back();
-        self.settle();
+        self.release_duty(duty, to, "handed over");
+        self.send_reply();
+        self.process_messages_to_self();
     }
 
-    pub(super) fn beat_came(&mut self, from: u16, beat: Heartbeat) {
-        if beat.term.member() == from && beat.term <= self.resigned {
+    pub(super) fn heartbeat_received(&mut self, from: u16, heartbeat: Heartbeat) {
+        if heartbeat.term.member() == from && heartbeat.term <= self.resigned_term {
             return;
         }
-        if beat.term.member() != from || !self.voter.hears(self.now, beat.term) {
-            let (term, known) = (beat.term, self.voter.state.term.max(self.known));
-            return self.say(
+        if heartbeat.term.member() != from || !self.voter.accept_leader(self.now, heartbeat.term) {
+            let (term, highest_term) = (heartbeat.term, self.voter.state.term.max(self.highest_known_term));
+            return self.send(
                 from,
-                LeaseMessage::VoteReply { term, granted: false, highest_term: known, newer_table: None },
+                LeaseMessage::VoteReply { term, granted: false, highest_term, newer_table: None },
             );
         }
-        self.known = self.known.max(beat.term);
-        if self.chair != Some((from, beat.term)) {
-            (self.chair, self.beat) = (Some((from, beat.term)), 0);
-        } else if beat.serial <= self.beat {
-            return; // Said before, or on its way for long.
+        self.highest_known_term = self.highest_known_term.max(heartbeat.term);
+        if self.leader != Some((from, heartbeat.term)) {
+            (self.leader, self.last_heartbeat_serial) = (Some((from, heartbeat.term)), 0);
+        } else if heartbeat.serial <= self.last_heartbeat_serial {
+            return; // A duplicate, or delayed in the network.
         }
-        self.beat = beat.serial;
-        self.waits_to_try();
+        self.last_heartbeat_serial = heartbeat.serial;
+        self.schedule_candidacy();
         if from != self.plan.self_member {
-            self.step_down("another is heard");
+            self.step_down("another leader is active");
         }
-        if let Some(table) = beat.full_table
-            && table.id == beat.table
+        if let Some(table) = heartbeat.full_table
+            && table.id == heartbeat.table
             && table.id > self.table().id
             && !table.is_malformed(self.plan.member_count)
         {
             self.voter.state.table = table;
-            self.keep(Vec::new());
+            self.persist(Vec::new());
         }
-        if self.table().id == beat.table {
-            if let Some((_, at)) = self.sent.iter().find(|(back, _)| *back == beat.lease_from_reply) {
+        if self.table().id == heartbeat.table {
+            if let Some((_, at)) =
+                self.sent_replies.iter().find(|(reply, _)| *reply == heartbeat.lease_from_reply)
+            {
                 self.lease_until = self.lease_until.max(*at + shortened_for_drift(self.plan.lease_duration));
             }
-            if beat.is_committed {
-                self.agreed = beat.table;
+            if heartbeat.is_committed {
+                self.committed_table = heartbeat.table;
             }
-            self.seats(beat.is_committed);
-            for (duty, number) in beat.duties_to_release {
-                if self.held.get(&duty) == Some(&number) {
-                    self.let_go(duty, None, "asked for by the chair");
+            self.apply_assignments(heartbeat.is_committed);
+            for (duty, token) in heartbeat.duties_to_release {
+                if self.held.get(&duty) == Some(&token) {
+                    self.release_duty(duty, None, "release requested by the leader");
                 }
             }
         }
-        self.say_back();
+        self.send_reply();
     }
 
-    /// Holds what the table gives it, and nothing else.
-    fn seats(&mut self, agreed: bool) {
-        let (me, life, now) = (self.plan.self_member, self.life, self.now);
-        let mine: BTreeMap<Duty, (FencingToken, Vec<u8>)> = (self.voter.state.table.assignments.iter())
-            .filter(|seat| seat.member == me && seat.incarnation == life && life > 0)
-            .map(|seat| (seat.duty, (seat.token, seat.checkpoint.clone())))
+    /// Makes the held duties match the table's assignments: lost ones end at once, new ones begin once they are committed.
+    fn apply_assignments(&mut self, is_committed: bool) {
+        let (self_member, incarnation, now) = (self.plan.self_member, self.incarnation, self.now);
+        let assigned: BTreeMap<Duty, (FencingToken, Vec<u8>)> = (self.voter.state.table.assignments.iter())
+            .filter(|assignment| {
+                assignment.member == self_member && assignment.incarnation == incarnation && incarnation > 0
+            })
+            .map(|assignment| (assignment.duty, (assignment.token, assignment.checkpoint.clone())))
             .collect();
-        let gone =
-            self.held.iter().filter(|(duty, number)| mine.get(duty).is_none_or(|seat| seat.0 != **number));
-        for (duty, number) in gone.map(|(duty, number)| (*duty, *number)).collect::<Vec<_>>() {
+        let lost = self
+            .held
+            .iter()
+            .filter(|(duty, token)| assigned.get(duty).is_none_or(|assignment| assignment.0 != **token));
+        for (duty, token) in lost.map(|(duty, token)| (*duty, *token)).collect::<Vec<_>>() {
             self.held.remove(&duty);
-            self.out.push(Effect::DutyLost(duty, number, "another has it"));
-        }
-        let number_of = |duty: &Duty| mine.get(duty).map(|seat| seat.0);
-        self.gives.retain(|duty, give| number_of(duty) == Some(give.token));
-        self.marks.retain(|duty, mark| number_of(duty) == Some(mark.token));
-        self.refused.retain(|duty, highest| number_of(duty).is_some_and(|number| number <= *highest));
-        if !agreed || now >= self.lease_until {
+            self.effects.push(Effect::DutyLost(duty, token, "assigned to another holder"));
+        }
+        let assigned_token = |duty: &Duty| assigned.get(duty).map(|assignment| assignment.0);
+        self.hand_overs.retain(|duty, hand_over| assigned_token(duty) == Some(hand_over.token));
+        self.checkpoints.retain(|duty, checkpoint| assigned_token(duty) == Some(checkpoint.token));
+        self.refused_tokens
+            .retain(|duty, highest| assigned_token(duty).is_some_and(|token| token <= *highest));
+        if !is_committed || now >= self.lease_until {
             return;
         }
-        for (duty, (number, seen)) in mine {
-            if self.marks.get(&duty).is_some_and(|mark| mark.data == seen) {
-                self.marks.remove(&duty);
-                self.out.push(Effect::CheckpointCommitted(duty, number));
+        for (duty, (token, committed)) in assigned {
+            if self.checkpoints.get(&duty).is_some_and(|checkpoint| checkpoint.data == committed) {
+                self.checkpoints.remove(&duty);
+                self.effects.push(Effect::CheckpointCommitted(duty, token));
             }
-            if !self.held.contains_key(&duty) && !self.gives.contains_key(&duty) {
+            if !self.held.contains_key(&duty) && !self.hand_overs.contains_key(&duty) {
                 if self.held.is_empty() {
-                    self.tick_at = now + self.plan.heartbeat_interval();
+                    self.holder_check_at = now + self.plan.heartbeat_interval();
                 }
-                self.held.insert(duty, number);
-                self.out.push(Effect::DutyAcquired(duty, number, seen));
+                self.held.insert(duty, token);
+                self.effects.push(Effect::DutyAcquired(duty, token, committed));
             }
         }
     }
 
-    fn let_go(&mut self, duty: Duty, to: Option<u16>, why: &'static str) {
-        if let Some(number) = self.held.remove(&duty) {
-            self.gives.insert(duty, HandOver { duty, token: number, to });
-            self.out.push(Effect::DutyLost(duty, number, why));
+    fn release_duty(&mut self, duty: Duty, to: Option<u16>, reason: &'static str) {
+        if let Some(token) = self.held.remove(&duty) {
+            self.hand_overs.insert(duty, HandOver { duty, token, to });
+            self.effects.push(Effect::DutyLost(duty, token, reason));
         }
     }
 
-    /// Gives all that it holds, and takes nothing more.
-    pub(super) fn shed(&mut self, why: &'static str) {
-        self.willing = false;
-        // What it may not have begun, or whose lease ran out, is its own by the table all the same.
-        let mine = self
-            .voter
-            .state
-            .table
-            .assignments
-            .iter()
-            .filter(|s| s.member == self.plan.self_member && s.incarnation == self.life);
-        for seat in mine.map(|seat| (seat.duty, seat.token)).collect::<Vec<_>>() {
-            self.held.insert(seat.0, seat.1);
-            self.let_go(seat.0, None, why);
+    /// Hands over all duties and declines further ones.
+    pub(super) fn release_all_duties(&mut self, reason: &'static str) {
+        self.accepts_duties = false;
+        // Duties that it has not begun, or whose lease has run out, are still assigned to it by the table.
+        let assigned = self.voter.state.table.assignments.iter().filter(|assignment| {
+            assignment.member == self.plan.self_member && assignment.incarnation == self.incarnation
+        });
+        for (duty, token) in
+            assigned.map(|assignment| (assignment.duty, assignment.token)).collect::<Vec<_>>()
+        {
+            self.held.insert(duty, token);
+            self.release_duty(duty, None, reason);
         }
-        self.say_back();
+        self.send_reply();
     }
 
-    pub(super) fn drop_all(&mut self, why: &'static str) {
-        for (duty, number) in std::mem::take(&mut self.held) {
-            self.out.push(Effect::DutyLost(duty, number, why));
+    /// Stops holding all duties without handing them over.
+    pub(super) fn drop_held_duties(&mut self, reason: &'static str) {
+        for (duty, token) in std::mem::take(&mut self.held) {
+            self.effects.push(Effect::DutyLost(duty, token, reason));
         }
     }
 
-    pub(super) fn say_back(&mut self) {
-        self.back_at = self.now + self.plan.lease_duration / 2;
-        let Some((chair, term)) = self.chair.filter(|_| self.life > 0) else { return };
-        self.backs += 1;
-        if self.sent.len() >= MOST_SENT {
-            self.sent.pop_front();
-        }
-        self.sent.push_back((self.backs, self.now));
-        // Those who do not vote need not keep it.
-        let voter = self.table().is_voter(self.plan.self_member);
-        let table = if voter { self.durable } else { self.table().id };
-        let back = HeartbeatReply {
+    pub(super) fn send_reply(&mut self) {
+        self.next_reply_at = self.now + self.plan.lease_duration / 2;
+        let Some((leader, term)) = self.leader.filter(|_| self.incarnation > 0) else { return };
+        self.last_reply_number += 1;
+        if self.sent_replies.len() >= MAX_REMEMBERED_REPLIES {
+            self.sent_replies.pop_front();
+        }
+        self.sent_replies.push_back((self.last_reply_number, self.now));
+        // Only voters have to have persisted the table that they report.
+        let is_voter = self.table().is_voter(self.plan.self_member);
+        let table = if is_voter { self.durable_table } else { self.table().id };
+        let reply = HeartbeatReply {
             term,
-            heartbeat_serial: self.beat,
+            heartbeat_serial: self.last_heartbeat_serial,
             table,
-            reply_number: self.backs,
-            incarnation: self.life,
-            accepts_duties: self.willing,
-            hand_overs: self.gives.values().copied().collect(),
-            checkpoints: self.marks.values().cloned().collect(),
-            refused_tokens: self.refused.iter().map(|(duty, number)| (*duty, *number)).collect(),
+            reply_number: self.last_reply_number,
+            incarnation: self.incarnation,
+            accepts_duties: self.accepts_duties,
+            hand_overs: self.hand_overs.values().copied().collect(),
+            checkpoints: self.checkpoints.values().cloned().collect(),
+            refused_tokens: self.refused_tokens.iter().map(|(duty, token)| (*duty, *token)).collect(),
         };
-        self.say(chair, LeaseMessage::HeartbeatReply(back));
+        self.send(leader, LeaseMessage::HeartbeatReply(reply));
     }
 
-    /// A decision thread that falls behind gives its duties away before its lease suffers.
-    pub(super) fn is_late(&mut self) {
-        let late = self.now.saturating_sub(self.due) >= self.plan.heartbeat_interval();
-        if !late || self.due.is_zero() {
+    /// Hands the duties over if the calling thread falls behind, before the lease is endangered.
+    pub(super) fn check_lateness(&mut self) {
+        let is_late = self.now.saturating_sub(self.expected_timer_at) >= self.plan.heartbeat_interval();
+        if !is_late || self.expected_timer_at.is_zero() {
             return;
         }
-        if self.now >= self.late.1 + self.plan.lease_duration {
-            self.late = (0, self.now);
+        if self.now >= self.late_timers.1 + self.plan.lease_duration {
+            self.late_timers = (0, self.now);
         }
-        self.late.0 += 1;
-        if self.late.0 >= LATE && !self.held.is_empty() {
-            self.late = (0, self.now);
-            self.shy_until = self.now + self.plan.lease_duration * SHY;
-            self.shed("this process falls behind");
+        self.late_timers.0 += 1;
+        if self.late_timers.0 >= MAX_LATE_TIMERS_PER_LEASE && !self.held.is_empty() {
+            self.late_timers = (0, self.now);
+            self.declines_duties_until = self.now + self.plan.lease_duration * LATENESS_COOL_DOWN_LEASES;
+            self.release_all_duties("process is falling behind");
         }
     }
 }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,9 +1,9 @@
-//! Who in a group may do what one alone is to do: an election among voters, a table of duties that a majority keeps, a lease for
-//! each member on what the table gives it, and numbers by which whoever receives an act tells an old holder's from a new one's.
+//! Assignment of exclusive duties within a group: election of a leader among voters, a table of duties that a majority persists, a
+//! lease for each member on the duties assigned to it, and fencing tokens by which receivers reject acts of earlier holders.
 //!
-//! No I/O, clock, thread or hash: inputs are calls on [`Lease`] with the time since the start, effects come as [`Effect`]. Safety rests on
-//! majorities, on what voters keep before they say it, and on [`Fence`] at the receivers; clocks decide only when something is tried.
-//! Start reading at [`Table`], then at [`Lease`].
+//! No I/O, clock, thread or hash: inputs are calls on [`Lease`] with the time since the start, outputs are [`Effect`]s. Safety rests
+//! on majorities, on voters persisting state before they send what follows from it, and on a [`Fence`] at each receiver; clocks decide
+//! only when something is attempted. Start reading at [`Table`], then at [`Lease`].
 
 mod clock;
 mod fence;
--- a/crates/lease/src/messages.rs
+++ b/crates/lease/src/messages.rs
@@ -1,106 +1,142 @@
-//! What members say to each other about duties.
+//! Messages between members about duties.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{Duty, FencingToken, TableId, Term};
 use crate::table::Table;
 
-/// The chair is there.
+/// Sent by the leader to every member at a regular interval, and after each change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
+    /// The leader's term.
     pub term: Term,
+    /// Counts heartbeat rounds of this term.
     pub serial: u64,
+    /// The leader's current table.
     pub table: TableId,
-    /// A majority keeps that table.
+    /// Whether a majority has persisted that table.
     pub is_committed: bool,
-    /// The last answer of the receiver that was had: its lease runs from when it sent that one. Zero: nothing is lent.
+    /// The number of the receiver's last reply that the leader has received: the receiver's lease runs from the time when it sent
+    /// that reply. Zero: no lease is granted.
     pub lease_from_reply: u64,
-    /// Duties that the receiver is to give up.
+    /// Duties that the receiver is to hand over, with their tokens.
     pub duties_to_release: Vec<(Duty, FencingToken)>,
-    /// Where the receiver has another one.
+    /// The whole table, where the receiver has another one.
     pub full_table: Option<Table>,
 }
 
-/// An answer to a beat, and by itself where there is something to give or to mark.
+/// Reply to a heartbeat; also sent unasked when there is a hand-over or a checkpoint to report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatReply {
+    /// The term of the leader that is answered.
     pub term: Term,
-    /// The last beat that was heard.
+    /// The serial of the last heartbeat received.
     pub heartbeat_serial: u64,
-    /// The table that is kept here.
+    /// The table that the sender has; of a voter, the one it has persisted.
     pub table: TableId,
-    /// Of this answer: leases are lent by it.
+    /// The number of this reply; leases are granted by it.
     pub reply_number: u64,
+    /// The sender's incarnation.
     pub incarnation: u64,
-    /// It takes duties.
+    /// Whether the sender takes new duties.
     pub accepts_duties: bool,
+    /// Duties that the sender has stopped holding.
     pub hand_overs: Vec<HandOver>,
+    /// Progress of the duties that the sender holds.
     pub checkpoints: Vec<Checkpoint>,
-    /// The highest numbers that receivers told where they refused an act of what the table says is this member's.
+    /// The highest token reported by a receiver that refused an act of a duty assigned to the sender.
     pub refused_tokens: Vec<(Duty, FencingToken)>,
 }
 
-/// A duty is given up; to somebody, or to whoever is next.
+/// A duty that its holder gives up, to a named member or to the next preferred one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandOver {
+    /// The duty given up.
     pub duty: Duty,
+    /// The token under which it was held.
     pub token: FencingToken,
+    /// The wanted next holder, if any.
     pub to: Option<u16>,
 }
 
-/// How far a holder has come.
+/// Progress of a duty, for its next holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Checkpoint {
+    /// The duty.
     pub duty: Duty,
+    /// The token under which it is held.
     pub token: FencingToken,
+    /// Opaque to this crate; at most 256 bytes.
     pub data: Vec<u8>,
 }
 
 /// A message between two members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaseMessage {
-    /// Would I be voted for in a term above this one, with this table?
+    /// Asks whether the receiver would vote for the sender in a term above this one, with this table.
     PreVoteRequest {
+        /// The sender's current term.
         above_term: Term,
+        /// The sender's table.
         table: TableId,
     },
-    /// `known`: the highest term known to whoever answers.
+    /// Answers a [`LeaseMessage::PreVoteRequest`].
     PreVoteReply {
+        /// As in the request.
         above_term: Term,
+        /// Whether the sender would vote for the receiver.
         granted: bool,
+        /// The highest term that the sender knows.
         highest_term: Term,
     },
-    /// A vote for this term, which is the sender's.
+    /// Asks for a vote in this term, which is the sender's.
     VoteRequest {
+        /// The term of the candidacy.
         term: Term,
+        /// The candidate's table.
         table: TableId,
     },
+    /// Answers a [`LeaseMessage::VoteRequest`], or rejects a heartbeat of an outdated term.
     VoteReply {
+        /// As in the request.
         term: Term,
+        /// Whether the vote is given.
         granted: bool,
+        /// The highest term that the sender knows.
         highest_term: Term,
+        /// The sender's table, if it is newer than the candidate's.
         newer_table: Option<Table>,
     },
+    /// Leader to member.
     Heartbeat(Heartbeat),
+    /// Member to leader.
     HeartbeatReply(HeartbeatReply),
-    /// The chair of this term is none any more: nobody need wait for it.
+    /// The leader of this term has given up: the receiver need not wait for its time-out.
     LeaderResigned {
+        /// The term that has ended.
         term: Term,
     },
-    /// A voter has lost what it kept: what do others have?
+    /// A voter has lost its persisted state and asks for the state of the others.
     StateLost,
-    /// `sound`: the sender has not lost it too.
+    /// Answers [`LeaseMessage::StateLost`].
     StateReply {
+        /// The highest term that the sender voted for.
         term: Term,
+        /// Whether the sender's own state is complete.
         is_consistent: bool,
+        /// The sender's table.
         table: Table,
     },
-    /// For the chair: this duty is to go there; or this is to be the set of voters.
+    /// Request to the leader: assign this duty to that member, or to the next preferred one.
     MoveDuty {
+        /// The duty to move.
         duty: Duty,
+        /// The wanted holder.
         to: Option<u16>,
     },
+    /// Request to the leader: change to this set of voters.
     ChangeVoters {
+        /// The wanted voters.
         voters: Vec<u16>,
     },
 }
--- a/crates/lease/src/plan.rs
+++ b/crates/lease/src/plan.rs
@@ -1,27 +1,29 @@
-//! What a member is told about the group at its start.
+//! Configuration of a member: the group and its timings.
 
 use std::time::Duration;
 
-/// The members, the voters, the order of each duty's holders, and the length of a lease.
+/// The members, the voters, the preferred holders of each duty, and the duration of a lease.
 #[derive(Clone, Debug)]
 pub struct Plan {
+    /// This member.
     pub self_member: u16,
+    /// The number of members; they are numbered from 0.
     pub member_count: u16,
-    /// Who votes, where no table says otherwise.
+    /// The voters until a table names others.
     pub voters: Vec<u16>,
-    /// Of each duty, all members in the order in which they are to have it.
+    /// For each duty, all members in order of preference.
     pub preferred_holders: Vec<Vec<u16>>,
-    /// A duty is held for so long without a word from the chair, and taken from a silent holder after a little more.
+    /// How long a duty is held without contact to the leader; it is reassigned a little later than that.
     pub lease_duration: Duration,
 }
 
 impl Plan {
-    /// A voter helps no other candidate for so long after it heard the chair.
+    /// How long a voter supports no other candidate after a heartbeat of the leader.
     pub fn vote_lock_duration(&self) -> Duration {
         self.lease_duration / 2
     }
 
-    /// So often the chair says that it is there.
+    /// The time between two heartbeats of the leader.
     pub fn heartbeat_interval(&self) -> Duration {
         self.lease_duration / 8
     }
--- a/crates/lease/src/table.rs
+++ b/crates/lease/src/table.rs
@@ -1,101 +1,112 @@
-//! The one thing that is agreed on: who votes, and who holds which duty under which number. It is replaced as a whole, so that no
-//! log is kept, compacted or repaired.
+//! The replicated state that members agree on: the voters, and the holder and token of each duty. It is replaced as a whole, so no log
+//! has to be stored, compacted or repaired.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{Duty, FencingToken, TableId};
 
-/// Bytes of a mark at most.
+/// The maximum length of a checkpoint's data.
 pub const MAX_CHECKPOINT_BYTES: usize = 256;
-/// Duties and voters at most.
+/// The maximum number of duties.
 pub const MAX_DUTIES: usize = 128;
+/// The maximum number of voters.
 pub const MAX_VOTERS: usize = 7;
 
-/// Stands for a member where nobody could take a duty that was given up.
+/// Stands for the holder of a duty that was given up while no member could take it.
 pub const NO_MEMBER: u16 = u16::MAX;
 
-/// ChangeReason a duty changed hands last.
+/// Why a duty was last reassigned.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeReason {
-    /// Nobody had it.
+    /// It had no holder.
     #[default]
     Free,
-    /// Its holder was silent for longer than its lease.
+    /// Its holder was unresponsive for longer than its lease.
     Silent,
-    /// Its holder gave it up.
+    /// Its holder handed it over.
     Given,
-    /// Its holder's process is another one.
+    /// Its holder's process was restarted.
     Restarted,
-    /// A receiver had seen a later number.
+    /// A receiver had accepted a later token.
     Refused,
 }
 
 /// One duty and its holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DutyAssignment {
+    /// The duty.
     pub duty: Duty,
+    /// The holder, or [`NO_MEMBER`].
     pub member: u16,
+    /// The holder's incarnation.
     pub incarnation: u64,
+    /// The fencing token of the holder's acts.
     pub token: FencingToken,
+    /// Why it was last reassigned.
     pub reason: ChangeReason,
-    /// What its holders have done so far, in their own words.
+    /// The last committed progress of its holders, opaque to this crate.
     pub checkpoint: Vec<u8>,
 }
 
+/// Voters and duty assignments, as the leader of a term wrote them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Table {
+    /// Later tables compare greater.
     pub id: TableId,
+    /// The members that vote.
     pub voters: Vec<u16>,
-    /// The highest number that was given, or that a receiver told of.
+    /// The highest token that was issued, or that a receiver reported.
     pub highest_token: FencingToken,
-    /// In the order of duties.
+    /// In order of duties.
     pub assignments: Vec<DutyAssignment>,
 }
 
 impl Table {
+    /// The assignment of a duty, if it was ever assigned.
     pub fn assignment(&self, duty: Duty) -> Option<&DutyAssignment> {
-        self.assignments.iter().find(|seat| seat.duty == duty)
+        self.assignments.iter().find(|assignment| assignment.duty == duty)
     }
 
+    /// As [`Table::assignment`], mutable.
     pub fn assignment_mut(&mut self, duty: Duty) -> Option<&mut DutyAssignment> {
-        self.assignments.iter_mut().find(|seat| seat.duty == duty)
+        self.assignments.iter_mut().find(|assignment| assignment.duty == duty)
     }
 
+    /// The number of voters that form a majority.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
+    /// Whether a member votes.
     pub fn is_voter(&self, member: u16) -> bool {
         self.voters.contains(&member)
     }
 
-    /// Gives a duty to a member, under a number that nobody had. Its marks stay.
-    pub fn assign(&mut self, duty: Duty, member: u16, life: u64, why: ChangeReason) {
+    /// Assigns a duty to a member under a new token. Its checkpoint stays.
+    pub fn assign(&mut self, duty: Duty, member: u16, incarnation: u64, reason: ChangeReason) {
         self.highest_token.0 = self.highest_token.0.saturating_add(1);
-        let (number, mark) = (
+        let (token, checkpoint) = (
             self.highest_token,
-            self.assignment(duty).map(|seat| seat.checkpoint.clone()).unwrap_or_default(),
-        );
-        self.assignments.retain(|seat| seat.duty != duty);
-        let place = self.assignments.partition_point(|seat| seat.duty < duty);
-        self.assignments.insert(
-            place,
-            DutyAssignment { duty, member, incarnation: life, token: number, reason: why, checkpoint: mark },
+            self.assignment(duty).map(|assignment| assignment.checkpoint.clone()).unwrap_or_default(),
         );
+        self.assignments.retain(|assignment| assignment.duty != duty);
+        let index = self.assignments.partition_point(|assignment| assignment.duty < duty);
+        self.assignments
+            .insert(index, DutyAssignment { duty, member, incarnation, token, reason, checkpoint });
     }
 
-    /// What came over a link is no table of this group.
-    pub fn is_malformed(&self, members: u16) -> bool {
+    /// Whether a received table cannot be one of a group with this number of members.
+    pub fn is_malformed(&self, member_count: u16) -> bool {
         let voters = &self.voters;
         voters.is_empty()
             || voters.len() > MAX_VOTERS
-            || voters.iter().enumerate().any(|(n, v)| *v >= members || voters[..n].contains(v))
+            || voters.iter().enumerate().any(|(n, v)| *v >= member_count || voters[..n].contains(v))
             || self.assignments.len() > MAX_DUTIES
             || self.assignments.windows(2).any(|pair| pair[0].duty >= pair[1].duty)
-            || self.assignments.iter().any(|seat| {
-                seat.member >= members && seat.member != NO_MEMBER
-                    || seat.token > self.highest_token
-                    || seat.checkpoint.len() > MAX_CHECKPOINT_BYTES
+            || self.assignments.iter().any(|assignment| {
+                assignment.member >= member_count && assignment.member != NO_MEMBER
+                    || assignment.token > self.highest_token
+                    || assignment.checkpoint.len() > MAX_CHECKPOINT_BYTES
             })
     }
 }
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -1,4 +1,4 @@
-//! What a voter keeps, and whom it helps.
+//! The voter: its persisted state, and which candidate it supports.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,116 +9,126 @@
 use crate::ids::{TableId, Term};
 use crate::table::Table;
 
-/// On disk before anything that follows from it is said.
+/// Leases after which a majority of voters without state may start anew although not all of them have answered.
+const MAJORITY_RECOVERY_LEASES: u32 = 30;
+
+/// State that is on disk before any message that follows from it is sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistedState {
     /// The highest term that was voted for.
     pub term: Term,
+    /// The last table accepted.
     pub table: Table,
 }
 
 pub(crate) struct Voter {
     pub state: PersistedState,
-    /// It knows all that it ever said; else it votes for nobody until others have told.
+    /// Whether its state includes everything that it ever sent; otherwise it votes for nobody until others have reported theirs.
     pub is_consistent: bool,
-    /// Whom it voted for by itself, rather than heard of.
-    voted: Term,
-    /// Until then the chair counts on this voter.
-    promised_until: Duration,
-    promise: Duration,
-    /// Others that told what they have, and whether they are sound.
-    have: BTreeMap<u16, bool>,
-    rested_at: Duration,
-    /// By then a majority of blank voters may begin anew, though not all have been heard.
-    forgiven_at: Duration,
+    /// The term of the last vote that it cast itself, as opposed to terms it learned from others.
+    last_vote_term: Term,
+    /// Until then the leader relies on this voter supporting no other candidate.
+    vote_locked_until: Duration,
+    vote_lock_duration: Duration,
+    /// Voters that have reported their state, and whether it is consistent.
+    peer_consistency: BTreeMap<u16, bool>,
+    /// From then on it recovers once all other voters have reported.
+    full_recovery_at: Duration,
+    /// From then on it recovers once a majority, itself included, has reported.
+    majority_recovery_at: Duration,
 }
 
 impl Voter {
-    /// `kept` is none where nothing was found, or what was found is known to be older than what was said.
+    /// `stored` is none if no state was found, or if it is known to be older than what this member has sent.
     pub fn new(
-        now: Duration, kept: Option<PersistedState>, voters: Vec<u16>, promise: Duration, lease: Duration,
+        now: Duration, stored: Option<PersistedState>, voters: Vec<u16>, vote_lock_duration: Duration,
+        lease_duration: Duration,
     ) -> Self {
-        let sound = kept.is_some();
-        let mut kept = kept.unwrap_or_default();
-        if kept.table.voters.is_empty() {
-            kept.table.voters = voters;
+        let is_consistent = stored.is_some();
+        let mut state = stored.unwrap_or_default();
+        if state.table.voters.is_empty() {
+            state.table.voters = voters;
         }
         Self {
-            voted: kept.term,
-            state: kept,
-            is_consistent: sound,
-            // A former life of this process may have promised something.
-            promised_until: now + extended_for_drift(promise),
-            promise,
-            have: BTreeMap::new(),
-            rested_at: now + extended_for_drift(promise) + extended_for_drift(lease),
-            forgiven_at: now + lease * 30,
+            last_vote_term: state.term,
+            state,
+            is_consistent,
+            // A previous incarnation of this process may have promised its support to a leader.
+            vote_locked_until: now + extended_for_drift(vote_lock_duration),
+            vote_lock_duration,
+            peer_consistency: BTreeMap::new(),
+            full_recovery_at: now
+                + extended_for_drift(vote_lock_duration)
+                + extended_for_drift(lease_duration),
+            majority_recovery_at: now + lease_duration * MAJORITY_RECOVERY_LEASES,
         }
     }
 
-    pub fn is_promised(&self, now: Duration) -> bool {
-        now < self.promised_until
+    pub fn is_vote_locked(&self, now: Duration) -> bool {
+        now < self.vote_locked_until
     }
 
-    /// Would this voter help a candidate that knows so much?
-    pub fn would(&self, now: Duration, above: Term, table: TableId) -> bool {
+    /// Whether this voter would support a candidate with this term and table.
+    pub fn would_vote(&self, now: Duration, above_term: Term, table: TableId) -> bool {
         self.is_consistent
-            && !self.is_promised(now)
-            && above >= self.state.term
+            && !self.is_vote_locked(now)
+            && above_term >= self.state.term
             && table >= self.state.table.id
     }
 
-    /// A vote is asked for. `Some(true)`: it is given once it is kept; `Some(false)`: it was given before.
-    pub fn vote(&mut self, now: Duration, term: Term, table: TableId) -> Option<bool> {
-        if self.is_consistent && term == self.voted && term == self.state.term {
+    /// Handles a request for a vote. `Some(true)`: the vote counts once it is persisted; `Some(false)`: it was cast before; `None`:
+    /// refused.
+    pub fn cast_vote(&mut self, now: Duration, term: Term, table: TableId) -> Option<bool> {
+        if self.is_consistent && term == self.last_vote_term && term == self.state.term {
             return Some(false);
         }
-        if !self.would(now, self.state.term, table) || term <= self.state.term {
+        if !self.would_vote(now, self.state.term, table) || term <= self.state.term {
             return None;
         }
-        (self.state.term, self.voted) = (term, term);
+        (self.state.term, self.last_vote_term) = (term, term);
         Some(true)
     }
 
-    /// The chair of a term speaks. False: its time is over.
-    pub fn hears(&mut self, now: Duration, term: Term) -> bool {
+    /// Handles a heartbeat of the leader of a term. False: the term is outdated.
+    pub fn accept_leader(&mut self, now: Duration, term: Term) -> bool {
         if term < self.state.term {
             return false;
         }
         self.state.term = term;
-        self.promised_until = now + extended_for_drift(self.promise);
+        self.vote_locked_until = now + extended_for_drift(self.vote_lock_duration);
         true
     }
 
-    /// The chair has given up: nothing is owed to it.
-    pub fn free(&mut self, now: Duration) {
-        self.promised_until = now;
+    /// The leader has resigned: other candidates may be supported at once.
+    pub fn unlock_vote(&mut self, now: Duration) {
+        self.vote_locked_until = now;
     }
 
-    /// Another voter tells what it has. A majority keeps each table that was agreed on: of others, so many must be sound that one of
-    /// those is among them. Where all have told and too few are sound, nobody knows more, and it goes on after a rest; what was lost
-    /// with so many is told by receivers, who refuse lower numbers.
-    pub fn has(&mut self, from: u16, term: Term, sound: bool, table: Table) {
+    /// Another voter reports its state. Each committed table is on a majority of voters, so enough others have to be consistent that
+    /// one of that majority is among them. If all have reported and too few are consistent, nobody knows more, and the voter recovers
+    /// after a waiting time; what was lost with that many is found through receivers, which refuse lower tokens.
+    pub fn state_reported(&mut self, from: u16, term: Term, is_consistent: bool, table: Table) {
         self.state.term = self.state.term.max(term);
         if table.id > self.state.table.id {
             self.state.table = table;
         }
-        self.have.insert(from, sound);
+        self.peer_consistency.insert(from, is_consistent);
     }
 
-    /// True: it has become sound by what others told.
-    pub fn recovers(&mut self, now: Duration, me: u16) -> bool {
+    /// True: it has just become consistent through the reports of others.
+    pub fn try_recover(&mut self, now: Duration, self_member: u16) -> bool {
         if self.is_consistent {
             return false;
         }
         let voters = &self.state.table.voters;
-        let others = || voters.iter().filter(|voter| **voter != me);
-        let told = others().filter(|voter| self.have.contains_key(voter)).count();
-        let know = others().filter(|voter| self.have.get(voter) == Some(&true)).count();
-        let enough = know > voters.len() - self.state.table.majority();
-        let all = told == others().count() && now >= self.rested_at;
-        let late = told + 1 >= self.state.table.majority() && now >= self.forgiven_at;
-        self.is_consistent = enough || all || late;
+        let others = || voters.iter().filter(|voter| **voter != self_member);
+        let reported = others().filter(|voter| self.peer_consistency.contains_key(voter)).count();
+        let consistent = others().filter(|voter| self.peer_consistency.get(voter) == Some(&true)).count();
+        let enough_consistent = consistent > voters.len() - self.state.table.majority();
+        let all_reported = reported == others().count() && now >= self.full_recovery_at;
+        let majority_reported =
+            reported + 1 >= self.state.table.majority() && now >= self.majority_recovery_at;
+        self.is_consistent = enough_consistent || all_reported || majority_reported;
         self.is_consistent
     }
 }
@@ -131,8 +141,8 @@
         Duration::from_millis(time)
     }
 
-    fn voter(kept: Option<PersistedState>) -> Voter {
-        Voter::new(ms(0), kept, vec![0, 1, 2], ms(1000), ms(2000))
+    fn voter(stored: Option<PersistedState>) -> Voter {
+        Voter::new(ms(0), stored, vec![0, 1, 2], ms(1000), ms(2000))
     }
 
     fn table(count: u64, version: u32) -> Table {
@@ -141,48 +151,55 @@
     }
 
     #[test]
-    fn a_vote_is_given_once_a_term_and_never_while_a_chair_counts_on_it() {
+    fn one_vote_per_term_and_none_while_a_leader_relies_on_the_voter() {
         let mut v = voter(Some(PersistedState { term: Term(5 << 32), table: table(4, 2) }));
         let (five, six) = (Term(5 << 32), Term(6 << 32));
-        let have = table(4, 2).id;
-        assert_eq!(v.vote(ms(1124), six, have), None, "a former life may have promised");
-        assert!(!v.would(ms(1125), Term(4 << 32), have), "it knows less");
-        assert!(!v.would(ms(1125), five, table(4, 1).id), "its table is older");
-        assert!(v.would(ms(1125), five, have));
-        assert_eq!(v.vote(ms(1125), six, table(4, 1).id), None);
-        assert_eq!(v.vote(ms(1125), six, have), Some(true));
-        assert_eq!(v.vote(ms(1126), six, have), Some(false), "its answer was lost");
-        assert_eq!(v.vote(ms(1126), five, have), None);
-        assert_eq!(v.vote(ms(1126), Term(6 << 32 | 1), have), Some(true), "a higher one of the same count");
-        assert_eq!(v.vote(ms(1126), six, have), None, "and the former one no more");
-        assert!(!v.hears(ms(1200), six) && v.hears(ms(1200), Term(7 << 32)));
-        assert_eq!(v.vote(ms(2324), Term(8 << 32), have), None);
-        v.free(ms(2000));
-        assert_eq!(v.vote(ms(2000), Term(8 << 32), have), Some(true));
-        // Heard of is not voted for.
-        assert!(v.hears(ms(3000), Term(9 << 32)));
-        v.free(ms(3000));
-        assert_eq!(v.vote(ms(3000), Term(9 << 32), have), None);
+        let own_table = table(4, 2).id;
+        assert_eq!(v.cast_vote(ms(1124), six, own_table), None, "a previous incarnation may be vote-locked");
+        assert!(!v.would_vote(ms(1125), Term(4 << 32), own_table), "the candidate's term is lower");
+        assert!(!v.would_vote(ms(1125), five, table(4, 1).id), "the candidate's table is older");
+        assert!(v.would_vote(ms(1125), five, own_table));
+        assert_eq!(v.cast_vote(ms(1125), six, table(4, 1).id), None);
+        assert_eq!(v.cast_vote(ms(1125), six, own_table), Some(true));
+        assert_eq!(v.cast_vote(ms(1126), six, own_table), Some(false), "the first reply was lost");
+        assert_eq!(v.cast_vote(ms(1126), five, own_table), None);
+        assert_eq!(
+            v.cast_vote(ms(1126), Term(6 << 32 | 1), own_table),
+            Some(true),
+            "a higher term of the same count"
+        );
+        assert_eq!(v.cast_vote(ms(1126), six, own_table), None, "the previous term is now outdated");
+        assert!(!v.accept_leader(ms(1200), six) && v.accept_leader(ms(1200), Term(7 << 32)));
+        assert_eq!(v.cast_vote(ms(2324), Term(8 << 32), own_table), None);
+        v.unlock_vote(ms(2000));
+        assert_eq!(v.cast_vote(ms(2000), Term(8 << 32), own_table), Some(true));
+        // A term learned from a leader is not a vote cast in it.
+        assert!(v.accept_leader(ms(3000), Term(9 << 32)));
+        v.unlock_vote(ms(3000));
+        assert_eq!(v.cast_vote(ms(3000), Term(9 << 32), own_table), None);
     }
 
     #[test]
-    fn one_that_has_lost_what_it_kept_votes_again_once_enough_others_have_told() {
+    fn voter_without_state_votes_again_once_enough_others_have_reported() {
         let mut v = voter(None);
-        assert_eq!(v.vote(ms(9000), Term(9 << 32), table(9, 0).id), None);
-        v.has(1, Term(7 << 32), true, table(6, 3));
-        assert!(!v.recovers(ms(9000), 0), "the other one of the majority may be the third");
-        v.has(2, Term(3 << 32), false, Table::default());
-        assert!(!v.recovers(ms(3374), 0) && v.recovers(ms(3375), 0), "all have told, after a rest");
+        assert_eq!(v.cast_vote(ms(9000), Term(9 << 32), table(9, 0).id), None);
+        v.state_reported(1, Term(7 << 32), true, table(6, 3));
+        assert!(!v.try_recover(ms(9000), 0), "the rest of the majority may be the third voter");
+        v.state_reported(2, Term(3 << 32), false, Table::default());
+        assert!(
+            !v.try_recover(ms(3374), 0) && v.try_recover(ms(3375), 0),
+            "all have reported, after the waiting time"
+        );
         assert_eq!((v.state.term, v.state.table.id), (Term(7 << 32), table(6, 3).id));
         let mut v = voter(None);
-        v.has(1, Term(7 << 32), true, table(6, 3));
-        v.has(2, Term(3 << 32), true, table(2, 3));
-        assert!(v.recovers(ms(1), 0) && !v.recovers(ms(1), 0));
-        // All stores lost at once, and one never comes back: after a long while.
+        v.state_reported(1, Term(7 << 32), true, table(6, 3));
+        v.state_reported(2, Term(3 << 32), true, table(2, 3));
+        assert!(v.try_recover(ms(1), 0) && !v.try_recover(ms(1), 0));
+        // All stores are lost at once and one voter never returns: recovery after the longer waiting time.
         let mut v = voter(None);
-        v.has(1, Term(0), false, Table::default());
-        assert!(!v.recovers(ms(59_999), 0) && v.recovers(ms(60_000), 0));
+        v.state_reported(1, Term(0), false, Table::default());
+        assert!(!v.try_recover(ms(59_999), 0) && v.try_recover(ms(60_000), 0));
         let mut alone = voter(None);
-        assert!(!alone.recovers(ms(99_000), 0), "not without a majority");
+        assert!(!alone.try_recover(ms(99_000), 0), "not without a majority");
     }
 }
--- a/crates/lease/tests/world/mod.rs
+++ b/crates/lease/tests/world/mod.rs
@@ -270,7 +270,7 @@
                     *known = (*known).max(asked);
                 }
                 Effect::Log(line) => {
-                    self.chairs += usize::from(line.starts_with("chair of"));
+                    self.chairs += usize::from(line.starts_with("elected leader of"));
                     self.logs.push(format!("{:?} {at}: {line}", self.now));
                 }
             }
