--- a/crates/lease/src/lease/holding.rs
+++ b/crates/lease/src/lease/holding.rs
@@ -163,11 +163,9 @@
         let assigned = self.voter.state.table.assignments.iter().filter(|assignment| {
             assignment.member == self.plan.self_member && assignment.incarnation == self.incarnation
         });
-        for (duty, token) in
-            assigned.map(|assignment| (assignment.duty, assignment.token)).collect::<Vec<_>>()
-        {
-            self.held.insert(duty, token);
-            self.release_duty(duty, None, reason);
+        for held in assigned.map(|assignment| (assignment.duty, assignment.token)).collect::<Vec<_>>() {
+            self.held.insert(held.0, held.1);
+            self.release_duty(held.0, None, reason);
         }
         self.send_reply();
     }
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,8 +1,8 @@
-//! Copies of dialogues at the members of a fleet: who owns a dialogue, who keeps copies, what two copies that differ come to, and
-//! how they are brought to agree.
+//! Replicas of dialogues at the members of a fleet: who owns a dialogue, who holds replicas, how replicas that differ are merged, and
+//! how members bring them to agree.
 //!
-//! No socket, clock, thread or file: times are brought. It decides nothing about core servers, routes or launches. Start reading
-//! at [`Replica`], then at [`ReplicaTable`].
+//! No socket, clock, thread or file: the caller passes the time. Nothing here decides about core servers, routes or launches. Start
+//! reading at [`Replica`], then at [`ReplicaTable`].
 
 mod digest_tree;
 mod placement;
--- a/crates/replica/src/placement.rs
+++ b/crates/replica/src/placement.rs
@@ -1,19 +1,19 @@
-//! Who keeps copies of a dialogue: by rendezvous hashing (Thaler and Ravishankar 1998), so that a member that is lost moves only
-//! its own share, and everyone names the same ones without being told.
+//! Which members hold replicas of a dialogue, by rendezvous hashing (Thaler and Ravishankar 1998): losing a member moves only that
+//! member's share, and all members compute the same holders without coordination.
 
 use std::hash::Hasher;
 
 use lotussaddle::interface::DialogueId;
 use siphasher::sip::SipHasher13;
 
-/// The same on all machines and in all versions.
-const KEY: (u64, u64) = (0x6c6f_7475_7373_6164, 0x646c_655f_666c_6565);
+/// The hash key; it must be the same on all machines and in all versions.
+const HASH_KEY: (u64, u64) = (0x6c6f_7475_7373_6164, 0x646c_655f_666c_6565);
 
 fn hasher() -> SipHasher13 {
-    SipHasher13::new_with_keys(KEY.0, KEY.1)
+    SipHasher13::new_with_keys(HASH_KEY.0, HASH_KEY.1)
 }
 
-/// A digest of bytes, the same everywhere.
+/// A digest of byte strings, the same on all machines.
 pub fn digest(parts: &[&[u8]]) -> u64 {
     let mut hasher = hasher();
     for part in parts {
@@ -23,77 +23,81 @@
     hasher.finish()
 }
 
-/// The hash of a dialogue's id: its place in every order here.
+/// The hash of a dialogue's id, by which this crate orders and places dialogues.
 pub fn fingerprint(dialogue: &DialogueId) -> u64 {
     digest(&[dialogue.0.as_bytes()])
 }
 
-/// A group of members, by their names in order: a member is its place among them.
+/// A group of members; a member is identified by its index in the list of names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaGroup {
+    /// Hashes of the names.
     names: Vec<u64>,
-    copies: usize,
+    replica_count: usize,
 }
 
 impl ReplicaGroup {
-    /// `copies` is how many members beside the owner keep a copy; with fewer members, all do.
-    pub fn new<'a>(names: impl IntoIterator<Item = &'a str>, copies: usize) -> Self {
+    /// `replica_count` is the number of members beside the owner that hold a replica; with fewer members, all of them do.
+    pub fn new<'a>(names: impl IntoIterator<Item = &'a str>, replica_count: usize) -> Self {
         let names: Vec<u64> = names.into_iter().map(|name| digest(&[name.as_bytes()])).collect();
-        let copies = copies.min(names.len().saturating_sub(1));
-        Self { names, copies }
+        let replica_count = replica_count.min(names.len().saturating_sub(1));
+        Self { names, replica_count }
     }
 
+    /// The number of members.
     pub fn member_count(&self) -> usize {
         self.names.len()
     }
 
+    /// The number of members beside the owner that hold a replica.
     pub fn replica_count(&self) -> usize {
-        self.copies
+        self.replica_count
     }
 
-    /// All members in the order in which they come for what hashes to this.
-    pub fn ranked_members(&self, print: u64) -> Vec<u16> {
-        let mut ranked: Vec<(u64, u16)> =
-            (self.names.iter().enumerate()).map(|(place, name)| (mix(*name, print), place as u16)).collect();
+    /// All members in their order of preference for this fingerprint.
+    pub fn ranked_members(&self, fingerprint: u64) -> Vec<u16> {
+        let mut ranked: Vec<(u64, u16)> = (self.names.iter().enumerate())
+            .map(|(index, name)| (mix(*name, fingerprint), index as u16))
+            .collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
-        ranked.into_iter().map(|(_, place)| place).collect()
+        ranked.into_iter().map(|(_, index)| index).collect()
     }
 
-    /// The first so many of `ranked`, in order.
-    fn first(&self, print: u64, count: usize) -> RankedMembers {
-        let mut first = RankedMembers::default();
-        for (place, name) in self.names.iter().enumerate() {
-            first.offer(mix(*name, print), place as u16, count);
+    /// The first `count` of [`ReplicaGroup::ranked_members`].
+    fn top_ranked(&self, fingerprint: u64, count: usize) -> RankedMembers {
+        let mut top = RankedMembers::default();
+        for (index, name) in self.names.iter().enumerate() {
+            top.offer(mix(*name, fingerprint), index as u16, count);
         }
-        first
+        top
     }
 
-    /// Those who may keep copies, whoever owns it: one more than there are copies, since the owner may be one of them.
-    pub fn candidates(&self, print: u64) -> RankedMembers {
-        self.first(print, self.copies + 1)
+    /// The members that may hold replicas, whoever is the owner: one more than there are replicas, since the owner may be among them.
+    pub fn candidates(&self, fingerprint: u64) -> RankedMembers {
+        self.top_ranked(fingerprint, self.replica_count + 1)
     }
 
-    /// Those who keep copies of what this member owns.
-    pub fn holders(&self, print: u64, owner: u16) -> impl Iterator<Item = u16> {
-        let copies = self.copies;
-        self.candidates(print).into_iter().filter(move |member| *member != owner).take(copies)
+    /// The members that hold replicas of what this member owns.
+    pub fn holders(&self, fingerprint: u64, owner: u16) -> impl Iterator<Item = u16> {
+        let replica_count = self.replica_count;
+        self.candidates(fingerprint).into_iter().filter(move |member| *member != owner).take(replica_count)
     }
 
-    /// Whether this member owns it or keeps a copy.
-    pub fn shares(&self, print: u64, owner: u16, member: u16) -> bool {
-        member == owner || self.holders(print, owner).any(|holder| holder == member)
+    /// Whether `member` is the owner or holds a replica.
+    pub fn shares(&self, fingerprint: u64, owner: u16, member: u16) -> bool {
+        member == owner || self.holders(fingerprint, owner).any(|holder| holder == member)
     }
 }
 
-fn mix(name: u64, print: u64) -> u64 {
-    // Both are hashes already: a round of mixing tells the pairs apart (the finalizer of splitmix64).
-    let mut x = name ^ print.rotate_left(32);
+fn mix(name: u64, fingerprint: u64) -> u64 {
+    // Both inputs are hashes, so the finalizer of splitmix64 is enough to distinguish the pairs.
+    let mut x = name ^ fingerprint.rotate_left(32);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
 }
 
-/// A few members in order; without the heap, since each step of a dialogue asks for them.
+/// A few members in order of preference. It uses no heap, since each step of a dialogue computes one.
 #[derive(Clone, Copy, Default, Debug)]
 pub struct RankedMembers {
     ranks: [(u64, u16); Self::MAX],
@@ -101,23 +105,25 @@
 }
 
 impl RankedMembers {
-    /// One more than copies at most.
+    /// One more than the maximum number of replicas.
     pub const MAX: usize = 9;
 
     fn offer(&mut self, rank: u64, member: u16, count: usize) {
         let count = count.min(Self::MAX);
-        let place = self.ranks[..self.len].partition_point(|known| *known > (rank, member));
-        if place < count {
+        let index = self.ranks[..self.len].partition_point(|known| *known > (rank, member));
+        if index < count {
             self.len = (self.len + 1).min(count);
-            self.ranks.copy_within(place..self.len - 1, place + 1);
-            self.ranks[place] = (rank, member);
+            self.ranks.copy_within(index..self.len - 1, index + 1);
+            self.ranks[index] = (rank, member);
         }
     }
 
+    /// The members, the most preferred first.
     pub fn iter(&self) -> impl Iterator<Item = u16> + '_ {
         self.ranks[..self.len].iter().map(|(_, member)| *member)
     }
 
+    /// Whether a member is among them.
     pub fn contains(&self, member: u16) -> bool {
         self.iter().any(|known| known == member)
     }
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -1,141 +1,158 @@
-//! A copy of a dialogue's state, and the rule for copies that differ.
+//! A replica of a dialogue's state, and the rule for merging replicas that differ.
 //!
-//! A copy keeps, of each owner, what it wrote last, and of all the final answers. [`Replica::merge`] is a join: whatever the order
-//! and however often copies meet, the same comes of them. What a copy means is read off it by [`Replica::reading`], the same way by
-//! everyone. Times are on the clock of whoever keeps it.
+//! A replica holds what each owner wrote last, and all final answers. [`Replica::merge`] is a join: the result does not depend on the
+//! order in which replicas are merged, nor on how often. [`Replica::reading`] interprets a replica, the same way at every member. Times
+//! are on the clock of the member that holds the replica.
 
 use std::time::Duration;
 
 use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
 use lotussaddle_trunk::{Answer, CopySent, Given, Owner, Part, Reached};
 
-/// What is kept of owners and answers, at most: beyond it owners go that only said that they own it, then the lowest.
+/// The maximum number of owners in a replica: beyond it owners that have only claimed the dialogue are dropped first, then the lowest.
 pub const MAX_OWNERS: usize = 16;
+/// The maximum number of final answers in a replica: beyond it that of the lowest owner is dropped.
 pub const MAX_ANSWERS: usize = 4;
-/// A clock may run so much faster than another, in parts of what it counts: a bar that is taken over is longer by that.
-const DRIFT: u32 = 16;
-/// What lasts as long as it stands is not forgotten by time; a span on the wire ends here.
-const FOR_EVER: Duration = Duration::from_secs(365 * 86_400 * 100);
+/// Received blocking times are lengthened by one part in this many, since the local clock may run faster than the sender's.
+const CLOCK_DRIFT_DIVISOR: u32 = 16;
+/// Expiry time of a record that does not expire by time.
+const NO_EXPIRY: Duration = Duration::from_secs(365 * 86_400 * 100);
+/// The longest span sent to another member; a record that lasts at least as long does not expire by time.
 pub const MAX_SENT_SPAN: Duration = Duration::from_secs(900_000);
 
 /// What one owner wrote last.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OwnerState {
+    /// The owner that wrote it.
     pub owner: Owner,
+    /// Counts this owner's writes from 1; 0 is a claim without a write.
     pub version: u32,
+    /// How far the dialogue has come.
     pub progress: Reached,
     /// Until then a launch of that owner may be out, or its lines may be taken.
     pub blocked_until: Duration,
-    /// It may be forgotten then.
+    /// When the record may be removed.
     pub expires_at: Duration,
 }
 
+/// The state of a dialogue as one member knows it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Replica {
     /// By owner, lowest first; one of each.
-    parts: Vec<OwnerState>,
-    /// By owner; mostly none or one.
+    owner_states: Vec<OwnerState>,
+    /// By owner; usually none or one.
     answers: Vec<Given>,
 }
 
-/// What a copy means.
+/// The interpretation of a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplicaReading<'a> {
-    /// It had this final answer and does not stand. Of several that of the highest owner, the same for all.
+    /// The dialogue had this final answer and does not stand. Of several answers it is that of the highest owner.
     Answered(&'a Answer),
-    /// It stood and is over.
+    /// The dialogue stood and has ended.
     Ended,
+    /// The dialogue stands.
     Stands {
+        /// The core server that holds it.
         server: &'a ServerId,
+        /// The launch that succeeded.
         launch: LaunchNo,
+        /// The owner that wrote it.
         owner: Owner,
     },
-    /// It has no answer, as far as is known. Nothing may be launched before `bar`; the owner that wrote last may have a
-    /// launch out.
+    /// No final answer is known.
     Open {
+        /// Nothing may be launched before this time.
         blocked_until: Duration,
+        /// Whether the owner that wrote last may have a launch out.
         launch_outstanding: bool,
     },
 }
 
 impl Replica {
-    /// Of one who says that it owns it, and nothing else.
-    pub fn claimed(owner: Owner, until: Duration) -> Self {
+    /// A replica of an owner that has claimed the dialogue and written nothing.
+    pub fn claimed(owner: Owner, expires_at: Duration) -> Self {
         Self {
-            parts: vec![OwnerState {
+            owner_states: vec![OwnerState {
                 owner,
                 version: 0,
                 progress: Reached::Taken,
                 blocked_until: Duration::ZERO,
-                expires_at: until,
+                expires_at,
             }],
             answers: vec![],
         }
     }
 
+    /// What each owner wrote last, lowest owner first.
     pub fn owner_states(&self) -> &[OwnerState] {
-        &self.parts
+        &self.owner_states
     }
 
+    /// All final answers, lowest owner first.
     pub fn answers(&self) -> &[Given] {
         &self.answers
     }
 
-    /// The highest owner: whose word counts from now on.
+    /// The highest owner, which is the current one.
     pub fn owner(&self) -> Option<Owner> {
-        self.parts.last().map(|part| part.owner)
+        self.owner_states.last().map(|state| state.owner)
     }
 
-    /// The highest owner that has written: one that only claimed it tells nothing of where writes were kept.
+    /// The highest owner that has written; an owner that has only claimed the dialogue tells nothing about where its writes were
+    /// stored.
     pub fn last_writer(&self) -> Option<Owner> {
-        self.parts.iter().rev().find(|part| part.version > 0).map(|part| part.owner)
+        self.owner_states.iter().rev().find(|state| state.version > 0).map(|state| state.owner)
     }
 
+    /// What this owner wrote last.
     pub fn state_of(&self, owner: Owner) -> Option<&OwnerState> {
-        self.parts.iter().find(|part| part.owner == owner)
+        self.owner_states.iter().find(|state| state.owner == owner)
     }
 
-    /// Joins what another copy knows. Of one owner the higher version counts; two that differ under one version cannot be,
-    /// but if they are, the one that compares higher counts, everywhere.
+    /// Merges another replica into this one. Of one owner the higher version wins. Two different states under one version should not
+    /// occur; if they do, the one that compares higher wins at every member.
     pub fn merge(&mut self, other: &Self) {
-        for theirs in &other.parts {
-            self.take(theirs);
+        for state in &other.owner_states {
+            self.merge_state(state);
         }
         for given in &other.answers {
             self.record_answer(given.owner, &given.answer);
         }
     }
 
-    fn take(&mut self, theirs: &OwnerState) {
-        match self.parts.binary_search_by_key(&theirs.owner, |part| part.owner) {
-            Ok(place) => {
-                let part = &mut self.parts[place];
-                if *theirs > *part {
-                    *part = theirs.clone();
+    fn merge_state(&mut self, incoming: &OwnerState) {
+        match self.owner_states.binary_search_by_key(&incoming.owner, |state| state.owner) {
+            Ok(index) => {
+                let state = &mut self.owner_states[index];
+                if *incoming > *state {
+                    *state = incoming.clone();
                 }
             }
-            Err(place) => {
-                self.parts.insert(place, theirs.clone());
-                if self.parts.len() > MAX_OWNERS {
-                    let below = &self.parts[..MAX_OWNERS];
-                    // Of an owner the version only goes up, so that all drop the same whatever they meet first.
-                    self.parts.remove(below.iter().position(|part| part.version == 0).unwrap_or(0));
+            Err(index) => {
+                self.owner_states.insert(index, incoming.clone());
+                if self.owner_states.len() > MAX_OWNERS {
+                    let below_top = &self.owner_states[..MAX_OWNERS];
+                    // An owner's version only increases, so all members drop the same owners in whatever order they merge.
+                    self.owner_states
+                        .remove(below_top.iter().position(|state| state.version == 0).unwrap_or(0));
                 }
             }
         }
     }
 
-    /// An owner wrote a final answer. It writes one; if there are two all the same, the one that compares lower counts, everywhere.
+    /// Records an owner's final answer. An owner writes only one; if there are two nevertheless, the one that compares lower wins at
+    /// every member.
     pub fn record_answer(&mut self, owner: Owner, answer: &Answer) {
         match self.answers.binary_search_by_key(&owner, |given| given.owner) {
-            Ok(place) => {
-                let given = &mut self.answers[place];
+            Ok(index) => {
+                let given = &mut self.answers[index];
                 if *answer < given.answer {
                     given.answer = answer.clone();
                 }
             }
-            Err(place) => {
-                self.answers.insert(place, Given { owner, answer: answer.clone() });
+            Err(index) => {
+                self.answers.insert(index, Given { owner, answer: answer.clone() });
                 if self.answers.len() > MAX_ANSWERS {
                     self.answers.remove(0);
                 }
@@ -143,30 +160,31 @@
         }
     }
 
-    /// The next word of an owner; a word of an owner that was not here begins at version 1.
-    pub fn write(&mut self, owner: Owner, reached: Reached, bar: Duration, until: Duration) {
-        let version = self.state_of(owner).map_or(0, |part| part.version) + 1;
-        self.take(&OwnerState { owner, version, progress: reached, blocked_until: bar, expires_at: until });
+    /// Writes the next version of an owner's state; an unknown owner begins at version 1.
+    pub fn write(&mut self, owner: Owner, progress: Reached, blocked_until: Duration, expires_at: Duration) {
+        let version = self.state_of(owner).map_or(0, |state| state.version) + 1;
+        self.merge_state(&OwnerState { owner, version, progress, blocked_until, expires_at });
     }
 
-    /// The life of an owner that had none yet.
+    /// Moves an owner's state and answer to the same owner in another incarnation.
     pub fn change_owner(&mut self, from: Owner, to: Owner) {
-        if let Some(place) = self.parts.iter().position(|part| part.owner == from) {
-            let mut part = self.parts.remove(place);
-            part.owner = to;
-            self.take(&part);
+        if let Some(index) = self.owner_states.iter().position(|state| state.owner == from) {
+            let mut state = self.owner_states.remove(index);
+            state.owner = to;
+            self.merge_state(&state);
         }
-        if let Some(place) = self.answers.iter().position(|given| given.owner == from) {
-            let given = self.answers.remove(place);
+        if let Some(index) = self.answers.iter().position(|given| given.owner == from) {
+            let given = self.answers.remove(index);
             self.record_answer(to, &given.answer);
         }
     }
 
-    /// What binds most: that it is over, answered or stands, then the longest bar. Where several owners wrote that it is over or
-    /// stands, the highest counts: whatever a lower one had said it had learned, and what was refused to a lower one was never said.
+    /// Interprets the replica: that the dialogue has ended, is answered or stands takes precedence, then the latest blocking time. If
+    /// several owners wrote that it has ended or stands, the highest one wins: it knew whatever a lower owner had told a caller, and
+    /// what was refused to a lower owner was never sent to a caller.
     pub fn reading(&self) -> ReplicaReading<'_> {
-        for part in self.parts.iter().rev() {
-            match &part.progress {
+        for state in self.owner_states.iter().rev() {
+            match &state.progress {
                 Reached::Over => {
                     return match self.answers.last().map(|given| &given.answer) {
                         None | Some(Answer::Stands { .. }) => ReplicaReading::Ended,
@@ -174,85 +192,92 @@
                     };
                 }
                 Reached::Stands { server, launch } => {
-                    return ReplicaReading::Stands { server, launch: *launch, owner: part.owner };
+                    return ReplicaReading::Stands { server, launch: *launch, owner: state.owner };
                 }
                 Reached::Taken | Reached::Out { .. } => {}
             }
         }
-        let bar = self.parts.iter().map(|part| part.blocked_until).max().unwrap_or_default();
-        let out = self.parts.last().is_some_and(|part| matches!(part.progress, Reached::Out { .. }));
-        ReplicaReading::Open { blocked_until: bar, launch_outstanding: out }
+        let blocked_until =
+            self.owner_states.iter().map(|state| state.blocked_until).max().unwrap_or_default();
+        let launch_outstanding =
+            self.owner_states.last().is_some_and(|state| matches!(state.progress, Reached::Out { .. }));
+        ReplicaReading::Open { blocked_until, launch_outstanding }
     }
 
-    /// An owner above the one whose word [`Replica::reading`] goes by has a launch out, perhaps, until then: what it found it did not go
-    /// by, so that the word was never said to a caller, and may be no more than a line that nobody came for.
+    /// Until when an owner above the one that determines [`Replica::reading`] may have a launch out. That owner did not act on the
+    /// state below it, so that state was never sent to a caller and may be only a line that no caller uses.
     pub fn newer_launch_until(&self) -> Option<Duration> {
-        let definite = |part: &OwnerState| matches!(part.progress, Reached::Over | Reached::Stands { .. });
-        let above = self.parts.iter().rev().take_while(|part| !definite(part));
-        self.parts.iter().any(definite).then(|| {
-            let outs = above.filter(|part| matches!(part.progress, Reached::Out { .. }));
-            outs.map(|part| part.blocked_until).max()
+        let is_definite =
+            |state: &OwnerState| matches!(state.progress, Reached::Over | Reached::Stands { .. });
+        let above = self.owner_states.iter().rev().take_while(|state| !is_definite(state));
+        self.owner_states.iter().any(is_definite).then(|| {
+            let launches = above.filter(|state| matches!(state.progress, Reached::Out { .. }));
+            launches.map(|state| state.blocked_until).max()
         })?
     }
 
-    /// When it may be forgotten: what is over by that, else when the last of its parts may.
+    /// When the replica may be removed: if the dialogue has ended, as the owners that ended it wrote, otherwise when all states have
+    /// expired.
     pub fn expires_at(&self) -> Duration {
-        let over =
-            self.parts.iter().filter(|part| part.progress == Reached::Over).map(|part| part.expires_at).max();
-        over.or_else(|| self.parts.iter().map(|part| part.expires_at).max()).unwrap_or_default()
+        let ended = self
+            .owner_states
+            .iter()
+            .filter(|state| state.progress == Reached::Over)
+            .map(|state| state.expires_at)
+            .max();
+        ended.or_else(|| self.owner_states.iter().map(|state| state.expires_at).max()).unwrap_or_default()
     }
 
-    /// It is forgotten by time, not only with what it stands for.
+    /// Whether the replica expires by time, and not only when the dialogue ends.
     pub fn expires(&self) -> bool {
-        self.expires_at() < FOR_EVER
+        self.expires_at() < NO_EXPIRY
     }
 
-    /// Two different final answers were written: the fleet was split, or one of them was refused and never said.
+    /// Whether two different final answers were written: the fleet was partitioned, or one of them was refused and never sent.
     pub fn has_conflicting_answers(&self) -> bool {
         self.answers.windows(2).any(|pair| pair[0].answer != pair[1].answer)
     }
 
-    /// It has been kept for so much longer than was counted here. Bars stay whole.
+    /// Shortens the expiry times by a span for which the replica was stored and the local clock did not run. Blocking times stay.
     pub fn age(&mut self, by: Duration) {
-        for part in self.parts.iter_mut().filter(|part| part.expires_at < FOR_EVER) {
-            part.expires_at = part.expires_at.saturating_sub(by);
+        for state in self.owner_states.iter_mut().filter(|state| state.expires_at < NO_EXPIRY) {
+            state.expires_at = state.expires_at.saturating_sub(by);
         }
     }
 
+    /// Converts the replica for sending: times become spans from `now`.
     pub fn to_update(&self, now: Duration, dialogue: &DialogueId) -> CopySent {
         let span = |at: Duration| at.saturating_sub(now).min(MAX_SENT_SPAN);
-        let parts = self.parts.iter().map(|part| Part {
-            owner: part.owner,
-            version: part.version,
-            reached: part.progress.clone(),
-            bar: span(part.blocked_until),
-            lasts: span(part.expires_at),
+        let parts = self.owner_states.iter().map(|state| Part {
+            owner: state.owner,
+            version: state.version,
+            reached: state.progress.clone(),
+            bar: span(state.blocked_until),
+            lasts: span(state.expires_at),
         });
         CopySent { dialogue: dialogue.clone(), parts: parts.collect(), answers: self.answers.clone() }
     }
 
-    /// As it was sent, on the clock here. The way makes its times longer, and a clock that runs fast does not make a bar
-    /// shorter.
-    pub fn from_update(now: Duration, sent: &CopySent) -> Self {
-        let mut copy = Self::default();
-        for part in &sent.parts {
-            let bar = if part.bar.is_zero() { Duration::ZERO } else { now + part.bar + part.bar / DRIFT };
-            let until = if part.lasts >= MAX_SENT_SPAN { FOR_EVER } else { now + part.lasts };
-            let (owner, version, reached) = (part.owner, part.version, part.reached.clone());
-            copy.take(&OwnerState {
-                owner,
-                version,
-                progress: reached,
-                blocked_until: bar,
-                expires_at: until,
-            });
+    /// Converts a received replica to the local clock. Its times become later by the time of transmission, and blocking times are
+    /// lengthened so that a fast local clock does not shorten them.
+    pub fn from_update(now: Duration, update: &CopySent) -> Self {
+        let mut replica = Self::default();
+        for part in &update.parts {
+            let blocked_until = if part.bar.is_zero() {
+                Duration::ZERO
+            } else {
+                now + part.bar + part.bar / CLOCK_DRIFT_DIVISOR
+            };
+            let expires_at = if part.lasts >= MAX_SENT_SPAN { NO_EXPIRY } else { now + part.lasts };
+            let (owner, version, progress) = (part.owner, part.version, part.reached.clone());
+            replica.merge_state(&OwnerState { owner, version, progress, blocked_until, expires_at });
         }
-        sent.answers.iter().for_each(|given| copy.record_answer(given.owner, &given.answer));
-        copy
+        update.answers.iter().for_each(|given| replica.record_answer(given.owner, &given.answer));
+        replica
     }
 }
 
-/// What stands is kept for as long as it does.
+/// The expiry time of a record that does not expire by time, as of a dialogue that stands.
 pub fn no_expiry() -> Duration {
-    FOR_EVER
+    NO_EXPIRY
 }
--- a/crates/replica/src/table.rs
+++ b/crates/replica/src/table.rs
@@ -1,4 +1,4 @@
-//! What one member knows of dialogues, its own and those it keeps copies of, and what it owes the others of it.
+//! The replicas that one member holds, of its own dialogues and of other members', and the updates that it still has to send.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
@@ -11,405 +11,432 @@
 use crate::replica::{Replica, ReplicaReading};
 use crate::stream::ReplicaStream;
 
-/// Records looked at for one piece of a snapshot, and sent in it, at most: a turn of the decision thread is not longer than that.
-const PIECE_LOOKS: usize = 4096;
-const PIECE: usize = 256;
-/// Records that are about to be forgotten are repaired nowhere: in the last part of their time.
-const LAST_PART: u32 = 8;
+/// The maximum number of records scanned for one chunk of a snapshot; it bounds the time of one iteration of the decision thread.
+const MAX_SCANNED_PER_CHUNK: usize = 4096;
+/// The maximum number of replicas in one chunk of a snapshot.
+const MAX_REPLICAS_PER_CHUNK: usize = 256;
+/// Records in the last one part in this many of their retention period are no longer compared or repaired.
+const UNREPAIRED_RETENTION_DIVISOR: u32 = 8;
 
+/// Limits of a [`ReplicaTable`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicaLimits {
-    /// Copies kept, own dialogues included; beyond it a new one of another member is not kept.
+    /// The maximum number of replicas, own dialogues included; beyond it new replicas of other members are rejected.
     pub max_replicas: usize,
-    /// What is over, or came to nothing, is forgotten after so long.
+    /// How long a dialogue that has ended or was never set up is retained.
     pub retention: Duration,
 }
 
 struct Entry {
-    copy: Replica,
+    replica: Replica,
     digest: u64,
-    /// Who shares it with this member: bits are set for them in `sums`, under this owner.
+    /// The owner under which the entry is counted in `digest_trees`, for the members that share it; none: it is not counted.
     shared_as: Option<Owner>,
-    /// When it stands in `fading`.
-    fades: Option<Duration>,
+    /// Its time in `expiry_queue`.
+    expiry_check_at: Option<Duration>,
 }
 
-/// A write that somebody waits for.
-struct Wait {
+/// A write whose acknowledgements are awaited.
+struct PendingWrite {
     ticket: u64,
     version: u32,
-    /// Acknowledgements that are still needed.
-    needs: usize,
+    acks_needed: usize,
 }
 
-/// What came of a write.
+/// The result of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteResult {
-    /// It goes to others, and the ticket is told by [`ReplicaTable::done`] when enough of them have it.
+    /// The write is queued for other members; [`ReplicaTable::take_completed_writes`] returns its ticket once enough of them have
+    /// acknowledged it.
     Pending,
-    /// Nobody waits for it.
+    /// No acknowledgement is awaited.
     Immediate,
-    /// Another owns the dialogue now: nothing was written, and nothing may be done.
+    /// Another member now owns the dialogue: nothing was written, and the caller must not proceed.
     Replaced(Owner),
 }
 
-/// What is new here after copies came in.
+/// The changes made by merging received replicas.
 #[derive(Debug, Default, PartialEq)]
 pub struct MergeResult {
-    /// Copies of higher owners: whoever wrote is told.
+    /// Dialogues with a higher owner than the received one; the sender is to be notified.
     pub replaced: Vec<Replaced>,
-    /// Dialogues that this member owned and another does now.
+    /// Dialogues that this member owned, with their new owner.
     pub ownership_lost: Vec<(DialogueId, Owner)>,
-    /// To be kept on disk.
+    /// Dialogues whose replica has changed and has to be persisted.
     pub changed: Vec<DialogueId>,
-    /// Dialogues with two different final answers, first seen now.
+    /// Dialogues in which two different final answers were found by this merge.
     pub answer_conflicts: Vec<DialogueId>,
-    /// Copies for which there was no room.
+    /// The number of replicas rejected because the table is full.
     pub rejected_count: usize,
 }
 
 type Key = (u64, DialogueId);
 
+/// All replicas that a member holds.
 pub struct ReplicaTable {
-    me: u16,
-    life: u64,
+    self_member: u16,
+    incarnation: u64,
     group: ReplicaGroup,
-    bounds: ReplicaLimits,
+    limits: ReplicaLimits,
+    /// By fingerprint and id.
     entries: BTreeMap<Key, Entry>,
-    fading: BTreeSet<(Duration, Key)>,
-    sums: Vec<DigestTree>,
+    expiry_queue: BTreeSet<(Duration, Key)>,
+    /// By member, the digests of what is shared with it.
+    digest_trees: Vec<DigestTree>,
+    /// By member, the updates to it.
     streams: Vec<ReplicaStream>,
-    waits: HashMap<DialogueId, Wait>,
-    /// Awaited writes by the number of the stream to each member.
-    awaited: Vec<VecDeque<(u64, DialogueId, u32)>>,
-    done: Vec<u64>,
-    /// WriteResult before this member had a life.
-    nameless: Vec<DialogueId>,
+    pending_writes: HashMap<DialogueId, PendingWrite>,
+    /// By member, awaited writes with their number in the stream to it.
+    awaited_numbers: Vec<VecDeque<(u64, DialogueId, u32)>>,
+    completed_tickets: Vec<u64>,
+    /// Written before this member had an incarnation.
+    written_without_incarnation: Vec<DialogueId>,
 }
 
 impl ReplicaTable {
-    pub fn new(me: u16, group: ReplicaGroup, bounds: ReplicaLimits) -> Self {
-        let members = group.member_count();
-        let depth = DigestTree::depth_for(members);
+    /// Creates the empty table of a member that has no incarnation yet.
+    pub fn new(self_member: u16, group: ReplicaGroup, limits: ReplicaLimits) -> Self {
+        let member_count = group.member_count();
+        let depth = DigestTree::depth_for(member_count);
         Self {
-            me,
-            life: 0,
-            bounds,
+            self_member,
+            incarnation: 0,
+            limits,
             entries: BTreeMap::new(),
-            fading: BTreeSet::new(),
-            sums: (0..members).map(|_| DigestTree::new(depth)).collect(),
-            streams: (0..members).map(|_| ReplicaStream::new()).collect(),
-            waits: HashMap::new(),
-            awaited: (0..members).map(|_| VecDeque::new()).collect(),
-            done: Vec::new(),
-            nameless: Vec::new(),
+            expiry_queue: BTreeSet::new(),
+            digest_trees: (0..member_count).map(|_| DigestTree::new(depth)).collect(),
+            streams: (0..member_count).map(|_| ReplicaStream::new()).collect(),
+            pending_writes: HashMap::new(),
+            awaited_numbers: (0..member_count).map(|_| VecDeque::new()).collect(),
+            completed_tickets: Vec::new(),
+            written_without_incarnation: Vec::new(),
             group,
         }
     }
 
+    /// The group that this member is in.
     pub fn group(&self) -> &ReplicaGroup {
         &self.group
     }
 
+    /// The number of replicas.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
+    /// Whether there are no replicas.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
+    /// Whether new replicas of other members are rejected.
     pub fn is_full(&self) -> bool {
-        self.entries.len() >= self.bounds.max_replicas
+        self.entries.len() >= self.limits.max_replicas
     }
 
+    /// This member's incarnation; zero: none yet.
     pub fn incarnation(&self) -> u64 {
-        self.life
+        self.incarnation
     }
 
+    /// The replica of a dialogue.
     pub fn get(&self, id: &DialogueId) -> Option<&Replica> {
-        self.entries.get(&(fingerprint(id), id.clone())).map(|entry| &entry.copy)
+        self.entries.get(&(fingerprint(id), id.clone())).map(|entry| &entry.replica)
     }
 
-    /// All that is known, in the order of the hashes of ids.
+    /// All replicas, in order of fingerprints.
     pub fn iter(&self) -> impl Iterator<Item = (&DialogueId, &Replica)> {
-        self.entries.iter().map(|((_, id), entry)| (id, &entry.copy))
+        self.entries.iter().map(|((_, id), entry)| (id, &entry.replica))
     }
 
-    /// The same from this hash on.
-    pub fn iter_from(&self, print: u64) -> impl Iterator<Item = (&DialogueId, &Replica)> {
-        let from = self.entries.range((print, DialogueId("".into()))..);
-        from.map(|((_, id), entry)| (id, &entry.copy))
+    /// All replicas from this fingerprint on.
+    pub fn iter_from(&self, fingerprint: u64) -> impl Iterator<Item = (&DialogueId, &Replica)> {
+        let from = self.entries.range((fingerprint, DialogueId("".into()))..);
+        from.map(|((_, id), entry)| (id, &entry.replica))
     }
 
-    fn owns(&self, owner: Owner) -> bool {
-        owner.member == self.me && owner.life == self.life
+    fn is_self(&self, owner: Owner) -> bool {
+        owner.member == self.self_member && owner.life == self.incarnation
     }
 
-    /// Whether this member owns it, in this life, and has written of it: a claim that is only promised here is not held yet.
+    /// Whether this member owns the dialogue in its current incarnation and has written it; a claim without a write does not count.
     pub fn owns_dialogue(&self, id: &DialogueId) -> bool {
-        let top = self.get(id).and_then(|copy| copy.owner_states().last());
-        top.is_some_and(|part| self.owns(part.owner) && part.version > 0)
+        let top = self.get(id).and_then(|replica| replica.owner_states().last());
+        top.is_some_and(|state| self.is_self(state.owner) && state.version > 0)
     }
 
     // Own dialogues
 
-    /// This member has a new life. What it owns in this process goes on under it: what it wrote before it had one, and, where it
-    /// had one, what nobody has taken over.
-    pub fn begin_incarnation(&mut self, now: Duration, life: u64) {
-        let before = self.life;
-        self.life = life;
-        let ids: Vec<DialogueId> = if before == 0 {
-            std::mem::take(&mut self.nameless)
+    /// Starts a new incarnation of this member. Dialogues that this process owns continue under it: those written before it had an
+    /// incarnation, or, if it had one, those that no other member has taken over.
+    pub fn begin_incarnation(&mut self, now: Duration, incarnation: u64) {
+        let previous = self.incarnation;
+        self.incarnation = incarnation;
+        let ids: Vec<DialogueId> = if previous == 0 {
+            std::mem::take(&mut self.written_without_incarnation)
         } else {
-            let mine = |owner: Owner| owner.member == self.me && owner.life == before;
-            let all = self.entries.iter().filter(|(_, entry)| entry.copy.owner().is_some_and(mine));
-            all.map(|((_, id), _)| id.clone()).collect()
+            let is_own = |owner: Owner| owner.member == self.self_member && owner.life == previous;
+            let own = self.entries.iter().filter(|(_, entry)| entry.replica.owner().is_some_and(is_own));
+            own.map(|((_, id), _)| id.clone()).collect()
         };
         for id in ids {
             let key = (fingerprint(&id), id.clone());
             let Some(entry) = self.entries.get(&key) else { continue };
-            let Some(owner) = entry.copy.owner().filter(|o| o.member == self.me && o.life == before) else {
+            let Some(owner) =
+                entry.replica.owner().filter(|o| o.member == self.self_member && o.life == previous)
+            else {
                 continue;
             };
-            let mut copy = entry.copy.clone();
-            copy.change_owner(owner, Owner { life, ..owner });
-            self.put(now, key, copy);
-            self.tell_holders(&id, None);
+            let mut replica = entry.replica.clone();
+            replica.change_owner(owner, Owner { life: incarnation, ..owner });
+            self.store(now, key, replica);
+            self.queue_for_holders(&id, None);
         }
     }
 
-    /// A step of a dialogue that this member has. `base`: nothing of it is to be forgotten before `forget` after that.
+    /// Writes a step of a dialogue that this member owns. Unless the dialogue stands, the record is retained for the retention period
+    /// after `retained_from`. `wait`: a ticket, and the number of acknowledgements to await.
     #[expect(clippy::too_many_arguments)]
     pub fn write(
-        &mut self, now: Duration, id: &DialogueId, reached: Reached, bar: Duration, answer: Option<&Answer>,
-        base: Duration, wait: Option<(u64, usize)>,
+        &mut self, now: Duration, id: &DialogueId, progress: Reached, blocked_until: Duration,
+        answer: Option<&Answer>, retained_from: Duration, wait: Option<(u64, usize)>,
     ) -> WriteResult {
         let key = (fingerprint(id), id.clone());
-        let mut copy = self.entries.get(&key).map(|entry| entry.copy.clone()).unwrap_or_default();
-        let owner = match copy.owner() {
-            Some(owner) if self.owns(owner) => owner,
-            // A former life of its own, or nobody: whoever else has a word would have been asked before.
-            Some(owner) if owner.member == self.me && owner.life < self.life => {
-                Owner { life: self.life, ..owner }
+        let mut replica = self.entries.get(&key).map(|entry| entry.replica.clone()).unwrap_or_default();
+        let owner = match replica.owner() {
+            Some(owner) if self.is_self(owner) => owner,
+            // Owned by a previous incarnation, or by nobody: other members that could know the dialogue were asked before.
+            Some(owner) if owner.member == self.self_member && owner.life < self.incarnation => {
+                Owner { life: self.incarnation, ..owner }
             }
             Some(owner) => return WriteResult::Replaced(owner),
-            None => Owner { round: 0, member: self.me, life: self.life },
+            None => Owner { round: 0, member: self.self_member, life: self.incarnation },
         };
-        let until = match &reached {
+        let expires_at = match &progress {
             Reached::Stands { .. } => crate::replica::no_expiry(),
-            _ => base.max(now) + self.bounds.retention,
+            _ => retained_from.max(now) + self.limits.retention,
         };
-        copy.write(owner, reached, bar, until);
+        replica.write(owner, progress, blocked_until, expires_at);
         if let Some(answer) = answer {
-            copy.record_answer(owner, answer);
+            replica.record_answer(owner, answer);
         }
-        let version = copy.state_of(owner).map_or(0, |part| part.version);
-        self.put(now, key, copy);
-        if self.life == 0 {
-            self.nameless.push(id.clone());
+        let version = replica.state_of(owner).map_or(0, |state| state.version);
+        self.store(now, key, replica);
+        if self.incarnation == 0 {
+            self.written_without_incarnation.push(id.clone());
             return WriteResult::Immediate;
         }
         let wait = wait.map(|(ticket, acks)| (ticket, acks, version));
-        if self.tell_holders(id, wait) { WriteResult::Pending } else { WriteResult::Immediate }
+        if self.queue_for_holders(id, wait) { WriteResult::Pending } else { WriteResult::Immediate }
     }
 
-    fn tell_holders(&mut self, id: &DialogueId, wait: Option<(u64, usize, u32)>) -> bool {
-        let holders: Vec<u16> = self.group.holders(fingerprint(id), self.me).collect();
+    /// Queues a dialogue for the members that hold replicas of it. True: acknowledgements are awaited.
+    fn queue_for_holders(&mut self, id: &DialogueId, wait: Option<(u64, usize, u32)>) -> bool {
+        let holders: Vec<u16> = self.group.holders(fingerprint(id), self.self_member).collect();
         for holder in &holders {
             let number = self.streams[usize::from(*holder)].record_change(id);
             if let Some((_, _, version)) = wait {
-                self.awaited[usize::from(*holder)].push_back((number, id.clone(), version));
+                self.awaited_numbers[usize::from(*holder)].push_back((number, id.clone(), version));
             }
         }
         let Some((ticket, acks, version)) = wait else { return false };
-        let needs = acks.min(holders.len());
-        if needs > 0 {
-            self.waits.insert(id.clone(), Wait { ticket, version, needs });
+        let acks_needed = acks.min(holders.len());
+        if acks_needed > 0 {
+            self.pending_writes.insert(id.clone(), PendingWrite { ticket, version, acks_needed });
         }
-        needs > 0
+        acks_needed > 0
     }
 
-    /// Nobody waits for the write of this dialogue any more.
+    /// Stops awaiting acknowledgements for the last write of this dialogue.
     pub fn cancel_wait(&mut self, id: &DialogueId) {
-        self.waits.remove(id);
+        self.pending_writes.remove(id);
     }
 
-    /// Tickets whose writes are kept by as many as was asked for.
+    /// Returns the tickets of writes that have been acknowledged by as many members as requested since the last call.
     pub fn take_completed_writes(&mut self) -> Vec<u64> {
-        std::mem::take(&mut self.done)
+        std::mem::take(&mut self.completed_tickets)
     }
 
-    /// A member has kept all of this life's writes up to this number of the stream to it.
+    /// A member has persisted all writes of this incarnation up to this number of the stream to it.
     pub fn replica_acknowledged(&mut self, member: u16, up_to: u64) {
-        let place = usize::from(member);
-        let up_to = self.streams[place].acknowledge(up_to);
-        while self.awaited[place].front().is_some_and(|(number, ..)| *number <= up_to) {
-            let Some((_, id, version)) = self.awaited[place].pop_front() else { break };
-            let Some(wait) = self.waits.get_mut(&id).filter(|wait| wait.version == version) else { continue };
-            wait.needs -= 1;
-            if wait.needs == 0
-                && let Some(wait) = self.waits.remove(&id)
+        let index = usize::from(member);
+        let up_to = self.streams[index].acknowledge(up_to);
+        while self.awaited_numbers[index].front().is_some_and(|(number, ..)| *number <= up_to) {
+            let Some((_, id, version)) = self.awaited_numbers[index].pop_front() else { break };
+            let Some(write) = self.pending_writes.get_mut(&id).filter(|write| write.version == version)
+            else {
+                continue;
+            };
+            write.acks_needed -= 1;
+            if write.acks_needed == 0
+                && let Some(write) = self.pending_writes.remove(&id)
             {
-                self.done.push(wait.ticket);
+                self.completed_tickets.push(write.ticket);
             }
         }
     }
 
-    /// A write of this member was refused, since a dialogue is another's now: what waits for it waits no longer. False: it was
-    /// not this member's any more.
-    pub fn write_refused(&mut self, now: Duration, id: &DialogueId, by: Owner) -> bool {
-        if self.get(id).and_then(Replica::owner) >= Some(by) || !self.owns_dialogue(id) {
+    /// A write of this member was refused because another member owns the dialogue; it is no longer pending. False: this member did
+    /// not own the dialogue any more.
+    pub fn write_refused(&mut self, now: Duration, id: &DialogueId, new_owner: Owner) -> bool {
+        if self.get(id).and_then(Replica::owner) >= Some(new_owner) || !self.owns_dialogue(id) {
             return false;
         }
-        self.waits.remove(id);
-        self.claim(now, id, by, &Replica::default());
+        self.pending_writes.remove(id);
+        self.claim(now, id, new_owner, &Replica::default());
         true
     }
 
-    /// This member owns it from now on, as the highest of all that was found of it.
+    /// Records a claim of an owner, which is higher than all owners in `found`, and merges what was found of the dialogue.
     pub fn claim(&mut self, now: Duration, id: &DialogueId, owner: Owner, found: &Replica) {
         let key = (fingerprint(id), id.clone());
-        let mut copy = self.entries.get(&key).map(|entry| entry.copy.clone()).unwrap_or_default();
-        copy.merge(found);
-        copy.merge(&Replica::claimed(owner, now + self.bounds.retention));
-        self.put(now, key, copy);
+        let mut replica = self.entries.get(&key).map(|entry| entry.replica.clone()).unwrap_or_default();
+        replica.merge(found);
+        replica.merge(&Replica::claimed(owner, now + self.limits.retention));
+        self.store(now, key, replica);
     }
 
     // Streams
 
+    /// The stream of updates to a member.
     pub fn stream(&mut self, member: u16) -> &mut ReplicaStream {
         &mut self.streams[usize::from(member)]
     }
 
-    /// The next copies to be sent to a member in its stream: the first one's number, and the copies.
-    pub fn next_updates(&mut self, now: Duration, member: u16, most: usize) -> Option<(u64, Vec<CopySent>)> {
-        let (first, ids) = self.streams[usize::from(member)].take_unsent(most)?;
-        // One that was forgotten meanwhile goes as what it was last: nothing that anyone keeps.
-        let copies = ids.iter().map(|id| match self.get(id) {
-            Some(copy) => copy.to_update(now, id),
+    /// Takes at most `max_count` updates that are to be sent next to a member: the first one's number, and the updates.
+    pub fn next_updates(
+        &mut self, now: Duration, member: u16, max_count: usize,
+    ) -> Option<(u64, Vec<CopySent>)> {
+        let (first, ids) = self.streams[usize::from(member)].take_unsent(max_count)?;
+        // A dialogue that was removed meanwhile is sent without states, which receivers ignore.
+        let updates = ids.iter().map(|id| match self.get(id) {
+            Some(replica) => replica.to_update(now, id),
             None => CopySent { dialogue: id.clone(), parts: Vec::new(), answers: Vec::new() },
         });
-        Some((first, copies.collect()))
+        Some((first, updates.collect()))
     }
 
-    /// The greatest number of writes that some member has not acknowledged.
+    /// The greatest number of writes that any member has not acknowledged.
     pub fn max_lag(&self) -> u64 {
         self.streams.iter().map(ReplicaStream::lag).max().unwrap_or_default()
     }
 
-    // Copies
+    // Replicas of other members
 
-    /// Copies came from another member.
-    pub fn merge_received(&mut self, now: Duration, copies: &[CopySent]) -> MergeResult {
-        let mut news = MergeResult::default();
-        for sent in copies {
-            self.take_one(now, sent, &mut news);
+    /// Merges replicas received from another member.
+    pub fn merge_received(&mut self, now: Duration, updates: &[CopySent]) -> MergeResult {
+        let mut result = MergeResult::default();
+        for update in updates {
+            self.merge_update(now, update, &mut result);
         }
-        news
+        result
     }
 
-    fn take_one(&mut self, now: Duration, sent: &CopySent, news: &mut MergeResult) {
-        let id = &sent.dialogue;
-        let incoming = Replica::from_update(now, sent);
-        let Some(theirs) = incoming.owner() else { return };
+    fn merge_update(&mut self, now: Duration, update: &CopySent, result: &mut MergeResult) {
+        let id = &update.dialogue;
+        let incoming = Replica::from_update(now, update);
+        let Some(incoming_owner) = incoming.owner() else { return };
         let key = (fingerprint(id), id.clone());
         let Some(entry) = self.entries.get(&key) else {
-            // What is about to be forgotten by all is not brought back to life.
-            if incoming.expires_at() <= now + self.bounds.retention / LAST_PART {
+            // A record that is about to expire at all members is not added again.
+            if incoming.expires_at() <= now + self.limits.retention / UNREPAIRED_RETENTION_DIVISOR {
                 return;
             }
             if self.is_full() {
-                news.rejected_count += 1;
+                result.rejected_count += 1;
                 return;
             }
-            let differs = incoming.has_conflicting_answers();
-            self.put(now, key, incoming);
-            news.changed.push(id.clone());
-            if differs {
-                news.answer_conflicts.push(id.clone());
+            let has_conflict = incoming.has_conflicting_answers();
+            self.store(now, key, incoming);
+            result.changed.push(id.clone());
+            if has_conflict {
+                result.answer_conflicts.push(id.clone());
             }
             return;
         };
-        let ours = entry.copy.owner();
-        if let Some(by) = ours.filter(|ours| *ours > theirs) {
-            // Its word came after another's claim and is not acknowledged. What it tells of before is known all the same.
-            news.replaced.push(Replaced { dialogue: id.clone(), by });
+        let local_owner = entry.replica.owner();
+        if let Some(by) = local_owner.filter(|local_owner| *local_owner > incoming_owner) {
+            // The write arrived after a claim by another member and is not acknowledged. Its content is merged all the same.
+            result.replaced.push(Replaced { dialogue: id.clone(), by });
         }
-        let mine = self.owns_dialogue(id);
-        let mut copy = entry.copy.clone();
-        copy.merge(&incoming);
-        if copy == entry.copy {
+        let was_owned = self.owns_dialogue(id);
+        let mut replica = entry.replica.clone();
+        replica.merge(&incoming);
+        if replica == entry.replica {
             return;
         }
-        if copy.has_conflicting_answers() && !entry.copy.has_conflicting_answers() {
-            news.answer_conflicts.push(id.clone());
+        if replica.has_conflicting_answers() && !entry.replica.has_conflicting_answers() {
+            result.answer_conflicts.push(id.clone());
         }
-        self.put(now, key, copy);
-        news.changed.push(id.clone());
-        if mine
+        self.store(now, key, replica);
+        result.changed.push(id.clone());
+        if was_owned
             && !self.owns_dialogue(id)
             && let Some(by) = self.get(id).and_then(Replica::owner)
         {
-            self.waits.remove(id);
-            news.ownership_lost.push((id.clone(), by));
+            self.pending_writes.remove(id);
+            result.ownership_lost.push((id.clone(), by));
         }
     }
 
-    /// Someone asks for a dialogue and means to own it. What was known before, and who is higher, if anyone.
+    /// Handles a member's request to own a dialogue. Returns the higher owner, if there is one and the claim is refused, and what was
+    /// known of the dialogue before.
     pub fn claim_requested(
         &mut self, now: Duration, id: &DialogueId, owner: Owner,
     ) -> (Option<Owner>, Option<CopySent>) {
         let key = (fingerprint(id), id.clone());
-        let known = self.entries.get(&key).map(|entry| &entry.copy);
-        let before = known.map(|copy| copy.to_update(now, id));
+        let known = self.entries.get(&key).map(|entry| &entry.replica);
+        let before = known.map(|replica| replica.to_update(now, id));
         if let Some(higher) = known.and_then(Replica::owner).filter(|known| *known > owner) {
             return (Some(higher), before);
         }
-        let mut copy = known.cloned().unwrap_or_default();
-        if copy.owner() != Some(owner) {
+        let mut replica = known.cloned().unwrap_or_default();
+        if replica.owner() != Some(owner) {
             if known.is_none() && self.is_full() {
                 return (None, before);
             }
-            copy.merge(&Replica::claimed(owner, now + self.bounds.retention));
-            self.waits.remove(id);
-            self.put(now, key, copy);
+            replica.merge(&Replica::claimed(owner, now + self.limits.retention));
+            self.pending_writes.remove(id);
+            self.store(now, key, replica);
         }
         (None, before)
     }
 
-    /// Whether the claim of this owner is kept here.
+    /// Whether the claim of this owner is the highest one held here.
     pub fn has_claim(&self, id: &DialogueId, owner: Owner) -> bool {
         self.get(id).and_then(Replica::owner) == Some(owner)
     }
 
-    /// Puts a copy in, where it was read from disk after a start. Its times are those of a former life: bars are whole.
-    pub fn restore(&mut self, now: Duration, sent: &CopySent) {
-        let copy = Replica::from_update(now, sent);
-        if copy.owner().is_some() {
-            self.put(now, (fingerprint(&sent.dialogue), sent.dialogue.clone()), copy);
+    /// Adds a replica read from disk at the start. Its spans were stored by a previous incarnation; blocking times apply in full from
+    /// `now`.
+    pub fn restore(&mut self, now: Duration, update: &CopySent) {
+        let replica = Replica::from_update(now, update);
+        if replica.owner().is_some() {
+            self.store(now, (fingerprint(&update.dialogue), update.dialogue.clone()), replica);
         }
     }
 
-    /// What was recalled is older by so much than its times say; what this process wrote itself is not.
+    /// Ages all restored replicas by this span; what this process has written itself keeps its times.
     pub fn age_restored(&mut self, now: Duration, by: Duration) {
-        let me = self.me;
-        let old = |entry: &Entry| {
-            entry.copy.expires() && !entry.copy.owner().is_some_and(|o| o.member == me && o.life == 0)
+        let self_member = self.self_member;
+        let is_restored = |entry: &Entry| {
+            entry.replica.expires()
+                && !entry.replica.owner().is_some_and(|o| o.member == self_member && o.life == 0)
         };
-        let all: Vec<Key> =
-            self.entries.iter().filter(|(_, entry)| old(entry)).map(|(key, _)| key.clone()).collect();
-        for key in all {
-            let mut copy = self.entries[&key].copy.clone();
-            copy.age(by);
-            self.put(now, key, copy);
+        let restored: Vec<Key> =
+            self.entries.iter().filter(|(_, entry)| is_restored(entry)).map(|(key, _)| key.clone()).collect();
+        for key in restored {
+            let mut replica = self.entries[&key].replica.clone();
+            replica.age(by);
+            self.store(now, key, replica);
         }
     }
 
-    /// Lets go of what was kept for others: it is older than what they have forgotten.
+    /// Removes all replicas that this member does not own: they are older than what the other members have already expired. Returns
+    /// their number.
     pub fn drop_not_owned(&mut self) -> usize {
         let others =
-            self.entries.iter().filter(|(_, entry)| !entry.copy.owner().is_some_and(|o| self.owns(o)));
+            self.entries.iter().filter(|(_, entry)| !entry.replica.owner().is_some_and(|o| self.is_self(o)));
         let others: Vec<Key> = others.map(|(key, _)| key.clone()).collect();
         for key in &others {
             self.remove(key);
@@ -419,251 +446,272 @@
 
     // Snapshots
 
-    /// A piece of all that a member is to know: copies from this hash on, and where the next piece begins.
+    /// A chunk of all that a member is to hold: replicas from this fingerprint on, and the fingerprint where the next chunk begins.
     pub fn snapshot_chunk(&self, now: Duration, to: u16, from: u64) -> (Vec<CopySent>, Option<u64>) {
-        let mut copies = Vec::new();
+        let mut updates = Vec::new();
         let start = (from, DialogueId("".into()));
         let mut last = None;
-        for (looks, ((print, id), entry)) in self.entries.range(start..).enumerate() {
-            // Ids with one hash go together, since the next piece begins at a hash.
-            if (looks >= PIECE_LOOKS || copies.len() >= PIECE) && last != Some(*print) {
-                return (copies, Some(*print));
+        for (scanned, ((fingerprint, id), entry)) in self.entries.range(start..).enumerate() {
+            // Ids with the same fingerprint stay in one chunk, since the next chunk begins at a fingerprint.
+            if (scanned >= MAX_SCANNED_PER_CHUNK || updates.len() >= MAX_REPLICAS_PER_CHUNK)
+                && last != Some(*fingerprint)
+            {
+                return (updates, Some(*fingerprint));
             }
-            last = Some(*print);
-            if let Some(owner) = entry.copy.owner()
-                && self.group.shares(*print, owner.member, to)
+            last = Some(*fingerprint);
+            if let Some(owner) = entry.replica.owner()
+                && self.group.shares(*fingerprint, owner.member, to)
             {
-                copies.push(entry.copy.to_update(now, id));
+                updates.push(entry.replica.to_update(now, id));
             }
         }
-        (copies, None)
+        (updates, None)
     }
 
+    /// The cursor at which a snapshot for a member starts: the last number of its stream, and the first fingerprint.
     pub fn cursor(&mut self, member: u16) -> Cursor {
         Cursor { at: self.streams[usize::from(member)].last_number(), from: 0 }
     }
 
-    // Comparing
+    // Anti-entropy
 
+    /// The depth of the digest trees.
     pub fn digest_depth(&self) -> u8 {
-        self.sums.first().map_or(0, DigestTree::depth)
+        self.digest_trees.first().map_or(0, DigestTree::depth)
     }
 
-    /// Digests of the ranges below the top, which a comparison begins with.
+    /// The digests with which a comparison with a member begins: level, first range, and digests of the ranges below the top.
     pub fn top_digests(&self, member: u16) -> (u8, u32, Vec<u64>) {
-        (1, 0, self.sums[usize::from(member)].digests(1, 0, FAN_OUT).unwrap_or_default().to_vec())
+        (1, 0, self.digest_trees[usize::from(member)].digests(1, 0, FAN_OUT).unwrap_or_default().to_vec())
     }
 
-    /// The other side's digests of some ranges of a level: what is to be said of each that differs.
-    pub fn compare_ranges(&self, member: u16, level: u8, from: u32, theirs: &[u64]) -> Vec<RangeDifference> {
-        let sums = &self.sums[usize::from(member)];
-        let Some(ours) = sums.digests(level, from, theirs.len()).filter(|_| theirs.len() <= FAN_OUT) else {
+    /// Compares a member's digests of some ranges of a level with the own ones; returns what to send for each range that differs.
+    pub fn compare_ranges(
+        &self, member: u16, level: u8, first: u32, remote_digests: &[u64],
+    ) -> Vec<RangeDifference> {
+        let tree = &self.digest_trees[usize::from(member)];
+        let Some(own_digests) =
+            tree.digests(level, first, remote_digests.len()).filter(|_| remote_digests.len() <= FAN_OUT)
+        else {
             return Vec::new();
         };
-        let differing = ours.iter().zip(theirs).enumerate().filter(|(_, (ours, theirs))| ours != theirs);
-        let ranges = differing.map(|(place, _)| from + place as u32);
+        let differing =
+            own_digests.iter().zip(remote_digests).enumerate().filter(|(_, (own, remote))| own != remote);
+        let ranges = differing.map(|(offset, _)| first + offset as u32);
         ranges
             .map(|range| {
-                if level >= sums.depth() {
-                    RangeDifference::Leaf(range, self.prints(member, range))
+                if level >= tree.depth() {
+                    RangeDifference::Leaf(range, self.dialogue_digests(member, range))
                 } else {
-                    let below = sums.digests(level + 1, range * FAN_OUT as u32, FAN_OUT).unwrap_or_default();
+                    let below = tree.digests(level + 1, range * FAN_OUT as u32, FAN_OUT).unwrap_or_default();
                     RangeDifference::Subranges(level + 1, range * FAN_OUT as u32, below.to_vec())
                 }
             })
             .collect()
     }
 
-    fn in_range(&self, member: u16, range: u32) -> impl Iterator<Item = (&Key, &Entry)> {
-        let (from, to) = self.sums[usize::from(member)].leaf_bounds(range).unwrap_or((1, 0));
-        let all = self.entries.range((from, DialogueId("".into()))..);
-        let within = all.take_while(move |((print, _), _)| from <= to && *print <= to);
-        within.filter(move |((print, _), entry)| {
-            entry.shared_as.is_some_and(|owner| self.group.shares(*print, owner.member, member))
+    fn shared_in_range(&self, member: u16, range: u32) -> impl Iterator<Item = (&Key, &Entry)> {
+        let (from, to) = self.digest_trees[usize::from(member)].leaf_bounds(range).unwrap_or((1, 0));
+        let following = self.entries.range((from, DialogueId("".into()))..);
+        let within = following.take_while(move |((fingerprint, _), _)| from <= to && *fingerprint <= to);
+        within.filter(move |((fingerprint, _), entry)| {
+            entry.shared_as.is_some_and(|owner| self.group.shares(*fingerprint, owner.member, member))
         })
     }
 
-    fn prints(&self, member: u16, range: u32) -> Vec<(u64, u64)> {
-        self.in_range(member, range).map(|((print, _), entry)| (*print, entry.digest)).collect()
+    fn dialogue_digests(&self, member: u16, range: u32) -> Vec<(u64, u64)> {
+        self.shared_in_range(member, range)
+            .map(|((fingerprint, _), entry)| (*fingerprint, entry.digest))
+            .collect()
     }
 
-    /// What the other side has in a range. What it has and is not here, or differs, is wanted; what is here and not there, or
-    /// differs, is sent; what it owns in the life that it has, and does not have itself, is no more.
+    /// Compares a leaf range with a member's fingerprints and digests. Dialogues that only the member has, or that differ, are
+    /// requested; those that only this table has, or that differ, are sent; those that the member itself owns in this incarnation and
+    /// no longer has are removed here.
     pub fn compare_dialogues(
-        &mut self, now: Duration, member: u16, life: u64, range: u32, theirs: &[(u64, u64)],
+        &mut self, now: Duration, member: u16, incarnation: u64, range: u32, remote_digests: &[(u64, u64)],
     ) -> Repair {
-        let there: HashMap<u64, u64> = theirs.iter().copied().collect();
+        let remote: HashMap<u64, u64> = remote_digests.iter().copied().collect();
         let mut repair = Repair::default();
-        let mut gone = Vec::new();
-        let mut here: HashMap<u64, u64> = HashMap::new();
-        for (key, entry) in self.in_range(member, range) {
-            here.insert(key.0, entry.digest);
-            if there.get(&key.0) == Some(&entry.digest) {
+        let mut removed = Vec::new();
+        let mut local: HashMap<u64, u64> = HashMap::new();
+        for (key, entry) in self.shared_in_range(member, range) {
+            local.insert(key.0, entry.digest);
+            if remote.get(&key.0) == Some(&entry.digest) {
                 continue;
             }
-            // A claim that is only promised is no word of the claimant's.
-            let theirs_alone = entry.copy.owner_states().last().is_some_and(|part| {
-                (part.owner.member, part.owner.life) == (member, life) && part.version > 0
+            // A claim without a write does not make the member the owner of the record.
+            let is_owned_by_member = entry.replica.owner_states().last().is_some_and(|state| {
+                (state.owner.member, state.owner.life) == (member, incarnation) && state.version > 0
             });
-            if theirs_alone && !there.contains_key(&key.0) {
-                gone.push(key.clone());
+            if is_owned_by_member && !remote.contains_key(&key.0) {
+                removed.push(key.clone());
             } else {
-                repair.to_send.push(entry.copy.to_update(now, &key.1));
+                repair.to_send.push(entry.replica.to_update(now, &key.1));
             }
         }
-        repair.to_request = theirs
+        repair.to_request = remote_digests
             .iter()
-            .filter(|(print, digest)| here.get(print) != Some(digest))
-            .map(|(p, _)| *p)
+            .filter(|(fingerprint, digest)| local.get(fingerprint) != Some(digest))
+            .map(|(fingerprint, _)| *fingerprint)
             .collect();
-        for key in gone {
+        for key in removed {
             self.remove(&key);
             repair.dropped_count += 1;
         }
         repair
     }
 
-    /// Copies by the hashes of their ids, for a member that is to know them.
-    pub fn requested_replicas(&self, now: Duration, member: u16, ids: &[u64]) -> Vec<CopySent> {
-        let mut copies = Vec::new();
-        for print in ids {
-            let same =
-                self.entries.range((*print, DialogueId("".into()))..).take_while(|((p, _), _)| p == print);
-            let known = same.filter(|(_, entry)| {
-                entry.copy.owner().is_some_and(|owner| self.group.shares(*print, owner.member, member))
+    /// The replicas with these fingerprints that a member is to hold.
+    pub fn requested_replicas(&self, now: Duration, member: u16, fingerprints: &[u64]) -> Vec<CopySent> {
+        let mut updates = Vec::new();
+        for fingerprint in fingerprints {
+            let matching = self
+                .entries
+                .range((*fingerprint, DialogueId("".into()))..)
+                .take_while(|((other, _), _)| other == fingerprint);
+            let shared = matching.filter(|(_, entry)| {
+                entry
+                    .replica
+                    .owner()
+                    .is_some_and(|owner| self.group.shares(*fingerprint, owner.member, member))
             });
-            copies.extend(known.map(|((_, id), entry)| entry.copy.to_update(now, id)));
+            updates.extend(shared.map(|((_, id), entry)| entry.replica.to_update(now, id)));
         }
-        copies
+        updates
     }
 
-    // Keeping
+    // Expiry
 
-    /// When something is to be forgotten next.
+    /// When [`ReplicaTable::expire`] has something to do next.
     pub fn next_due(&self) -> Option<Duration> {
-        self.fading.first().map(|(at, _)| *at)
+        self.expiry_queue.first().map(|(at, _)| *at)
     }
 
-    /// Forgets what is due, so many at a time.
-    pub fn expire(&mut self, now: Duration, most: usize) -> Vec<DialogueId> {
-        let mut gone = Vec::new();
-        while gone.len() < most
-            && let Some((at, key)) = self.fading.first().cloned()
+    /// Removes expired replicas, at most `max_count` at a time, and returns their ids.
+    pub fn expire(&mut self, now: Duration, max_count: usize) -> Vec<DialogueId> {
+        let mut removed = Vec::new();
+        while removed.len() < max_count
+            && let Some((at, key)) = self.expiry_queue.first().cloned()
             && at <= now
         {
-            // In its last part it is compared no more; at its end it goes.
-            let until = self.entries.get(&key).map(|entry| entry.copy.expires_at());
-            if until.is_some_and(|until| until > now) {
-                self.share(&key, None);
-                self.fading.pop_first();
+            // A record is due twice: when it is no longer compared, and when it expires.
+            let expires_at = self.entries.get(&key).map(|entry| entry.replica.expires_at());
+            if expires_at.is_some_and(|expires_at| expires_at > now) {
+                self.set_shared_as(&key, None);
+                self.expiry_queue.pop_first();
                 if let Some(entry) = self.entries.get_mut(&key) {
-                    entry.fades = until;
-                    self.fading.extend(until.map(|until| (until, key)));
+                    entry.expiry_check_at = expires_at;
+                    self.expiry_queue.extend(expires_at.map(|expires_at| (expires_at, key)));
                 }
                 continue;
             }
             self.remove(&key);
-            gone.push(key.1);
+            removed.push(key.1);
         }
-        gone
+        removed
     }
 
     fn remove(&mut self, key: &Key) {
-        self.share(key, None);
+        self.set_shared_as(key, None);
         if let Some(entry) = self.entries.remove(key)
-            && let Some(fades) = entry.fades
+            && let Some(expiry_check_at) = entry.expiry_check_at
         {
-            self.fading.remove(&(fades, key.clone()));
+            self.expiry_queue.remove(&(expiry_check_at, key.clone()));
         }
-        self.waits.remove(&key.1);
+        self.pending_writes.remove(&key.1);
     }
 
-    fn put(&mut self, now: Duration, key: Key, copy: Replica) {
-        let digest = digest_of(key.0, &copy);
-        let owner = copy.owner();
-        let last_part = self.bounds.retention / LAST_PART;
-        let fades = copy.expires().then(|| {
-            let until = copy.expires_at();
-            let compared_until = until.saturating_sub(last_part);
-            if compared_until > now { compared_until } else { until }
+    fn store(&mut self, now: Duration, key: Key, replica: Replica) {
+        let digest = replica_digest(key.0, &replica);
+        let owner = replica.owner();
+        let unrepaired_period = self.limits.retention / UNREPAIRED_RETENTION_DIVISOR;
+        let expiry_check_at = replica.expires().then(|| {
+            let expires_at = replica.expires_at();
+            let compared_until = expires_at.saturating_sub(unrepaired_period);
+            if compared_until > now { compared_until } else { expires_at }
         });
-        let compared = !copy.expires() || copy.expires_at().saturating_sub(last_part) > now;
+        let is_compared = !replica.expires() || replica.expires_at().saturating_sub(unrepaired_period) > now;
         let known = self.entries.get(&key);
-        let (before, same) = known.map_or((None, false), |entry| (entry.fades, entry.digest == digest));
-        if before != fades {
+        let (before, has_same_digest) =
+            known.map_or((None, false), |entry| (entry.expiry_check_at, entry.digest == digest));
+        if before != expiry_check_at {
             if let Some(before) = before {
-                self.fading.remove(&(before, key.clone()));
+                self.expiry_queue.remove(&(before, key.clone()));
             }
-            self.fading.extend(fades.map(|fades| (fades, key.clone())));
+            self.expiry_queue.extend(expiry_check_at.map(|expiry_check_at| (expiry_check_at, key.clone())));
         }
-        let shared = owner.filter(|_| compared);
-        if !(same && known.is_some_and(|entry| entry.shared_as == shared)) {
-            self.share(&key, None);
+        let share_as = owner.filter(|_| is_compared);
+        if !(has_same_digest && known.is_some_and(|entry| entry.shared_as == share_as)) {
+            self.set_shared_as(&key, None);
             let shared_as = None;
-            self.entries.insert(key.clone(), Entry { copy, digest, shared_as, fades });
-            self.share(&key, shared);
+            self.entries.insert(key.clone(), Entry { replica, digest, shared_as, expiry_check_at });
+            self.set_shared_as(&key, share_as);
         } else if let Some(entry) = self.entries.get_mut(&key) {
-            (entry.copy, entry.fades) = (copy, fades);
+            (entry.replica, entry.expiry_check_at) = (replica, expiry_check_at);
         }
     }
 
-    /// From now on it counts in the digests of all with whom it is shared under this owner; none: it counts in none.
-    fn share(&mut self, key: &Key, with: Option<Owner>) {
+    /// Counts an entry in the digest trees of all members that share it under this owner; none: in no tree.
+    fn set_shared_as(&mut self, key: &Key, new_owner: Option<Owner>) {
         let Some(entry) = self.entries.get_mut(key) else { return };
-        let before = std::mem::replace(&mut entry.shared_as, with);
+        let before = std::mem::replace(&mut entry.shared_as, new_owner);
         let digest = entry.digest;
-        for owner in [before, with].into_iter().flatten() {
-            if !self.group.shares(key.0, owner.member, self.me) {
+        for owner in [before, new_owner].into_iter().flatten() {
+            if !self.group.shares(key.0, owner.member, self.self_member) {
                 continue;
             }
             let holders = self.group.holders(key.0, owner.member);
             for other in holders.chain(std::iter::once(owner.member)) {
-                if other != self.me
-                    && let Some(sums) = self.sums.get_mut(usize::from(other))
+                if other != self.self_member
+                    && let Some(tree) = self.digest_trees.get_mut(usize::from(other))
                 {
-                    sums.toggle(key.0, digest);
+                    tree.toggle(key.0, digest);
                 }
             }
         }
     }
 }
 
-/// A range of ids in which two members differ.
+/// What to send for a range of fingerprints in which two members differ.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RangeDifference {
-    /// Digests of its parts: level, the first one, digests.
+    /// The digests of its subranges: level, first range, digests.
     Subranges(u8, u32, Vec<u64>),
-    /// It is at the bottom: what is held there.
+    /// It is a leaf: the fingerprints in it with their digests.
     Leaf(u32, Vec<(u64, u64)>),
 }
 
-/// What mends a range.
+/// What brings a leaf range of two members to agree.
 #[derive(Debug, Default, PartialEq)]
 pub struct Repair {
+    /// Replicas to send to the other member.
     pub to_send: Vec<CopySent>,
+    /// Fingerprints to request from the other member.
     pub to_request: Vec<u64>,
+    /// The number of replicas removed here.
     pub dropped_count: usize,
 }
 
-/// Of all that members must hold alike: times differ with clocks and ways.
-fn digest_of(print: u64, copy: &Replica) -> u64 {
+/// A digest of everything in which members must agree; times are left out, since they differ with clocks and transmission.
+fn replica_digest(fingerprint: u64, replica: &Replica) -> u64 {
     let mut raw = Vec::with_capacity(64);
-    for part in copy.owner_states() {
-        raw.extend(part.owner.round.to_le_bytes());
-        raw.extend(part.owner.member.to_le_bytes());
-        raw.extend(part.owner.life.to_le_bytes());
-        raw.extend(part.version.to_le_bytes());
-        match &part.progress {
+    for state in replica.owner_states() {
+        raw.extend(state.owner.round.to_le_bytes());
+        raw.extend(state.owner.member.to_le_bytes());
+        raw.extend(state.owner.life.to_le_bytes());
+        raw.extend(state.version.to_le_bytes());
+        match &state.progress {
             Reached::Taken => raw.push(0),
             Reached::Out { server, launch } | Reached::Stands { server, launch } => {
-                raw.push(if matches!(part.progress, Reached::Out { .. }) { 1 } else { 2 });
+                raw.push(if matches!(state.progress, Reached::Out { .. }) { 1 } else { 2 });
                 raw.extend(launch.0.to_le_bytes());
                 raw.extend(server.0.as_bytes());
             }
             Reached::Over => raw.push(3),
         }
     }
-    for given in copy.answers() {
+    for given in replica.answers() {
         raw.extend(given.owner.round.to_le_bytes());
         raw.extend(given.owner.member.to_le_bytes());
         raw.extend(given.owner.life.to_le_bytes());
@@ -679,11 +727,11 @@
             Answer::Failed => raw.push(6),
         }
     }
-    digest(&[&print.to_le_bytes(), &raw])
+    digest(&[&fingerprint.to_le_bytes(), &raw])
 }
 
 impl Replica {
-    /// Whether it stands there or may be out there, by this member's word.
+    /// Whether the dialogue stands or may have a launch out, by what this member knows.
     pub fn is_open(&self) -> bool {
         !matches!(self.reading(), ReplicaReading::Answered(_) | ReplicaReading::Ended)
     }
