--- a/crates/lease/tests/elections.rs
+++ b/crates/lease/tests/elections.rs
@@ -7,276 +7,288 @@
 use rand_pcg::Pcg64Mcg;
 use world::{LEASE, MS, World, ms};
 
-/// Every duty is held, the first time after a rest.
-fn held(world: &World, what: &str) {
+/// Asserts that every duty has a holder.
+fn assert_all_held(world: &World, context: &str) {
     for duty in 0..world.duties {
         assert!(
             world.holder(duty).is_some(),
-            "{what}: nobody holds {duty} at {:?}: {:#?}",
+            "{context}: duty {duty} has no holder at {:?}: {:#?}",
             world.now,
             world.logs
         );
     }
 }
 
-fn begun(seed: u64, members: usize, voters: usize, duties: u16) -> World {
+fn settled_world(seed: u64, members: usize, voters: usize, duties: u16) -> World {
     let mut world = World::new(seed, members, voters, duties, true);
-    world.run(ms(6000));
-    held(&world, "begun");
+    world.run_until(ms(6000));
+    assert_all_held(&world, "after the start");
     world
 }
 
 #[test]
-fn duties_are_held_each_by_one_and_spread_over_the_members() {
+fn each_duty_has_one_holder_and_duties_are_spread_over_the_members() {
     for (members, voters) in [(3, 3), (5, 3), (5, 5), (7, 7), (12, 5)] {
-        let mut world = begun(1, members, voters, 6);
-        world.run(ms(20_000));
-        world.kept("calm");
-        assert_eq!(world.chairs, 1, "{:#?}", world.logs);
-        assert_eq!(world.began, 6, "nobody loses what it holds");
+        let mut world = settled_world(1, members, voters, 6);
+        world.run_until(ms(20_000));
+        world.assert_invariants("no faults");
+        assert_eq!(world.elections, 1, "{:#?}", world.logs);
+        assert_eq!(world.acquisitions, 6, "no member loses a duty");
         let holders: std::collections::BTreeSet<_> = (0..6).filter_map(|duty| world.holder(duty)).collect();
         assert!(holders.len() >= members.min(6), "{holders:?}");
-        assert!(world.refused == 0 && world.accepted.len() > 100);
+        assert!(world.refused_acts == 0 && world.accepted_acts.len() > 100);
     }
 }
 
 #[test]
-fn a_holder_that_is_killed_is_followed_within_two_leases() {
+fn killed_holder_is_replaced_within_two_leases() {
     for seed in 0..20 {
-        let mut world = begun(seed, 5, 3, 3);
+        let mut world = settled_world(seed, 5, 3, 3);
         let at = world.holder(1).unwrap();
         world.kill(at);
-        let killed = world.now;
-        world.run(killed + LEASE * 2);
-        held(&world, "after a kill");
+        let killed_at = world.now;
+        world.run_until(killed_at + LEASE * 2);
+        assert_all_held(&world, "after a kill");
         world.start(at);
-        world.run(killed + LEASE * 6);
-        held(&world, "after it came back");
-        world.kept("kill");
+        world.run_until(killed_at + LEASE * 6);
+        assert_all_held(&world, "after the restart");
+        world.assert_invariants("kill");
     }
 }
 
 #[test]
-fn a_chair_that_is_killed_is_followed_and_those_who_hold_go_on() {
+fn killed_leader_is_replaced_and_other_holders_keep_their_duties() {
     for seed in 0..20 {
-        let mut world = begun(seed, 5, 5, 4);
-        let (chair, began) = (world.chair().unwrap(), world.began);
-        let of_chair = (0..4).filter(|duty| world.holder(*duty) == Some(chair)).count();
-        world.kill(chair);
-        let killed = world.now;
-        world.run(killed + LEASE * 2);
-        held(&world, "after a kill");
-        world.run(killed + LEASE * 4);
-        assert_eq!(world.began - began, of_chair, "others keep theirs: {:#?}", world.logs);
-        world.kept("kill of the chair");
+        let mut world = settled_world(seed, 5, 5, 4);
+        let (leader, acquisitions) = (world.leader().unwrap(), world.acquisitions);
+        let of_leader = (0..4).filter(|duty| world.holder(*duty) == Some(leader)).count();
+        world.kill(leader);
+        let killed_at = world.now;
+        world.run_until(killed_at + LEASE * 2);
+        assert_all_held(&world, "after a kill");
+        world.run_until(killed_at + LEASE * 4);
+        assert_eq!(
+            world.acquisitions - acquisitions,
+            of_leader,
+            "other holders keep their duties: {:#?}",
+            world.logs
+        );
+        world.assert_invariants("kill of the leader");
     }
 }
 
 #[test]
-fn a_holder_that_stood_still_finds_out_and_its_late_acts_are_refused() {
+fn stalled_holder_loses_its_duty_and_its_late_acts_are_refused() {
     for seed in 0..20 {
-        let mut world = begun(seed, 5, 3, 2);
+        let mut world = settled_world(seed, 5, 3, 2);
         let at = world.holder(0).unwrap();
         world.stall(at);
-        let stalled = world.now;
-        world.run(stalled + LEASE * 3);
+        let stalled_at = world.now;
+        world.run_until(stalled_at + LEASE * 3);
         let next = world.holder(0).unwrap();
         assert_ne!(next, at);
-        let refused = world.refused;
-        world.wake(at);
-        world.run(stalled + LEASE * 5);
-        assert!(world.refused > refused, "what it did by its former number");
+        let refused = world.refused_acts;
+        world.resume(at);
+        world.run_until(stalled_at + LEASE * 5);
+        assert!(world.refused_acts > refused, "acts under its previous token");
         assert_eq!(world.holder(0), Some(next));
-        world.kept("stall");
+        world.assert_invariants("stall");
     }
 }
 
 #[test]
-fn one_that_is_cut_off_either_way_disturbs_nobody_and_holds_nothing() {
-    for (in_, out) in [(true, true), (true, false), (false, true)] {
+fn isolated_member_causes_no_election_and_holds_nothing() {
+    for (inbound, outbound) in [(true, true), (true, false), (false, true)] {
         for seed in 0..8 {
-            let mut world = begun(seed, 5, 5, 5);
-            let chair = world.chair().unwrap();
-            let at = (0..5).find(|at| *at != chair).unwrap();
-            world.cut_off(at, in_, out);
-            let (cut, chairs) = (world.now, world.chairs);
-            world.run(cut + LEASE * 10);
-            held(&world, "while one is cut off");
-            assert!((0..5).all(|duty| world.holder(duty) != Some(at)), "it holds one: {in_} {out}");
-            assert!(world.nodes[at].held.is_empty(), "and it has been told so");
-            world.cut.clear();
-            world.run(cut + LEASE * 14);
-            held(&world, "healed");
-            assert_eq!(world.chairs, chairs, "no election for it: {in_} {out} {:#?}", world.logs);
-            world.kept("cut");
+            let mut world = settled_world(seed, 5, 5, 5);
+            let leader = world.leader().unwrap();
+            let at = (0..5).find(|at| *at != leader).unwrap();
+            world.isolate(at, inbound, outbound);
+            let (cut_at, elections) = (world.now, world.elections);
+            world.run_until(cut_at + LEASE * 10);
+            assert_all_held(&world, "while one member is isolated");
+            assert!(
+                (0..5).all(|duty| world.holder(duty) != Some(at)),
+                "the isolated member holds a duty: {inbound} {outbound}"
+            );
+            assert!(world.nodes[at].held.is_empty(), "and it was notified of the loss");
+            world.cut_links.clear();
+            world.run_until(cut_at + LEASE * 14);
+            assert_all_held(&world, "after the links are restored");
+            assert_eq!(
+                world.elections, elections,
+                "no election is held: {inbound} {outbound} {:#?}",
+                world.logs
+            );
+            world.assert_invariants("isolation");
         }
     }
 }
 
 #[test]
-fn a_chair_without_its_majority_gives_up_by_itself_and_nobody_holds_where_there_is_none() {
-    // Steps change the table, and without a majority they alone would end what is lent; holders that rest have to lose it too.
-    for acts in [true, false] {
-        without_a_majority(acts);
+fn leader_without_a_majority_steps_down_and_no_duty_is_held_without_a_majority() {
+    // Checkpoints change the table, and without a majority that alone would end the leases; idle holders have to lose theirs as well.
+    for holders_act in [true, false] {
+        run_without_a_majority(holders_act);
     }
 }
 
-fn without_a_majority(acts: bool) {
-    let mut world = begun(3, 5, 5, 3);
-    world.acts = acts;
-    let chair = world.chair().unwrap();
-    let with = (0..5).find(|at| *at != chair).unwrap();
-    // The chair and one more on one side, three on the other.
-    for a in [chair, with] {
-        for b in (0..5).filter(|b| *b != chair && *b != with) {
-            world.cut.extend([(a, b), (b, a)]);
+fn run_without_a_majority(holders_act: bool) {
+    let mut world = settled_world(3, 5, 5, 3);
+    world.holders_act = holders_act;
+    let leader = world.leader().unwrap();
+    let companion = (0..5).find(|at| *at != leader).unwrap();
+    // The leader and one other member on one side, three members on the other.
+    for a in [leader, companion] {
+        for b in (0..5).filter(|b| *b != leader && *b != companion) {
+            world.cut_links.extend([(a, b), (b, a)]);
         }
     }
-    let cut = world.now;
-    world.run(cut + LEASE * 3);
-    assert!(world.chair().is_some_and(|now| now != chair && now != with));
-    assert!((0..3).all(|duty| world.holder(duty).is_some_and(|at| at != chair && at != with)));
-    // And now nobody has a majority, for an hour; then all at once.
+    let cut_at = world.now;
+    world.run_until(cut_at + LEASE * 3);
+    assert!(world.leader().is_some_and(|now| now != leader && now != companion));
+    assert!((0..3).all(|duty| world.holder(duty).is_some_and(|at| at != leader && at != companion)));
+    // Then nobody has a majority for an hour, until all links are restored at once.
     for a in 0..5 {
-        world.cut_off(a, true, true);
+        world.isolate(a, true, true);
     }
-    world.run(cut + LEASE * 10);
-    assert!((0..3).all(|duty| world.holder(duty).is_none()) && world.chair().is_none());
-    let accepted = world.accepted.len();
-    world.run(cut + ms(3_600_000));
-    assert_eq!(world.accepted.len(), accepted, "nothing is done where there is no majority");
-    world.cut.clear();
-    let healed = world.now;
-    world.run(healed + LEASE * 4);
-    held(&world, "healed");
-    world.kept("no majority");
+    world.run_until(cut_at + LEASE * 10);
+    assert!((0..3).all(|duty| world.holder(duty).is_none()) && world.leader().is_none());
+    let accepted = world.accepted_acts.len();
+    world.run_until(cut_at + ms(3_600_000));
+    assert_eq!(world.accepted_acts.len(), accepted, "no act is accepted without a majority");
+    world.cut_links.clear();
+    let restored_at = world.now;
+    world.run_until(restored_at + LEASE * 4);
+    assert_all_held(&world, "after the links are restored");
+    world.assert_invariants("no majority");
 }
 
 #[test]
-fn all_voters_killed_at_once_go_on_by_their_stores_or_begin_anew_without() {
+fn all_voters_killed_at_once_continue_from_disk_or_start_anew_without_one() {
     for disks in [true, false] {
         let mut world = World::new(5, 5, 3, 3, disks);
-        world.run(ms(6000));
-        held(&world, "begun");
-        let highest = world.accepted.iter().map(|act| act.2).max().unwrap();
+        world.run_until(ms(6000));
+        assert_all_held(&world, "after the start");
+        let highest = world.accepted_acts.iter().map(|act| act.2).max().unwrap();
         (0..3).for_each(|at| world.kill(at));
-        world.run(ms(7000));
+        world.run_until(ms(7000));
         (0..3).for_each(|at| world.start(at));
-        world.run(ms(16_000));
-        held(&world, "again");
-        let of_last = world.accepted.iter().map(|act| act.2).max().unwrap();
-        assert!(of_last > highest, "numbers go on: {of_last:?}");
-        world.kept("all voters killed");
+        world.run_until(ms(16_000));
+        assert_all_held(&world, "after the restart");
+        let last_highest = world.accepted_acts.iter().map(|act| act.2).max().unwrap();
+        assert!(last_highest > highest, "tokens keep increasing: {last_highest:?}");
+        world.assert_invariants("all voters killed");
     }
 }
 
 #[test]
-fn a_voter_whose_store_is_lost_or_older_forgets_nothing_that_others_know() {
+fn voter_with_a_lost_or_outdated_disk_recovers_what_others_know() {
     for seed in 0..10 {
-        let mut world = begun(seed, 3, 3, 3);
+        let mut world = settled_world(seed, 3, 3, 3);
         let old = world.nodes[1].disk.clone();
         let at = world.holder(0).unwrap();
         world.kill(at);
-        world.run(ms(9000));
+        world.run_until(ms(9000));
         world.start(at);
-        world.run(ms(12_000));
-        // An hour ago, or nothing at all.
+        world.run_until(ms(12_000));
+        // The disk has an older state, or nothing.
         world.kill(1);
         world.nodes[1].disk = old.filter(|_| seed % 2 == 0);
-        world.run(ms(12_500));
+        world.run_until(ms(12_500));
         world.start(1);
         if seed % 2 == 0 {
-            // Peers know that its disk has had more: the member is told so at its start.
-            world.with(1, |lease, now| lease.mark_state_stale(now));
+            // Peers know that its disk had a later state; the member is notified of it at its start.
+            world.with_lease(1, |lease, now| lease.mark_state_stale(now));
         }
-        world.run(ms(18_000));
-        held(&world, "with one that lost its store");
-        let other = (0..3).find(|at| *at != 1 && world.chair() != Some(*at)).unwrap();
+        world.run_until(ms(18_000));
+        assert_all_held(&world, "with one voter that lost its disk");
+        let other = (0..3).find(|at| *at != 1 && world.leader() != Some(*at)).unwrap();
         world.kill(other);
-        world.run(ms(24_000));
-        held(&world, "it votes again");
-        world.kept("store lost");
+        world.run_until(ms(24_000));
+        assert_all_held(&world, "the voter votes again");
+        world.assert_invariants("disk lost");
     }
 }
 
 #[test]
-fn full_disks_at_two_of_three_voters_let_nothing_new_be_agreed_on() {
-    let mut world = begun(2, 4, 3, 4);
-    world.acts = false;
-    world.nodes[0].full = true;
-    world.nodes[1].full = true;
-    world.nodes[2].full = false;
+fn nothing_is_committed_while_disks_of_two_of_three_voters_are_full() {
+    let mut world = settled_world(2, 4, 3, 4);
+    world.holders_act = false;
+    world.nodes[0].disk_full = true;
+    world.nodes[1].disk_full = true;
+    world.nodes[2].disk_full = false;
     let holder = world.holder(3).unwrap();
     world.kill(holder);
-    let killed = world.now;
-    world.run(killed + LEASE * 4);
-    assert!(world.holder(3).is_none(), "what two of three do not keep is not agreed on");
-    world.nodes[0].full = false;
-    world.nodes[1].full = false;
-    world.run(killed + LEASE * 12);
-    held(&world, "with disks again");
-    world.kept("full disks");
+    let killed_at = world.now;
+    world.run_until(killed_at + LEASE * 4);
+    assert!(world.holder(3).is_none(), "a table that two of three voters cannot persist is not committed");
+    world.nodes[0].disk_full = false;
+    world.nodes[1].disk_full = false;
+    world.run_until(killed_at + LEASE * 12);
+    assert_all_held(&world, "after the disks have space again");
+    world.assert_invariants("full disks");
 }
 
 #[test]
-fn handed_over_in_under_a_tenth_of_a_second_with_the_last_step() {
+fn hand_over_takes_less_than_100_ms_and_passes_the_last_checkpoint() {
     for seed in 0..10 {
-        let mut world = begun(seed, 5, 3, 2);
-        let (at, chair) = (world.holder(0).unwrap(), world.chair().unwrap());
-        // To whom an operator wants it, then three in a row, the second in the middle of the first.
-        let to = (0..5).find(|other| *other != at && *other != chair).unwrap();
+        let mut world = settled_world(seed, 5, 3, 2);
+        let (at, leader) = (world.holder(0).unwrap(), world.leader().unwrap());
+        // To the member that an operator names, then three hand-overs in a row, each during the previous one.
+        let to = (0..5).find(|other| *other != at && *other != leader).unwrap();
         let asker = (0..5).find(|other| *other != at).unwrap();
-        world.with(asker, |lease, now| {
+        world.with_lease(asker, |lease, now| {
             lease.send_to_leader(now, LeaseMessage::MoveDuty { duty: Duty(0), to: Some(to as u16) })
         });
-        world.run(world.now + ms(100));
+        world.run_until(world.now + ms(100));
         assert_eq!(world.holder(0), Some(to), "{:#?}", world.logs);
         for n in 0..3 {
             let at = world.holder(0).or_else(|| world.holder(1)).unwrap();
-            world.with(at, |lease, now| lease.hand_over(now, Duty(0), None));
-            world.run(world.now + MS * (2 + n));
+            world.with_lease(at, |lease, now| lease.hand_over(now, Duty(0), None));
+            world.run_until(world.now + MS * (2 + n));
         }
-        world.run(world.now + ms(100));
-        held(&world, "handed over");
-        // One that is to end, perhaps the chair: nothing is left of it, and whoever follows needs no time-out.
-        let chair = world.chair().unwrap();
-        let began = world.now;
-        world.with(chair, |lease, now| lease.shut_down(now));
-        world.run(began + ms(100));
-        held(&world, "its process ends");
-        assert!(world.nodes[chair].lease.as_ref().unwrap().is_shut_down(), "{:#?}", world.logs);
-        world.kill(chair);
-        world.run(began + ms(400));
-        assert!(world.chair().is_some());
-        held(&world, "ended");
-        world.kept("hand over");
+        world.run_until(world.now + ms(100));
+        assert_all_held(&world, "after the hand-overs");
+        // The leader shuts down: it holds nothing afterwards, and its successor need not wait for a time-out.
+        let leader = world.leader().unwrap();
+        let started_at = world.now;
+        world.with_lease(leader, |lease, now| lease.shut_down(now));
+        world.run_until(started_at + ms(100));
+        assert_all_held(&world, "during the shutdown");
+        assert!(world.nodes[leader].lease.as_ref().unwrap().is_shut_down(), "{:#?}", world.logs);
+        world.kill(leader);
+        world.run_until(started_at + ms(400));
+        assert!(world.leader().is_some());
+        assert_all_held(&world, "after the shutdown");
+        world.assert_invariants("hand-over");
     }
 }
 
 #[test]
-fn voters_change_one_at_a_time_and_each_set_can_elect() {
-    let mut world = begun(4, 7, 3, 2);
+fn voters_change_one_at_a_time_and_the_new_set_can_elect() {
+    let mut world = settled_world(4, 7, 3, 2);
     let asker = 5;
-    world.with(asker, |lease, now| {
+    world.with_lease(asker, |lease, now| {
         lease.send_to_leader(now, LeaseMessage::ChangeVoters { voters: vec![2, 3, 4, 5, 6] })
     });
-    world.run(world.now + ms(1000));
+    world.run_until(world.now + ms(1000));
     let voters = |world: &World| {
         let mut voters = world.nodes[asker].lease.as_ref().unwrap().table().voters.clone();
         voters.sort_unstable();
         voters
     };
     assert_eq!(voters(&world), [2, 3, 4, 5, 6]);
-    // Those who vote no more may go; two of the five may, too.
+    // The former voters and two of the five new ones may fail.
     (0..4).for_each(|at| world.kill(at));
-    world.run(world.now + LEASE * 4);
-    assert!(world.chair().is_some_and(|at| at > 3));
-    held(&world, "by the new voters");
-    world.kept("voters");
+    world.run_until(world.now + LEASE * 4);
+    assert!(world.leader().is_some_and(|at| at > 3));
+    assert_all_held(&world, "with the new voters");
+    world.assert_invariants("change of voters");
 }
 
 #[test]
-fn clocks_a_twentieth_off_and_frames_doubled_and_late_by_minutes_break_nothing() {
+fn clock_drift_of_5_percent_and_late_duplicate_frames_break_no_invariant() {
     for seed in 0..6 {
         let mut world = World::new(seed, 5, 3, 3, true);
         for (at, rate) in [0.95, 1.05, 1.0, 1.05, 0.95].into_iter().enumerate() {
@@ -286,122 +298,122 @@
             world.kill(at);
             world.start(at);
         });
-        world.again = Some(ms(40_000));
-        world.run(ms(8000));
+        world.duplicate_after = Some(ms(40_000));
+        world.run_until(ms(8000));
         for n in 0..8u64 {
             let at = (seed as usize + n as usize) % 5;
             world.kill(at);
-            world.run(world.now + ms(1500 + 300 * n));
+            world.run_until(world.now + ms(1500 + 300 * n));
             world.start(at);
-            world.run(world.now + ms(4000));
+            world.run_until(world.now + ms(4000));
         }
-        held(&world, "with odd clocks");
-        world.kept("odd clocks");
+        assert_all_held(&world, "with drifting clocks");
+        world.assert_invariants("drifting clocks");
     }
 }
 
 #[test]
-fn one_that_falls_behind_gives_its_duties_away_before_its_lease_suffers() {
-    let mut world = begun(7, 3, 3, 3);
+fn member_that_falls_behind_hands_its_duties_over_before_its_lease_expires() {
+    let mut world = settled_world(7, 3, 3, 3);
     let at = world.holder(0).unwrap();
-    let began = world.now;
+    let started_at = world.now;
     for _ in 0..6 {
         world.stall(at);
-        world.run(world.now + LEASE / 4);
-        world.wake(at);
-        world.run(world.now + MS * 20);
+        world.run_until(world.now + LEASE / 4);
+        world.resume(at);
+        world.run_until(world.now + MS * 20);
     }
     assert!(
-        world.now < began + LEASE * 2 && world.holder(0).is_some_and(|now| now != at),
+        world.now < started_at + LEASE * 2 && world.holder(0).is_some_and(|now| now != at),
         "{:#?}",
         world.logs
     );
-    assert!((0..3).all(|duty| world.holder(duty) != Some(at)), "and takes none for a while");
-    world.kept("behind");
+    assert!((0..3).all(|duty| world.holder(duty) != Some(at)), "and it takes none for a while");
+    world.assert_invariants("falling behind");
 }
 
 #[test]
-fn one_that_loses_its_duties_again_and_again_is_passed_over_for_longer_each_time() {
-    let mut world = begun(8, 3, 3, 1);
-    world.acts = false;
+fn member_that_repeatedly_loses_its_duties_is_passed_over_for_longer_each_time() {
+    let mut world = settled_world(8, 3, 3, 1);
+    world.holders_act = false;
     let at = world.holder(0).unwrap();
     let mut gaps = Vec::new();
     for _ in 0..4 {
         world.stall(at);
-        world.run(world.now + LEASE * 2);
-        world.wake(at);
+        world.run_until(world.now + LEASE * 2);
+        world.resume(at);
         let lost = world.now;
-        // It is the first again when those who have it instead go.
+        // Other holders hand the duty over to it, so that it gets the duty as soon as it is eligible.
         let others: Vec<usize> = (0..3).filter(|other| *other != at).collect();
         while world.holder(0) != Some(at) {
-            assert!(world.now < lost + LEASE * 100, "it never comes back");
+            assert!(world.now < lost + LEASE * 100, "the member never gets the duty back");
             if let Some(holder) = world.holder(0).filter(|holder| others.contains(holder)) {
-                world.with(holder, |lease, now| lease.hand_over(now, Duty(0), Some(at as u16)));
+                world.with_lease(holder, |lease, now| lease.hand_over(now, Duty(0), Some(at as u16)));
             }
-            world.run(world.now + MS * 50);
+            world.run_until(world.now + MS * 50);
         }
         gaps.push(world.now - lost);
     }
     assert!(gaps.windows(2).all(|pair| pair[1] > pair[0]) && gaps[3] > LEASE * 4, "{gaps:?}");
-    world.kept("passed over");
+    world.assert_invariants("passed over");
 }
 
-fn any_fault(world: &mut World, rng: &mut Pcg64Mcg) {
+fn inject_random_fault(world: &mut World, rng: &mut Pcg64Mcg) {
     let members = world.nodes.len();
     let at = rng.random_range(0..members);
     match rng.random_range(0..10) {
-        // Without stores, what all have lost nobody knows: the page says so, and one goes after the other.
-        0 | 1 if world.nodes[at].has_disk || world.all_know() => world.kill(at),
+        // Without disks, state lost by all members at once cannot be recovered, so members are then killed one after the other.
+        0 | 1 if world.nodes[at].has_disk || world.all_consistent() => world.kill(at),
         2 if world.nodes[at].lease.is_some() => world.stall(at),
-        3 => world.cut_off(at, true, true),
-        4 => world.cut_off(at, true, false),
-        5 => world.cut_off(at, false, true),
+        3 => world.isolate(at, true, true),
+        4 => world.isolate(at, true, false),
+        5 => world.isolate(at, false, true),
         6 => world.loss = 0.2,
         7 => world.jitter = ms(rng.random_range(5..150)),
-        8 => world.nodes[at].full = true,
+        8 => world.nodes[at].disk_full = true,
         _ => {
             if world.nodes[at].lease.is_some() {
-                world.with(at, |lease, now| lease.hand_over(now, Duty(0), None));
+                world.with_lease(at, |lease, now| lease.hand_over(now, Duty(0), None));
             }
         }
     }
 }
 
-fn heal(world: &mut World) {
+fn repair_all_faults(world: &mut World) {
     for at in 0..world.nodes.len() {
-        world.nodes[at].full = false;
+        world.nodes[at].disk_full = false;
         if world.nodes[at].lease.is_none() {
             world.start(at);
         } else if world.nodes[at].stalled {
-            world.wake(at);
+            world.resume(at);
         }
     }
-    world.cut.clear();
+    world.cut_links.clear();
     (world.loss, world.jitter) = (0.0, MS * 2);
 }
 
-/// Faults over each other, drawn; `LOTUSSADDLE_SEEDS` says how many days.
+/// Random overlapping faults; `LOTUSSADDLE_SEEDS` sets the number of seeds.
 #[test]
-fn faults_over_each_other_never_make_two_holders() {
+fn overlapping_faults_never_lead_to_two_holders() {
     let count = std::env::var("LOTUSSADDLE_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(60u64);
     for seed in 0..count {
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xfeed);
         let members = rng.random_range(3..8);
         let voters = if members >= 5 && rng.random() { 5 } else { 3 };
         let mut world = World::new(seed, members, voters, 3, rng.random::<f64>() < 0.7);
-        world.run(ms(5000));
+        world.run_until(ms(5000));
         for _ in 0..rng.random_range(2..5) {
             for _ in 0..rng.random_range(1..5) {
-                any_fault(&mut world, &mut rng);
-                world.run(world.now + ms(rng.random_range(0..1500)));
+                inject_random_fault(&mut world, &mut rng);
+                world.run_until(world.now + ms(rng.random_range(0..1500)));
             }
-            world.run(world.now + ms(rng.random_range(0..3000)));
-            heal(&mut world);
-            world.run(world.now + ms(rng.random_range(0..3000)));
+            world.run_until(world.now + ms(rng.random_range(0..3000)));
+            repair_all_faults(&mut world);
+            world.run_until(world.now + ms(rng.random_range(0..3000)));
         }
-        heal(&mut world);
-        world.run(world.now + LEASE * 10);
-        held(&world, &format!("seed {seed}"));
-        world.kept(&format!("seed {seed}"));
+        repair_all_faults(&mut world);
+        world.run_until(world.now + LEASE * 10);
+        assert_all_held(&world, &format!("seed {seed}"));
+        world.assert_invariants(&format!("seed {seed}"));
     }
 }
--- a/crates/lease/tests/voting.rs
+++ b/crates/lease/tests/voting.rs
@@ -1,4 +1,4 @@
-//! Single words to one member: what is said, and what has to be kept before.
+//! Single messages to one member: what it sends in reply, and what it has to persist before.
 
 use std::time::Duration;
 
@@ -10,9 +10,9 @@
     Duration::from_millis(time)
 }
 
-fn plan(me: u16) -> Plan {
+fn plan(self_member: u16) -> Plan {
     Plan {
-        self_member: me,
+        self_member,
         member_count: 5,
         voters: vec![0, 1, 2],
         preferred_holders: vec![vec![0, 1, 2, 3, 4]; 2],
@@ -20,100 +20,104 @@
     }
 }
 
-/// A voter that knows all that it ever said, in a life that is agreed on.
-fn voter(me: u16) -> Lease {
+/// A voter with consistent state and an agreed incarnation.
+fn consistent_voter(self_member: u16) -> Lease {
     let table = Table { voters: vec![0, 1, 2], ..Table::default() };
-    let mut lease = Lease::new(ms(0), plan(me), Some(PersistedState { term: Term(1 << 32), table }), 7);
+    let mut lease =
+        Lease::new(ms(0), plan(self_member), Some(PersistedState { term: Term(1 << 32), table }), 7);
     lease.set_incarnation(ms(0), 1);
     lease.take_effects();
     lease
 }
 
-fn said(outs: &[Effect]) -> Vec<(u16, LeaseMessage)> {
-    let said = |out: &Effect| match out {
-        Effect::Send(to, word) => Some((*to, word.clone())),
+fn sent_messages(effects: &[Effect]) -> Vec<(u16, LeaseMessage)> {
+    let sent = |effect: &Effect| match effect {
+        Effect::Send(to, message) => Some((*to, message.clone())),
         _ => None,
     };
-    outs.iter().filter_map(said).collect()
+    effects.iter().filter_map(sent).collect()
 }
 
-fn order(outs: &[Effect]) -> u64 {
-    outs.iter()
+fn last_persist_order(effects: &[Effect]) -> u64 {
+    effects
+        .iter()
         .rev()
-        .find_map(|out| if let Effect::Persist(number, _) = out { Some(*number) } else { None })
-        .expect("kept")
+        .find_map(|effect| if let Effect::Persist(number, _) = effect { Some(*number) } else { None })
+        .expect("state is persisted")
 }
 
 #[test]
-fn a_vote_is_kept_before_it_is_said_and_not_said_where_it_is_not() {
-    let ask =
+fn vote_is_sent_only_after_it_is_persisted() {
+    let request =
         |term: u64| LeaseMessage::VoteRequest { term: Term(term << 32 | 1 << 16), table: TableId::default() };
-    for well in [true, false] {
-        let mut lease = voter(0);
-        lease.message_received(ms(2000), 1, ask(2));
-        let outs = lease.take_effects();
-        let number = order(&outs);
-        assert_eq!(said(&outs), [], "not before it is kept");
-        lease.state_persisted(ms(2001), number, well);
-        let votes = said(&lease.take_effects());
-        assert_eq!(votes.len(), usize::from(well), "{votes:?}");
-        assert!(
-            votes
-                .iter()
-                .all(|(to, word)| *to == 1 && matches!(word, LeaseMessage::VoteReply { granted: true, .. }))
-        );
+    for succeeded in [true, false] {
+        let mut lease = consistent_voter(0);
+        lease.message_received(ms(2000), 1, request(2));
+        let effects = lease.take_effects();
+        let number = last_persist_order(&effects);
+        assert_eq!(sent_messages(&effects), [], "not before it is persisted");
+        lease.state_persisted(ms(2001), number, succeeded);
+        let votes = sent_messages(&lease.take_effects());
+        assert_eq!(votes.len(), usize::from(succeeded), "{votes:?}");
+        assert!(votes.iter().all(
+            |(to, message)| *to == 1 && matches!(message, LeaseMessage::VoteReply { granted: true, .. })
+        ));
     }
 }
 
 #[test]
-fn one_whose_disk_is_older_than_what_it_said_votes_for_nobody() {
-    let mut lease = voter(0);
+fn voter_whose_disk_is_outdated_votes_for_nobody() {
+    let mut lease = consistent_voter(0);
     lease.mark_state_stale(ms(2000));
     lease.message_received(
         ms(4000),
         1,
         LeaseMessage::VoteRequest { term: Term(9 << 32 | 1 << 16), table: TableId::default() },
     );
-    let outs = lease.take_effects();
-    let no = |(to, word): &(u16, LeaseMessage)| {
-        *to == 1 && matches!(word, LeaseMessage::VoteReply { granted: false, .. })
+    let effects = lease.take_effects();
+    let is_refusal = |(to, message): &(u16, LeaseMessage)| {
+        *to == 1 && matches!(message, LeaseMessage::VoteReply { granted: false, .. })
     };
     assert!(
-        said(&outs).iter().any(no) && !outs.iter().any(|out| matches!(out, Effect::Persist(..))),
-        "{outs:?}"
+        sent_messages(&effects).iter().any(is_refusal)
+            && !effects.iter().any(|effect| matches!(effect, Effect::Persist(..))),
+        "{effects:?}"
     );
 }
 
 #[test]
-fn one_whose_life_is_not_agreed_on_helps_nobody_since_its_disk_may_be_older() {
+fn voter_without_an_agreed_incarnation_supports_nobody_since_its_disk_may_be_outdated() {
     let table = Table { voters: vec![0, 1, 2], ..Table::default() };
     let mut lease = Lease::new(ms(0), plan(0), Some(PersistedState { term: Term(1 << 32), table }), 7);
-    let ask = LeaseMessage::VoteRequest { term: Term(9 << 32 | 1 << 16), table: TableId::default() };
-    lease.message_received(ms(4000), 1, ask.clone());
+    let request = LeaseMessage::VoteRequest { term: Term(9 << 32 | 1 << 16), table: TableId::default() };
+    lease.message_received(ms(4000), 1, request.clone());
     lease.message_received(
         ms(4000),
         1,
         LeaseMessage::PreVoteRequest { above_term: Term(1 << 32), table: TableId::default() },
     );
     lease.message_received(ms(4000), 1, LeaseMessage::StateLost);
-    let told = said(&lease.take_effects());
-    let helps = |(_, word): &(u16, LeaseMessage)| {
+    let replies = sent_messages(&lease.take_effects());
+    let is_support = |(_, message): &(u16, LeaseMessage)| {
         matches!(
-            word,
+            message,
             LeaseMessage::VoteReply { granted: true, .. }
                 | LeaseMessage::PreVoteReply { granted: true, .. }
                 | LeaseMessage::StateReply { is_consistent: true, .. }
         )
     };
-    assert!(told.len() == 3 && !told.iter().any(helps), "{told:?}");
+    assert!(replies.len() == 3 && !replies.iter().any(is_support), "{replies:?}");
     lease.set_incarnation(ms(4001), 5);
-    lease.message_received(ms(4001), 1, ask);
-    assert!(lease.take_effects().iter().any(|out| matches!(out, Effect::Persist(..))), "it votes");
+    lease.message_received(ms(4001), 1, request);
+    assert!(
+        lease.take_effects().iter().any(|effect| matches!(effect, Effect::Persist(..))),
+        "the voter votes"
+    );
 }
 
 #[test]
-fn words_of_nobody_s_are_not_heard() {
-    let mut lease = voter(0);
+fn messages_of_unknown_members_are_ignored() {
+    let mut lease = consistent_voter(0);
     lease.message_received(
         ms(4000),
         99,
@@ -123,15 +127,15 @@
     assert_eq!(lease.take_effects(), []);
 }
 
-/// Elected by itself and member 1.
-fn chair() -> (Lease, Term, Duration) {
-    let mut lease = voter(0);
+/// A leader elected by its own vote and that of member 1.
+fn elected_leader() -> (Lease, Term, Duration) {
+    let mut lease = consistent_voter(0);
     let now = lease.next_due();
     lease.timer_fired(now);
     while !lease
         .take_effects()
         .iter()
-        .any(|out| matches!(out, Effect::Send(_, LeaseMessage::PreVoteRequest { .. })))
+        .any(|effect| matches!(effect, Effect::Send(_, LeaseMessage::PreVoteRequest { .. })))
     {
         lease.timer_fired(lease.next_due());
     }
@@ -141,15 +145,15 @@
         1,
         LeaseMessage::PreVoteReply { above_term: Term(1 << 32), granted: true, highest_term: Term(1 << 32) },
     );
-    let outs = lease.take_effects();
-    assert_eq!(said(&outs), [], "its own vote is kept before it asks for others'");
-    lease.state_persisted(now, order(&outs), true);
-    let asked = said(&lease.take_effects());
-    let term = asked.iter().find_map(|(_, word)| {
-        if let LeaseMessage::VoteRequest { term, .. } = word { Some(*term) } else { None }
+    let effects = lease.take_effects();
+    assert_eq!(sent_messages(&effects), [], "its own vote is persisted before it asks for others");
+    lease.state_persisted(now, last_persist_order(&effects), true);
+    let requests = sent_messages(&lease.take_effects());
+    let term = requests.iter().find_map(|(_, message)| {
+        if let LeaseMessage::VoteRequest { term, .. } = message { Some(*term) } else { None }
     });
-    let term = term.expect("it asks");
-    assert!(!lease.is_leader(), "its own vote is no majority");
+    let term = term.expect("the candidate asks for votes");
+    assert!(!lease.is_leader(), "its own vote is not a majority");
     lease.message_received(
         now,
         1,
@@ -159,7 +163,7 @@
     (lease, term, now)
 }
 
-fn back(term: Term, serial: u64, table: TableId, number: u64) -> LeaseMessage {
+fn reply(term: Term, serial: u64, table: TableId, number: u64) -> LeaseMessage {
     LeaseMessage::HeartbeatReply(HeartbeatReply {
         term,
         heartbeat_serial: serial,
@@ -173,50 +177,61 @@
     })
 }
 
-fn beat_to(outs: &[Effect], to: u16) -> Option<Heartbeat> {
-    let beats = said(outs).into_iter().filter(|(member, _)| *member == to);
-    beats
-        .filter_map(|(_, word)| if let LeaseMessage::Heartbeat(beat) = word { Some(beat) } else { None })
+fn last_heartbeat_to(effects: &[Effect], to: u16) -> Option<Heartbeat> {
+    let messages = sent_messages(effects).into_iter().filter(|(member, _)| *member == to);
+    messages
+        .filter_map(
+            |(_, message)| {
+                if let LeaseMessage::Heartbeat(heartbeat) = message { Some(heartbeat) } else { None }
+            },
+        )
         .next_back()
 }
 
 #[test]
-fn nothing_is_lent_or_changed_before_a_majority_keeps_the_table_and_voters_change_one_by_one() {
-    let (mut lease, term, now) = chair();
-    let outs = lease.take_effects();
+fn no_lease_or_change_before_a_majority_persists_the_table_and_voters_change_one_by_one() {
+    let (mut lease, term, now) = elected_leader();
+    let effects = lease.take_effects();
     let first = TableId { term, version: 1 };
-    let beat = beat_to(&outs, 1).expect("it says that it is there");
+    let heartbeat = last_heartbeat_to(&effects, 1).expect("the leader sends a heartbeat");
     assert!(
-        beat.table == first && !beat.is_committed && beat.lease_from_reply == 0 && beat.full_table.is_some()
+        heartbeat.table == first
+            && !heartbeat.is_committed
+            && heartbeat.lease_from_reply == 0
+            && heartbeat.full_table.is_some()
     );
-    // Its own disk has had it; one of three is no majority.
-    lease.state_persisted(now, order(&outs), true);
+    // The leader's own disk has the table; one of three is not a majority.
+    lease.state_persisted(now, last_persist_order(&effects), true);
     lease.message_received(now, 3, LeaseMessage::ChangeVoters { voters: vec![0, 1, 2, 3, 4] });
-    lease.message_received(now, 3, back(term, 1, first, 1));
-    assert_eq!(lease.table().id, first, "members that do not vote do not count");
-    lease.message_received(now, 1, back(term, 1, TableId::default(), 1));
-    assert_eq!(lease.table().id, first, "it is there, and has not kept it");
-    lease.message_received(now + ms(1), 1, back(term, 1, first, 2));
-    // Now it is agreed on, and the first change follows: duties, or a voter, not both voters at once.
-    let mut seen = vec![3, lease.table().voters.len()];
+    lease.message_received(now, 3, reply(term, 1, first, 1));
+    assert_eq!(lease.table().id, first, "replies of members that do not vote do not count");
+    lease.message_received(now, 1, reply(term, 1, TableId::default(), 1));
+    assert_eq!(lease.table().id, first, "the voter responds but has not persisted the table");
+    lease.message_received(now + ms(1), 1, reply(term, 1, first, 2));
+    // Now the table is committed, and changes follow: duties, or one voter, but not both voters at once.
+    let mut voter_counts = vec![3, lease.table().voters.len()];
     for step in 2..40u64 {
         let now = now + ms(step * 10);
         let before = lease.table().id;
-        let outs = lease.take_effects();
-        if outs.iter().any(|out| matches!(out, Effect::Persist(..))) {
-            lease.state_persisted(now, order(&outs), true);
+        let effects = lease.take_effects();
+        if effects.iter().any(|effect| matches!(effect, Effect::Persist(..))) {
+            lease.state_persisted(now, last_persist_order(&effects), true);
             lease.timer_fired(now);
-            assert_eq!(lease.table().id, before, "not while only its own disk has the table before");
+            assert_eq!(
+                lease.table().id,
+                before,
+                "no change while only the leader's disk has the previous table"
+            );
         } else {
             lease.timer_fired(now);
         }
         let table = lease.table().id;
         for member in [1, 2, 3] {
-            lease.message_received(now, member, back(term, step / 13 + 1, table, step + 1));
+            lease.message_received(now, member, reply(term, step / 13 + 1, table, step + 1));
         }
-        seen.push(lease.table().voters.len());
+        voter_counts.push(lease.table().voters.len());
     }
-    assert_eq!(seen.iter().max(), Some(&5), "{seen:?}");
-    assert!(seen.windows(2).all(|pair| pair[1] <= pair[0] + 1), "{seen:?}");
+    assert_eq!(voter_counts.iter().max(), Some(&5), "{voter_counts:?}");
+    assert!(voter_counts.windows(2).all(|pair| pair[1] <= pair[0] + 1), "{voter_counts:?}");
     assert!(lease.table().assignment(Duty(0)).is_some());
 }
--- a/crates/lease/tests/world/mod.rs
+++ b/crates/lease/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! Members in virtual time: links that are late, lossy or cut, disks that take their time, clocks that run off, processes that stand
-//! still or are killed. Whoever says that it holds a duty is watched from outside, by true time.
+//! A simulated group in virtual time, with delayed, lossy or cut links, slow disks, drifting clocks, and processes that stall or are
+//! killed. Claims to hold a duty are checked from outside, in true time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
@@ -10,6 +10,7 @@
 use rand_pcg::Pcg64Mcg;
 
 pub const MS: Duration = Duration::from_millis(1);
+/// The duration of a lease in all tests.
 pub const LEASE: Duration = Duration::from_millis(1000);
 
 pub fn ms(time: u64) -> Duration {
@@ -17,45 +18,47 @@
 }
 
 enum Event {
-    Came {
+    Message {
         from: usize,
-        life: u64,
+        incarnation: u64,
         to: usize,
-        word: LeaseMessage,
+        message: LeaseMessage,
     },
-    Saved {
+    Persisted {
         at: usize,
-        life: u64,
-        number: u64,
-        kept: PersistedState,
+        incarnation: u64,
+        order: u64,
+        state: PersistedState,
     },
-    /// An act of a duty comes to the receiver.
+    /// An act of a duty reaches the receiver.
     Act {
         by: usize,
-        life: u64,
+        incarnation: u64,
         duty: Duty,
-        number: FencingToken,
+        token: FencingToken,
     },
-    /// Looks whether a member is due.
-    Due(usize),
-    /// Holders do something.
-    Turn,
+    /// Fires the timer of a member if it is due.
+    TimerCheck(usize),
+    /// All holders perform an act.
+    HoldersAct,
 }
 
+/// A member's process with its disk and clock.
 pub struct Node {
     pub lease: Option<Lease>,
-    pub life: u64,
+    pub incarnation: u64,
     pub disk: Option<PersistedState>,
     pub has_disk: bool,
-    pub full: bool,
-    /// Its clock: so many times as fast, from this true time and reading on.
+    pub disk_full: bool,
+    /// The rate of its clock relative to true time, which it counts from `started`.
     pub rate: f64,
     pub stalled: bool,
-    waiting: VecDeque<Event>,
+    deferred_events: VecDeque<Event>,
     pub held: BTreeMap<Duty, FencingToken>,
     started: Duration,
 }
 
+/// The members, the network between them, and a receiver of their acts.
 pub struct World {
     pub now: Duration,
     pub rng: Pcg64Mcg,
@@ -63,33 +66,33 @@
     pub voters: Vec<u16>,
     pub duties: u16,
     events: BinaryHeap<Reverse<(Duration, u64)>>,
-    what: BTreeMap<u64, Event>,
-    serial: u64,
-    pub cut: BTreeSet<(usize, usize)>,
+    scheduled: BTreeMap<u64, Event>,
+    last_serial: u64,
+    pub cut_links: BTreeSet<(usize, usize)>,
     pub loss: f64,
     pub jitter: Duration,
-    /// Each frame comes twice, the second time after so long.
-    pub again: Option<Duration>,
+    /// Each frame arrives a second time after this delay.
+    pub duplicate_after: Option<Duration>,
     pub fence: Fence,
-    pub accepted: Vec<(Duration, Duty, FencingToken, usize, u64)>,
-    pub refused: usize,
-    pub broken: Vec<String>,
-    pub frames: u64,
-    pub began: usize,
-    pub chairs: usize,
-    /// True time in which nobody held a duty, and the longest such time of one.
-    pub vacant: BTreeMap<Duty, Duration>,
+    pub accepted_acts: Vec<(Duration, Duty, FencingToken, usize, u64)>,
+    pub refused_acts: usize,
+    pub violations: Vec<String>,
+    pub sent_frames: u64,
+    pub acquisitions: usize,
+    pub elections: usize,
+    /// By duty, the true time in which it had no holder; and the longest such period.
+    pub vacant_time: BTreeMap<Duty, Duration>,
     vacant_since: BTreeMap<Duty, Duration>,
-    pub longest: Duration,
+    pub longest_vacancy: Duration,
     pub logs: Vec<String>,
-    /// Holders act so often.
-    pub acts: bool,
-    numbers: BTreeMap<(Duty, FencingToken), (usize, u64)>,
-    /// Marks that were told to be agreed on: what is begun later must bear them.
-    marked: BTreeMap<Duty, u64>,
-    asked: BTreeMap<(usize, Duty), u64>,
-    /// Links keep their order.
-    last: BTreeMap<(usize, usize), Duration>,
+    /// Whether holders perform acts periodically.
+    pub holders_act: bool,
+    token_owners: BTreeMap<(Duty, FencingToken), (usize, u64)>,
+    /// Steps whose checkpoint was reported as committed: later holders must start from them.
+    committed_steps: BTreeMap<Duty, u64>,
+    reported_steps: BTreeMap<(usize, Duty), u64>,
+    /// By link, the arrival time of the last frame; links preserve order.
+    last_arrival: BTreeMap<(usize, usize), Duration>,
 }
 
 impl World {
@@ -101,130 +104,130 @@
             voters: (0..voters as u16).collect(),
             duties,
             events: BinaryHeap::new(),
-            what: BTreeMap::new(),
-            serial: 0,
-            cut: BTreeSet::new(),
+            scheduled: BTreeMap::new(),
+            last_serial: 0,
+            cut_links: BTreeSet::new(),
             loss: 0.0,
             jitter: MS * 2,
-            again: None,
+            duplicate_after: None,
             fence: Fence::default(),
-            accepted: Vec::new(),
-            refused: 0,
-            broken: Vec::new(),
-            frames: 0,
-            began: 0,
-            chairs: 0,
-            vacant: BTreeMap::new(),
+            accepted_acts: Vec::new(),
+            refused_acts: 0,
+            violations: Vec::new(),
+            sent_frames: 0,
+            acquisitions: 0,
+            elections: 0,
+            vacant_time: BTreeMap::new(),
             vacant_since: (0..duties).map(|duty| (Duty(duty), Duration::ZERO)).collect(),
-            longest: Duration::ZERO,
+            longest_vacancy: Duration::ZERO,
             logs: Vec::new(),
-            acts: true,
-            numbers: BTreeMap::new(),
-            marked: BTreeMap::new(),
-            asked: BTreeMap::new(),
-            last: BTreeMap::new(),
+            holders_act: true,
+            token_owners: BTreeMap::new(),
+            committed_steps: BTreeMap::new(),
+            reported_steps: BTreeMap::new(),
+            last_arrival: BTreeMap::new(),
         };
         for _ in 0..members {
             world.nodes.push(Node {
                 lease: None,
-                life: 0,
+                incarnation: 0,
                 disk: None,
                 has_disk: disks,
-                full: false,
+                disk_full: false,
                 rate: 1.0,
                 stalled: false,
-                waiting: VecDeque::new(),
+                deferred_events: VecDeque::new(),
                 held: BTreeMap::new(),
                 started: Duration::ZERO,
             });
         }
         (0..members).for_each(|at| world.start(at));
-        world.put(MS, Event::Turn);
+        world.schedule(MS, Event::HoldersAct);
         world
     }
 
     fn plan(&self, me: usize) -> Plan {
         let members = self.nodes.len() as u16;
-        // Each duty begins with another member.
-        let ranks =
+        // Each duty prefers another member first.
+        let preferred_holders =
             (0..self.duties).map(|duty| (0..members).map(|n| (n + duty) % members).collect()).collect();
         Plan {
             self_member: me as u16,
             member_count: members,
             voters: self.voters.clone(),
-            preferred_holders: ranks,
+            preferred_holders,
             lease_duration: LEASE,
         }
     }
 
-    /// A process's own reading of its clock.
+    /// The reading of a member's own clock.
     fn clock(&self, at: usize) -> Duration {
         let node = &self.nodes[at];
         (self.now - node.started).mul_f64(node.rate)
     }
 
     pub fn start(&mut self, at: usize) {
-        let (plan, chance) = (self.plan(at), self.rng.random());
+        let (plan, random_seed) = (self.plan(at), self.rng.random());
         let now = self.now;
         let node = &mut self.nodes[at];
         node.started = now;
-        node.life += 1;
+        node.incarnation += 1;
         node.stalled = false;
-        node.waiting.clear();
-        let kept = node.disk.clone().filter(|_| node.has_disk);
-        let mut lease = Lease::new(Duration::ZERO, plan, kept, chance);
-        lease.set_incarnation(Duration::ZERO, node.life);
+        node.deferred_events.clear();
+        let stored = node.disk.clone().filter(|_| node.has_disk);
+        let mut lease = Lease::new(Duration::ZERO, plan, stored, random_seed);
+        lease.set_incarnation(Duration::ZERO, node.incarnation);
         node.lease = Some(lease);
-        self.after(at);
+        self.process_effects(at);
     }
 
     pub fn kill(&mut self, at: usize) {
         self.nodes[at].lease = None;
-        self.let_go(at);
+        self.drop_held(at);
     }
 
     pub fn stall(&mut self, at: usize) {
         self.nodes[at].stalled = true;
     }
 
-    pub fn wake(&mut self, at: usize) {
+    pub fn resume(&mut self, at: usize) {
         self.nodes[at].stalled = false;
-        // What it thought before it stood still is done first: an act by what it held then.
+        // An act that it had begun before it stalled, under a token that it held then, is performed first.
         let held: Vec<(Duty, FencingToken)> =
-            self.nodes[at].held.iter().map(|(duty, number)| (*duty, *number)).collect();
-        for (duty, number) in held {
-            let life = self.nodes[at].life;
-            self.put(MS, Event::Act { by: at, life, duty, number });
+            self.nodes[at].held.iter().map(|(duty, token)| (*duty, *token)).collect();
+        for (duty, token) in held {
+            let incarnation = self.nodes[at].incarnation;
+            self.schedule(MS, Event::Act { by: at, incarnation, duty, token });
         }
-        let waiting = std::mem::take(&mut self.nodes[at].waiting);
-        // A process that wakes sees its clock before it reads.
-        self.due(at);
-        waiting.into_iter().for_each(|event| self.happens(event));
+        let deferred_events = std::mem::take(&mut self.nodes[at].deferred_events);
+        // A resumed process checks its timers before it reads messages.
+        self.fire_due_timer(at);
+        deferred_events.into_iter().for_each(|event| self.handle_event(event));
     }
 
-    pub fn cut_off(&mut self, at: usize, in_: bool, out: bool) {
+    pub fn isolate(&mut self, at: usize, inbound: bool, outbound: bool) {
         for other in (0..self.nodes.len()).filter(|other| *other != at) {
-            if out {
-                self.cut.insert((at, other));
+            if outbound {
+                self.cut_links.insert((at, other));
             }
-            if in_ {
-                self.cut.insert((other, at));
+            if inbound {
+                self.cut_links.insert((other, at));
             }
         }
     }
 
-    fn put(&mut self, after: Duration, event: Event) {
-        self.serial += 1;
-        self.events.push(Reverse((self.now + after, self.serial)));
-        self.what.insert(self.serial, event);
+    fn schedule(&mut self, after: Duration, event: Event) {
+        self.last_serial += 1;
+        self.events.push(Reverse((self.now + after, self.last_serial)));
+        self.scheduled.insert(self.last_serial, event);
     }
 
-    pub fn with(&mut self, at: usize, act: impl FnOnce(&mut Lease, Duration)) {
+    pub fn with_lease(&mut self, at: usize, act: impl FnOnce(&mut Lease, Duration)) {
         let clock = self.clock(at);
         if let Some(lease) = &mut self.nodes[at].lease {
             act(lease, clock);
         }
-        self.after(at);
+        self.process_effects(at);
     }
 
     fn delay(&mut self) -> Duration {
@@ -232,192 +235,204 @@
         MS / 4 + jitter.mul_f64(self.rng.random::<f64>())
     }
 
-    /// What an input of a member has brought.
-    fn after(&mut self, at: usize) {
+    /// Carries out the effects of a member's last input and schedules its timer.
+    fn process_effects(&mut self, at: usize) {
         let Some(lease) = &mut self.nodes[at].lease else { return };
-        let outs = lease.take_effects();
-        let life = self.nodes[at].life;
-        for out in outs {
-            match out {
-                Effect::Send(to, word) => {
-                    self.frames += 1;
+        let effects = lease.take_effects();
+        let incarnation = self.nodes[at].incarnation;
+        for effect in effects {
+            match effect {
+                Effect::Send(to, message) => {
+                    self.sent_frames += 1;
                     let to = usize::from(to);
-                    if self.cut.contains(&(at, to)) || self.rng.random::<f64>() < self.loss {
+                    if self.cut_links.contains(&(at, to)) || self.rng.random::<f64>() < self.loss {
                         continue;
                     }
-                    let last = self.last.get(&(at, to)).copied().unwrap_or_default();
+                    let last = self.last_arrival.get(&(at, to)).copied().unwrap_or_default();
                     let delay = self.delay().max(last.saturating_sub(self.now));
-                    self.last.insert((at, to), self.now + delay);
-                    self.put(delay, Event::Came { from: at, life, to, word: word.clone() });
-                    if let Some(again) = self.again {
-                        self.put(delay + again, Event::Came { from: at, life, to, word });
+                    self.last_arrival.insert((at, to), self.now + delay);
+                    self.schedule(
+                        delay,
+                        Event::Message { from: at, incarnation, to, message: message.clone() },
+                    );
+                    if let Some(duplicate_after) = self.duplicate_after {
+                        self.schedule(
+                            delay + duplicate_after,
+                            Event::Message { from: at, incarnation, to, message },
+                        );
                     }
                 }
-                Effect::Persist(number, kept) => {
+                Effect::Persist(order, state) => {
                     let took = if self.nodes[at].has_disk { self.delay() } else { Duration::ZERO };
-                    self.put(took, Event::Saved { at, life, number, kept });
+                    self.schedule(took, Event::Persisted { at, incarnation, order, state });
+                }
+                Effect::DutyAcquired(duty, token, checkpoint) => {
+                    self.duty_acquired(at, duty, token, &checkpoint)
                 }
-                Effect::DutyAcquired(duty, number, mark) => self.begins(at, duty, number, &mark),
-                Effect::DutyLost(duty, number, _) => {
-                    if self.nodes[at].held.get(&duty) == Some(&number) {
+                Effect::DutyLost(duty, token, _) => {
+                    if self.nodes[at].held.get(&duty) == Some(&token) {
                         self.nodes[at].held.remove(&duty);
-                        self.ends(duty);
+                        self.duty_released(duty);
                     }
                 }
                 Effect::CheckpointCommitted(duty, _) => {
-                    let asked = self.asked.get(&(at, duty)).copied().unwrap_or_default();
-                    let known = self.marked.entry(duty).or_default();
-                    *known = (*known).max(asked);
+                    let reported = self.reported_steps.get(&(at, duty)).copied().unwrap_or_default();
+                    let known = self.committed_steps.entry(duty).or_default();
+                    *known = (*known).max(reported);
                 }
                 Effect::Log(line) => {
-                    self.chairs += usize::from(line.starts_with("elected leader of"));
+                    self.elections += usize::from(line.starts_with("elected leader of"));
                     self.logs.push(format!("{:?} {at}: {line}", self.now));
                 }
             }
         }
-        let due = self.nodes[at].lease.as_ref().expect("it runs").next_due();
+        let due = self.nodes[at].lease.as_ref().expect("the member runs").next_due();
         let wait = due.saturating_sub(self.clock(at)).div_f64(self.nodes[at].rate);
-        self.put(wait + Duration::from_micros(1), Event::Due(at));
+        self.schedule(wait + Duration::from_micros(1), Event::TimerCheck(at));
     }
 
-    fn begins(&mut self, at: usize, duty: Duty, number: FencingToken, mark: &[u8]) {
-        let life = self.nodes[at].life;
-        self.began += 1;
-        let first = *self.numbers.entry((duty, number)).or_insert((at, life));
-        if first != (at, life) {
-            self.broken.push(format!("{:?}: {number:?} of {duty:?} is {first:?}'s and {at}'s", self.now));
+    fn duty_acquired(&mut self, at: usize, duty: Duty, token: FencingToken, checkpoint: &[u8]) {
+        let incarnation = self.nodes[at].incarnation;
+        self.acquisitions += 1;
+        let first = *self.token_owners.entry((duty, token)).or_insert((at, incarnation));
+        if first != (at, incarnation) {
+            self.violations
+                .push(format!("{:?}: {token:?} of {duty:?} belongs to {first:?} and to {at}", self.now));
         }
-        let bears = mark.try_into().map(u64::from_le_bytes).unwrap_or_default();
-        if bears < self.marked.get(&duty).copied().unwrap_or_default() {
-            self.broken
-                .push(format!("{:?}: {at} begins {duty:?} behind a mark that was agreed on", self.now));
+        let step = checkpoint.try_into().map(u64::from_le_bytes).unwrap_or_default();
+        if step < self.committed_steps.get(&duty).copied().unwrap_or_default() {
+            self.violations.push(format!(
+                "{:?}: {at} acquires {duty:?} with a checkpoint older than the committed one",
+                self.now
+            ));
         }
-        self.nodes[at].held.insert(duty, number);
+        self.nodes[at].held.insert(duty, token);
         if let Some(since) = self.vacant_since.remove(&duty) {
-            let long = self.now - since;
-            *self.vacant.entry(duty).or_default() += long;
-            self.longest = self.longest.max(long);
+            let vacancy = self.now - since;
+            *self.vacant_time.entry(duty).or_default() += vacancy;
+            self.longest_vacancy = self.longest_vacancy.max(vacancy);
         }
-        // By their own clocks, two never hold it at once.
+        // By their own clocks, no two members hold it at the same time.
         for other in (0..self.nodes.len()).filter(|other| *other != at) {
             let clock = self.clock(other);
             let node = &self.nodes[other];
             if node.lease.as_ref().is_some_and(|lease| lease.held_token(clock, duty).is_some()) {
-                self.broken.push(format!("{:?}: {at} and {other} hold {duty:?}", self.now));
+                self.violations.push(format!("{:?}: {at} and {other} hold {duty:?}", self.now));
             }
         }
     }
 
-    fn ends(&mut self, duty: Duty) {
+    fn duty_released(&mut self, duty: Duty) {
         if !self.nodes.iter().any(|node| node.held.contains_key(&duty)) {
             self.vacant_since.entry(duty).or_insert(self.now);
         }
     }
 
-    fn let_go(&mut self, at: usize) {
+    fn drop_held(&mut self, at: usize) {
         for duty in std::mem::take(&mut self.nodes[at].held).into_keys() {
-            self.ends(duty);
+            self.duty_released(duty);
         }
     }
 
-    fn due(&mut self, at: usize) {
+    fn fire_due_timer(&mut self, at: usize) {
         let clock = self.clock(at);
         let Some(lease) = &mut self.nodes[at].lease else { return };
         if lease.next_due() <= clock {
             lease.timer_fired(clock);
-            self.after(at);
+            self.process_effects(at);
         }
     }
 
-    fn happens(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let at = match &event {
-            Event::Came { to, .. } => *to,
-            Event::Saved { at, .. } | Event::Due(at) => *at,
-            Event::Act { by, life, duty, number } => {
-                let (by, life, duty, number) = (*by, *life, *duty, *number);
-                return self.act(by, life, duty, number);
+            Event::Message { to, .. } => *to,
+            Event::Persisted { at, .. } | Event::TimerCheck(at) => *at,
+            Event::Act { by, incarnation, duty, token } => {
+                let (by, incarnation, duty, token) = (*by, *incarnation, *duty, *token);
+                return self.receive_act(by, incarnation, duty, token);
             }
-            Event::Turn => {
-                self.put(MS * 40, Event::Turn);
-                return (0..self.nodes.len()).for_each(|at| self.holders_act(at));
+            Event::HoldersAct => {
+                self.schedule(MS * 40, Event::HoldersAct);
+                return (0..self.nodes.len()).for_each(|at| self.perform_acts(at));
             }
         };
         if self.nodes[at].stalled {
-            return self.nodes[at].waiting.push_back(event);
+            return self.nodes[at].deferred_events.push_back(event);
         }
         let clock = self.clock(at);
         match event {
-            Event::Came { from, life, to, word } => {
-                // Links tell lives apart: what a former one said comes only where a test lets it.
-                if self.nodes[to].lease.is_some() && (life == self.nodes[from].life || self.again.is_some()) {
-                    self.nodes[to].lease.as_mut().expect("it runs").message_received(
+            Event::Message { from, incarnation, to, message } => {
+                // Links distinguish incarnations: messages of a previous one are delivered only where a test duplicates frames.
+                if self.nodes[to].lease.is_some()
+                    && (incarnation == self.nodes[from].incarnation || self.duplicate_after.is_some())
+                {
+                    self.nodes[to].lease.as_mut().expect("the member runs").message_received(
                         clock,
                         from as u16,
-                        word,
+                        message,
                     );
-                    self.after(to);
+                    self.process_effects(to);
                 }
             }
-            Event::Saved { at, life, number, kept } => {
+            Event::Persisted { at, incarnation, order, state } => {
                 let node = &mut self.nodes[at];
-                if let (true, Some(lease)) = (life == node.life, &mut node.lease) {
-                    let well = !node.full;
-                    if node.has_disk && well {
-                        node.disk = Some(kept);
+                if let (true, Some(lease)) = (incarnation == node.incarnation, &mut node.lease) {
+                    let succeeded = !node.disk_full;
+                    if node.has_disk && succeeded {
+                        node.disk = Some(state);
                     }
-                    lease.state_persisted(clock, number, well);
-                    self.after(at);
+                    lease.state_persisted(clock, order, succeeded);
+                    self.process_effects(at);
                 }
             }
-            Event::Due(at) => {
-                self.due(at);
+            Event::TimerCheck(at) => {
+                self.fire_due_timer(at);
             }
-            Event::Act { .. } | Event::Turn => {}
+            Event::Act { .. } | Event::HoldersAct => {}
         }
     }
 
-    fn holders_act(&mut self, at: usize) {
-        if !self.acts || self.nodes[at].stalled {
+    fn perform_acts(&mut self, at: usize) {
+        if !self.holders_act || self.nodes[at].stalled {
             return;
         }
         let clock = self.clock(at);
         let held: Vec<Duty> = self.nodes[at].held.keys().copied().collect();
         for duty in held {
-            if let Some(number) =
-                self.nodes[at].lease.as_ref().and_then(|lease| lease.held_token(clock, duty))
+            if let Some(token) = self.nodes[at].lease.as_ref().and_then(|lease| lease.held_token(clock, duty))
             {
                 let delay = self.delay();
-                let life = self.nodes[at].life;
-                self.put(delay, Event::Act { by: at, life, duty, number });
-                let step = self.serial;
-                self.asked.insert((at, duty), step);
-                self.with(at, |lease, now| {
+                let incarnation = self.nodes[at].incarnation;
+                self.schedule(delay, Event::Act { by: at, incarnation, duty, token });
+                let step = self.last_serial;
+                self.reported_steps.insert((at, duty), step);
+                self.with_lease(at, |lease, now| {
                     lease.report_checkpoint(now, duty, step.to_le_bytes().to_vec());
                 });
             }
         }
     }
 
-    fn act(&mut self, by: usize, life: u64, duty: Duty, number: FencingToken) {
-        match self.fence.admit(duty, number, by as u16, life) {
-            Ok(_) => self.accepted.push((self.now, duty, number, by, life)),
-            Err(refused) => {
-                self.refused += 1;
-                if !self.nodes[by].stalled && self.nodes[by].life == life {
-                    self.with(by, |lease, now| lease.token_refused(now, duty, refused.highest));
+    fn receive_act(&mut self, by: usize, incarnation: u64, duty: Duty, token: FencingToken) {
+        match self.fence.admit(duty, token, by as u16, incarnation) {
+            Ok(_) => self.accepted_acts.push((self.now, duty, token, by, incarnation)),
+            Err(refusal) => {
+                self.refused_acts += 1;
+                if !self.nodes[by].stalled && self.nodes[by].incarnation == incarnation {
+                    self.with_lease(by, |lease, now| lease.token_refused(now, duty, refusal.highest));
                 }
             }
         }
     }
 
-    pub fn run(&mut self, until: Duration) {
+    pub fn run_until(&mut self, until: Duration) {
         while let Some(Reverse((at, serial))) = self.events.peek().copied()
             && at <= until
         {
             self.events.pop();
             self.now = at;
-            let event = self.what.remove(&serial).expect("it was put");
-            self.happens(event);
+            let event = self.scheduled.remove(&serial).expect("the event was scheduled");
+            self.handle_event(event);
         }
         self.now = until;
     }
@@ -429,27 +444,27 @@
         })
     }
 
-    pub fn chair(&self) -> Option<usize> {
-        let chairs = |at: &usize| self.nodes[*at].lease.as_ref().is_some_and(Lease::is_leader);
-        (0..self.nodes.len()).find(|at| chairs(at) && !self.nodes[*at].stalled)
+    pub fn leader(&self) -> Option<usize> {
+        let is_leader = |at: &usize| self.nodes[*at].lease.as_ref().is_some_and(Lease::is_leader);
+        (0..self.nodes.len()).find(|at| is_leader(at) && !self.nodes[*at].stalled)
     }
 
-    /// Nobody is down, or has yet to be told what it lost.
-    pub fn all_know(&self) -> bool {
-        let knows =
+    /// Whether all members run and have consistent state.
+    pub fn all_consistent(&self) -> bool {
+        let is_consistent =
             |node: &Node| node.lease.as_ref().is_some_and(|lease| lease.status(self.now).is_consistent);
-        self.nodes.iter().all(knows)
+        self.nodes.iter().all(is_consistent)
     }
 
-    /// What a receiver accepted never goes down, and no number is two members'.
-    pub fn kept(&self, what: &str) {
-        assert!(self.broken.is_empty(), "{what}: {:#?}\n{:#?}", self.broken, self.logs);
+    /// Asserts that no violation was found, that accepted tokens never decrease, and that no token has two owners.
+    pub fn assert_invariants(&self, context: &str) {
+        assert!(self.violations.is_empty(), "{context}: {:#?}\n{:#?}", self.violations, self.logs);
         let mut highest: BTreeMap<Duty, (FencingToken, usize, u64)> = BTreeMap::new();
-        for (at, duty, number, by, life) in &self.accepted {
-            let seen = highest.entry(*duty).or_insert((*number, *by, *life));
-            let same = *number == seen.0 && (*by, *life) == (seen.1, seen.2);
-            assert!(*number > seen.0 || same, "{what}: {duty:?} at {at:?}");
-            *seen = (*number, *by, *life);
+        for (at, duty, token, by, incarnation) in &self.accepted_acts {
+            let seen = highest.entry(*duty).or_insert((*token, *by, *incarnation));
+            let same = *token == seen.0 && (*by, *incarnation) == (seen.1, seen.2);
+            assert!(*token > seen.0 || same, "{context}: {duty:?} at {at:?}");
+            *seen = (*token, *by, *incarnation);
         }
     }
 }
