--- a/crates/day/src/baseline.rs
+++ b/crates/day/src/baseline.rs
@@ -54,7 +54,7 @@
     first_choice: ServerNumber,
     answer_by: Duration,
     launches: u32,
-    at: Option<(ServerId, LaunchNo)>,
+    at: Option<(ServerId, LaunchNumber)>,
     /// When something is to be done for it next.
     due: Duration,
 }
@@ -101,12 +101,12 @@
         asked.due = asked.answer_by;
         if asked.at.is_none() {
             if asked.launches >= self.plan.max_launches {
-                let come_back = Some(self.plan.longest_return).filter(|d| !d.is_zero());
+                let come_back = Some(self.plan.max_retry_after).filter(|d| !d.is_zero());
                 return out.refuse(id, come_back);
             }
             match self.choose(&asked) {
                 Some(server) => {
-                    asked.at = Some((server.clone(), LaunchNo(asked.launches)));
+                    asked.at = Some((server.clone(), LaunchNumber(asked.launches)));
                     asked.launches += 1;
                     if let Some(known) = self.servers.get_mut(&server) {
                         known.out += 1;
@@ -149,16 +149,16 @@
 }
 
 impl Decisions for Plain {
-    fn rest_until(&mut self, until: Duration) {
+    fn hold_launches_until(&mut self, until: Duration) {
         self.rests_until = until;
     }
 
-    fn listed(&mut self, now: Duration, whole: bool, entries: &[ListEntry], out: &mut dyn Signalling) {
+    fn list_received(&mut self, now: Duration, whole: bool, entries: &[ListEntry], out: &mut dyn Signalling) {
         if whole {
             self.servers.values_mut().for_each(|s| s.active = false);
         }
         for entry in entries {
-            let active = entry.listed == Listed::Active;
+            let active = entry.state == ServerState::Active;
             let known = self.servers.entry(entry.server.clone());
             let known = known.or_insert(Server { number: entry.number, active, out: 0 });
             (known.number, known.active) = (entry.number, active);
@@ -167,7 +167,7 @@
         self.settle(now, out);
     }
 
-    fn arrived(&mut self, now: Duration, arrival: Arrival, out: &mut dyn Signalling) {
+    fn dialogue_arrived(&mut self, now: Duration, arrival: Arrival, out: &mut dyn Signalling) {
         let answer_by = arrival.cut_off.saturating_sub(self.plan.tick * 2);
         let due = now.max(self.rests_until).min(answer_by.max(now));
         let asked = Asked {
@@ -183,7 +183,7 @@
         self.settle(now, out);
     }
 
-    fn left(&mut self, now: Duration, id: &DialogueId, out: &mut dyn Signalling) {
+    fn caller_left(&mut self, now: Duration, id: &DialogueId, out: &mut dyn Signalling) {
         if let Some(asked) = self.forget(id)
             && let Some((_, launch)) = asked.at.filter(|_| self.plan.may_cancel)
         {
@@ -192,26 +192,28 @@
         self.settle(now, out);
     }
 
-    fn reported(&mut self, now: Duration, _id: &ServerId, _report: &LoadReport, out: &mut dyn Signalling) {
+    fn load_reported(
+        &mut self, now: Duration, _id: &ServerId, _report: &LoadReport, out: &mut dyn Signalling,
+    ) {
         self.settle(now, out);
     }
 
-    fn stands(
-        &mut self, now: Duration, id: &DialogueId, _launch: LaunchNo, _server: &ServerId,
+    fn dialogue_stands(
+        &mut self, now: Duration, id: &DialogueId, _launch: LaunchNumber, _server: &ServerId,
         out: &mut dyn Signalling,
     ) {
         self.forget(id);
         self.settle(now, out);
     }
 
-    fn ended(&mut self, now: Duration, end: LaunchEnd, out: &mut dyn Signalling) {
+    fn launch_ended(&mut self, now: Duration, end: LaunchEnd, out: &mut dyn Signalling) {
         let ours = |asked: &Asked| asked.at.as_ref() == Some(&(end.server.clone(), end.launch));
         if !end.closed
             && self.asked.get(&end.dialogue).is_some_and(ours)
             && let Some(mut asked) = self.forget(&end.dialogue)
         {
-            let doubt = matches!(end.outcome, Outcome::TimedOut | Outcome::BrokenOff | Outcome::CalledOff);
-            let wait = if doubt { self.plan.release } else { self.plan.tick };
+            let doubt = matches!(end.outcome, Outcome::TimedOut | Outcome::BrokenOff | Outcome::Cancelled);
+            let wait = if doubt { self.plan.release_time } else { self.plan.tick };
             asked.at = None;
             asked.due = asked.answer_by.min(now + wait);
             self.by_time.insert((asked.due, end.dialogue.clone()));
@@ -220,7 +222,7 @@
         self.settle(now, out);
     }
 
-    fn alarm(&mut self, now: Duration, _timer: TimerId, out: &mut dyn Signalling) {
+    fn timer_fired(&mut self, now: Duration, _timer: TimerId, out: &mut dyn Signalling) {
         self.alarm_set = false;
         self.settle(now, out);
     }
--- a/crates/fleet/src/redial.rs
+++ b/crates/fleet/src/redial.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
+use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
 use lotussaddle_replica::{Replica, ReplicaGroup, ReplicaReading, fingerprint};
 use lotussaddle_trunk::{Answer, Owner};
 
@@ -33,7 +33,7 @@
     Answered(Answer),
     Stands {
         server: ServerId,
-        launch: LaunchNo,
+        launch: LaunchNumber,
     },
     /// It stood, and is over.
     Concluded,
@@ -157,7 +157,9 @@
         sure(&mut self.group.candidates(print).into_iter()) >= self.of_candidates()
             || ask.found.last_writer().is_some_and(|writer| {
                 // Whoever claimed it after that may have written where its own copies lie, which none of the others know.
-                let mine = |owner: Owner| (owner.member, owner.life) == (ask.owner.member, ask.owner.life);
+                let mine = |owner: Owner| {
+                    (owner.member, owner.incarnation) == (ask.owner.member, ask.owner.incarnation)
+                };
                 let later =
                     ask.found.owner_states().iter().map(|part| part.owner).filter(|owner| *owner > writer);
                 later
@@ -354,7 +356,7 @@
 
     /// A core server has answered whether a dialogue stands there: the launch that does, or whose it is now.
     pub fn adopted(
-        &mut self, id: &DialogueId, server: &ServerId, owner: Owner, launch: Option<LaunchNo>, by: Owner,
+        &mut self, id: &DialogueId, server: &ServerId, owner: Owner, launch: Option<LaunchNumber>, by: Owner,
     ) -> Vec<RedialAction> {
         let adopting = |ask: &&Ask| matches!(ask.phase, Phase::Adopting) && ask.owner == owner;
         if self.asks.get(id).filter(adopting).is_none() {
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -6,8 +6,8 @@
 
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
-use lotussaddle_trunk::{Answer, CopySent, Given, Owner, Part, Reached};
+use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
+use lotussaddle_trunk::{Answer, Owner, OwnerRecord, Progress, RecordedAnswer, ReplicaUpdate};
 
 /// The maximum number of owners in a replica: beyond it owners that have only claimed the dialogue are dropped first, then the lowest.
 pub const MAX_OWNERS: usize = 16;
@@ -28,7 +28,7 @@
     /// Counts this owner's writes from 1; 0 is a claim without a write.
     pub version: u32,
     /// How far the dialogue has come.
-    pub progress: Reached,
+    pub progress: Progress,
     /// Until then a launch of that owner may be out, or its lines may be taken.
     pub blocked_until: Duration,
     /// When the record may be removed.
@@ -41,7 +41,7 @@
     /// By owner, lowest first; one of each.
     owner_states: Vec<OwnerState>,
     /// By owner; usually none or one.
-    answers: Vec<Given>,
+    answers: Vec<RecordedAnswer>,
 }
 
 /// The interpretation of a replica.
@@ -56,7 +56,7 @@
         /// The core server that holds it.
         server: &'a ServerId,
         /// The launch that succeeded.
-        launch: LaunchNo,
+        launch: LaunchNumber,
         /// The owner that wrote it.
         owner: Owner,
     },
@@ -76,7 +76,7 @@
             owner_states: vec![OwnerState {
                 owner,
                 version: 0,
-                progress: Reached::Taken,
+                progress: Progress::Accepted,
                 blocked_until: Duration::ZERO,
                 expires_at,
             }],
@@ -90,7 +90,7 @@
     }
 
     /// All final answers, lowest owner first.
-    pub fn answers(&self) -> &[Given] {
+    pub fn answers(&self) -> &[RecordedAnswer] {
         &self.answers
     }
 
@@ -152,7 +152,7 @@
                 }
             }
             Err(index) => {
-                self.answers.insert(index, Given { owner, answer: answer.clone() });
+                self.answers.insert(index, RecordedAnswer { owner, answer: answer.clone() });
                 if self.answers.len() > MAX_ANSWERS {
                     self.answers.remove(0);
                 }
@@ -161,7 +161,7 @@
     }
 
     /// Writes the next version of an owner's state; an unknown owner begins at version 1.
-    pub fn write(&mut self, owner: Owner, progress: Reached, blocked_until: Duration, expires_at: Duration) {
+    pub fn write(&mut self, owner: Owner, progress: Progress, blocked_until: Duration, expires_at: Duration) {
         let version = self.state_of(owner).map_or(0, |state| state.version) + 1;
         self.merge_state(&OwnerState { owner, version, progress, blocked_until, expires_at });
     }
@@ -185,22 +185,22 @@
     pub fn reading(&self) -> ReplicaReading<'_> {
         for state in self.owner_states.iter().rev() {
             match &state.progress {
-                Reached::Over => {
+                Progress::Ended => {
                     return match self.answers.last().map(|given| &given.answer) {
                         None | Some(Answer::Stands { .. }) => ReplicaReading::Ended,
                         Some(answer) => ReplicaReading::Answered(answer),
                     };
                 }
-                Reached::Stands { server, launch } => {
+                Progress::Stands { server, launch } => {
                     return ReplicaReading::Stands { server, launch: *launch, owner: state.owner };
                 }
-                Reached::Taken | Reached::Out { .. } => {}
+                Progress::Accepted | Progress::Launched { .. } => {}
             }
         }
         let blocked_until =
             self.owner_states.iter().map(|state| state.blocked_until).max().unwrap_or_default();
         let launch_outstanding =
-            self.owner_states.last().is_some_and(|state| matches!(state.progress, Reached::Out { .. }));
+            self.owner_states.last().is_some_and(|state| matches!(state.progress, Progress::Launched { .. }));
         ReplicaReading::Open { blocked_until, launch_outstanding }
     }
 
@@ -208,10 +208,10 @@
     /// state below it, so that state was never sent to a caller and may be only a line that no caller uses.
     pub fn newer_launch_until(&self) -> Option<Duration> {
         let is_definite =
-            |state: &OwnerState| matches!(state.progress, Reached::Over | Reached::Stands { .. });
+            |state: &OwnerState| matches!(state.progress, Progress::Ended | Progress::Stands { .. });
         let above = self.owner_states.iter().rev().take_while(|state| !is_definite(state));
         self.owner_states.iter().any(is_definite).then(|| {
-            let launches = above.filter(|state| matches!(state.progress, Reached::Out { .. }));
+            let launches = above.filter(|state| matches!(state.progress, Progress::Launched { .. }));
             launches.map(|state| state.blocked_until).max()
         })?
     }
@@ -222,7 +222,7 @@
         let ended = self
             .owner_states
             .iter()
-            .filter(|state| state.progress == Reached::Over)
+            .filter(|state| state.progress == Progress::Ended)
             .map(|state| state.expires_at)
             .max();
         ended.or_else(|| self.owner_states.iter().map(|state| state.expires_at).max()).unwrap_or_default()
@@ -246,30 +246,34 @@
     }
 
     /// Converts the replica for sending: times become spans from `now`.
-    pub fn to_update(&self, now: Duration, dialogue: &DialogueId) -> CopySent {
+    pub fn to_update(&self, now: Duration, dialogue: &DialogueId) -> ReplicaUpdate {
         let span = |at: Duration| at.saturating_sub(now).min(MAX_SENT_SPAN);
-        let parts = self.owner_states.iter().map(|state| Part {
+        let parts = self.owner_states.iter().map(|state| OwnerRecord {
             owner: state.owner,
             version: state.version,
-            reached: state.progress.clone(),
-            bar: span(state.blocked_until),
-            lasts: span(state.expires_at),
+            progress: state.progress.clone(),
+            blocked_for: span(state.blocked_until),
+            expires_in: span(state.expires_at),
         });
-        CopySent { dialogue: dialogue.clone(), parts: parts.collect(), answers: self.answers.clone() }
+        ReplicaUpdate {
+            dialogue: dialogue.clone(),
+            owner_records: parts.collect(),
+            answers: self.answers.clone(),
+        }
     }
 
     /// Converts a received replica to the local clock. Its times become later by the time of transmission, and blocking times are
     /// lengthened so that a fast local clock does not shorten them.
-    pub fn from_update(now: Duration, update: &CopySent) -> Self {
+    pub fn from_update(now: Duration, update: &ReplicaUpdate) -> Self {
         let mut replica = Self::default();
-        for part in &update.parts {
-            let blocked_until = if part.bar.is_zero() {
+        for part in &update.owner_records {
+            let blocked_until = if part.blocked_for.is_zero() {
                 Duration::ZERO
             } else {
-                now + part.bar + part.bar / CLOCK_DRIFT_DIVISOR
+                now + part.blocked_for + part.blocked_for / CLOCK_DRIFT_DIVISOR
             };
-            let expires_at = if part.lasts >= MAX_SENT_SPAN { NO_EXPIRY } else { now + part.lasts };
-            let (owner, version, progress) = (part.owner, part.version, part.reached.clone());
+            let expires_at = if part.expires_in >= MAX_SENT_SPAN { NO_EXPIRY } else { now + part.expires_in };
+            let (owner, version, progress) = (part.owner, part.version, part.progress.clone());
             replica.merge_state(&OwnerState { owner, version, progress, blocked_until, expires_at });
         }
         update.answers.iter().for_each(|given| replica.record_answer(given.owner, &given.answer));
--- a/crates/replica/src/table.rs
+++ b/crates/replica/src/table.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::DialogueId;
-use lotussaddle_trunk::{Answer, CopySent, Cursor, Owner, Reached, Replaced};
+use lotussaddle_trunk::{Answer, Cursor, Owner, Progress, Replaced, ReplicaUpdate};
 
 use crate::digest_tree::{DigestTree, FAN_OUT};
 use crate::placement::{ReplicaGroup, digest, fingerprint};
@@ -156,7 +156,7 @@
     }
 
     fn is_self(&self, owner: Owner) -> bool {
-        owner.member == self.self_member && owner.life == self.incarnation
+        owner.member == self.self_member && owner.incarnation == self.incarnation
     }
 
     /// Whether this member owns the dialogue in its current incarnation and has written it; a claim without a write does not count.
@@ -175,7 +175,7 @@
         let ids: Vec<DialogueId> = if previous == 0 {
             std::mem::take(&mut self.written_without_incarnation)
         } else {
-            let is_own = |owner: Owner| owner.member == self.self_member && owner.life == previous;
+            let is_own = |owner: Owner| owner.member == self.self_member && owner.incarnation == previous;
             let own = self.entries.iter().filter(|(_, entry)| entry.replica.owner().is_some_and(is_own));
             own.map(|((_, id), _)| id.clone()).collect()
         };
@@ -183,12 +183,12 @@
             let key = (fingerprint(&id), id.clone());
             let Some(entry) = self.entries.get(&key) else { continue };
             let Some(owner) =
-                entry.replica.owner().filter(|o| o.member == self.self_member && o.life == previous)
+                entry.replica.owner().filter(|o| o.member == self.self_member && o.incarnation == previous)
             else {
                 continue;
             };
             let mut replica = entry.replica.clone();
-            replica.change_owner(owner, Owner { life: incarnation, ..owner });
+            replica.change_owner(owner, Owner { incarnation: life: incarnation, ..owner });
             self.store(now, key, replica);
             self.queue_for_holders(&id, None);
         }
@@ -198,7 +198,7 @@
     /// after `retained_from`. `wait`: a ticket, and the number of acknowledgements to await.
     #[expect(clippy::too_many_arguments)]
     pub fn write(
-        &mut self, now: Duration, id: &DialogueId, progress: Reached, blocked_until: Duration,
+        &mut self, now: Duration, id: &DialogueId, progress: Progress, blocked_until: Duration,
         answer: Option<&Answer>, retained_from: Duration, wait: Option<(u64, usize)>,
     ) -> WriteResult {
         let key = (fingerprint(id), id.clone());
@@ -206,14 +206,14 @@
         let owner = match replica.owner() {
             Some(owner) if self.is_self(owner) => owner,
             // Owned by a previous incarnation, or by nobody: other members that could know the dialogue were asked before.
-            Some(owner) if owner.member == self.self_member && owner.life < self.incarnation => {
-                Owner { life: self.incarnation, ..owner }
+            Some(owner) if owner.member == self.self_member && owner.incarnation < self.incarnation => {
+                Owner { incarnation: self.incarnation, ..owner }
             }
             Some(owner) => return WriteResult::Replaced(owner),
-            None => Owner { round: 0, member: self.self_member, life: self.incarnation },
+            None => Owner { round: 0, member: self.self_member, incarnation: self.incarnation },
         };
         let expires_at = match &progress {
-            Reached::Stands { .. } => crate::replica::no_expiry(),
+            Progress::Stands { .. } => crate::replica::no_expiry(),
             _ => retained_from.max(now) + self.limits.retention,
         };
         replica.write(owner, progress, blocked_until, expires_at);
@@ -306,12 +306,12 @@
     /// Takes at most `max_count` updates that are to be sent next to a member: the first one's number, and the updates.
     pub fn next_updates(
         &mut self, now: Duration, member: u16, max_count: usize,
-    ) -> Option<(u64, Vec<CopySent>)> {
+    ) -> Option<(u64, Vec<ReplicaUpdate>)> {
         let (first, ids) = self.streams[usize::from(member)].take_unsent(max_count)?;
         // A dialogue that was removed meanwhile is sent without states, which receivers ignore.
         let updates = ids.iter().map(|id| match self.get(id) {
             Some(replica) => replica.to_update(now, id),
-            None => CopySent { dialogue: id.clone(), parts: Vec::new(), answers: Vec::new() },
+            None => ReplicaUpdate { dialogue: id.clone(), owner_records: Vec::new(), answers: Vec::new() },
         });
         Some((first, updates.collect()))
     }
@@ -324,7 +324,7 @@
     // Replicas of other members
 
     /// Merges replicas received from another member.
-    pub fn merge_received(&mut self, now: Duration, updates: &[CopySent]) -> MergeResult {
+    pub fn merge_received(&mut self, now: Duration, updates: &[ReplicaUpdate]) -> MergeResult {
         let mut result = MergeResult::default();
         for update in updates {
             self.merge_update(now, update, &mut result);
@@ -332,7 +332,7 @@
         result
     }
 
-    fn merge_update(&mut self, now: Duration, update: &CopySent, result: &mut MergeResult) {
+    fn merge_update(&mut self, now: Duration, update: &ReplicaUpdate, result: &mut MergeResult) {
         let id = &update.dialogue;
         let incoming = Replica::from_update(now, update);
         let Some(incoming_owner) = incoming.owner() else { return };
@@ -383,7 +383,7 @@
     /// known of the dialogue before.
     pub fn claim_requested(
         &mut self, now: Duration, id: &DialogueId, owner: Owner,
-    ) -> (Option<Owner>, Option<CopySent>) {
+    ) -> (Option<Owner>, Option<ReplicaUpdate>) {
         let key = (fingerprint(id), id.clone());
         let known = self.entries.get(&key).map(|entry| &entry.replica);
         let before = known.map(|replica| replica.to_update(now, id));
@@ -409,7 +409,7 @@
 
     /// Adds a replica read from disk at the start. Its spans were stored by a previous incarnation; blocking times apply in full from
     /// `now`.
-    pub fn restore(&mut self, now: Duration, update: &CopySent) {
+    pub fn restore(&mut self, now: Duration, update: &ReplicaUpdate) {
         let replica = Replica::from_update(now, update);
         if replica.owner().is_some() {
             self.store(now, (fingerprint(&update.dialogue), update.dialogue.clone()), replica);
@@ -421,7 +421,7 @@
         let self_member = self.self_member;
         let is_restored = |entry: &Entry| {
             entry.replica.expires()
-                && !entry.replica.owner().is_some_and(|o| o.member == self_member && o.life == 0)
+                && !entry.replica.owner().is_some_and(|o| o.member == self_member && o.incarnation == 0)
         };
         let restored: Vec<Key> =
             self.entries.iter().filter(|(_, entry)| is_restored(entry)).map(|(key, _)| key.clone()).collect();
@@ -447,7 +447,7 @@
     // Snapshots
 
     /// A chunk of all that a member is to hold: replicas from this fingerprint on, and the fingerprint where the next chunk begins.
-    pub fn snapshot_chunk(&self, now: Duration, to: u16, from: u64) -> (Vec<CopySent>, Option<u64>) {
+    pub fn snapshot_chunk(&self, now: Duration, to: u16, from: u64) -> (Vec<ReplicaUpdate>, Option<u64>) {
         let mut updates = Vec::new();
         let start = (from, DialogueId("".into()));
         let mut last = None;
@@ -542,7 +542,7 @@
             }
             // A claim without a write does not make the member the owner of the record.
             let is_owned_by_member = entry.replica.owner_states().last().is_some_and(|state| {
-                (state.owner.member, state.owner.life) == (member, incarnation) && state.version > 0
+                (state.owner.member, state.owner.incarnation) == (member, incarnation) && state.version > 0
             });
             if is_owned_by_member && !remote.contains_key(&key.0) {
                 removed.push(key.clone());
@@ -563,7 +563,7 @@
     }
 
     /// The replicas with these fingerprints that a member is to hold.
-    pub fn requested_replicas(&self, now: Duration, member: u16, fingerprints: &[u64]) -> Vec<CopySent> {
+    pub fn requested_replicas(&self, now: Duration, member: u16, fingerprints: &[u64]) -> Vec<ReplicaUpdate> {
         let mut updates = Vec::new();
         for fingerprint in fingerprints {
             let matching = self
@@ -686,7 +686,7 @@
 #[derive(Debug, Default, PartialEq)]
 pub struct Repair {
     /// Replicas to send to the other member.
-    pub to_send: Vec<CopySent>,
+    pub to_send: Vec<ReplicaUpdate>,
     /// Fingerprints to request from the other member.
     pub to_request: Vec<u64>,
     /// The number of replicas removed here.
@@ -699,22 +699,22 @@
     for state in replica.owner_states() {
         raw.extend(state.owner.round.to_le_bytes());
         raw.extend(state.owner.member.to_le_bytes());
-        raw.extend(state.owner.life.to_le_bytes());
+        raw.extend(state.owner.incarnation.to_le_bytes());
         raw.extend(state.version.to_le_bytes());
         match &state.progress {
-            Reached::Taken => raw.push(0),
-            Reached::Out { server, launch } | Reached::Stands { server, launch } => {
-                raw.push(if matches!(state.progress, Reached::Out { .. }) { 1 } else { 2 });
+            Progress::Accepted => raw.push(0),
+            Progress::Launched { server, launch } | Progress::Stands { server, launch } => {
+                raw.push(if matches!(state.progress, Progress::Launched { .. }) { 1 } else { 2 });
                 raw.extend(launch.0.to_le_bytes());
                 raw.extend(server.0.as_bytes());
             }
-            Reached::Over => raw.push(3),
+            Progress::Ended => raw.push(3),
         }
     }
     for given in replica.answers() {
         raw.extend(given.owner.round.to_le_bytes());
         raw.extend(given.owner.member.to_le_bytes());
-        raw.extend(given.owner.life.to_le_bytes());
+        raw.extend(given.owner.incarnation.to_le_bytes());
         match &given.answer {
             Answer::Stands { server } => {
                 raw.push(4);
--- a/crates/replica/tests/copies.rs
+++ b/crates/replica/tests/copies.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
+use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
 use lotussaddle_replica::*;
-use lotussaddle_trunk::{Answer, CopySent, Given, Owner, Part, Reached};
+use lotussaddle_trunk::{Answer, Owner, OwnerRecord, Progress, RecordedAnswer, ReplicaUpdate};
 use proptest::prelude::*;
 
 fn ms(time: u64) -> Duration {
@@ -22,16 +22,16 @@
 }
 
 fn owner(round: u32, member: u16, life: u64) -> Owner {
-    Owner { round, member, life }
+    Owner { round, member, incarnation: life }
 }
 
-fn any_progress() -> impl Strategy<Value = Reached> {
-    let place = || ("[ab]", 0u32..3).prop_map(|(s, launch)| (server(&s), LaunchNo(launch)));
+fn any_progress() -> impl Strategy<Value = Progress> {
+    let place = || ("[ab]", 0u32..3).prop_map(|(s, launch)| (server(&s), LaunchNumber(launch)));
     prop_oneof![
-        Just(Reached::Taken),
-        place().prop_map(|(server, launch)| Reached::Out { server, launch }),
-        place().prop_map(|(server, launch)| Reached::Stands { server, launch }),
-        Just(Reached::Over),
+        Just(Progress::Accepted),
+        place().prop_map(|(server, launch)| Progress::Launched { server, launch }),
+        place().prop_map(|(server, launch)| Progress::Stands { server, launch }),
+        Just(Progress::Ended),
     ]
 }
 
@@ -46,18 +46,25 @@
 /// Few owners and versions, so that two replicas often contain the same ones.
 fn any_replica() -> impl Strategy<Value = Replica> {
     let part = (0u32..4, 0u16..4, 1u64..3, 0u32..4, any_progress(), 0u64..500, 1u64..900);
-    let part = part.prop_map(|(round, member, life, version, reached, bar, lasts)| Part {
+    let part = part.prop_map(|(round, member, life, version, reached, bar, lasts)| OwnerRecord {
         owner: owner(round, member, life),
         version,
-        reached,
-        bar: ms(bar),
-        lasts: ms(lasts),
+        progress: reached,
+        blocked_for: ms(bar),
+        expires_in: ms(lasts),
     });
     let given = (0u32..3, 0u16..4, 1u64..3, any_answer());
-    let given =
-        given.prop_map(|(round, member, life, answer)| Given { owner: owner(round, member, life), answer });
+    let given = given.prop_map(|(round, member, life, answer)| RecordedAnswer {
+        owner: owner(round, member, life),
+        answer,
+    });
     (proptest::collection::vec(part, 0..24), proptest::collection::vec(given, 0..6)).prop_map(
-        |(parts, answers)| Replica::from_update(ms(1000), &CopySent { dialogue: id("d"), parts, answers }),
+        |(parts, answers)| {
+            Replica::from_update(
+                ms(1000),
+                &ReplicaUpdate { dialogue: id("d"), owner_records: parts, answers },
+            )
+        },
     )
 }
 
@@ -112,22 +119,22 @@
 #[test]
 fn reading_of_each_pair_of_states() {
     let (a, b) = (owner(0, 0, 1), owner(1, 1, 1));
-    let states: [(&str, Reached, u64, Option<Answer>); 7] = [
-        ("taken", Reached::Taken, 0, None),
-        ("out", Reached::Out { server: server("s"), launch: LaunchNo(0) }, 900, None),
-        ("outcome unknown", Reached::Taken, 300, None),
+    let states: [(&str, Progress, u64, Option<Answer>); 7] = [
+        ("taken", Progress::Accepted, 0, None),
+        ("out", Progress::Launched { server: server("s"), launch: LaunchNumber(0) }, 900, None),
+        ("outcome unknown", Progress::Accepted, 300, None),
         (
             "stands",
-            Reached::Stands { server: server("s"), launch: LaunchNo(0) },
+            Progress::Stands { server: server("s"), launch: LaunchNumber(0) },
             0,
             Some(Answer::Stands { server: server("s") }),
         ),
-        ("refused", Reached::Over, 0, Some(Answer::Refused { come_back: None })),
-        ("failed", Reached::Over, 0, Some(Answer::Failed)),
-        ("over", Reached::Over, 0, Some(Answer::Stands { server: server("s") })),
+        ("refused", Progress::Ended, 0, Some(Answer::Refused { come_back: None })),
+        ("failed", Progress::Ended, 0, Some(Answer::Failed)),
+        ("over", Progress::Ended, 0, Some(Answer::Stands { server: server("s") })),
     ];
     let written_by =
-        |owner: Owner, (_, progress, blocked_ms, answer): &(&str, Reached, u64, Option<Answer>)| {
+        |owner: Owner, (_, progress, blocked_ms, answer): &(&str, Progress, u64, Option<Answer>)| {
             let mut replica = Replica::default();
             replica.write(owner, progress.clone(), ms(*blocked_ms), ms(60_000));
             answer.iter().for_each(|answer| replica.record_answer(owner, answer));
@@ -255,8 +262,8 @@
     }
 }
 
-fn launched(n: u32) -> Reached {
-    Reached::Out { server: server("s"), launch: LaunchNo(n) }
+fn launched(n: u32) -> Progress {
+    Progress::Launched { server: server("s"), launch: LaunchNumber(n) }
 }
 
 #[test]
@@ -266,14 +273,14 @@
     let holders: Vec<u16> = tables[0].group().holders(fingerprint(&d), 0).collect();
     let write =
         |table: &mut ReplicaTable, reached, wait| table.write(ms(0), &d, reached, ms(0), None, ms(0), wait);
-    assert_eq!(write(&mut tables[0], Reached::Taken, None), WriteResult::Immediate);
+    assert_eq!(write(&mut tables[0], Progress::Accepted, None), WriteResult::Immediate);
     assert_eq!(write(&mut tables[0], launched(0), Some((7, 2))), WriteResult::Pending);
     deliver(&mut tables, ms(1), 0, holders[0]);
     assert_eq!(tables[0].take_completed_writes(), [0; 0]);
     deliver(&mut tables, ms(1), 0, holders[1]);
     assert_eq!(tables[0].take_completed_writes(), [7]);
     // A later step awaits acknowledgements of its own; those of an earlier step do not count.
-    write(&mut tables[0], Reached::Taken, Some((8, 1)));
+    write(&mut tables[0], Progress::Accepted, Some((8, 1)));
     tables[0].replica_acknowledged(holders[0], 1);
     assert_eq!(tables[0].take_completed_writes(), [0; 0]);
     deliver(&mut tables, ms(2), 0, holders[0]);
@@ -289,7 +296,7 @@
 fn writes_of_the_previous_owner_are_refused_after_a_claim() {
     let mut tables = new_tables(5, 2);
     let d = id("d");
-    tables[0].write(ms(0), &d, Reached::Taken, ms(0), None, ms(0), None);
+    tables[0].write(ms(0), &d, Progress::Accepted, ms(0), None, ms(0), None);
     deliver_all(&mut tables, ms(1));
     let holders: Vec<u16> = tables[0].group().holders(fingerprint(&d), 0).collect();
     let claimant = (1..5).find(|m| !holders.contains(m)).unwrap();
@@ -347,11 +354,11 @@
 fn ended_dialogue_expires_at_all_members_and_is_not_added_again() {
     let mut tables = new_tables(3, 2);
     let d = id("d");
-    tables[0].write(ms(0), &d, Reached::Taken, ms(0), None, ms(0), None);
+    tables[0].write(ms(0), &d, Progress::Accepted, ms(0), None, ms(0), None);
     deliver_all(&mut tables, ms(0));
     let stale = tables[1].get(&d).unwrap().to_update(ms(0), &d);
     let answer = Answer::Failed;
-    tables[0].write(ms(100), &d, Reached::Over, ms(0), Some(&answer), ms(0), None);
+    tables[0].write(ms(100), &d, Progress::Ended, ms(0), Some(&answer), ms(0), None);
     deliver_all(&mut tables, ms(100));
     for table in &mut tables {
         assert!(table.expire(ms(50_000), 100).is_empty());
@@ -453,7 +460,7 @@
         tables[0].write(
             ms(2),
             &id(&format!("d{}", n * 3)),
-            Reached::Over,
+            Progress::Ended,
             ms(0),
             Some(&Answer::Failed),
             ms(0),
@@ -488,7 +495,7 @@
     assert!(!table.has_claim(&id("w"), owner(1, 2, 1)), "a rejected claim is not enforced");
     // The member's own dialogues are never rejected.
     assert_eq!(
-        table.write(ms(0), &id("own"), Reached::Taken, ms(0), None, ms(0), None),
+        table.write(ms(0), &id("own"), Progress::Accepted, ms(0), None, ms(0), None),
         WriteResult::Immediate
     );
 }
@@ -497,10 +504,18 @@
 fn conflicting_final_answers_are_both_retained_and_read_alike() {
     let mut tables = new_tables(3, 2);
     let d = id("d");
-    tables[0].write(ms(0), &d, Reached::Over, ms(0), Some(&Answer::Failed), ms(0), None);
+    tables[0].write(ms(0), &d, Progress::Ended, ms(0), Some(&Answer::Failed), ms(0), None);
     let claim = owner(1, 1, 1);
     tables[1].claim(ms(0), &d, claim, &Replica::default());
-    tables[1].write(ms(0), &d, Reached::Over, ms(0), Some(&Answer::Refused { come_back: None }), ms(0), None);
+    tables[1].write(
+        ms(0),
+        &d,
+        Progress::Ended,
+        ms(0),
+        Some(&Answer::Refused { come_back: None }),
+        ms(0),
+        None,
+    );
     let remote = tables[1].get(&d).unwrap().to_update(ms(0), &d);
     let result = tables[0].merge_received(ms(1), &[remote]);
     assert_eq!((result.answer_conflicts, result.ownership_lost.len()), (vec![d.clone()], 1));
--- a/crates/serve/src/run.rs
+++ b/crates/serve/src/run.rs
@@ -11,9 +11,9 @@
 use crossbeam_channel::{Receiver, bounded, never, select};
 use lotussaddle::brain::Brain;
 use lotussaddle::interface::{DialogueId, RoutePlan};
-use lotussaddle_edge::{Decisions, Edge, LinkId, Note, Step, Wires};
+use lotussaddle_edge::{Decisions, DialogueStep, Edge, EdgeEffects, LinkId, LogTopic};
 use lotussaddle_fleet::{Effects, Member, PeerLink, Save, Stored};
-use lotussaddle_links::{Bounds, Gate, Happening, Hub, Token};
+use lotussaddle_links::{Hub, HubLimits, LinkEvent, LinkToken, Listener};
 use lotussaddle_numbers::{Tables, Timestamp};
 use lotussaddle_trunk::{Frame, Message};
 use signal_hook::consts::{SIGINT, SIGTERM};
@@ -59,15 +59,15 @@
 }
 
 impl Shared {
-    fn log(&self, note: Note, line: &str) {
+    fn log(&self, note: LogTopic, line: &str) {
         self.log.borrow_mut().put(LogLine::Said(note, line.into()));
     }
 }
 
-fn bye(hub: &mut Hub, token: Token, why: &str) {
+fn bye(hub: &mut Hub, token: LinkToken, why: &str) {
     // The peer is told why, where it still takes anything.
     let why: String = why.chars().filter(|c| !c.is_control()).take(100).collect();
-    let _ = hub.say(token, Frame::Bye { why: why.into() }.into());
+    let _ = hub.send(token, Frame::Bye { why: why.into() }.into());
     hub.close(token);
 }
 
@@ -78,9 +78,9 @@
     look_ups: Option<LookUps>,
 }
 
-impl Wires for Sockets {
-    fn say(&mut self, link: LinkId, message: Message) -> bool {
-        self.hub.say(Token(link.0), message)
+impl EdgeEffects for Sockets {
+    fn send(&mut self, link: LinkId, message: Message) -> bool {
+        self.hub.send(LinkToken(link.0), message)
     }
 
     fn connect(&mut self, address: &str) -> LinkId {
@@ -88,35 +88,35 @@
     }
 
     fn close(&mut self, link: LinkId, why: &str) {
-        bye(&mut self.hub, Token(link.0), why);
+        bye(&mut self.hub, LinkToken(link.0), why);
     }
 
-    fn record(&mut self, dialogue: &DialogueId, step: Step) -> Option<u64> {
+    fn record(&mut self, dialogue: &DialogueId, step: DialogueStep) -> Option<u64> {
         match step {
-            Step::Answer { answer, .. } => {
+            DialogueStep::Answer { answer, .. } => {
                 self.shared.records.borrow_mut().as_mut()?.record(dialogue, answer)
             }
             _ => None,
         }
     }
 
-    fn load(&mut self, name: &str, bases: Vec<Arc<Tables>>) -> bool {
+    fn load_tables(&mut self, name: &str, bases: Vec<Arc<Tables>>) -> bool {
         self.loader.as_ref().is_some_and(|loader| loader.load(name, bases))
     }
 
-    fn ask(&mut self, server: usize, datagram: &[u8]) {
+    fn send_look_up(&mut self, server: usize, datagram: &[u8]) {
         if let Some(look_ups) = &self.look_ups {
             look_ups.ask(server, datagram);
         }
     }
 
-    fn let_go(&mut self, tables: Vec<Arc<Tables>>) {
+    fn drop_tables(&mut self, tables: Vec<Arc<Tables>>) {
         if let Some(loader) = &mut self.loader {
             loader.let_go(tables);
         }
     }
 
-    fn log(&mut self, note: Note, line: &str) {
+    fn log(&mut self, note: LogTopic, line: &str) {
         self.shared.log(note, line);
     }
 }
@@ -131,7 +131,7 @@
 
 impl Effects for PeerSockets {
     fn send(&mut self, link: PeerLink, frame: Frame) -> bool {
-        self.hub.as_mut().is_some_and(|hub| hub.say(Token(link.0), frame.into()))
+        self.hub.as_mut().is_some_and(|hub| hub.send(LinkToken(link.0), frame.into()))
     }
 
     fn connect(&mut self, member: u16) -> PeerLink {
@@ -141,12 +141,12 @@
 
     fn close(&mut self, link: PeerLink, why: &str) {
         if let Some(hub) = &mut self.hub {
-            bye(hub, Token(link.0), why);
+            bye(hub, LinkToken(link.0), why);
         }
     }
 
     fn log(&mut self, line: &str) {
-        self.shared.log(Note::Link, &format!("fleet: {line}"));
+        self.shared.log(LogTopic::Link, &format!("fleet: {line}"));
     }
 
     fn has_disk(&self) -> bool {
@@ -170,16 +170,16 @@
 ) -> Result<()> {
     // A write beyond the largest file that is allowed is to fail like any other, not to end the process.
     let _ = signal_hook::flag::register(SIGXFSZ, Arc::default());
-    let bounds = Bounds { connect_within: sheet.limits.connect_within, ..Bounds::default() };
+    let bounds = HubLimits { connect_timeout: sheet.limits.connect_timeout, ..HubLimits::default() };
     let (hub, happenings) = Hub::new(bounds.clone()).context("no thread to begin links")?;
-    let gate =
-        Gate::open(&hub, 0, sheet.listen).with_context(|| format!("cannot listen at {}", sheet.listen))?;
+    let gate = Listener::open(&hub, 0, sheet.listen)
+        .with_context(|| format!("cannot listen at {}", sheet.listen))?;
     let chance = |n: u64| std::hash::BuildHasher::hash_one(&std::hash::RandomState::new(), n);
     let seed = sheet.seed.unwrap_or_else(|| chance(0));
     let decisions = |plan| decisions(plan, seed);
     let mut edge = Edge::with(&sheet.name, &sheet.list, sheet.plan.plan(), sheet.limits.clone(), decisions);
     // Whether there was a former life is not known; that a launch of it may be out yet, is.
-    edge.rest_until(sheet.plan.release);
+    edge.hold_launches_until(sheet.plan.release);
     let log = Log::begin(sheet.name.clone()).context("no thread for the log")?;
     let shared = Shared { log: Rc::new(RefCell::new(log)), records: Rc::default() };
     let mut wires = Sockets { hub, shared: shared.clone(), loader: None, look_ups: None };
@@ -189,9 +189,9 @@
         let mut analysis = sheet.plan.numbers(Timestamp::now(), look_ups);
         if let Some(start) = &numbers.start {
             let tables = read_generation(&numbers.folder, start, &sheet.plan.known(), &[]);
-            analysis.begin_with(tables.map_err(|mistakes| anyhow::anyhow!("{mistakes}"))?);
+            analysis.set_initial_tables(tables.map_err(|mistakes| anyhow::anyhow!("{mistakes}"))?);
         }
-        edge.analyse_by(analysis);
+        edge.use_number_analysis(analysis);
         let (loader, done) =
             Loader::begin(numbers.folder.clone(), sheet.plan.known()).context("no thread for tables")?;
         (wires.loader, read) = (Some(loader), done);
@@ -204,13 +204,16 @@
     let (mut made, mut stored) = (never(), Stored::default());
     if let Some(store) = &sheet.store {
         let wall = Wall { off: clocks.wall };
-        let (records, found, told) = Records::open(store, sheet.limits.remember_for, wall)?;
-        found.answered.iter().for_each(|id| edge.recall(id));
+        let (records, found, told) = Records::open(store, sheet.limits.concluded_retention, wall)?;
+        found.answered.iter().for_each(|id| edge.remember_concluded(id));
         let copies = found.member.copies.len();
         let line =
             format!("the store remembers {} answered dialogues, {copies} copies", found.answered.len());
-        shared.log(Note::Link, &line);
-        found.refused.iter().for_each(|why| shared.log(Note::Link, &format!("refused, not trusted: {why}")));
+        shared.log(LogTopic::Link, &line);
+        found
+            .refused
+            .iter()
+            .for_each(|why| shared.log(LogTopic::Link, &format!("refused, not trusted: {why}")));
         *shared.records.borrow_mut() = Some(records);
         (made, stored) = (told, found.member);
     }
@@ -220,7 +223,7 @@
         None => None,
         Some(fleet) => {
             let (hub, happenings) = Hub::new(bounds).context("no thread to begin links of peers")?;
-            let gate = Gate::open(&hub, 0, fleet.listen)
+            let gate = Listener::open(&hub, 0, fleet.listen)
                 .with_context(|| format!("cannot listen for peers at {}", fleet.listen))?;
             (effects.hub, peers) = (Some(hub), happenings);
             effects.members = fleet.members.iter().map(|(_, address)| *address).collect();
@@ -240,7 +243,7 @@
         println!("peers {}", gate.address);
     }
     let _ = std::io::stdout().flush();
-    shared.log(Note::Link, &format!("listening at {}", gate.address));
+    shared.log(LogTopic::Link, &format!("listening at {}", gate.address));
     let start = Instant::now();
     let mut shell = Shell { proxy, wires, effects, shared, start, rate: clocks.rate, ends_by: None };
     shell.run(&Inputs { happenings, peers, made, read, replies, ends });
@@ -267,8 +270,8 @@
 
 /// Where inputs come from.
 struct Inputs {
-    happenings: Receiver<Happening>,
-    peers: Receiver<Happening>,
+    happenings: Receiver<LinkEvent>,
+    peers: Receiver<LinkEvent>,
     made: Receiver<Made>,
     read: Receiver<(String, Result<Arc<Tables>, String>)>,
     replies: Receiver<(usize, Vec<u8>)>,
@@ -297,7 +300,7 @@
         let mut busy = false;
         loop {
             if self.ends_by.is_some_and(|by| self.proxy.is_done() || self.now() >= by) {
-                self.shared.log(Note::Link, "ends, as it was told");
+                self.shared.log(LogTopic::Link, "ends, as it was told");
                 return;
             }
             let wait = if busy { Duration::ZERO } else { self.proxy.next_due().saturating_sub(self.now()) };
@@ -374,8 +377,8 @@
 
     fn tell_counts(&mut self, now: Duration) {
         // The machine's clock may have been set.
-        if let Some(numbers) = self.proxy.edge_mut().numbers() {
-            numbers.set_wall(now, Timestamp::now());
+        if let Some(numbers) = self.proxy.edge_mut().number_analysis() {
+            numbers.set_wall_clock(now, Timestamp::now());
         }
         let edge = self.proxy.edge();
         let counts = LogLine::Counts(Box::new(edge.counts().clone()), edge.sizes());
@@ -403,7 +406,7 @@
             && self.shared.records.borrow_mut().take().is_some()
         {
             let line = format!("the store fails, answers are given without a record: {error}");
-            self.shared.log(Note::Link, &line);
+            self.shared.log(LogTopic::Link, &line);
         }
         let now = self.now();
         let (wires, effects) = (&mut self.wires, &mut self.effects);
@@ -413,38 +416,38 @@
         }
     }
 
-    fn take(&mut self, happening: Happening) {
+    fn take(&mut self, happening: LinkEvent) {
         let now = self.now();
         let (proxy, wires, effects) = (&mut self.proxy, &mut self.wires, &mut self.effects);
         match happening {
-            Happening::Came(token, _, opened) => {
+            LinkEvent::Accepted(token, _, opened) => {
                 wires.hub.admit(token, opened);
                 proxy.linked(now, LinkId(token.0), wires);
             }
-            Happening::Up(token) => proxy.connected(now, LinkId(token.0), wires),
-            Happening::Said(token, message) => proxy.heard(now, LinkId(token.0), message, wires, effects),
-            Happening::Lost(token, why) => {
+            LinkEvent::Connected(token) => proxy.connected(now, LinkId(token.0), wires),
+            LinkEvent::Received(token, message) => proxy.heard(now, LinkId(token.0), message, wires, effects),
+            LinkEvent::Closed(token, why) => {
                 wires.hub.close(token);
                 proxy.lost(now, LinkId(token.0), &why, wires);
             }
         }
     }
 
-    fn take_peer(&mut self, happening: Happening) {
+    fn take_peer(&mut self, happening: LinkEvent) {
         let now = self.now();
         let (proxy, wires, effects) = (&mut self.proxy, &mut self.wires, &mut self.effects);
         match happening {
-            Happening::Came(token, _, opened) => {
+            LinkEvent::Accepted(token, _, opened) => {
                 if let Some(hub) = &mut effects.hub {
                     hub.admit(token, opened);
                 }
                 proxy.peer_linked(now, PeerLink(token.0));
             }
-            Happening::Up(token) => proxy.peer_connected(now, PeerLink(token.0), wires, effects),
-            Happening::Said(token, message) => {
+            LinkEvent::Connected(token) => proxy.peer_connected(now, PeerLink(token.0), wires, effects),
+            LinkEvent::Received(token, message) => {
                 proxy.peer_heard(now, PeerLink(token.0), message.frame, wires, effects);
             }
-            Happening::Lost(token, why) => {
+            LinkEvent::Closed(token, why) => {
                 if let Some(hub) = &mut effects.hub {
                     hub.close(token);
                 }
