--- a/crates/cli/tests/ends.rs
+++ b/crates/cli/tests/ends.rs
@@ -328,7 +328,7 @@
         tags.iter().zip(&on).filter(|(_, on)| **on == spoilt).map(|(tag, _)| *tag).collect();
     assert!(there.len() > 1, "several are open on one connection: {on:?}");
     let mut bytes = Vec::new();
-    lotussaddle_platform::codec::binary(
+    lotussaddle_platform::codec::write_binary_message(
         kind::STARTED,
         lotussaddle_platform::codec::Tag(1),
         &[(code::DESCRIPTION, b"for call 1")],
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -10,7 +10,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use lotussaddle_platform::codec::{Binary, Cutter, Form, binary, code, kind};
+use lotussaddle_platform::codec::{
+    BinaryMessage, Framing, MessageSplitter, code, kind, write_binary_message,
+};
 use rig::{Caller, LONG, config, proxy};
 
 /// A core server that answers each set-up at once, unless it is silent.
@@ -23,19 +25,24 @@
         for stream in listener.incoming() {
             let (mut stream, count) = (stream.unwrap(), count.clone());
             thread::spawn(move || {
-                let mut cutter = Cutter::new(Form::Binary);
+                let mut splitter = MessageSplitter::new(Framing::Binary);
                 let mut buffer = [0; 4096];
                 while let Ok(read @ 1..) = stream.read(&mut buffer) {
-                    cutter.take(&buffer[..read]);
-                    while let Ok(Some(message)) = cutter.message() {
-                        let message = Binary::read(message).unwrap();
+                    splitter.push(&buffer[..read]);
+                    while let Ok(Some(message)) = splitter.next_message() {
+                        let message = BinaryMessage::parse(message).unwrap();
                         if message.kind != kind::START {
                             continue;
                         }
                         count.fetch_add(1, Ordering::Relaxed);
-                        let answer = [b"for ", message.get(code::DESCRIPTION).unwrap()].concat();
+                        let answer = [b"for ", message.parameter(code::DESCRIPTION).unwrap()].concat();
                         let mut out = Vec::new();
-                        binary(kind::STARTED, message.tag, &[(code::DESCRIPTION, &answer)], &mut out);
+                        write_binary_message(
+                            kind::STARTED,
+                            message.tag,
+                            &[(code::DESCRIPTION, &answer)],
+                            &mut out,
+                        );
                         if !silent && stream.write_all(&out).is_err() {
                             return;
                         }
@@ -168,7 +175,10 @@
         (None, "No such file"),
         (Some("{".to_owned()), "EOF"),
         (Some(good.replace("\"feed\"", "\"food\"")), "`feed`"),
-        (Some(good.replace("\"listen\":\"127.0.0.1:1\"", "\"listen\":\"x\"")), "listen: \"x\" is no address"),
+        (
+            Some(good.replace("\"listen\":\"127.0.0.1:1\"", "\"listen\":\"x\"")),
+            "listen: \"x\" is not an address",
+        ),
         (Some(good.replace("\"seed\":\"5\"", "\"seed\":\"-\"")), "seed"),
         (Some(good.replace("\"instances\":1,", "")), "settings"),
     ];
--- a/crates/cli/tests/rig/mod.rs
+++ b/crates/cli/tests/rig/mod.rs
@@ -12,7 +12,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use lotussaddle_platform::codec::{Binary, Cutter, Form, Tag, binary, cause, code, kind};
+use lotussaddle_platform::codec::{
+    BinaryMessage, Framing, MessageSplitter, Tag, cause, code, kind, write_binary_message,
+};
 use rustix::process::{Pid, Signal, kill_process};
 
 pub const LONG: Duration = Duration::from_secs(10);
@@ -257,7 +259,7 @@
 
     pub fn say(&self, on: usize, kind: u8, tag: u64, parameters: &[(u8, &[u8])]) {
         let mut out = Vec::new();
-        assert!(binary(kind, Tag(tag), parameters, &mut out));
+        assert!(write_binary_message(kind, Tag(tag), parameters, &mut out));
         self.write(on, &out);
     }
 
@@ -312,12 +314,12 @@
 }
 
 fn listen_to(mut stream: TcpStream, on: usize, say: &Sender<Said>) {
-    let mut cutter = Cutter::new(Form::Binary);
+    let mut splitter = MessageSplitter::new(Framing::Binary);
     let mut buffer = [0; 4096];
     while let Ok(read @ 1..) = stream.read(&mut buffer) {
-        cutter.take(&buffer[..read]);
-        while let Ok(Some(message)) = cutter.message() {
-            let message = Binary::read(message).expect("core servers are told what can be read");
+        splitter.push(&buffer[..read]);
+        while let Ok(Some(message)) = splitter.next_message() {
+            let message = BinaryMessage::parse(message).expect("core servers are told what can be read");
             let parameters = message.parameters.iter().map(|(code, value)| (*code, value.to_vec())).collect();
             let (kind, tag) = (message.kind, message.tag.0);
             if say.send(Said { at: Instant::now(), on, kind, tag, parameters }).is_err() {
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,7 +1,6 @@
-//! The platform's edge proxy on sockets: one thread and one readiness loop round `platform::Platform`.
-//!
-//! It decides nothing and knows nothing of what is said: it accepts, connects, reads, writes, and looks at the clock.
-//! Start reading at [`serve`].
+//! I/O driver of the platform's edge proxy: one thread and one readiness loop around `platform::Platform`.
+//! Takes no decisions and does not interpret messages: it accepts, connects, reads, writes and reads the
+//! clock. The entry point is [`serve`].
 
 mod run;
 mod sockets;
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -1,4 +1,4 @@
-//! The loop.
+//! The readiness loop and the process's start and end.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -6,71 +6,73 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use anyhow::{Context, Result};
-use lotussaddle_platform::{Config, EPOCH, Net, Platform, SocketId, feed_of};
+use lotussaddle_platform::{Config, EPOCH, Net, Platform, SocketId, feed_address};
 use mio::net::TcpListener;
 use mio::{Events, Interest, Poll, Token};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook_mio::v1_0::Signals;
 
-use crate::sockets::{CHUNK, Sockets};
+use crate::sockets::{READ_CHUNK_BYTES, Sockets};
 
-const GATE: Token = Token(0);
+const LISTENER: Token = Token(0);
 const SIGNALS: Token = Token(1);
-/// Descriptors that are no connections: standard streams, poll, listener, signals.
-const OTHERS: usize = 14;
-/// Connections accepted in one turn.
-const ACCEPTED: usize = 64;
-/// Connections that the machine lets in before they are accepted.
-const BACKLOG: usize = 1024;
-/// Out of descriptors, say: it may pass, and must not spin until then.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
-/// The address of a former life that is being ended is free within this.
-const FREED_WITHIN: Duration = Duration::from_secs(8);
-const LISTEN_AGAIN: Duration = Duration::from_millis(20);
-/// So long callers may take, at the end, to read what they were told last and to close.
-const LINGER: Duration = Duration::from_millis(100);
-const COUNTS_EVERY: Duration = Duration::from_secs(5);
+/// Descriptors that are not connections: standard streams, poll, listener, signals.
+const OTHER_DESCRIPTORS: usize = 14;
+/// Maximum number of connections accepted in one iteration.
+const MAX_ACCEPTS_PER_ITERATION: usize = 64;
+/// Connections that the kernel queues before they are accepted.
+const LISTEN_BACKLOG: usize = 1024;
+/// Pause after a failed accept, for example when descriptors run out: the condition may pass, and the loop
+/// must not spin until then.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// A previous process that is shutting down releases the address within this time.
+const ADDRESS_RELEASE_TIMEOUT: Duration = Duration::from_secs(8);
+const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Time that callers have at the end to read the last messages and to close.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
+const COUNTS_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Runs an edge proxy as the platform starts it, until it is told to end.
+/// Runs an edge proxy as the platform starts it, until a signal asks it to end.
 pub fn serve() -> Result<()> {
-    let mut signals = Signals::new([SIGHUP, SIGTERM, SIGINT]).context("signals cannot be taken")?;
-    let path = std::env::var_os("RELAY_CONFIG").context("RELAY_CONFIG names no file")?;
+    let mut signals = Signals::new([SIGHUP, SIGTERM, SIGINT]).context("cannot install signal handlers")?;
+    let path = std::env::var_os("RELAY_CONFIG").context("RELAY_CONFIG is not set")?;
     let path = PathBuf::from(path);
-    let named = || format!("configuration {}", path.display());
-    let text = std::fs::read_to_string(&path).with_context(named)?;
-    let config = Config::read(&text).with_context(named)?;
+    let config_name = || format!("configuration {}", path.display());
+    let text = std::fs::read_to_string(&path).with_context(config_name)?;
+    let config = Config::parse(&text).with_context(config_name)?;
     drop(text);
 
-    let mut poll = Poll::new().context("no poll")?;
+    let mut poll = Poll::new().context("cannot create the poll instance")?;
     poll.registry().register(&mut signals, SIGNALS, Interest::READABLE)?;
     let Some(mut listener) = listen(config.listen, &mut signals)? else { return Ok(()) };
-    poll.registry().register(&mut listener, GATE, Interest::READABLE)?;
-    let mut gate = Some(listener);
+    poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
+    let mut listener = Some(listener);
 
     let bounds = config.bounds.clone();
-    let most = bounds.callers * 2 - OTHERS;
-    let mut sockets = Sockets::new(poll.registry().try_clone()?, most, bounds.unwritten, 16);
+    let max_connections = bounds.caller_connections * 2 - OTHER_DESCRIPTORS;
+    let mut sockets = Sockets::new(poll.registry().try_clone()?, max_connections, bounds.unwritten_bytes, 16);
     let start = Instant::now();
     let clock = || EPOCH + start.elapsed();
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0;
     let name = config.name.clone();
     let mut platform = Platform::new(EPOCH, unix, config);
-    platform.begin(clock(), &mut sockets);
+    platform.start(clock(), &mut sockets);
     tracing::info!(edge = name, "listening, {bounds:?}");
 
-    // All that is ready is told of in one turn, so that nothing is sent before what is there already was read.
-    let mut events = Events::with_capacity(most + OTHERS);
-    let mut buffer = Box::new([0u8; CHUNK]);
+    // All ready connections are reported in one iteration, so that nothing is sent before the input already
+    // waiting has been read.
+    let mut events = Events::with_capacity(max_connections + OTHER_DESCRIPTORS);
+    let mut buffer = Box::new([0u8; READ_CHUNK_BYTES]);
     let mut accept_at: Option<Instant> = None;
-    let mut counts_at = start + COUNTS_EVERY;
-    let mut longest = Duration::ZERO;
-    let mut leaving: Option<Instant> = None;
+    let mut counts_at = start + COUNTS_INTERVAL;
+    let mut longest_iteration = Duration::ZERO;
+    let mut close_deadline: Option<Instant> = None;
     loop {
         let now = clock();
         let mut wait = platform.next_due().saturating_sub(now).min(Duration::from_millis(500));
         let instant = Instant::now();
-        for due in [accept_at, sockets.next_sweep(), leaving].into_iter().flatten() {
-            wait = wait.min(due.saturating_duration_since(instant));
+        for deadline in [accept_at, sockets.next_expiry(), close_deadline].into_iter().flatten() {
+            wait = wait.min(deadline.saturating_duration_since(instant));
         }
         if !sockets.ready.is_empty() || !sockets.lost.is_empty() {
             wait = Duration::ZERO;
@@ -79,153 +81,159 @@
             Err(e) if e.kind() == ErrorKind::Interrupted => continue,
             other => other.context("poll")?,
         }
-        let turn = Instant::now();
+        let iteration_start = Instant::now();
         for event in &events {
             match event.token() {
-                GATE => accept_at = Some(turn),
+                LISTENER => accept_at = Some(iteration_start),
                 SIGNALS => {
                     for signal in signals.pending() {
                         match signal {
                             SIGHUP => match std::fs::read_to_string(&path)
                                 .map_err(|e| e.to_string())
-                                .and_then(|text| feed_of(&text).map_err(|e| e.to_string()))
+                                .and_then(|text| feed_address(&text).map_err(|e| e.to_string()))
                             {
                                 Ok(feed) => platform.feed_moved(clock(), feed, &mut sockets),
-                                Err(e) => sockets.log(&format!("the configuration stays as it was: {e}")),
+                                Err(e) => sockets.log(&format!("configuration not reloaded: {e}")),
                             },
-                            _ => platform.end(clock(), &mut sockets),
+                            _ => platform.start_shutdown(clock(), &mut sockets),
                         }
                     }
                 }
                 Token(token) => {
                     let socket = SocketId(token as u64);
                     let failed = event.is_error() || event.is_read_closed();
-                    if sockets.told(socket, event.is_readable() || failed, event.is_writable() || failed) {
-                        platform.up(clock(), socket, &mut sockets);
+                    if sockets.readiness_changed(
+                        socket,
+                        event.is_readable() || failed,
+                        event.is_writable() || failed,
+                    ) {
+                        platform.connection_up(clock(), socket, &mut sockets);
                     }
                 }
             }
         }
-        losses(&mut platform, &mut sockets, clock());
-        // What timed out meanwhile has timed out, though its answer may lie there to be read; a connection that has
-        // come up meanwhile is up.
-        alarm(&mut platform, &mut sockets, clock());
-        let mut took = false;
-        if accept_at.is_some_and(|at| at <= turn) {
-            took = true;
-            accept_at = accept(gate.as_ref(), &mut platform, &mut sockets, clock());
+        report_lost_connections(&mut platform, &mut sockets, clock());
+        // Expired timers fire before input is read, even if the awaited answer is waiting to be read;
+        // connections that have come up count as up.
+        fire_timer(&mut platform, &mut sockets, clock());
+        let mut accepted_any = false;
+        if accept_at.is_some_and(|at| at <= iteration_start) {
+            accepted_any = true;
+            accept_at = accept(listener.as_ref(), &mut platform, &mut sockets, clock());
         }
         let now = clock();
-        if platform.shut(now)
-            && let Some(mut gate) = gate.take()
+        if platform.has_stopped_accepting(now)
+            && let Some(mut listener) = listener.take()
         {
-            // Whoever the machine has let in is taken; with the listener the rest would be reset.
-            accept_the_rest(&gate, &mut platform, &mut sockets, now);
-            let _ = poll.registry().deregister(&mut gate);
-            (accept_at, took) = (None, true);
+            // Connections already established by the kernel are accepted; closing the listener would reset
+            // them.
+            accept_remaining(&listener, &mut platform, &mut sockets, now);
+            let _ = poll.registry().deregister(&mut listener);
+            (accept_at, accepted_any) = (None, true);
         }
         let read = sockets.ready.len();
-        // Nothing new was told of, and nobody is here whom the poll has not looked at yet.
-        let quiet = events.is_empty() && read == 0 && !took;
+        // Nothing new was reported, and there is no connection that the poll has not covered yet.
+        let is_quiet = events.is_empty() && read == 0 && !accepted_any;
         for _ in 0..read {
             let Some(socket) = sockets.ready.pop_front() else { break };
             let read = sockets.read(socket, &mut buffer);
             if read > 0 {
                 let now = clock();
-                platform.read(now, socket, &buffer[..read], &mut sockets);
-                alarm(&mut platform, &mut sockets, now);
+                platform.bytes_received(now, socket, &buffer[..read], &mut sockets);
+                fire_timer(&mut platform, &mut sockets, now);
             }
-            losses(&mut platform, &mut sockets, clock());
+            report_lost_connections(&mut platform, &mut sockets, clock());
         }
-        alarm(&mut platform, &mut sockets, clock());
-        losses(&mut platform, &mut sockets, clock());
-        platform.send_off(clock(), &mut sockets);
-        losses(&mut platform, &mut sockets, clock());
-        sockets.sweep();
-        longest = longest.max(turn.elapsed());
+        fire_timer(&mut platform, &mut sockets, clock());
+        report_lost_connections(&mut platform, &mut sockets, clock());
+        platform.send_set_ups(clock(), &mut sockets);
+        report_lost_connections(&mut platform, &mut sockets, clock());
+        sockets.close_expired();
+        longest_iteration = longest_iteration.max(iteration_start.elapsed());
         let now = clock();
-        if let Some(until) = leaving {
+        if let Some(until) = close_deadline {
             if sockets.all_closed() || Instant::now() >= until {
                 tracing::info!("ended; {:?}", platform.counts());
                 return Ok(());
             }
-        } else if platform.ended(now)
-            && (quiet && !sockets.unwritten() && !sockets.any_unread() || platform.overdue(now))
+        } else if platform.can_exit(now)
+            && (is_quiet && !sockets.has_unwritten() && !sockets.has_any_unread() || platform.must_exit(now))
         {
-            platform.leave(now, &mut sockets);
-            leaving = Some(Instant::now() + LINGER);
+            platform.close_callers(now, &mut sockets);
+            close_deadline = Some(Instant::now() + CLOSE_TIMEOUT);
         }
         if Instant::now() >= counts_at {
-            counts_at = Instant::now() + COUNTS_EVERY;
-            let (sizes, traces) = (platform.sizes(), platform.traces());
+            counts_at = Instant::now() + COUNTS_INTERVAL;
+            let (sizes, auxiliary) = (platform.sizes(), platform.auxiliary_sizes());
             tracing::info!(
-                "held, callers, cores, remembered {sizes:?}, traces {traces:?}, longest turn {longest:?}, {:?}",
+                "held, callers, cores, remembered {sizes:?}; calls, releases, description bytes {auxiliary:?}; longest iteration {longest_iteration:?}; {:?}",
                 platform.counts()
             );
-            longest = Duration::ZERO;
+            longest_iteration = Duration::ZERO;
         }
     }
 }
 
-/// Listens; a former life may hold the address for a moment yet. None: told to end meanwhile.
+/// Listens; retries while a previous process still holds the address. `None` if a signal asked to end
+/// meanwhile.
 fn listen(address: SocketAddr, signals: &mut Signals) -> Result<Option<TcpListener>> {
-    let since = Instant::now();
+    let started = Instant::now();
     loop {
         match lotussaddle_links::listen(address) {
             Ok(listener) => {
                 listener.set_nonblocking(true)?;
                 return Ok(Some(TcpListener::from_std(listener)));
             }
-            Err(e) if e.kind() == ErrorKind::AddrInUse && since.elapsed() < FREED_WITHIN => {
+            Err(e) if e.kind() == ErrorKind::AddrInUse && started.elapsed() < ADDRESS_RELEASE_TIMEOUT => {
                 if signals.pending().any(|signal| signal != SIGHUP) {
                     return Ok(None);
                 }
-                std::thread::sleep(LISTEN_AGAIN);
+                std::thread::sleep(LISTEN_RETRY_DELAY);
             }
             Err(e) => return Err(e).with_context(|| format!("listen: cannot listen at {address}")),
         }
     }
 }
 
-fn alarm(platform: &mut Platform, sockets: &mut Sockets, now: Duration) {
+fn fire_timer(platform: &mut Platform, sockets: &mut Sockets, now: Duration) {
     if platform.next_due() <= now {
-        platform.alarm(now, sockets);
+        platform.timer_fired(now, sockets);
     }
 }
 
-fn losses(platform: &mut Platform, sockets: &mut Sockets, now: Duration) {
+fn report_lost_connections(platform: &mut Platform, sockets: &mut Sockets, now: Duration) {
     while let Some(lost) = sockets.lost.pop() {
-        platform.lost(now, lost.socket, lost.refused, &lost.why, sockets);
+        platform.connection_lost(now, lost.socket, lost.refused, &lost.reason, sockets);
     }
 }
 
-/// Accepts what waits; the time to go on, if that is not when readiness tells.
+/// Accepts waiting connections. Returns when to continue, unless readiness will report more.
 fn accept(
-    gate: Option<&TcpListener>, platform: &mut Platform, sockets: &mut Sockets, now: Duration,
+    listener: Option<&TcpListener>, platform: &mut Platform, sockets: &mut Sockets, now: Duration,
 ) -> Option<Instant> {
-    let gate = gate?;
-    for _ in 0..ACCEPTED {
-        match gate.accept() {
+    let listener = listener?;
+    for _ in 0..MAX_ACCEPTS_PER_ITERATION {
+        match listener.accept() {
             Ok((stream, _)) => {
                 if let Ok(socket) = sockets.add(stream, true) {
-                    platform.accepted(now, socket, sockets);
+                    platform.connection_accepted(now, socket, sockets);
                 }
             }
             Err(e) if e.kind() == ErrorKind::WouldBlock => return None,
             Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
             Err(e) => {
-                sockets.log(&format!("no connection can be taken: {e}"));
-                return Some(Instant::now() + ACCEPT_AGAIN);
+                sockets.log(&format!("cannot accept a connection: {e}"));
+                return Some(Instant::now() + ACCEPT_RETRY_DELAY);
             }
         }
     }
     Some(Instant::now())
 }
 
-/// Accepts all that waits, for the last time.
-fn accept_the_rest(gate: &TcpListener, platform: &mut Platform, sockets: &mut Sockets, now: Duration) {
-    for _ in 0..BACKLOG / ACCEPTED + 1 {
-        if accept(Some(gate), platform, sockets, now).is_none() {
+/// Accepts all waiting connections for the last time.
+fn accept_remaining(listener: &TcpListener, platform: &mut Platform, sockets: &mut Sockets, now: Duration) {
+    for _ in 0..LISTEN_BACKLOG / MAX_ACCEPTS_PER_ITERATION + 1 {
+        if accept(Some(listener), platform, sockets, now).is_none() {
             return;
         }
     }
--- a/crates/front/src/sockets.rs
+++ b/crates/front/src/sockets.rs
@@ -1,183 +1,196 @@
-//! Connections by readiness: none of the calls waits, and each connection has bounds.
+//! Non-blocking connections driven by readiness, each with bounds on its buffers.
 
 use std::collections::{HashMap, VecDeque};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr};
 use std::time::{Duration, Instant};
 
-use lotussaddle_platform::{Ending, Net, SocketId};
+use lotussaddle_platform::{CloseMode, Net, SocketId};
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use rustix::io::Errno;
 
-/// Bytes read from one connection in one turn.
-pub const CHUNK: usize = 16 * 1024;
-/// What is passed over of a connection that is being ended, in bytes and in time.
-const DRAIN: usize = 256 * 1024;
-const DRAIN_FOR: Duration = Duration::from_millis(700);
-/// Lines of log in a second; those beyond it are counted.
-const LINES: u32 = 40;
+/// Maximum number of bytes read from one connection in one iteration.
+pub const READ_CHUNK_BYTES: usize = 16 * 1024;
+/// Bounds on the input discarded from a connection that is closing, in bytes and in time.
+const MAX_DRAINED_BYTES: usize = 256 * 1024;
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(700);
+/// Log lines written in one second; those beyond are only counted.
+const MAX_LOG_LINES_PER_SECOND: u32 = 40;
 
-struct Conn {
+struct Connection {
     stream: TcpStream,
-    up: bool,
-    out: VecDeque<u8>,
-    /// It lies in the queue of those that may have something to read.
-    queued: bool,
-    ending: Option<Drain>,
+    is_up: bool,
+    write_queue: VecDeque<u8>,
+    /// Whether it is in the queue of connections that may have input.
+    is_queued: bool,
+    drain: Option<Drain>,
 }
 
 struct Drain {
-    until: Instant,
-    left: usize,
-    shut: bool,
+    deadline: Instant,
+    bytes_left: usize,
+    is_shut_down: bool,
 }
 
-/// A connection has ended by itself.
-pub struct Lost {
+/// A connection that ended without being closed by this side.
+pub struct LostConnection {
+    /// The connection.
     pub socket: SocketId,
+    /// Whether the connection was refused by the peer.
     pub refused: bool,
-    pub why: String,
+    /// Description of the error, for the log.
+    pub reason: String,
 }
 
+/// All connections of the process.
 pub struct Sockets {
     registry: Registry,
-    conns: HashMap<SocketId, Conn>,
-    next: u64,
-    /// Descriptors that connections may take.
-    limit: usize,
-    unwritten: usize,
+    connections: HashMap<SocketId, Connection>,
+    last_id: u64,
+    /// Maximum number of descriptors that connections may take.
+    max_connections: usize,
+    max_unwritten_bytes: usize,
+    /// Connections that may have input, in the order in which they are read.
     pub ready: VecDeque<SocketId>,
-    pub lost: Vec<Lost>,
-    /// Being ended, oldest first.
-    ending: VecDeque<SocketId>,
-    lines: (Option<Instant>, u32, u64),
+    /// Connections lost and not yet reported.
+    pub lost: Vec<LostConnection>,
+    /// Connections that are closing, oldest first.
+    draining: VecDeque<SocketId>,
+    log_lines: (Option<Instant>, u32, u64),
 }
 
 impl Sockets {
-    pub fn new(registry: Registry, limit: usize, unwritten: usize, first: u64) -> Self {
+    /// A set without connections. Identifiers are assigned above `first_id`.
+    pub fn new(
+        registry: Registry, max_connections: usize, max_unwritten_bytes: usize, first_id: u64,
+    ) -> Self {
         Self {
             registry,
-            conns: HashMap::new(),
-            next: first,
-            limit,
-            unwritten,
+            connections: HashMap::new(),
+            last_id: first_id,
+            max_connections,
+            max_unwritten_bytes,
             ready: VecDeque::new(),
             lost: Vec::new(),
-            ending: VecDeque::new(),
-            lines: (None, 0, 0),
+            draining: VecDeque::new(),
+            log_lines: (None, 0, 0),
         }
     }
 
-    /// No connection is being ended any more: whoever was told something last has read it.
+    /// Whether no connection is closing any more: the last messages have been read.
     pub fn all_closed(&self) -> bool {
-        self.conns.values().all(|conn| conn.ending.is_none())
+        self.connections.values().all(|connection| connection.drain.is_none())
     }
 
-    /// Whether anything lies on any connection that was not read yet.
-    pub fn any_unread(&mut self) -> bool {
-        let up = self.conns.iter().filter(|(_, conn)| conn.up && conn.ending.is_none());
+    /// Whether any connection has input that was not read yet.
+    pub fn has_any_unread(&mut self) -> bool {
+        let up =
+            self.connections.iter().filter(|(_, connection)| connection.is_up && connection.drain.is_none());
         let up: Vec<SocketId> = up.map(|(socket, _)| *socket).collect();
-        up.into_iter().filter(|socket| self.unread(*socket)).count() > 0
+        up.into_iter().filter(|socket| self.has_unread(*socket)).count() > 0
     }
 
-    /// Whether anything is still to be written.
-    pub fn unwritten(&self) -> bool {
-        self.conns.values().any(|conn| !conn.out.is_empty())
+    /// Whether any bytes are still to be written.
+    pub fn has_unwritten(&self) -> bool {
+        self.connections.values().any(|connection| !connection.write_queue.is_empty())
     }
 
-    pub fn add(&mut self, mut stream: TcpStream, up: bool) -> std::io::Result<SocketId> {
-        self.next += 1;
-        let socket = SocketId(self.next);
+    /// Registers a connection; `is_up` if it is already established.
+    pub fn add(&mut self, mut stream: TcpStream, is_up: bool) -> std::io::Result<SocketId> {
+        self.last_id += 1;
+        let socket = SocketId(self.last_id);
         let _ = stream.set_nodelay(true);
         self.registry.register(
             &mut stream,
-            Token(self.next as usize),
+            Token(self.last_id as usize),
             Interest::READABLE | Interest::WRITABLE,
         )?;
-        let conn = Conn { stream, up, out: VecDeque::new(), queued: false, ending: None };
-        self.conns.insert(socket, conn);
+        let connection =
+            Connection { stream, is_up, write_queue: VecDeque::new(), is_queued: false, drain: None };
+        self.connections.insert(socket, connection);
         Ok(socket)
     }
 
-    /// What readiness tells of a connection; true: it has come up just now.
-    pub fn told(&mut self, socket: SocketId, readable: bool, writable: bool) -> bool {
-        let Some(conn) = self.conns.get_mut(&socket) else { return false };
+    /// Handles a readiness event. Returns true if the connection has just come up.
+    pub fn readiness_changed(&mut self, socket: SocketId, readable: bool, writable: bool) -> bool {
+        let Some(connection) = self.connections.get_mut(&socket) else { return false };
         let mut came_up = false;
-        if !conn.up {
-            match conn.stream.take_error() {
+        if !connection.is_up {
+            match connection.stream.take_error() {
                 Ok(Some(error)) | Err(error) => {
                     self.fail(socket, &error);
                     return false;
                 }
-                Ok(None) if !writable || conn.stream.peer_addr().is_err() => return false,
+                Ok(None) if !writable || connection.stream.peer_addr().is_err() => return false,
                 Ok(None) => {}
             }
-            conn.up = true;
+            connection.is_up = true;
             came_up = true;
         }
         if writable {
             self.flush(socket);
         }
         if readable
-            && let Some(conn) = self.conns.get_mut(&socket)
-            && !conn.queued
+            && let Some(connection) = self.connections.get_mut(&socket)
+            && !connection.is_queued
         {
-            conn.queued = true;
+            connection.is_queued = true;
             self.ready.push_back(socket);
         }
         came_up
     }
 
     fn fail(&mut self, socket: SocketId, error: &std::io::Error) {
-        if let Some(mut conn) = self.conns.remove(&socket) {
-            let _ = self.registry.deregister(&mut conn.stream);
-            if conn.ending.is_none() {
+        if let Some(mut connection) = self.connections.remove(&socket) {
+            let _ = self.registry.deregister(&mut connection.stream);
+            if connection.drain.is_none() {
                 let refused = error.kind() == ErrorKind::ConnectionRefused;
-                self.lost.push(Lost { socket, refused, why: error.to_string() });
+                self.lost.push(LostConnection { socket, refused, reason: error.to_string() });
             }
         }
     }
 
     fn flush(&mut self, socket: SocketId) {
-        let Some(conn) = self.conns.get_mut(&socket) else { return };
-        while conn.up && !conn.out.is_empty() {
-            let (first, _) = conn.out.as_slices();
-            match conn.stream.write(first) {
-                Ok(written) => drop(conn.out.drain(..written)),
+        let Some(connection) = self.connections.get_mut(&socket) else { return };
+        while connection.is_up && !connection.write_queue.is_empty() {
+            let (first, _) = connection.write_queue.as_slices();
+            match connection.stream.write(first) {
+                Ok(written) => drop(connection.write_queue.drain(..written)),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) => return self.fail(socket, &e),
             }
         }
-        if conn.out.capacity() > 4096 && conn.out.is_empty() {
-            conn.out = VecDeque::new();
+        if connection.write_queue.capacity() > 4096 && connection.write_queue.is_empty() {
+            connection.write_queue = VecDeque::new();
         }
-        if let Some(drain) = &mut conn.ending
-            && !drain.shut
+        if let Some(drain) = &mut connection.drain
+            && !drain.is_shut_down
         {
-            drain.shut = true;
-            let _ = conn.stream.shutdown(Shutdown::Write);
+            drain.is_shut_down = true;
+            let _ = connection.stream.shutdown(Shutdown::Write);
         }
     }
 
-    /// One turn of reading; the bytes read. It stays queued until there is no more.
-    pub fn read(&mut self, socket: SocketId, buffer: &mut [u8; CHUNK]) -> usize {
-        let Some(conn) = self.conns.get_mut(&socket) else { return 0 };
-        conn.queued = false;
-        match conn.stream.read(buffer) {
+    /// Reads once and returns the number of bytes for the protocol. The connection stays queued until a read
+    /// would block.
+    pub fn read(&mut self, socket: SocketId, buffer: &mut [u8; READ_CHUNK_BYTES]) -> usize {
+        let Some(connection) = self.connections.get_mut(&socket) else { return 0 };
+        connection.is_queued = false;
+        match connection.stream.read(buffer) {
             Ok(0) => {
-                self.fail(socket, &std::io::Error::new(ErrorKind::UnexpectedEof, "closed by the other side"));
+                self.fail(socket, &std::io::Error::new(ErrorKind::UnexpectedEof, "closed by the peer"));
                 0
             }
             Ok(read) => {
-                conn.queued = true;
+                connection.is_queued = true;
                 self.ready.push_back(socket);
-                match &mut conn.ending {
+                match &mut connection.drain {
                     Some(drain) => {
-                        drain.left = drain.left.saturating_sub(read);
-                        if drain.left == 0 {
-                            self.close(socket, Ending::Now);
+                        drain.bytes_left = drain.bytes_left.saturating_sub(read);
+                        if drain.bytes_left == 0 {
+                            self.close(socket, CloseMode::Now);
                         }
                         0
                     }
@@ -186,7 +199,7 @@
             }
             Err(e) if e.kind() == ErrorKind::WouldBlock => 0,
             Err(e) if e.kind() == ErrorKind::Interrupted => {
-                conn.queued = true;
+                connection.is_queued = true;
                 self.ready.push_back(socket);
                 0
             }
@@ -197,99 +210,108 @@
         }
     }
 
-    /// Lets go of connections that have been ending for long enough, or that are too many.
-    pub fn sweep(&mut self) {
+    /// Closes draining connections whose time has expired, and the oldest while there are too many.
+    pub fn close_expired(&mut self) {
         let now = Instant::now();
-        while let Some(socket) = self.ending.front().copied() {
-            let due = match self.conns.get(&socket).and_then(|conn| conn.ending.as_ref()) {
+        while let Some(socket) = self.draining.front().copied() {
+            let is_due = match self.connections.get(&socket).and_then(|connection| connection.drain.as_ref())
+            {
                 None => true,
-                Some(drain) => drain.until <= now || self.ending.len() > self.limit / 8,
+                Some(drain) => drain.deadline <= now || self.draining.len() > self.max_connections / 8,
             };
-            if !due {
+            if !is_due {
                 return;
             }
-            self.ending.pop_front();
-            self.close(socket, Ending::Now);
+            self.draining.pop_front();
+            self.close(socket, CloseMode::Now);
         }
     }
 
-    pub fn next_sweep(&self) -> Option<Instant> {
-        let first = self.ending.front()?;
+    /// When [`Self::close_expired`] is due next.
+    pub fn next_expiry(&self) -> Option<Instant> {
+        let first = self.draining.front()?;
         Some(
-            self.conns
+            self.connections
                 .get(first)
-                .and_then(|conn| conn.ending.as_ref())
-                .map_or_else(Instant::now, |d| d.until),
+                .and_then(|connection| connection.drain.as_ref())
+                .map_or_else(Instant::now, |drain| drain.deadline),
         )
     }
 }
 
-fn no_descriptor(error: &std::io::Error) -> bool {
+fn is_out_of_descriptors(error: &std::io::Error) -> bool {
     [Errno::MFILE, Errno::NFILE].iter().any(|errno| error.raw_os_error() == Some(errno.raw_os_error()))
 }
 
 impl Net for Sockets {
     fn connect(&mut self, address: SocketAddr) -> Option<SocketId> {
-        if self.conns.len() >= self.limit {
-            self.sweep();
+        if self.connections.len() >= self.max_connections {
+            self.close_expired();
             return None;
         }
         match TcpStream::connect(address) {
             Ok(stream) => self.add(stream, false).ok(),
-            Err(error) if no_descriptor(&error) => None,
+            Err(error) if is_out_of_descriptors(&error) => None,
             Err(error) => {
-                self.next += 1;
-                let socket = SocketId(self.next);
+                self.last_id += 1;
+                let socket = SocketId(self.last_id);
                 let refused = error.kind() == ErrorKind::ConnectionRefused;
-                self.lost.push(Lost { socket, refused, why: error.to_string() });
+                self.lost.push(LostConnection { socket, refused, reason: error.to_string() });
                 Some(socket)
             }
         }
     }
 
     fn send(&mut self, socket: SocketId, bytes: &[u8]) -> bool {
-        let Some(conn) = self.conns.get_mut(&socket) else { return false };
-        if conn.out.len() + bytes.len() > self.unwritten || conn.ending.is_some() {
+        let Some(connection) = self.connections.get_mut(&socket) else { return false };
+        if connection.write_queue.len() + bytes.len() > self.max_unwritten_bytes || connection.drain.is_some()
+        {
             return false;
         }
-        conn.out.extend(bytes);
+        connection.write_queue.extend(bytes);
         self.flush(socket);
         true
     }
 
-    fn unread(&mut self, socket: SocketId) -> bool {
-        let Some(conn) = self.conns.get_mut(&socket) else { return false };
-        // The process may have stood still since the poll: what came in that time is told of by the next one only.
-        if !conn.queued && !matches!(conn.stream.peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock)
+    fn has_unread(&mut self, socket: SocketId) -> bool {
+        let Some(connection) = self.connections.get_mut(&socket) else { return false };
+        // The process may have been paused since the poll; input that arrived meanwhile is reported only by
+        // the next poll.
+        if !connection.is_queued
+            && !matches!(connection.stream.peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock)
         {
-            conn.queued = true;
+            connection.is_queued = true;
             self.ready.push_back(socket);
         }
-        conn.queued
+        connection.is_queued
     }
 
-    fn close(&mut self, socket: SocketId, how: Ending) {
-        let Some(conn) = self.conns.get_mut(&socket) else { return };
-        if how == Ending::Told && conn.ending.is_none() {
-            conn.ending = Some(Drain { until: Instant::now() + DRAIN_FOR, left: DRAIN, shut: false });
-            self.ending.push_back(socket);
+    fn close(&mut self, socket: SocketId, how: CloseMode) {
+        let Some(connection) = self.connections.get_mut(&socket) else { return };
+        if how == CloseMode::AfterWriting && connection.drain.is_none() {
+            connection.drain = Some(Drain {
+                deadline: Instant::now() + DRAIN_TIMEOUT,
+                bytes_left: MAX_DRAINED_BYTES,
+                is_shut_down: false,
+            });
+            self.draining.push_back(socket);
             self.flush(socket);
             return;
         }
-        if let Some(mut conn) = self.conns.remove(&socket) {
-            let _ = self.registry.deregister(&mut conn.stream);
+        if let Some(mut connection) = self.connections.remove(&socket) {
+            let _ = self.registry.deregister(&mut connection.stream);
         }
     }
 
     fn log(&mut self, line: &str) {
-        let (second, lines, dropped) = &mut self.lines;
+        let (second, lines, dropped) = &mut self.log_lines;
         if second.is_none_or(|second| second.elapsed() >= Duration::from_secs(1)) {
             if *dropped > 0 {
-                tracing::info!("{dropped} lines of log were left out");
+                tracing::info!("{dropped} log lines suppressed");
             }
             (*second, *lines, *dropped) = (Some(Instant::now()), 0, 0);
         }
-        if *lines < LINES {
+        if *lines < MAX_LOG_LINES_PER_SECOND {
             *lines += 1;
             tracing::info!("{line}");
         } else {
--- a/crates/front/tests/sockets.rs
+++ b/crates/front/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Connections by readiness: what is known of one without asking the poll again.
+//! Connections driven by readiness: what is known of one between two polls.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -6,33 +6,33 @@
 use std::time::{Duration, Instant};
 
 use lotussaddle_front::Sockets;
-use lotussaddle_platform::{Ending, Net, SocketId};
+use lotussaddle_platform::{CloseMode, Net, SocketId};
 use mio::Poll;
 
-struct Pair {
+struct ConnectionPair {
     _poll: Poll,
     sockets: Sockets,
-    here: SocketId,
-    there: TcpStream,
+    local: SocketId,
+    remote: TcpStream,
 }
 
-fn pair() -> Pair {
+fn connected_pair() -> ConnectionPair {
     let poll = Poll::new().unwrap();
     let mut sockets = Sockets::new(poll.registry().try_clone().unwrap(), 16, 1 << 20, 16);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let there = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    there.set_nodelay(true).unwrap();
+    let remote = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    remote.set_nodelay(true).unwrap();
     let (stream, _) = listener.accept().unwrap();
     stream.set_nonblocking(true).unwrap();
-    let here = sockets.add(mio::net::TcpStream::from_std(stream), true).unwrap();
-    Pair { _poll: poll, sockets, here, there }
+    let local = sockets.add(mio::net::TcpStream::from_std(stream), true).unwrap();
+    ConnectionPair { _poll: poll, sockets, local, remote }
 }
 
-/// Loopback delivers soon, and not at once.
-fn soon(mut holds: impl FnMut() -> bool) -> bool {
+/// Waits until a condition holds; loopback delivers within a short time, but not at once.
+fn becomes_true(mut condition: impl FnMut() -> bool) -> bool {
     let since = Instant::now();
     while since.elapsed() < Duration::from_secs(5) {
-        if holds() {
+        if condition() {
             return true;
         }
         thread::sleep(Duration::from_millis(1));
@@ -40,41 +40,41 @@
     false
 }
 
-/// The process may have stood still since the poll: a launch looks itself.
+/// The process may have been paused since the poll, so unread input is checked before a set-up is sent.
 #[test]
-fn what_came_since_the_poll_is_unread_and_so_is_an_end() {
-    let mut p = pair();
-    assert!(!p.sockets.unread(p.here), "nothing was said");
-    p.there.write_all(b"x").unwrap();
-    assert!(soon(|| p.sockets.unread(p.here)));
-    assert_eq!(p.sockets.ready.pop_front(), Some(p.here), "it is read in the next turn");
+fn input_and_closes_since_the_last_poll_count_as_unread() {
+    let mut p = connected_pair();
+    assert!(!p.sockets.has_unread(p.local), "nothing was sent");
+    p.remote.write_all(b"x").unwrap();
+    assert!(becomes_true(|| p.sockets.has_unread(p.local)));
+    assert_eq!(p.sockets.ready.pop_front(), Some(p.local), "it is read in the next iteration");
 
-    let mut p = pair();
-    drop(p.there);
-    assert!(soon(|| p.sockets.unread(p.here)), "it has gone");
+    let mut p = connected_pair();
+    drop(p.remote);
+    assert!(becomes_true(|| p.sockets.has_unread(p.local)), "the peer has closed");
 
-    let mut p = pair();
-    socket2::SockRef::from(&p.there).set_linger(Some(Duration::ZERO)).unwrap();
-    drop(p.there);
-    assert!(soon(|| p.sockets.unread(p.here)), "it has gone by a reset");
+    let mut p = connected_pair();
+    socket2::SockRef::from(&p.remote).set_linger(Some(Duration::ZERO)).unwrap();
+    drop(p.remote);
+    assert!(becomes_true(|| p.sockets.has_unread(p.local)), "the peer has reset the connection");
 }
 
 #[test]
-fn what_was_told_last_is_written_before_the_end_though_input_lies_there() {
-    let mut p = pair();
-    p.there.write_all(&[b'x'; 4096]).unwrap();
-    assert!(soon(|| p.sockets.unread(p.here)));
-    assert!(p.sockets.send(p.here, b"the last answer\n"));
-    p.sockets.close(p.here, Ending::Told);
-    assert!(!p.sockets.all_closed() && !p.sockets.unwritten());
-    let mut said = String::new();
-    p.there.read_to_string(&mut said).expect("an end, not a reset");
-    assert_eq!(said, "the last answer\n");
-    drop(p.there);
-    // Input is passed over until the other side has ended too.
+fn queued_bytes_are_written_before_a_close_despite_unread_input() {
+    let mut p = connected_pair();
+    p.remote.write_all(&[b'x'; 4096]).unwrap();
+    assert!(becomes_true(|| p.sockets.has_unread(p.local)));
+    assert!(p.sockets.send(p.local, b"the last answer\n"));
+    p.sockets.close(p.local, CloseMode::AfterWriting);
+    assert!(!p.sockets.all_closed() && !p.sockets.has_unwritten());
+    let mut received = String::new();
+    p.remote.read_to_string(&mut received).expect("a close without a reset");
+    assert_eq!(received, "the last answer\n");
+    drop(p.remote);
+    // Input is discarded until the peer has closed as well.
     let mut buffer = Box::new([0; 16 * 1024]);
-    assert!(soon(|| {
-        assert_eq!(p.sockets.read(p.here, &mut buffer), 0);
+    assert!(becomes_true(|| {
+        assert_eq!(p.sockets.read(p.local, &mut buffer), 0);
         p.sockets.all_closed()
     }));
 }
--- a/crates/platform/src/codec.rs
+++ b/crates/platform/src/codec.rs
@@ -1,23 +1,24 @@
-//! Messages as callers speak them (JSON lines) and as core servers do (binary), both ways, and the cutting of what
-//! comes in pieces. Whatever cannot be read is named; nothing is guessed.
+//! Encoding and decoding of both protocols: JSON lines exchanged with callers, binary messages exchanged with
+//! core servers; and the splitting of a byte stream into messages. Invalid input is rejected with a reason
+//! and never guessed at.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde_json::Value;
 
-/// The most bytes of one message, its length or line feed left out.
-pub const MAX_MESSAGE: usize = 16 * 1024;
+/// Maximum length of one message, without its length prefix or line feed.
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 
-/// A call as both protocols name it: 16 hex digits, 8 bytes.
+/// Identifier of a call in both protocols: 16 hexadecimal digits as text, 8 bytes in binary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Tag(pub u64);
 
 impl Tag {
-    /// Only the form in which it is written back, so that one call has one name.
-    pub fn read(text: &str) -> Option<Self> {
-        let plain = text.len() == 16 && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
-        plain.then(|| u64::from_str_radix(text, 16).ok().map(Self)).flatten()
+    /// Parses exactly the form that `Display` writes, so that one call has only one textual identifier.
+    pub fn parse(text: &str) -> Option<Self> {
+        let is_plain = text.len() == 16 && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
+        is_plain.then(|| u64::from_str_radix(text, 16).ok().map(Self)).flatten()
     }
 }
 
@@ -27,56 +28,77 @@
     }
 }
 
-/// Causes of ends, as the protocol numbers them.
+/// Cause codes of the protocol for the end of a call or of a set-up.
 pub mod cause {
+    /// The call ended normally.
     pub const NORMAL: u8 = 16;
+    /// The called number is busy.
     pub const BUSY: u8 = 17;
+    /// No capacity: the set-up was turned back.
     pub const FULL: u8 = 34;
+    /// The call was cut, or the set-up failed.
     pub const RESET: u8 = 41;
+    /// This edge proxy is overloaded or has no time left for the set-up.
     pub const CONGESTION: u8 = 42;
+    /// The core server failed to process the set-up.
     pub const ERROR: u8 = 47;
-    /// What was sent cannot be used.
+    /// The message is invalid.
     pub const UNUSABLE: u8 = 95;
-    pub const MOOT: u8 = 102;
+    /// The core server did not process the set-up; no call was started.
+    pub const NOT_PROCESSED: u8 = 102;
 }
 
-/// What stands between callers and this edge proxy.
+/// A message from a caller.
 #[derive(Clone, Debug, PartialEq)]
-pub enum CallerSaid {
+pub enum CallerMessage {
+    /// A request to set up a call.
     Start(Start),
+    /// The caller gives up a set-up or ends a call.
     Finish(Tag),
-    /// A release is heard.
+    /// The caller acknowledges a release.
     Finished(Tag),
+    /// A health check.
     Echo(Tag),
-    /// Means nothing here.
-    Nothing,
+    /// A message that needs no action.
+    Ignored,
 }
 
-/// A set-up as it came, figures checked as far as that needs no settings.
+/// A set-up request; its values are checked as far as that is possible without the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Start {
+    /// The call's identifier.
     pub tag: Tag,
+    /// Name of the product.
     pub class: String,
-    pub left_ms: f64,
-    pub again: bool,
+    /// Time until the caller gives up, in milliseconds.
+    pub time_left_ms: f64,
+    /// The caller marks this as a retry.
+    pub is_retry: bool,
+    /// The called number.
     pub key: Option<String>,
-    pub dest: i64,
+    /// Number of the server that is the first choice; -1 for none.
+    pub first_choice: i64,
+    /// Lines that the call takes.
     pub width: f64,
-    pub came_back: bool,
-    /// Stands at that core server already.
-    pub at: Option<String>,
+    /// The caller dials again after a cut.
+    pub redialled_after_cut: bool,
+    /// The core server at which the call already stands, if any.
+    pub standing_at: Option<String>,
+    /// The session description, passed on unchanged.
     pub description: String,
 }
 
-/// What is wrong with a message, and whose call it names if that can be told.
+/// Why a message is invalid, and the call that it names, if that could be parsed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Wrong {
+pub struct InvalidMessage {
+    /// The call named by the message; `None` where it could not be parsed.
     pub tag: Option<Tag>,
-    pub why: &'static str,
+    /// The reason.
+    pub reason: &'static str,
 }
 
 #[derive(Deserialize)]
-struct Line<'a> {
+struct JsonMessage<'a> {
     #[serde(borrow, default)]
     verb: std::borrow::Cow<'a, str>,
     #[serde(default)]
@@ -89,40 +111,46 @@
     blob: Option<Value>,
 }
 
-pub fn caller_said(line: &[u8]) -> Result<CallerSaid, Wrong> {
-    let unreadable = Wrong { tag: None, why: "no message of this protocol" };
-    let line: Line = serde_json::from_slice(line).map_err(|_| unreadable)?;
-    let tag = line.tag.as_ref().and_then(Value::as_str).and_then(Tag::read);
-    let wrong = |why| Wrong { tag, why };
-    let tag = tag.ok_or(Wrong { tag: None, why: "no call of 16 hex digits" })?;
+/// Parses one line from a caller.
+pub fn parse_caller_message(line: &[u8]) -> Result<CallerMessage, InvalidMessage> {
+    let unreadable = InvalidMessage { tag: None, reason: "not a message of this protocol" };
+    let line: JsonMessage = serde_json::from_slice(line).map_err(|_| unreadable)?;
+    let tag = line.tag.as_ref().and_then(Value::as_str).and_then(Tag::parse);
+    let invalid = |reason| InvalidMessage { tag, reason };
+    let tag =
+        tag.ok_or(InvalidMessage { tag: None, reason: "tag is not 16 lower-case hexadecimal digits" })?;
     let none = serde_json::Map::new();
     match &*line.verb {
         "START" => {
-            let Some(Value::String(description)) = line.blob else { return Err(wrong("no description")) };
-            start(tag, line.opts.as_ref().unwrap_or(&none), description).map_err(wrong).map(CallerSaid::Start)
+            let Some(Value::String(description)) = line.blob else {
+                return Err(invalid("missing description"));
+            };
+            parse_start(tag, line.opts.as_ref().unwrap_or(&none), description)
+                .map_err(invalid)
+                .map(CallerMessage::Start)
         }
-        "FINISH" => match line.rc.as_ref().map(figure) {
-            Some(Some(rc)) if (0.0..=127.0).contains(&rc) => Ok(CallerSaid::Finish(tag)),
-            _ => Err(wrong("no cause")),
+        "FINISH" => match line.rc.as_ref().map(number) {
+            Some(Some(rc)) if (0.0..=127.0).contains(&rc) => Ok(CallerMessage::Finish(tag)),
+            _ => Err(invalid("missing or invalid cause")),
         },
-        "ECHO" => Ok(CallerSaid::Echo(tag)),
-        "FINISHED" => Ok(CallerSaid::Finished(tag)),
-        "PENDING" | "ECHOED" => Ok(CallerSaid::Nothing),
-        _ => Err(wrong("no known type")),
+        "ECHO" => Ok(CallerMessage::Echo(tag)),
+        "FINISHED" => Ok(CallerMessage::Finished(tag)),
+        "PENDING" | "ECHOED" => Ok(CallerMessage::Ignored),
+        _ => Err(invalid("unknown message type")),
     }
 }
 
-/// Fields are strings or numbers.
-fn figure(value: &Value) -> Option<f64> {
-    let figure = match value {
+/// Reads a number, which callers send as a JSON number or as a string.
+fn number(value: &Value) -> Option<f64> {
+    let number = match value {
         Value::Number(number) => number.as_f64()?,
         Value::String(text) => text.parse().ok()?,
         _ => return None,
     };
-    figure.is_finite().then_some(figure)
+    number.is_finite().then_some(number)
 }
 
-fn text(value: &Value) -> Option<String> {
+fn as_text(value: &Value) -> Option<String> {
     match value {
         Value::String(text) => Some(text.clone()),
         Value::Number(number) => Some(number.to_string()),
@@ -130,17 +158,17 @@
     }
 }
 
-fn start(
+fn parse_start(
     tag: Tag, opts: &serde_json::Map<String, Value>, description: String,
 ) -> Result<Start, &'static str> {
     if description.is_empty() {
-        return Err("no description");
+        return Err("missing description");
     }
-    let plain =
+    let is_plain =
         |text: &str| !text.is_empty() && text.len() <= 64 && text.bytes().all(|b| b.is_ascii_graphic());
-    let class = opts.get("class").and_then(text).ok_or("no class")?;
-    let left_ms = opts.get("left").and_then(figure).filter(|left| (1.0..=1e7).contains(left));
-    let again = match opts.get("retry").map(figure) {
+    let class = opts.get("class").and_then(as_text).ok_or("missing class")?;
+    let time_left_ms = opts.get("left").and_then(number).filter(|left| (1.0..=1e7).contains(left));
+    let is_retry = match opts.get("retry").map(number) {
         None => false,
         Some(Some(0.0)) => false,
         Some(Some(1.0)) => true,
@@ -148,122 +176,148 @@
     };
     let key = match opts.get("key") {
         None => None,
-        Some(key) => Some(text(key).filter(|key| plain(key)).ok_or("no number called")?),
+        Some(key) => Some(as_text(key).filter(|key| is_plain(key)).ok_or("invalid key")?),
     };
     let mut start = Start {
         tag,
         class,
-        left_ms: left_ms.ok_or("no time left")?,
-        again,
+        time_left_ms: time_left_ms.ok_or("missing or invalid time left")?,
+        is_retry,
         key,
-        dest: -1,
+        first_choice: -1,
         width: 1.0,
-        came_back: false,
-        at: None,
+        redialled_after_cut: false,
+        standing_at: None,
         description,
     };
     let extras = match opts.get("extras") {
         None => String::new(),
-        Some(extras) => text(extras).ok_or("no extras")?,
+        Some(extras) => as_text(extras).ok_or("invalid extras")?,
     };
     for pair in extras.split(';').filter(|pair| !pair.is_empty()) {
-        let (name, value) = pair.split_once(':').ok_or("no value in extras")?;
-        let figure =
-            || value.parse::<f64>().ok().filter(|value| value.is_finite()).ok_or("no figure in extras");
+        let (name, value) = pair.split_once(':').ok_or("extras: field without a value")?;
+        let number = || {
+            value.parse::<f64>().ok().filter(|value| value.is_finite()).ok_or("extras: value is not a number")
+        };
         match name {
             "dest" => {
-                start.dest = value.parse().ok().filter(|d| (-1..=1_000_000).contains(d)).ok_or("no dest")?;
+                start.first_choice =
+                    value.parse().ok().filter(|d| (-1..=1_000_000).contains(d)).ok_or("invalid dest")?;
             }
             "width" => {
-                start.width = Some(figure()?).filter(|w| *w > 0.0 && *w <= 10_000.0).ok_or("no width")?
+                start.width = Some(number()?).filter(|w| *w > 0.0 && *w <= 10_000.0).ok_or("invalid width")?
             }
-            "again" => start.came_back = figure()? == 1.0,
-            "at" => start.at = Some(value.to_owned()).filter(|at| plain(at)),
+            "again" => start.redialled_after_cut = number()? == 1.0,
+            "at" => start.standing_at = Some(value.to_owned()).filter(|at| is_plain(at)),
             _ => {
-                figure()?;
+                number()?;
             }
         }
     }
     Ok(start)
 }
 
-/// What this edge proxy says to callers.
-pub enum ToCaller<'a> {
-    /// With the description that a core server gave.
+/// A message to a caller.
+pub enum MessageToCaller<'a> {
+    /// The call stands; holds the description given by the core server.
     Started(&'a str),
+    /// The set-up has failed, or the call has ended.
     Finish {
+        /// Cause code of the end.
         cause: u8,
+        /// Time in milliseconds during which the caller should not retry.
         wait_ms: Option<u64>,
     },
+    /// Acknowledges the end of a call.
     Finished,
+    /// Answer to a health check: whether this edge proxy is healthy.
     Echoed(bool),
 }
 
-pub fn to_caller(tag: Tag, said: ToCaller, out: &mut Vec<u8>) {
+/// Appends a message to a caller to `out`, as one line.
+pub fn write_caller_message(tag: Tag, message: MessageToCaller, out: &mut Vec<u8>) {
     use std::io::Write;
-    let written = match said {
-        ToCaller::Started(description) => {
+    let written = match message {
+        MessageToCaller::Started(description) => {
             let blob = Value::from(description);
             writeln!(out, r#"{{"verb":"STARTED","tag":"{tag}","opts":{{}},"blob":{blob}}}"#)
         }
-        ToCaller::Finish { cause, wait_ms: Some(wait) } => {
+        MessageToCaller::Finish { cause, wait_ms: Some(wait) } => {
             writeln!(out, r#"{{"verb":"FINISH","tag":"{tag}","opts":{{"wait":"{wait}"}},"rc":{cause}}}"#)
         }
-        ToCaller::Finish { cause, wait_ms: None } => {
+        MessageToCaller::Finish { cause, wait_ms: None } => {
             writeln!(out, r#"{{"verb":"FINISH","tag":"{tag}","opts":{{}},"rc":{cause}}}"#)
         }
-        ToCaller::Finished => writeln!(out, r#"{{"verb":"FINISHED","tag":"{tag}","opts":{{}}}}"#),
-        ToCaller::Echoed(well) => {
-            writeln!(out, r#"{{"verb":"ECHOED","tag":"{tag}","opts":{{}},"rc":{}}}"#, u8::from(well))
+        MessageToCaller::Finished => writeln!(out, r#"{{"verb":"FINISHED","tag":"{tag}","opts":{{}}}}"#),
+        MessageToCaller::Echoed(healthy) => {
+            writeln!(out, r#"{{"verb":"ECHOED","tag":"{tag}","opts":{{}},"rc":{}}}"#, u8::from(healthy))
         }
     };
-    written.expect("a vector takes all");
+    written.expect("writing to a vector cannot fail");
 }
 
 /// Types of binary messages.
 pub mod kind {
+    /// Request to set up a call.
     pub const START: u8 = 1;
+    /// A set-up is in progress.
     pub const PENDING: u8 = 6;
+    /// The call stands.
     pub const STARTED: u8 = 9;
+    /// The end of a set-up or of a call.
     pub const FINISH: u8 = 12;
+    /// Acknowledges an end.
     pub const FINISHED: u8 = 16;
+    /// A load report sent without a request.
     pub const LOAD: u8 = 43;
+    /// A health check.
     pub const ECHO: u8 = 52;
+    /// Answer to a health check.
     pub const ECHOED: u8 = 53;
 }
 
-/// Parameters of binary messages.
+/// Codes of the parameters of binary messages.
 pub mod code {
+    /// Name of the product, as text.
     pub const CLASS: u8 = 180;
+    /// Time until the caller gives up, in milliseconds, as decimal text.
     pub const LEFT: u8 = 182;
+    /// The called number, as text.
     pub const KEY: u8 = 188;
+    /// Detail of a cause, as text.
     pub const NOTE: u8 = 194;
+    /// The core server's load report, as text.
     pub const LOAD: u8 = 198;
+    /// Cause code, one byte.
     pub const CAUSE: u8 = 208;
+    /// The session description.
     pub const DESCRIPTION: u8 = 210;
 }
 
-/// A binary message, cut into its parts.
+/// A decoded binary message that borrows its parameters.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Binary<'a> {
+pub struct BinaryMessage<'a> {
+    /// One of [`kind`].
     pub kind: u8,
+    /// The call's identifier.
     pub tag: Tag,
-    /// In the order in which they came.
+    /// Codes and values, in the order received.
     pub parameters: Vec<(u8, &'a [u8])>,
 }
 
-impl<'a> Binary<'a> {
-    pub fn read(message: &'a [u8]) -> Result<Self, &'static str> {
-        let (head, mut rest) = message.split_at_checked(9).ok_or("too short for a message")?;
-        let tag = Tag(u64::from_be_bytes(head[1..].try_into().expect("eight bytes")));
+impl<'a> BinaryMessage<'a> {
+    /// Decodes a message without its length prefix; the error is the reason why it is invalid.
+    pub fn parse(message: &'a [u8]) -> Result<Self, &'static str> {
+        let (head, mut rest) = message.split_at_checked(9).ok_or("message is shorter than its header")?;
+        let tag = Tag(u64::from_be_bytes(head[1..].try_into().expect("the header holds eight bytes of tag")));
         let mut parameters = Vec::new();
         while !rest.is_empty() {
-            let (head, after) = rest.split_at_checked(3).ok_or("a parameter is cut off")?;
+            let (head, after) = rest.split_at_checked(3).ok_or("truncated parameter header")?;
             let length = usize::from(u16::from_be_bytes([head[1], head[2]]));
             let (value, after) =
-                after.split_at_checked(length).ok_or("a parameter is longer than its message")?;
+                after.split_at_checked(length).ok_or("parameter is longer than the message")?;
             if parameters.iter().any(|(code, _)| *code == head[0]) {
-                return Err("a parameter comes twice");
+                return Err("duplicate parameter");
             }
             parameters.push((head[0], value));
             rest = after;
@@ -271,26 +325,31 @@
         Ok(Self { kind: head[0], tag, parameters })
     }
 
-    pub fn get(&self, code: u8) -> Option<&'a [u8]> {
+    /// The value of a parameter, if it is present.
+    pub fn parameter(&self, code: u8) -> Option<&'a [u8]> {
         self.parameters.iter().find(|(found, _)| *found == code).map(|(_, value)| *value)
     }
 
+    /// The cause code; an error unless it is present and one byte long.
     pub fn cause(&self) -> Result<u8, &'static str> {
-        match self.get(code::CAUSE) {
+        match self.parameter(code::CAUSE) {
             Some([cause]) => Ok(*cause),
-            _ => Err("no cause of one byte"),
+            _ => Err("cause is missing or not one byte"),
         }
     }
 
+    /// A parameter as text, empty where it is missing; an error unless it is UTF-8.
     pub fn text(&self, code: u8) -> Result<&'a str, &'static str> {
-        std::str::from_utf8(self.get(code).unwrap_or_default()).map_err(|_| "a text is none")
+        std::str::from_utf8(self.parameter(code).unwrap_or_default())
+            .map_err(|_| "text parameter is not UTF-8")
     }
 }
 
-/// Appends a binary message; false, and nothing is appended, where it would be too long.
-pub fn binary(kind: u8, tag: Tag, parameters: &[(u8, &[u8])], out: &mut Vec<u8>) -> bool {
+/// Appends a binary message with its length prefix. Returns false and appends nothing if it would exceed
+/// [`MAX_MESSAGE_BYTES`].
+pub fn write_binary_message(kind: u8, tag: Tag, parameters: &[(u8, &[u8])], out: &mut Vec<u8>) -> bool {
     let length = 9 + parameters.iter().map(|(_, value)| 3 + value.len()).sum::<usize>();
-    if length > MAX_MESSAGE {
+    if length > MAX_MESSAGE_BYTES {
         return false;
     }
     out.extend((length as u16).to_be_bytes());
@@ -304,71 +363,84 @@
     true
 }
 
-/// Which way messages are told apart on a connection.
+/// How messages are delimited on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum Framing {
+    /// Lines of up to [`MAX_MESSAGE_BYTES`].
     Lines,
+    /// Binary messages with a two-byte length prefix.
     Binary,
-    /// Lines without an end to their length but this.
+    /// Lines of up to this many bytes.
     LongLines(usize),
 }
 
-/// Cuts what comes in pieces into messages; holds no more than one that is not whole, and what came behind it.
-pub struct Cutter {
-    form: Form,
-    held: Vec<u8>,
-    read: usize,
-    /// Up to here the held bytes were looked through for an end in vain.
-    seen: usize,
+/// Splits a byte stream into messages. Buffers at most one incomplete message and the bytes received after
+/// it.
+pub struct MessageSplitter {
+    form: Framing,
+    buffer: Vec<u8>,
+    read_offset: usize,
+    /// Offset up to which the buffer has already been scanned for a line feed.
+    scanned: usize,
 }
 
-impl Cutter {
-    pub fn new(form: Form) -> Self {
-        Self { form, held: Vec::new(), read: 0, seen: 0 }
+impl MessageSplitter {
+    /// Creates a splitter with an empty buffer.
+    pub fn new(form: Framing) -> Self {
+        Self { form, buffer: Vec::new(), read_offset: 0, scanned: 0 }
     }
 
-    pub fn take(&mut self, bytes: &[u8]) {
-        self.held.drain(..self.read);
-        self.seen -= self.read.min(self.seen);
-        self.read = 0;
-        if self.held.is_empty() && self.held.capacity() > 4096 {
-            self.held = Vec::new();
+    /// Appends received bytes to the buffer.
+    pub fn push(&mut self, bytes: &[u8]) {
+        self.buffer.drain(..self.read_offset);
+        self.scanned -= self.read_offset.min(self.scanned);
+        self.read_offset = 0;
+        if self.buffer.is_empty() && self.buffer.capacity() > 4096 {
+            self.buffer = Vec::new();
         }
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// Bytes of a message that is not whole yet.
-    pub fn pending(&self) -> usize {
-        self.held.len() - self.read
+    /// Number of buffered bytes that have not been returned as a message.
+    pub fn pending_bytes(&self) -> usize {
+        self.buffer.len() - self.read_offset
     }
 
-    /// The next whole message; none: more has to come.
-    pub fn message(&mut self) -> Result<Option<&[u8]>, &'static str> {
-        let held = &self.held[self.read..];
-        let most = match self.form {
-            Form::Binary => {
-                let Some((length, rest)) = held.split_first_chunk::<2>() else { return Ok(None) };
+    /// The next complete message; `None` if more bytes are needed. An error means that the stream is invalid.
+    pub fn next_message(&mut self) -> Result<Option<&[u8]>, &'static str> {
+        let buffer = &self.buffer[self.read_offset..];
+        let max_length = match self.form {
+            Framing::Binary => {
+                let Some((length, rest)) = buffer.split_first_chunk::<2>() else { return Ok(None) };
                 let length = usize::from(u16::from_be_bytes(*length));
-                if !(9..=MAX_MESSAGE).contains(&length) {
-                    return Err("the length of a message is wrong");
+                if !(9..=MAX_MESSAGE_BYTES).contains(&length) {
+                    return Err("message length out of range");
                 }
                 if rest.len() < length {
                     return Ok(None);
                 }
-                let from = self.read + 2;
-                self.read = from + length;
-                return Ok(Some(&self.held[from..self.read]));
+                let from = self.read_offset + 2;
+                self.read_offset = from + length;
+                return Ok(Some(&self.buffer[from..self.read_offset]));
             }
-            Form::Lines => MAX_MESSAGE,
-            Form::LongLines(most) => most,
+            Framing::Lines => MAX_MESSAGE_BYTES,
+            Framing::LongLines(max_length) => max_length,
         };
-        let from = self.seen.max(self.read);
-        let Some(end) = self.held[from..].iter().position(|b| *b == b'\n').map(|end| from + end) else {
-            self.seen = self.held.len();
-            return if held.len() > most { Err("a line without end") } else { Ok(None) };
+        let from = self.scanned.max(self.read_offset);
+        let Some(end) = self.buffer[from..].iter().position(|b| *b == b'\n').map(|end| from + end) else {
+            self.scanned = self.buffer.len();
+            return if buffer.len() > max_length {
+                Err("unterminated line exceeds the maximum length")
+            } else {
+                Ok(None)
+            };
         };
-        let line = self.read..end;
-        (self.read, self.seen) = (end + 1, end + 1);
-        if line.len() > most { Err("a line too long") } else { Ok(Some(&self.held[line])) }
+        let line = self.read_offset..end;
+        (self.read_offset, self.scanned) = (end + 1, end + 1);
+        if line.len() > max_length {
+            Err("line exceeds the maximum length")
+        } else {
+            Ok(Some(&self.buffer[line]))
+        }
     }
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,5 +1,5 @@
-//! What an edge proxy of the platform is told at its start and when its configuration is replaced, and the bounds
-//! that follow from its limits.
+//! The configuration file of an edge proxy of the platform, read at start-up and when it is replaced, and the
+//! resource bounds derived from its limits.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -12,12 +12,13 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-use crate::feed::Known;
+use crate::feed::KnownEvents;
 
-/// The clock of this edge proxy starts at this time, so that what began before it, as core servers do, lies on it.
+/// Reading of this edge proxy's clock at start-up. It is above zero so that earlier events, such as the start
+/// of core servers, have a valid time on the same clock.
 pub const EPOCH: Duration = Duration::from_secs(86_400);
 
-/// What is wrong with a configuration, and where.
+/// An error in a configuration, with the name of the field.
 #[derive(Debug)]
 pub struct ConfigError(pub String);
 
@@ -29,59 +30,72 @@
 
 impl std::error::Error for ConfigError {}
 
+/// The configuration of an edge proxy, validated.
 pub struct Config {
+    /// Name of this edge proxy.
     pub name: String,
+    /// Address on which callers are accepted.
     pub listen: SocketAddr,
+    /// Seed of the random numbers.
     pub seed: u64,
+    /// Address of the control feed.
     pub feed: SocketAddr,
-    pub known: Known,
+    /// The feed events known at start-up.
+    pub known_events: KnownEvents,
+    /// Settings of the decision module.
     pub plan: RoutePlan,
+    /// Resource bounds derived from the limits.
     pub bounds: Bounds,
-    /// Names of the products, in the plan's order.
+    /// Names of the products, in the order of `plan`.
     pub classes: Vec<String>,
-    /// Lines that a dialogue of each product takes, where the settings say so.
+    /// Lines that a call of each product takes, where the settings state it.
     pub widths: Vec<f64>,
-    /// The numbers that may be named as first choice; none: any.
-    pub dests: BTreeSet<i64>,
-    /// How long a connection to a core server may take to come up.
-    pub connect_within: Duration,
-    /// When a connection that carries nothing is closed.
-    pub idle_after: Duration,
+    /// Server numbers that may be named as first choice; empty if any may.
+    pub first_choices: BTreeSet<i64>,
+    /// Time within which a connection to a core server must come up.
+    pub connect_timeout: Duration,
+    /// Idle time after which a connection to a core server is closed.
+    pub idle_timeout: Duration,
 }
 
-/// Each bound follows from the limits; `docs/operators/platform.md` says what happens beyond it.
+/// Resource bounds. Each follows from the configured limits; `docs/operators/platform.md` describes what
+/// happens beyond it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// Connections of callers.
-    pub callers: usize,
-    /// Connections to core servers, and of them to one.
-    pub cores: usize,
-    pub per_core: usize,
-    /// Bytes of descriptions held of set-ups that are not answered.
-    pub descriptions: usize,
-    /// Bytes that wait to be written to one connection.
-    pub unwritten: usize,
-    /// Releases that wait for a connection to go on.
-    pub untold: usize,
-    /// Ends of dialogues that are not held, remembered for a set-up that says they stand.
-    pub ends: usize,
+    /// Number of connections from callers.
+    pub caller_connections: usize,
+    /// Number of connections to all core servers together.
+    pub core_connections: usize,
+    /// Number of connections to one core server.
+    pub connections_per_core: usize,
+    /// Total bytes of the descriptions held for unanswered set-ups.
+    pub description_bytes: usize,
+    /// Bytes waiting to be written to one connection.
+    pub unwritten_bytes: usize,
+    /// Number of releases that wait for a caller to acknowledge them.
+    pub pending_releases: usize,
+    /// Number of ends of unheld calls that are remembered in case a caller reports the call as standing; also
+    /// the number of releases that wait for a connection to one core server.
+    pub remembered_ends: usize,
+    /// Bounds of the edge.
     pub edge: Limits,
 }
 
 impl Bounds {
+    /// Derives the bounds from the limits on memory (in MiB) and on sockets, each clamped to a usable range.
     pub fn new(memory_mb: u64, sockets: usize) -> Self {
         let memory = memory_mb.clamp(16, 4096) as usize * 1024 * 1024;
         let sockets = sockets.clamp(48, 65_536);
-        // A dialogue held takes about 1 KiB here, one that is remembered 200 bytes.
+        // A held dialogue takes about 1 KiB in this process, a remembered one 200 bytes.
         let dialogues = memory / 8 / 1024;
         Self {
-            callers: sockets / 2,
-            cores: sockets / 4,
-            per_core: 4,
-            descriptions: memory / 16,
-            unwritten: 128 * 1024,
-            untold: dialogues,
-            ends: 1024,
+            caller_connections: sockets / 2,
+            core_connections: sockets / 4,
+            connections_per_core: 4,
+            description_bytes: memory / 16,
+            unwritten_bytes: 128 * 1024,
+            pending_releases: dialogues,
+            remembered_ends: 1024,
             edge: Limits {
                 dialogues,
                 links: 1,
@@ -94,63 +108,66 @@
 }
 
 #[derive(Deserialize)]
-struct Sheet {
+struct ConfigFile {
     name: String,
     listen: String,
     seed: String,
-    limits: SheetLimits,
+    limits: ConfigFileLimits,
     feed: String,
-    known: Known,
+    known: KnownEvents,
     settings: Box<RawValue>,
 }
 
 #[derive(Deserialize)]
-struct SheetLimits {
+struct ConfigFileLimits {
     memory_mb: f64,
     sockets: f64,
 }
 
 fn address(field: &str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|_| ConfigError(format!("{field}: {text:?} is no address and port")))
+    text.parse().map_err(|_| ConfigError(format!("{field}: {text:?} is not an address and port")))
 }
 
-/// The address of the feed alone, which may be another one in a configuration that replaces the first.
-pub fn feed_of(text: &str) -> Result<SocketAddr, ConfigError> {
+/// Reads only the address of the feed, which a replaced configuration may change.
+pub fn feed_address(text: &str) -> Result<SocketAddr, ConfigError> {
     #[derive(Deserialize)]
-    struct FeedSheet {
+    struct FeedSetting {
         feed: String,
     }
-    let sheet: FeedSheet = read_named(text).map_err(|e| ConfigError(e.to_string()))?;
-    address("feed", &sheet.feed)
+    let file: FeedSetting = read_named(text).map_err(|e| ConfigError(e.to_string()))?;
+    address("feed", &file.feed)
 }
 
 impl Config {
-    pub fn read(text: &str) -> Result<Self, ConfigError> {
-        let sheet: Sheet = read_named(text).map_err(|e| ConfigError(e.to_string()))?;
-        let seed = u64::from_str_radix(&sheet.seed, 16)
-            .map_err(|_| ConfigError(format!("seed: {:?} is no hexadecimal number", sheet.seed)))?;
+    /// Parses and validates a configuration file.
+    pub fn parse(text: &str) -> Result<Self, ConfigError> {
+        let file: ConfigFile = read_named(text).map_err(|e| ConfigError(e.to_string()))?;
+        let seed = u64::from_str_radix(&file.seed, 16)
+            .map_err(|_| ConfigError(format!("seed: {:?} is not a hexadecimal number", file.seed)))?;
         let limit = |name, value: f64| {
-            let fits = (1.0..=1e9).contains(&value);
-            fits.then_some(value).ok_or_else(|| ConfigError(format!("limits.{name}={value} is no limit")))
+            let is_valid = (1.0..=1e9).contains(&value);
+            is_valid
+                .then_some(value)
+                .ok_or_else(|| ConfigError(format!("limits.{name}={value} is out of range")))
         };
-        let memory_mb = limit("memory_mb", sheet.limits.memory_mb)?;
-        let sockets = limit("sockets", sheet.limits.sockets)?;
-        let settings = settings(sheet.settings.get()).map_err(|e| ConfigError(format!("settings: {e:#}")))?;
+        let memory_mb = limit("memory_mb", file.limits.memory_mb)?;
+        let sockets = limit("sockets", file.limits.sockets)?;
+        let settings = settings(file.settings.get()).map_err(|e| ConfigError(format!("settings: {e:#}")))?;
         if let Some(place) = settings.classes.iter().position(String::is_empty) {
-            return Err(ConfigError(format!("settings: categories[{place}].name: there is none")));
+            return Err(ConfigError(format!("settings: categories[{place}].name: is empty")));
         }
-        let dests = settings.plan.products.iter().filter_map(|product| product.servers.as_ref());
-        let dests = dests.flatten().map(|number| number.0).collect();
+        let first_choices = settings.plan.products.iter().filter_map(|product| product.servers.as_ref());
+        let first_choices = first_choices.flatten().map(|number| number.0).collect();
         Ok(Self {
-            listen: address("listen", &sheet.listen)?,
-            feed: address("feed", &sheet.feed)?,
-            name: sheet.name,
+            listen: address("listen", &file.listen)?,
+            feed: address("feed", &file.feed)?,
+            name: file.name,
             seed,
-            known: sheet.known,
-            dests,
+            known_events: file.known,
+            first_choices,
             bounds: Bounds::new(memory_mb as u64, sockets as usize),
-            connect_within: settings.connect_within.clamp(Duration::from_millis(50), Duration::from_secs(5)),
-            idle_after: settings.idle_after.max(Duration::from_millis(500)),
+            connect_timeout: settings.connect_within.clamp(Duration::from_millis(50), Duration::from_secs(5)),
+            idle_timeout: settings.idle_after.max(Duration::from_millis(500)),
             classes: settings.classes,
             widths: settings.widths,
             plan: settings.plan,
--- a/crates/platform/src/cores.rs
+++ b/crates/platform/src/cores.rs
@@ -1,4 +1,4 @@
-//! Core servers: the connections of each of their lives, and what tells that a life is over.
+//! Core servers: the connections to each incarnation, and the signs by which its end is detected.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -9,128 +9,152 @@
 use lotussaddle_edge::LinkId;
 
 use crate::SocketId;
-use crate::codec::{Cutter, Form, Tag};
+use crate::codec::{Framing, MessageSplitter, Tag};
 
-/// Set-ups called off on a connection that are remembered, to know an answer that crossed from one unheard of.
-const CALLED_OFF: usize = 64;
+/// Cancelled set-ups remembered for each connection, to distinguish an answer that crossed the cancellation
+/// from one to an unknown set-up.
+const MAX_REMEMBERED_CANCELLATIONS: usize = 64;
 
-/// One life of a core server, for as long as something of it is held or the list names it.
-pub struct Life {
-    /// The text by which the edge knows it.
-    pub key: String,
+/// One incarnation of a core server, remembered while calls are held on it or the list names it.
+pub struct Incarnation {
+    /// The address by which the edge knows this incarnation.
+    pub link_address: String,
+    /// Where it accepts connections.
     pub address: SocketAddr,
+    /// Name of the server.
     pub host: Arc<str>,
+    /// Connections that are up or being established.
     pub sockets: Vec<SocketId>,
-    /// Releases that wait for a connection.
+    /// Releases that wait for a connection to come up.
     pub releases: Vec<Tag>,
-    /// When anything last came from there, or a connection came up.
-    pub sign: Duration,
-    /// When a connection was last begun, and when the next may be that no launch asks for.
-    pub begun: Duration,
-    pub again: Duration,
-    /// Connections in a row that did not come up in time.
-    pub late: u32,
-    /// The last connection that was begun did not come up.
-    pub failed: bool,
-    /// The list says that it is gone.
-    pub gone: bool,
-    /// The list says that it drains, or is gone: nothing new is sent there.
-    pub leaving: bool,
-    /// The report that came last by itself: on several connections it comes several times.
-    pub report: (Duration, String),
+    /// When bytes were last received from it, or a connection last came up.
+    pub last_activity: Duration,
+    /// When a connection was last started.
+    pub last_connect_started: Duration,
+    /// Earliest time to start the next connection without a launch that needs it.
+    pub next_connect_at: Duration,
+    /// Consecutive connection attempts that timed out.
+    pub connect_timeouts: u32,
+    /// Whether the last connection attempt failed.
+    pub last_connect_failed: bool,
+    /// Whether the list says that the server is gone.
+    pub is_gone: bool,
+    /// Whether the list says that the server is draining or gone; nothing new is sent to it then.
+    pub is_draining: bool,
+    /// When the last unrequested load report was received, and its text. The same report arrives on each
+    /// connection.
+    pub last_report: (Duration, String),
 }
 
-impl Life {
-    pub fn address(host: &str, dial: &str, born_ms: u64) -> String {
+impl Incarnation {
+    /// Formats the address by which the edge knows an incarnation.
+    pub fn format_address(host: &str, dial: &str, born_ms: u64) -> String {
         format!("{host} {dial} {born_ms}")
     }
 
-    pub fn at(address: &str, now: Duration) -> Option<Self> {
+    /// Parses an address written by [`Self::format_address`].
+    pub fn from_address(address: &str, now: Duration) -> Option<Self> {
         let mut parts = address.split(' ');
         let (host, dial) = (parts.next()?, parts.next()?);
         Some(Self {
-            key: address.to_owned(),
+            link_address: address.to_owned(),
             address: dial.parse().ok()?,
             host: Arc::from(host),
             sockets: Vec::new(),
             releases: Vec::new(),
-            sign: now,
-            begun: now,
-            again: now,
-            late: 0,
-            failed: false,
-            gone: false,
-            leaving: false,
-            report: (Duration::ZERO, String::new()),
+            last_activity: now,
+            last_connect_started: now,
+            next_connect_at: now,
+            connect_timeouts: 0,
+            last_connect_failed: false,
+            is_gone: false,
+            is_draining: false,
+            last_report: (Duration::ZERO, String::new()),
         })
     }
 }
 
-/// A set-up that is not written yet.
+/// A set-up that has not been written to a connection.
 pub struct SetUp {
+    /// The call's identifier.
     pub tag: Tag,
-    /// Until when it is of use.
-    pub until: Duration,
+    /// When the caller gives up.
+    pub deadline: Duration,
+    /// Place of the product in the plan.
     pub class: u16,
+    /// The called number.
     pub key: Option<Arc<str>>,
+    /// The session description.
     pub description: Vec<u8>,
 }
 
 /// A connection to a core server.
-pub struct Core {
+pub struct CoreConnection {
+    /// The edge's link to the incarnation.
     pub link: LinkId,
-    pub up: bool,
-    pub since: Duration,
-    pub heard: Duration,
-    /// It has told a report: the first of a connection is the one told last on the others.
-    pub told: bool,
-    /// When a set-up last went out on it.
-    pub used: Duration,
-    pub cutter: Cutter,
-    pub open: BTreeMap<Tag, LaunchNo>,
-    /// Set-ups that go when the turn is over in which they were decided on, or the connection has come up.
-    pub waiting: Vec<SetUp>,
-    called_off: VecDeque<Tag>,
+    /// Whether it is established.
+    pub is_up: bool,
+    /// When the connection was started.
+    pub started: Duration,
+    /// When bytes were last received.
+    pub last_received: Duration,
+    /// Whether a load report was received on it. The first report on a new connection repeats the last one
+    /// sent on the others.
+    pub has_reported: bool,
+    /// When a set-up was last sent on it.
+    pub last_used: Duration,
+    /// Splits the received bytes into messages.
+    pub splitter: MessageSplitter,
+    /// Launches sent or to be sent on it that have no outcome.
+    pub open_launches: BTreeMap<Tag, LaunchNo>,
+    /// Set-ups to be sent at the end of the loop iteration in which they were decided on, or when the
+    /// connection comes up.
+    pub unsent_set_ups: Vec<SetUp>,
+    cancelled: VecDeque<Tag>,
 }
 
-impl Core {
+impl CoreConnection {
+    /// A connection that is being established.
     pub fn new(link: LinkId, now: Duration) -> Self {
         Self {
             link,
-            up: false,
-            since: now,
-            heard: now,
-            told: false,
-            used: now,
-            cutter: Cutter::new(Form::Binary),
-            open: BTreeMap::new(),
-            waiting: Vec::new(),
-            called_off: VecDeque::new(),
+            is_up: false,
+            started: now,
+            last_received: now,
+            has_reported: false,
+            last_used: now,
+            splitter: MessageSplitter::new(Framing::Binary),
+            open_launches: BTreeMap::new(),
+            unsent_set_ups: Vec::new(),
+            cancelled: VecDeque::new(),
         }
     }
 
-    /// The launch out there under this id, which is out no more; none where it was not sent yet.
-    pub fn take_open(&mut self, tag: Tag) -> Option<LaunchNo> {
-        if self.waits(tag) { None } else { self.open.remove(&tag) }
+    /// Removes and returns the launch of a call; `None` if there is none or its set-up was not sent yet.
+    pub fn take_open_launch(&mut self, tag: Tag) -> Option<LaunchNo> {
+        if self.is_unsent(tag) { None } else { self.open_launches.remove(&tag) }
     }
 
-    pub fn waits(&self, tag: Tag) -> bool {
-        self.waiting.iter().any(|set_up| set_up.tag == tag)
+    /// Whether the set-up of a call has not been sent yet.
+    pub fn is_unsent(&self, tag: Tag) -> bool {
+        self.unsent_set_ups.iter().any(|set_up| set_up.tag == tag)
     }
 
-    pub fn called_off(&mut self, tag: Tag) {
-        if self.called_off.len() >= CALLED_OFF {
-            self.called_off.pop_front();
+    /// Remembers that the set-up of a call was cancelled on this connection.
+    pub fn record_cancellation(&mut self, tag: Tag) {
+        if self.cancelled.len() >= MAX_REMEMBERED_CANCELLATIONS {
+            self.cancelled.pop_front();
         }
-        self.called_off.push_back(tag);
+        self.cancelled.push_back(tag);
     }
 
-    pub fn was_called_off(&self, tag: Tag) -> bool {
-        self.called_off.contains(&tag)
+    /// Whether the set-up of a call was cancelled on this connection.
+    pub fn was_cancelled(&self, tag: Tag) -> bool {
+        self.cancelled.contains(&tag)
     }
 
-    /// What was called off here has ended here too.
-    pub fn called_off_is_over(&mut self, tag: Tag) {
-        self.called_off.retain(|off| *off != tag);
+    /// Forgets a cancelled set-up, because the core server has reported its end.
+    pub fn clear_cancellation(&mut self, tag: Tag) {
+        self.cancelled.retain(|other| *other != tag);
     }
 }
--- a/crates/platform/src/desk.rs
+++ b/crates/platform/src/desk.rs
@@ -1,4 +1,4 @@
-//! Which connection bears what, and the edge proxy's effects turned into messages.
+//! The connections, the calls carried on them, and the translation of the edge's effects into messages.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
@@ -7,101 +7,126 @@
 use lotussaddle_edge::{LinkId, Note, Wires};
 use lotussaddle_trunk::{End, Frame, Launch, Message, NotTaken};
 
-use crate::codec::{self, Cutter, Tag, ToCaller, cause, code, kind};
+use crate::codec::{self, MessageSplitter, MessageToCaller, Tag, cause, code, kind};
 use crate::config::Bounds;
-use crate::cores::{Core, Life, SetUp};
-use crate::{Ending, Net, SocketId};
+use crate::cores::{CoreConnection, Incarnation, SetUp};
+use crate::{CloseMode, Net, SocketId};
 
 /// The logical link that all callers share.
 pub const CALLERS: LinkId = LinkId(0);
 
-/// A connection of callers.
-pub struct Caller {
-    pub cutter: Cutter,
-    pub since: Duration,
-    /// When the last whole message came or went.
-    pub used: Duration,
-    /// Set-ups that came on it and are not answered.
-    pub open: BTreeSet<Tag>,
-    /// Calls that came on it and stand: callers keep a connection for as long as one does, and so is it kept here, since
-    /// there may be no other by which the end of that call can be told.
-    pub standing: usize,
-    /// It has said something that can be used.
-    pub good: bool,
-    /// It has had an answer.
-    pub served: bool,
-    pub wrongs: u32,
+/// A connection from a caller.
+pub struct CallerConnection {
+    /// Splits the received bytes into messages.
+    pub splitter: MessageSplitter,
+    /// When it was accepted.
+    pub accepted_at: Duration,
+    /// When the last complete message was received or sent.
+    pub last_used: Duration,
+    /// Unanswered set-ups received on it.
+    pub open_set_ups: BTreeSet<Tag>,
+    /// Number of standing calls received on it. Callers keep a connection open while one of its calls stands.
+    /// It is kept open here as well, because no other connection may exist on which the end of that call can
+    /// be sent.
+    pub standing_calls: usize,
+    /// Whether a valid message was received on it.
+    pub has_sent_valid: bool,
+    /// Whether a call set up on it has been answered.
+    pub has_been_answered: bool,
+    /// Number of invalid messages received on it.
+    pub invalid_messages: u32,
 }
 
-/// Where a dialogue that the edge holds came from, and what bears its launch.
+/// Where a held call came from, and which connection carries its launch.
 pub struct Call {
-    /// The connection it came on.
+    /// The connection on which it was received.
     pub caller: SocketId,
-    /// It has no final answer yet; then bytes of its description are held.
-    pub open: bool,
+    /// Whether it has no final answer yet; its description is held until then.
+    pub is_open: bool,
+    /// Whether the call stands.
     pub stands: bool,
-    pub bytes: usize,
+    /// Length of its description, counted while it is held.
+    pub description_bytes: usize,
+    /// The link and connection that carry its launch.
     pub core: Option<(LinkId, SocketId)>,
 }
 
-/// A launch has ended without a frame that tells so.
-pub struct LaunchOver {
+/// A launch that ended without a message from the core server.
+pub struct EndedLaunch {
+    /// The link to the incarnation.
     pub link: LinkId,
+    /// The call's identifier.
     pub tag: Tag,
+    /// Number of the launch.
     pub launch: LaunchNo,
+    /// How it ended.
     pub outcome: Outcome,
 }
 
-/// A release towards a caller, until that is heard to take it.
-pub struct Untold {
-    since: Duration,
+/// A release towards a caller that has not been acknowledged.
+pub struct PendingRelease {
+    ended_at: Duration,
     cause: u8,
-    /// The connections on which it was said, the last one last, and when it was said there.
-    tried: Vec<SocketId>,
-    said_at: Duration,
-    /// It was said on the connection of its call: whoever is there knows the call.
-    on_its_own: bool,
+    /// The connections on which it was sent, in order, and when it was last sent.
+    sent_on: Vec<SocketId>,
+    sent_at: Duration,
+    /// Whether it was last sent on the connection of its call, whose owner knows the call.
+    sent_on_own_connection: bool,
 }
 
-pub struct Desk {
+/// All connections and calls, and the work that waits for the next call into the edge.
+pub struct ConnectionTable {
+    /// Time of the current input.
     pub now: Duration,
+    /// Resource bounds.
     pub bounds: Bounds,
-    pub connect_within: Duration,
-    pub idle_after: Duration,
+    /// Time within which a connection to a core server must come up.
+    pub connect_timeout: Duration,
+    /// Idle time after which a connection to a core server is closed.
+    pub idle_timeout: Duration,
+    /// Names of the products, in the plan's order.
     pub classes: Vec<String>,
-    pub callers: HashMap<SocketId, Caller>,
-    pub cores: HashMap<SocketId, Core>,
-    pub lives: BTreeMap<LinkId, Life>,
+    /// Connections from callers.
+    pub callers: HashMap<SocketId, CallerConnection>,
+    /// Connections to core servers.
+    pub cores: HashMap<SocketId, CoreConnection>,
+    /// Incarnations of core servers by their link.
+    pub incarnations: BTreeMap<LinkId, Incarnation>,
+    /// Held calls.
     pub calls: HashMap<Tag, Call>,
-    /// Bytes of descriptions held.
-    pub described: usize,
-    /// The logical link to the feed, once there is one.
-    pub list: Option<LinkId>,
+    /// Total bytes of the descriptions held.
+    pub held_description_bytes: usize,
+    /// The logical link to the feed, once it exists.
+    pub list_link: Option<LinkId>,
+    /// Number of the last link created.
     pub next_link: u64,
-    pub to_admit: Vec<LinkId>,
-    pub overs: VecDeque<LaunchOver>,
-    /// Connections of callers that turned out to be of no use while they were written to.
-    pub broken: Vec<SocketId>,
-    /// Connections to core servers to which nothing more could be written.
-    pub jammed: Vec<SocketId>,
-    /// Connections to core servers on which set-ups wait for the end of the turn.
-    pub to_send: BTreeSet<SocketId>,
-    /// Releases towards callers that none was heard to take yet.
-    pub untold: BTreeMap<Tag, Untold>,
-    out: Vec<u8>,
+    /// Links that are not yet reported to the edge as admitted.
+    pub links_to_admit: Vec<LinkId>,
+    /// Ended launches that are not yet reported to the edge.
+    pub ended_launches: VecDeque<EndedLaunch>,
+    /// Caller connections on which a write failed; they are to be closed.
+    pub unusable_callers: Vec<SocketId>,
+    /// Connections to core servers on which a write failed; they are to be closed.
+    pub unwritable_cores: Vec<SocketId>,
+    /// Connections to core servers with set-ups that wait for the end of the loop iteration.
+    pub cores_with_unsent_set_ups: BTreeSet<SocketId>,
+    /// Releases that no caller has acknowledged yet.
+    pub pending_releases: BTreeMap<Tag, PendingRelease>,
+    write_buffer: Vec<u8>,
 }
 
-pub fn name(tag: Tag) -> DialogueId {
+/// The edge's identifier of a call.
+pub fn dialogue_id(tag: Tag) -> DialogueId {
     DialogueId(tag.to_string().into())
 }
 
-fn tag(dialogue: &DialogueId) -> Tag {
-    Tag::read(&dialogue.0).unwrap_or(Tag(0)) // Every dialogue here was named by `name`.
+fn tag_of(dialogue: &DialogueId) -> Tag {
+    Tag::parse(&dialogue.0).unwrap_or(Tag(0)) // Every dialogue is named by `dialogue_id`.
 }
 
-/// A set-up as a core server reads it; none where it is too long.
-fn written(set_up: &SetUp, now: Duration, classes: &[String]) -> Option<Vec<u8>> {
-    let left = (set_up.until.saturating_sub(now).as_millis() as u64).max(1).to_string();
+/// Encodes a set-up for a core server; `None` if it is too long.
+fn encode_set_up(set_up: &SetUp, now: Duration, classes: &[String]) -> Option<Vec<u8>> {
+    let left = (set_up.deadline.saturating_sub(now).as_millis() as u64).max(1).to_string();
     let class = classes.get(usize::from(set_up.class)).map(String::as_str).unwrap_or_default();
     let mut parameters: Vec<(u8, &[u8])> =
         vec![(code::CLASS, class.as_bytes()), (code::LEFT, left.as_bytes())];
@@ -110,169 +135,200 @@
         parameters.push((code::DESCRIPTION, &set_up.description));
     }
     let mut bytes = Vec::new();
-    codec::binary(kind::START, set_up.tag, &parameters, &mut bytes).then_some(bytes)
+    codec::write_binary_message(kind::START, set_up.tag, &parameters, &mut bytes).then_some(bytes)
 }
 
-/// A release said on another connection than its call's, and not heard to be taken for so long, is said on the next: whoever
-/// is there may be nobody who knows the call.
-const HEARD_WITHIN: Duration = Duration::from_millis(150);
-/// One said on so many connections is said on no more.
-const MOST_SAID: usize = 6;
-/// One that was said, and not heard to be taken for so long, is over all the same: not every caller says that it heard.
-const SAID_FOR: Duration = Duration::from_secs(1);
-/// One that no connection could take for so long is dropped: it would no longer be in time.
-const UNTOLD_FOR: Duration = Duration::from_secs(10);
-
-impl Desk {
-    pub fn new(bounds: Bounds, connect_within: Duration, idle_after: Duration, classes: Vec<String>) -> Self {
+/// A release sent on a connection other than its call's is sent on another one if it is not acknowledged
+/// within this time: the caller on that connection may not know the call.
+const RELEASE_ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(150);
+/// Maximum number of connections on which a release is sent.
+const MAX_CONNECTIONS_PER_RELEASE: usize = 6;
+/// A release that was sent counts as received after this time even without an acknowledgement, because not
+/// every caller acknowledges.
+const UNACKNOWLEDGED_RELEASE_LIFETIME: Duration = Duration::from_secs(1);
+/// A release that could not be sent on any connection is dropped after this time: it would be too late.
+const UNSENT_RELEASE_LIFETIME: Duration = Duration::from_secs(10);
+
+impl ConnectionTable {
+    /// A table without connections.
+    pub fn new(
+        bounds: Bounds, connect_timeout: Duration, idle_timeout: Duration, classes: Vec<String>,
+    ) -> Self {
         Self {
             now: Duration::ZERO,
             bounds,
-            connect_within,
-            idle_after,
+            connect_timeout,
+            idle_timeout,
             classes,
             callers: HashMap::new(),
             cores: HashMap::new(),
-            lives: BTreeMap::new(),
+            incarnations: BTreeMap::new(),
             calls: HashMap::new(),
-            described: 0,
-            list: None,
+            held_description_bytes: 0,
+            list_link: None,
             next_link: 1,
-            to_admit: Vec::new(),
-            overs: VecDeque::new(),
-            broken: Vec::new(),
-            jammed: Vec::new(),
-            to_send: BTreeSet::new(),
-            untold: BTreeMap::new(),
-            out: Vec::new(),
+            links_to_admit: Vec::new(),
+            ended_launches: VecDeque::new(),
+            unusable_callers: Vec::new(),
+            unwritable_cores: Vec::new(),
+            cores_with_unsent_set_ups: BTreeSet::new(),
+            pending_releases: BTreeMap::new(),
+            write_buffer: Vec::new(),
         }
     }
 
-    pub fn hands<'a>(&'a mut self, net: &'a mut dyn Net) -> Hands<'a> {
-        Hands { desk: self, net }
+    /// Lends the table and the network to the edge for one input.
+    pub fn effects<'a>(&'a mut self, net: &'a mut dyn Net) -> PlatformEffects<'a> {
+        PlatformEffects { connections: self, net }
     }
 
-    /// The dialogue has its answer, or is given up: its description is needed no more.
+    /// Marks a call as answered or given up and releases its description. Returns the caller's connection.
     pub fn close_call(&mut self, tag: Tag) -> Option<SocketId> {
         let call = self.calls.get_mut(&tag)?;
-        if std::mem::take(&mut call.open) {
-            self.described -= std::mem::take(&mut call.bytes);
+        if std::mem::take(&mut call.is_open) {
+            self.held_description_bytes -= std::mem::take(&mut call.description_bytes);
             if let Some(caller) = self.callers.get_mut(&call.caller) {
-                caller.open.remove(&tag);
+                caller.open_set_ups.remove(&tag);
             }
         }
         Some(call.caller)
     }
 
-    pub fn drop_call(&mut self, tag: Tag) -> Option<SocketId> {
+    /// Removes a call. Returns the caller's connection.
+    pub fn remove_call(&mut self, tag: Tag) -> Option<SocketId> {
         let socket = self.close_call(tag)?;
         let call = self.calls.remove(&tag)?;
         if call.stands
             && let Some(caller) = self.callers.get_mut(&socket)
         {
-            (caller.standing, caller.used) = (caller.standing - 1, self.now);
+            (caller.standing_calls, caller.last_used) = (caller.standing_calls - 1, self.now);
         }
         Some(socket)
     }
 
-    /// A call stands from now on, and so keeps the connection it came on.
-    pub fn stands(&mut self, tag: Tag) {
+    /// Marks a call as standing, which keeps its caller's connection open.
+    pub fn mark_standing(&mut self, tag: Tag) {
         let Some(call) = self.calls.get_mut(&tag).filter(|call| !call.stands) else { return };
         call.stands = true;
         if let Some(caller) = self.callers.get_mut(&call.caller) {
-            caller.standing += 1;
+            caller.standing_calls += 1;
         }
     }
 
-    /// Writes to a caller; false: it could not be.
-    pub fn tell(&mut self, net: &mut dyn Net, socket: SocketId, tag: Tag, said: ToCaller) -> bool {
+    /// Sends a message to a caller; false if it could not be queued.
+    pub fn send_to_caller(
+        &mut self, net: &mut dyn Net, socket: SocketId, tag: Tag, message: MessageToCaller,
+    ) -> bool {
         let Some(caller) = self.callers.get_mut(&socket) else { return false };
-        caller.used = self.now;
-        self.out.clear();
-        codec::to_caller(tag, said, &mut self.out);
-        let sent = net.send(socket, &self.out);
+        caller.last_used = self.now;
+        self.write_buffer.clear();
+        codec::write_caller_message(tag, message, &mut self.write_buffer);
+        let sent = net.send(socket, &self.write_buffer);
         if !sent {
-            self.broken.push(socket);
+            self.unusable_callers.push(socket);
         }
         sent
     }
 
-    /// A dialogue that stood is over: its caller is told at once, on the connection that it came on, else on another,
-    /// since it belongs to none, and where there is none, on the next one. It is told again elsewhere until it is heard to
-    /// be taken.
-    pub fn tell_over(&mut self, net: &mut dyn Net, tag: Tag, cause: u8, own: Option<SocketId>) {
-        let mut untold =
-            Untold { since: self.now, cause, tried: Vec::new(), said_at: self.now, on_its_own: false };
-        self.say_over(net, tag, &mut untold, own);
-        if self.untold.len() < self.bounds.untold {
-            self.untold.insert(tag, untold);
-        } else if untold.tried.is_empty() {
-            net.log(&format!("release of {tag} could not be told to a caller"));
+    /// Sends the end of a standing call to its caller: on the connection on which the call was received if it
+    /// is open, otherwise on another one, because a standing call is not bound to a connection. If none is
+    /// open it is sent on the next one accepted. It is sent again on other connections until it is
+    /// acknowledged.
+    pub fn release_caller(&mut self, net: &mut dyn Net, tag: Tag, cause: u8, own_socket: Option<SocketId>) {
+        let mut release = PendingRelease {
+            ended_at: self.now,
+            cause,
+            sent_on: Vec::new(),
+            sent_at: self.now,
+            sent_on_own_connection: false,
+        };
+        self.send_release(net, tag, &mut release, own_socket);
+        if self.pending_releases.len() < self.bounds.pending_releases {
+            self.pending_releases.insert(tag, release);
+        } else if release.sent_on.is_empty() {
+            net.log(&format!("release of {tag} could not be sent to any caller"));
         }
     }
 
-    /// Says it on one more connection, where there is one: first those of callers that were answered before.
-    fn say_over(&mut self, net: &mut dyn Net, tag: Tag, untold: &mut Untold, own: Option<SocketId>) -> bool {
-        let fit = |id: &SocketId| !untold.tried.contains(id) && !self.broken.contains(id);
-        let own = own.filter(|own| self.callers.contains_key(own) && fit(own));
+    /// Sends a release on one more connection, if there is one. Connections on which calls were answered
+    /// before are preferred.
+    fn send_release(
+        &mut self, net: &mut dyn Net, tag: Tag, release: &mut PendingRelease, own_socket: Option<SocketId>,
+    ) -> bool {
+        let is_usable = |id: &SocketId| !release.sent_on.contains(id) && !self.unusable_callers.contains(id);
+        let own_socket = own_socket.filter(|socket| self.callers.contains_key(socket) && is_usable(socket));
         let others = || {
-            let others = self.callers.iter().filter(|(id, _)| fit(id));
-            others.max_by_key(|(id, c)| (c.served, c.good, c.used, **id)).map(|(id, _)| *id)
+            let others = self.callers.iter().filter(|(id, _)| is_usable(id));
+            others
+                .max_by_key(|(id, c)| (c.has_been_answered, c.has_sent_valid, c.last_used, **id))
+                .map(|(id, _)| *id)
         };
-        let Some(socket) = own.or_else(others) else { return false };
-        let said = self.tell(net, socket, tag, ToCaller::Finish { cause: untold.cause, wait_ms: None });
-        if said {
-            (untold.said_at, untold.on_its_own) = (self.now, own.is_some());
-            untold.tried.push(socket);
+        let Some(socket) = own_socket.or_else(others) else { return false };
+        let sent = self.send_to_caller(
+            net,
+            socket,
+            tag,
+            MessageToCaller::Finish { cause: release.cause, wait_ms: None },
+        );
+        if sent {
+            (release.sent_at, release.sent_on_own_connection) = (self.now, own_socket.is_some());
+            release.sent_on.push(socket);
         }
-        said
+        sent
     }
 
-    /// Whoever is there has taken the release.
-    pub fn heard_over(&mut self, tag: Tag) {
-        self.untold.remove(&tag);
+    /// A caller has acknowledged a release.
+    pub fn release_acknowledged(&mut self, tag: Tag) {
+        self.pending_releases.remove(&tag);
     }
 
-    pub fn tell_untold(&mut self, net: &mut dyn Net) {
+    /// Sends unacknowledged releases on further connections where due, and drops those that have expired.
+    pub fn resend_releases(&mut self, net: &mut dyn Net) {
         let now = self.now;
-        let mut untold = std::mem::take(&mut self.untold);
-        untold.retain(|tag, untold| {
-            let mut there = untold.tried.last().is_some_and(|last| self.callers.contains_key(last));
-            let unheard = !untold.on_its_own && now >= untold.said_at + HEARD_WITHIN;
-            if (!there || unheard) && untold.tried.len() < MOST_SAID {
-                there |= self.say_over(net, *tag, untold, None);
+        let mut releases = std::mem::take(&mut self.pending_releases);
+        releases.retain(|tag, release| {
+            let mut connected = release.sent_on.last().is_some_and(|last| self.callers.contains_key(last));
+            let is_unacknowledged =
+                !release.sent_on_own_connection && now >= release.sent_at + RELEASE_ACKNOWLEDGE_TIMEOUT;
+            if (!connected || is_unacknowledged) && release.sent_on.len() < MAX_CONNECTIONS_PER_RELEASE {
+                connected |= self.send_release(net, *tag, release, None);
             }
-            let said = there || untold.tried.len() >= MOST_SAID;
-            let until = if said { untold.said_at + SAID_FOR } else { untold.since + UNTOLD_FOR };
-            if now >= until && untold.tried.is_empty() {
-                net.log(&format!("release of {tag} could not be told to a caller"));
+            let sent = connected || release.sent_on.len() >= MAX_CONNECTIONS_PER_RELEASE;
+            let until = if sent {
+                release.sent_at + UNACKNOWLEDGED_RELEASE_LIFETIME
+            } else {
+                release.ended_at + UNSENT_RELEASE_LIFETIME
+            };
+            if now >= until && release.sent_on.is_empty() {
+                net.log(&format!("release of {tag} could not be sent to any caller"));
             }
             now < until
         });
-        self.untold = untold;
+        self.pending_releases = releases;
     }
 
-    fn link(&mut self) -> LinkId {
+    fn new_link(&mut self) -> LinkId {
         self.next_link += 1;
         let link = LinkId(self.next_link);
-        self.to_admit.push(link);
+        self.links_to_admit.push(link);
         link
     }
 
-    /// A set-up goes when the turn is over: whoever called it off meanwhile has not been read yet.
-    fn set_up(
+    /// Queues a set-up. It is sent at the end of the loop iteration, because a cancellation by the caller may
+    /// be waiting to be read.
+    fn queue_set_up(
         &mut self, net: &mut dyn Net, link: LinkId, launch: Launch, extra: &[lotussaddle_trunk::Extra],
     ) {
-        let tag = tag(&launch.dialogue);
-        let Some(socket) = self.socket_for(net, link, Some(tag)) else {
+        let tag = tag_of(&launch.dialogue);
+        let Some(socket) = self.choose_connection(net, link, Some(tag)) else {
             let outcome = Outcome::Unreachable;
-            return self.overs.push_back(LaunchOver { link, tag, launch: launch.launch, outcome });
+            return self.ended_launches.push_back(EndedLaunch { link, tag, launch: launch.launch, outcome });
         };
-        let core = self.cores.get_mut(&socket).expect("it was chosen");
-        core.open.insert(tag, launch.launch);
-        core.waiting.push(SetUp {
+        let core = self.cores.get_mut(&socket).expect("the chosen connection exists");
+        core.open_launches.insert(tag, launch.launch);
+        core.unsent_set_ups.push(SetUp {
             tag,
-            until: self.now + launch.time_left,
+            deadline: self.now + launch.time_left,
             class: launch.product,
             key: launch.key.map(|key| key.0),
             description: extra
@@ -281,37 +337,38 @@
                 .map(|e| e.value.clone())
                 .unwrap_or_default(),
         });
-        self.to_send.insert(socket);
+        self.cores_with_unsent_set_ups.insert(socket);
         if let Some(call) = self.calls.get_mut(&tag) {
             call.core = Some((link, socket));
         }
     }
 
-    /// Writes the set-ups that wait on connections that are up; true: some came to an end instead.
-    ///
-    /// One whose caller's connection has more to be read is kept for the next turn: what lies there may call it off.
-    pub fn send_off(&mut self, net: &mut dyn Net) -> bool {
+    /// Writes the waiting set-ups to connections that are up. Returns true if some of them ended instead.
+    /// A set-up whose caller's connection has unread input is held back until the next iteration, because
+    /// that input may cancel it.
+    pub fn send_set_ups(&mut self, net: &mut dyn Net) -> bool {
         let mut ended = false;
-        for socket in std::mem::take(&mut self.to_send) {
-            let Some(core) = self.cores.get_mut(&socket).filter(|core| core.up) else { continue };
-            let (link, mut kept) = (core.link, Vec::new());
-            for set_up in std::mem::take(&mut core.waiting) {
+        for socket in std::mem::take(&mut self.cores_with_unsent_set_ups) {
+            let Some(core) = self.cores.get_mut(&socket).filter(|core| core.is_up) else { continue };
+            let (link, mut held_back) = (core.link, Vec::new());
+            for set_up in std::mem::take(&mut core.unsent_set_ups) {
                 let tag = set_up.tag;
-                let Some(launch) = core.open.get(&tag).copied() else { continue };
+                let Some(launch) = core.open_launches.get(&tag).copied() else { continue };
                 let Some(call) = self.calls.get(&tag) else {
-                    core.open.remove(&tag); // Nobody wants it any more.
+                    core.open_launches.remove(&tag); // The caller has given up.
                     continue;
                 };
-                if self.now < set_up.until && net.unread(call.caller) {
-                    kept.push(set_up);
+                if self.now < set_up.deadline && net.has_unread(call.caller) {
+                    held_back.push(set_up);
                     continue;
                 }
-                // What waited has lost that time; the edge ends it where all of it is gone.
-                let leaving = self.lives.get(&link).is_none_or(|life| life.leaving);
-                let outcome = if self.now >= set_up.until || leaving {
+                // The time spent waiting counts; the edge ends the launch if no time is left.
+                let is_draining =
+                    self.incarnations.get(&link).is_none_or(|incarnation| incarnation.is_draining);
+                let outcome = if self.now >= set_up.deadline || is_draining {
                     Some(Outcome::Unreachable)
                 } else {
-                    let bytes = written(&set_up, self.now, &self.classes);
+                    let bytes = encode_set_up(&set_up, self.now, &self.classes);
                     match bytes.map(|bytes| net.send(socket, &bytes)) {
                         None => Some(Outcome::NotSent),
                         Some(false) => Some(Outcome::Unreachable),
@@ -319,124 +376,152 @@
                     }
                 };
                 if let Some(outcome) = outcome {
-                    core.open.remove(&tag);
-                    self.overs.push_back(LaunchOver { link, tag, launch, outcome });
+                    core.open_launches.remove(&tag);
+                    self.ended_launches.push_back(EndedLaunch { link, tag, launch, outcome });
                     ended = true;
                 } else {
-                    core.used = self.now;
+                    core.last_used = self.now;
                 }
             }
-            if !kept.is_empty() {
-                self.to_send.insert(socket);
+            if !held_back.is_empty() {
+                self.cores_with_unsent_set_ups.insert(socket);
             }
-            core.waiting = kept;
+            core.unsent_set_ups = held_back;
         }
         ended
     }
 
-    fn cancel(&mut self, net: &mut dyn Net, tag: Tag) {
+    fn cancel_launch(&mut self, net: &mut dyn Net, tag: Tag) {
         let Some((_, socket)) = self.calls.get_mut(&tag).and_then(|call| call.core.take()) else { return };
         let Some(core) = self.cores.get_mut(&socket) else { return };
-        if core.open.remove(&tag).is_none() {
+        if core.open_launches.remove(&tag).is_none() {
             return;
         }
-        if core.waits(tag) {
-            return core.waiting.retain(|waiting| waiting.tag != tag);
+        if core.is_unsent(tag) {
+            return core.unsent_set_ups.retain(|waiting| waiting.tag != tag);
         }
-        core.called_off(tag);
-        self.finish(net, socket, tag);
+        core.record_cancellation(tag);
+        self.send_finish(net, socket, tag);
     }
 
-    /// Gives a set-up up, or releases what stands, towards a core server.
-    pub fn finish(&mut self, net: &mut dyn Net, socket: SocketId, tag: Tag) -> bool {
-        self.out.clear();
-        codec::binary(kind::FINISH, tag, &[(code::CAUSE, &[cause::NORMAL])], &mut self.out);
-        let sent = net.send(socket, &self.out);
+    /// Gives up a set-up, or releases a standing call, towards a core server.
+    pub fn send_finish(&mut self, net: &mut dyn Net, socket: SocketId, tag: Tag) -> bool {
+        self.write_buffer.clear();
+        codec::write_binary_message(
+            kind::FINISH,
+            tag,
+            &[(code::CAUSE, &[cause::NORMAL])],
+            &mut self.write_buffer,
+        );
+        let sent = net.send(socket, &self.write_buffer);
         if !sent {
-            // Whoever reads nothing for so long is not waited for: with the connection, what is open on it is given up.
-            self.jammed.push(socket);
+            // A core server that does not read is not waited for: its connection is closed, and what is open
+            // on it is given up.
+            self.unwritable_cores.push(socket);
         }
         sent
     }
 
-    fn release(&mut self, net: &mut dyn Net, link: LinkId, tag: Tag) {
-        let own = self.calls.get(&tag).and_then(|call| call.core).map(|(_, socket)| socket);
-        let up = |socket: &SocketId| self.cores.get(socket).is_some_and(|core| core.up && core.link == link);
-        let Some(life) = self.lives.get(&link) else { return };
-        let socket = own.filter(up).or_else(|| life.sockets.iter().copied().find(up));
-        if socket.is_some_and(|socket| self.finish(net, socket, tag)) {
+    fn release_call(&mut self, net: &mut dyn Net, link: LinkId, tag: Tag) {
+        let own_socket = self.calls.get(&tag).and_then(|call| call.core).map(|(_, socket)| socket);
+        let is_up =
+            |socket: &SocketId| self.cores.get(socket).is_some_and(|core| core.is_up && core.link == link);
+        let Some(incarnation) = self.incarnations.get(&link) else { return };
+        let socket = own_socket.filter(is_up).or_else(|| incarnation.sockets.iter().copied().find(is_up));
+        if socket.is_some_and(|socket| self.send_finish(net, socket, tag)) {
             return;
         }
-        if let Some(life) = self.lives.get_mut(&link).filter(|life| life.releases.len() < self.bounds.ends) {
-            life.releases.push(tag);
+        if let Some(incarnation) = self
+            .incarnations
+            .get_mut(&link)
+            .filter(|incarnation| incarnation.releases.len() < self.bounds.remembered_ends)
+        {
+            incarnation.releases.push(tag);
         }
     }
 }
 
-/// The desk and the world, lent to the edge for one input.
-pub struct Hands<'a> {
-    desk: &'a mut Desk,
+/// The connection table and the network, lent to the edge for one input.
+pub struct PlatformEffects<'a> {
+    connections: &'a mut ConnectionTable,
     net: &'a mut dyn Net,
 }
 
-impl Wires for Hands<'_> {
-    /// Always true: what cannot be said comes back as an end, or as a caller's connection that is lost.
+impl Wires for PlatformEffects<'_> {
+    /// Always returns true: a message that cannot be sent is reported later as an ended launch or a lost
+    /// caller connection.
     fn say(&mut self, link: LinkId, message: Message) -> bool {
-        let (desk, net) = (&mut *self.desk, &mut *self.net);
+        let (connections, net) = (&mut *self.connections, &mut *self.net);
         match message.frame {
-            Frame::Launch(launch) => desk.set_up(net, link, launch, &message.extra),
-            Frame::Cancel { dialogue, .. } => desk.cancel(net, tag(&dialogue)),
-            Frame::Release { dialogue, .. } => desk.release(net, link, tag(&dialogue)),
+            Frame::Launch(launch) => connections.queue_set_up(net, link, launch, &message.extra),
+            Frame::Cancel { dialogue, .. } => connections.cancel_launch(net, tag_of(&dialogue)),
+            Frame::Release { dialogue, .. } => connections.release_call(net, link, tag_of(&dialogue)),
             Frame::Stands { dialogue, .. } => {
-                let tag = tag(&dialogue);
+                let tag = tag_of(&dialogue);
                 let description = message.extra.iter().find(|e| e.tag == code::DESCRIPTION);
                 let description =
                     description.and_then(|e| std::str::from_utf8(&e.value).ok()).unwrap_or_default();
-                let socket = desk.close_call(tag);
-                desk.stands(tag);
+                let socket = connections.close_call(tag);
+                connections.mark_standing(tag);
                 if let Some(socket) = socket
-                    && desk.tell(net, socket, tag, ToCaller::Started(description))
-                    && let Some(caller) = desk.callers.get_mut(&socket)
+                    && connections.send_to_caller(net, socket, tag, MessageToCaller::Started(description))
+                    && let Some(caller) = connections.callers.get_mut(&socket)
                 {
-                    caller.served = true;
+                    caller.has_been_answered = true;
                 }
             }
             Frame::Refused { dialogue, come_back } => {
                 let wait_ms = come_back.map(|time| time.as_millis() as u64);
-                answer(desk, net, &dialogue, ToCaller::Finish { cause: cause::FULL, wait_ms });
+                send_final_answer(
+                    connections,
+                    net,
+                    &dialogue,
+                    MessageToCaller::Finish { cause: cause::FULL, wait_ms },
+                );
             }
             Frame::Failed { dialogue } => {
-                answer(desk, net, &dialogue, ToCaller::Finish { cause: cause::RESET, wait_ms: None });
+                send_final_answer(
+                    connections,
+                    net,
+                    &dialogue,
+                    MessageToCaller::Finish { cause: cause::RESET, wait_ms: None },
+                );
             }
             Frame::Declined { dialogue, why, .. } => {
                 let cause = if why == NotTaken::Full { cause::CONGESTION } else { cause::UNUSABLE };
-                answer(desk, net, &dialogue, ToCaller::Finish { cause, wait_ms: None });
+                send_final_answer(
+                    connections,
+                    net,
+                    &dialogue,
+                    MessageToCaller::Finish { cause, wait_ms: None },
+                );
             }
             Frame::Over { dialogue, end } => {
-                let tag = tag(&dialogue);
+                let tag = tag_of(&dialogue);
                 let cause = if end == End::Released { cause::NORMAL } else { cause::RESET };
-                let own = desk.drop_call(tag);
-                desk.tell_over(net, tag, cause, own);
+                let own_socket = connections.remove_call(tag);
+                connections.release_caller(net, tag, cause, own_socket);
             }
             _ => {}
         }
         true
     }
 
-    /// The list is the one without an address; else it is a life of a core server, named by [`Life::address`].
+    /// An empty address means the list; any other is an incarnation of a core server, formatted by
+    /// [`Incarnation::format_address`].
     fn connect(&mut self, address: &str) -> LinkId {
-        let link = self.desk.link();
+        let link = self.connections.new_link();
         if address.is_empty() {
-            self.desk.list = Some(link);
-        } else if let Some(life) = Life::at(address, self.desk.now) {
-            self.desk.lives.insert(link, life);
-            self.desk.socket_for(self.net, link, None);
+            self.connections.list_link = Some(link);
+        } else if let Some(incarnation) = Incarnation::from_address(address, self.connections.now) {
+            self.connections.incarnations.insert(link, incarnation);
+            self.connections.choose_connection(self.net, link, None);
         }
         link
     }
 
     fn close(&mut self, link: LinkId, _why: &str) {
-        self.desk.end_life(self.net, link);
+        self.connections.close_incarnation(self.net, link);
     }
 
     fn log(&mut self, _note: Note, line: &str) {
@@ -444,60 +529,77 @@
     }
 }
 
-fn answer(desk: &mut Desk, net: &mut dyn Net, dialogue: &DialogueId, said: ToCaller) {
-    let tag = tag(dialogue);
-    if let Some(socket) = desk.drop_call(tag) {
-        desk.tell(net, socket, tag, said);
+fn send_final_answer(
+    connections: &mut ConnectionTable, net: &mut dyn Net, dialogue: &DialogueId, message: MessageToCaller,
+) {
+    let tag = tag_of(dialogue);
+    if let Some(socket) = connections.remove_call(tag) {
+        connections.send_to_caller(net, socket, tag, message);
     }
 }
 
-impl Desk {
-    /// All connections to a life are closed; it is known no more.
-    pub fn end_life(&mut self, net: &mut dyn Net, link: LinkId) {
-        let Some(life) = self.lives.remove(&link) else { return };
-        for socket in life.sockets {
+impl ConnectionTable {
+    /// Closes all connections to an incarnation and removes it.
+    pub fn close_incarnation(&mut self, net: &mut dyn Net, link: LinkId) {
+        let Some(incarnation) = self.incarnations.remove(&link) else { return };
+        for socket in incarnation.sockets {
             self.cores.remove(&socket);
-            net.close(socket, Ending::Now);
+            net.close(socket, CloseMode::Now);
         }
     }
 
-    /// The connection for the next launch to a life: the one with the fewest set-ups open, and another is begun where
-    /// none is free; one that spoils an answer takes along what else is open on it. Where the same call was called off
-    /// before, another connection is better: a late answer to the former launch would pass for the new one's.
-    pub fn socket_for(&mut self, net: &mut dyn Net, link: LinkId, tag: Option<Tag>) -> Option<SocketId> {
-        let life = self.lives.get(&link)?;
-        let known = life.sockets.iter().filter_map(|id| Some((*id, self.cores.get(id)?)));
+    /// Chooses the connection for the next launch to an incarnation: the one with the fewest open launches.
+    /// Another connection is started if none is free, since an invalid answer closes its connection and
+    /// breaks off everything else open on it. A connection on which the same call was cancelled is avoided: a
+    /// late answer to the earlier launch would be taken for an answer to the new one.
+    pub fn choose_connection(
+        &mut self, net: &mut dyn Net, link: LinkId, tag: Option<Tag>,
+    ) -> Option<SocketId> {
+        let incarnation = self.incarnations.get(&link)?;
+        let known = incarnation.sockets.iter().filter_map(|id| Some((*id, self.cores.get(id)?)));
         let best = known.min_by_key(|(_, core)| {
-            let doubtful = tag.is_some_and(|tag| core.was_called_off(tag));
-            (!core.up, doubtful, core.open.len(), std::cmp::Reverse(core.heard))
+            let may_get_late_answer = tag.is_some_and(|tag| core.was_cancelled(tag));
+            (
+                !core.is_up,
+                may_get_late_answer,
+                core.open_launches.len(),
+                std::cmp::Reverse(core.last_received),
+            )
         });
-        let (best, free) = (best.map(|(id, _)| id), best.is_some_and(|(_, core)| core.open.is_empty()));
-        if free || life.sockets.len() >= self.bounds.per_core || self.cores.len() >= self.bounds.cores {
+        let (best, is_free) =
+            (best.map(|(id, _)| id), best.is_some_and(|(_, core)| core.open_launches.is_empty()));
+        if is_free
+            || incarnation.sockets.len() >= self.bounds.connections_per_core
+            || self.cores.len() >= self.bounds.core_connections
+        {
             return best;
         }
-        // Where the last connect did not come up and none is up, the next one is tried in its own time: a launch that
-        // waited for it would lose the time in which it can go elsewhere.
-        if best.is_none_or(|best| !self.cores[&best].up) && life.failed {
+        // If the last attempt failed and no connection is up, the next attempt is left to its own schedule: a
+        // launch that waited for it would lose time in which it could go elsewhere.
+        if best.is_none_or(|best| !self.cores[&best].is_up) && incarnation.last_connect_failed {
             return None;
         }
-        let begun = self.begin(net, link);
-        best.or(begun)
+        let started = self.start_connection(net, link);
+        best.or(started)
     }
 
-    /// Begins another connection to a life.
-    pub fn begin(&mut self, net: &mut dyn Net, link: LinkId) -> Option<SocketId> {
-        let life = self.lives.get_mut(&link)?;
-        if life.sockets.len() >= self.bounds.per_core || self.cores.len() >= self.bounds.cores {
+    /// Starts another connection to an incarnation; `None` if a bound is reached or no descriptor is free.
+    pub fn start_connection(&mut self, net: &mut dyn Net, link: LinkId) -> Option<SocketId> {
+        let incarnation = self.incarnations.get_mut(&link)?;
+        if incarnation.sockets.len() >= self.bounds.connections_per_core
+            || self.cores.len() >= self.bounds.core_connections
+        {
             return None;
         }
-        let socket = net.connect(life.address)?;
-        life.sockets.push(socket);
-        life.begun = self.now;
-        self.cores.insert(socket, Core::new(link, self.now));
+        let socket = net.connect(incarnation.address)?;
+        incarnation.sockets.push(socket);
+        incarnation.last_connect_started = self.now;
+        self.cores.insert(socket, CoreConnection::new(link, self.now));
         Some(socket)
     }
 
-    pub fn reported(&self, text: &str) -> Option<LoadReport> {
+    /// Parses a load report; `None` if it is invalid.
+    pub fn parse_report(&self, text: &str) -> Option<LoadReport> {
         lotussaddle_settings::load_report(text, ';').ok()
     }
 }
--- a/crates/platform/src/feed.rs
+++ b/crates/platform/src/feed.rs
@@ -1,62 +1,80 @@
-//! The control feed: numbered changes of the list of core servers. It holds the number of the last event taken, so
-//! that one told twice is passed over and one that is missing is noticed.
+//! The control feed: numbered changes to the list of core servers. The number of the last event applied is
+//! kept, so that a repeated event is skipped and a missing one is detected.
 
 use std::time::Duration;
 
 use lotussaddle::interface::Listed;
 use serde::Deserialize;
 
-use crate::codec::{Cutter, Form};
+use crate::codec::{Framing, MessageSplitter};
 
-/// A number comes each second; where nothing came for so long, the feed has stopped.
-const SILENT: Duration = Duration::from_millis(1600);
-/// Between two tries to reach it.
-const AGAIN: Duration = Duration::from_millis(150);
-/// The longest line.
-const MAX_LINE: usize = 1 << 20;
+/// A number is sent each second; the feed counts as unresponsive if nothing is received for this long.
+const FEED_TIMEOUT: Duration = Duration::from_millis(1600);
+/// Pause between two connection attempts.
+const FEED_RECONNECT_DELAY: Duration = Duration::from_millis(150);
+/// Maximum length of a line.
+const MAX_FEED_LINE_BYTES: usize = 1 << 20;
 
-/// What the configuration names `known`.
+/// The field `known` of the configuration file.
 #[derive(Debug, Deserialize)]
-pub struct Known {
+pub struct KnownEvents {
+    /// Number of the last event included.
     pub n: u64,
+    /// Events up to that number.
     #[serde(default)]
     pub events: Vec<Event>,
 }
 
+/// One event of the feed.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct Event {
+    /// Its number; consecutive events have consecutive numbers.
     pub n: u64,
+    /// The change to the list; `None` for events of other kinds.
     #[serde(default)]
     pub members: Option<Members>,
 }
 
+/// A change to the list of core servers.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct Members {
+    /// Whether `hosts` is the complete list.
     #[serde(default)]
     pub whole: bool,
+    /// The servers that changed.
     pub hosts: Vec<Host>,
 }
 
+/// A core server as the feed describes it.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct Host {
+    /// Name of the server.
     pub host: String,
+    /// Its address and port.
     pub dial: String,
+    /// Its server number.
     pub block: i64,
+    /// Its state.
     pub health: Health,
-    /// Unix milliseconds of a late start; else zero.
+    /// Unix time in milliseconds at which it started, if it started after the others; otherwise zero.
     #[serde(default)]
     pub born_ms: f64,
 }
 
+/// State of a core server.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 pub enum Health {
+    /// It accepts set-ups.
     Ready,
+    /// It is draining.
     Terminating,
+    /// It no longer exists.
     Gone,
 }
 
 impl Health {
-    pub fn listed(self) -> Listed {
+    /// The state as the edge's list expresses it.
+    pub fn server_state(self) -> Listed {
         match self {
             Self::Ready => Listed::Active,
             Self::Terminating => Listed::Leaving,
@@ -65,76 +83,79 @@
     }
 }
 
-/// A connection to the feed, as its reader sees it.
+/// The reader's state of the connection to the feed.
 pub struct Feed {
-    last: u64,
-    cutter: Cutter,
-    heard: Duration,
-    try_at: Duration,
+    last_event: u64,
+    splitter: MessageSplitter,
+    last_received: Duration,
+    retry_at: Duration,
 }
 
-/// It has to be asked again, on a new connection.
+/// The feed must be requested again on a new connection; holds the reason.
 #[derive(Debug, PartialEq)]
-pub struct Broken(pub &'static str);
+pub struct FeedError(pub &'static str);
 
 impl Feed {
-    /// `last` is the number of the last event that is known.
-    pub fn new(last: u64) -> Self {
-        let cutter = Cutter::new(Form::LongLines(MAX_LINE));
-        Self { last, cutter, heard: Duration::ZERO, try_at: Duration::ZERO }
+    /// `last_event` is the number of the last event known.
+    pub fn new(last_event: u64) -> Self {
+        let splitter = MessageSplitter::new(Framing::LongLines(MAX_FEED_LINE_BYTES));
+        Self { last_event, splitter, last_received: Duration::ZERO, retry_at: Duration::ZERO }
     }
 
-    pub fn last(&self) -> u64 {
-        self.last
+    /// Number of the last event applied.
+    pub fn last_event(&self) -> u64 {
+        self.last_event
     }
 
-    /// Ended, or never came up: what was read of a torn line counts for nothing.
-    pub fn lost(&mut self, now: Duration) {
-        self.cutter = Cutter::new(Form::LongLines(MAX_LINE));
-        self.try_at = now + AGAIN;
+    /// The connection ended or did not come up. An incomplete line is discarded.
+    pub fn connection_lost(&mut self, now: Duration) {
+        self.splitter = MessageSplitter::new(Framing::LongLines(MAX_FEED_LINE_BYTES));
+        self.retry_at = now + FEED_RECONNECT_DELAY;
     }
 
-    /// When it is to be tried next, once lost.
-    pub fn try_at(&self) -> Duration {
-        self.try_at
+    /// When to try the next connection after a loss.
+    pub fn retry_at(&self) -> Duration {
+        self.retry_at
     }
 
-    pub fn begun(&mut self, now: Duration) {
-        self.heard = now;
+    /// A connection attempt has started.
+    pub fn connect_started(&mut self, now: Duration) {
+        self.last_received = now;
     }
 
-    /// The line by which all later events are asked for.
-    pub fn ask(&self) -> Vec<u8> {
-        format!("SUB {}\n", self.last).into_bytes()
+    /// The line that requests all later events.
+    pub fn subscribe_line(&self) -> Vec<u8> {
+        format!("SUB {}\n", self.last_event).into_bytes()
     }
 
-    /// When it counts as stopped unless something comes.
-    pub fn silent_at(&self) -> Duration {
-        self.heard + SILENT
+    /// When the feed counts as unresponsive unless something is received before.
+    pub fn timeout_at(&self) -> Duration {
+        self.last_received + FEED_TIMEOUT
     }
 
-    /// Takes what came; gives each event once and in order.
-    pub fn read(&mut self, now: Duration, bytes: &[u8], events: &mut Vec<Event>) -> Result<(), Broken> {
-        self.cutter.take(bytes);
-        while let Some(line) = self.cutter.message().map_err(Broken)? {
+    /// Handles received bytes; appends each new event once and in order.
+    pub fn receive(&mut self, now: Duration, bytes: &[u8], events: &mut Vec<Event>) -> Result<(), FeedError> {
+        self.splitter.push(bytes);
+        while let Some(line) = self.splitter.next_message().map_err(FeedError)? {
             if line.iter().all(u8::is_ascii_whitespace) {
                 continue;
             }
-            self.heard = now;
+            self.last_received = now;
             if let Ok(number) = serde_json::from_slice::<u64>(line) {
-                if number > self.last {
-                    return Err(Broken("an event is missing"));
+                if number > self.last_event {
+                    return Err(FeedError("an event is missing"));
                 }
                 continue;
             }
-            let event: Event = serde_json::from_slice(line).map_err(|_| Broken("a line is no event"))?;
-            if event.n <= self.last {
-                continue; // Told twice.
+            let event: Event =
+                serde_json::from_slice(line).map_err(|_| FeedError("a line is not an event"))?;
+            if event.n <= self.last_event {
+                continue; // A repeated event.
             }
-            if event.n > self.last + 1 {
-                return Err(Broken("an event is missing"));
+            if event.n > self.last_event + 1 {
+                return Err(FeedError("an event is missing"));
             }
-            self.last = event.n;
+            self.last_event = event.n;
             events.push(event);
         }
         Ok(())
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,43 +1,47 @@
-//! The platform's protocol: how callers, core servers and the control feed speak with this edge proxy.
-//!
-//! No socket, clock or thread is touched here: inputs are calls on [`Platform`] with the time, effects calls on
-//! [`Net`]. Dialogues are held by `edge::Edge` and decided on by the module; what is kept here is which connection
-//! bears what. Start reading at [`Platform`].
+//! The platform's protocol, spoken with callers, core servers and the control feed, for this edge proxy.
+//! Does no I/O and uses no clock or thread: inputs are calls on [`Platform`] with the time, effects are calls
+//! on [`Net`]. Dialogues are held by `edge::Edge` and decided on by the decision module; this crate records
+//! which connection carries what. The entry point is [`Platform`].
 
+/// Encoding and decoding of messages.
 pub mod codec;
 mod config;
 mod cores;
 mod desk;
+/// The control feed.
 pub mod feed;
 mod sessions;
 
-pub use config::{Bounds, Config, ConfigError, EPOCH, feed_of};
+pub use config::{Bounds, Config, ConfigError, EPOCH, feed_address};
 pub use sessions::Platform;
 
 use std::net::SocketAddr;
 
-/// A connection, named by the shell and never named again.
+/// Identifier of a connection, assigned by the I/O driver and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SocketId(pub u64);
 
-/// How a connection is ended from here.
+/// How a connection is closed by this side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum CloseMode {
+    /// At once.
     Now,
-    /// What was said is written first, and a bounded amount of what still comes is passed over, so that unread input
-    /// does not turn the close into a reset which takes the last words along.
-    Told,
+    /// After the queued bytes are written. A bounded amount of further input is read and discarded, because
+    /// closing with unread input would cause a reset that can destroy the last bytes written.
+    AfterWriting,
 }
 
-/// All that is done to the world. None of it waits, and none of it calls back.
+/// Effects on the network. No method blocks or calls back.
 pub trait Net {
-    /// Begins a connection; `Platform::up` or `Platform::lost` tells what came of it. None: no descriptor is free.
+    /// Starts a connection; `Platform::connection_up` or `Platform::connection_lost` reports the result.
+    /// `None` if no descriptor is free.
     fn connect(&mut self, address: SocketAddr) -> Option<SocketId>;
-    /// Queues bytes; false where the queue is full: then nothing was queued.
+    /// Queues bytes. Returns false, with nothing queued, if the queue is full.
     fn send(&mut self, socket: SocketId, bytes: &[u8]) -> bool;
-    /// Whether anything lies there at this moment that was not told of yet, its end included.
-    fn unread(&mut self, socket: SocketId) -> bool;
-    /// Ends a connection; no input of it comes any more.
-    fn close(&mut self, socket: SocketId, how: Ending);
+    /// Whether input, including the end of the stream, is waiting now that has not been reported yet.
+    fn has_unread(&mut self, socket: SocketId) -> bool;
+    /// Closes a connection; no further input is reported for it.
+    fn close(&mut self, socket: SocketId, how: CloseMode);
+    /// Writes a line to the log.
     fn log(&mut self, line: &str);
 }
--- a/crates/platform/src/sessions.rs
+++ b/crates/platform/src/sessions.rs
@@ -1,4 +1,4 @@
-//! Inputs of the platform's edge proxy, each turned straight into calls on the edge.
+//! The inputs of the platform's edge proxy, each translated directly into calls on the edge.
 
 mod callers;
 mod leaving;
@@ -12,244 +12,260 @@
 use lotussaddle::interface::*;
 use lotussaddle_edge::{Counts, Edge};
 
-use crate::codec::{Binary, Cutter, Form, Tag};
+use crate::codec::{BinaryMessage, Framing, MessageSplitter, Tag};
 use crate::config::Config;
-use crate::desk::{CALLERS, Desk, LaunchOver, name};
+use crate::desk::{CALLERS, ConnectionTable, EndedLaunch, dialogue_id};
 use crate::feed::{Event, Feed};
-use crate::{Ending, Net, SocketId};
+use crate::{CloseMode, Net, SocketId};
 
-/// How often connections and lives are looked at.
-const SWEEP: Duration = Duration::from_millis(50);
+/// Interval between checks of connections and incarnations.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The end of a dialogue that is not held, remembered for a set-up that says that it stands.
-type Ends = (HashMap<Tag, u8>, VecDeque<Tag>);
+/// Ends of calls that were not held, remembered in case a caller reports the call as standing; and their
+/// order.
+type RememberedEnds = (HashMap<Tag, u8>, VecDeque<Tag>);
 
+/// The platform's edge proxy without I/O: connections, feed, and the edge that holds the dialogues.
 pub struct Platform {
     edge: Edge,
-    desk: Desk,
+    connections: ConnectionTable,
     feed: Feed,
-    feed_at: SocketAddr,
+    feed_address: SocketAddr,
     feed_socket: Option<SocketId>,
-    known: Vec<Event>,
-    /// This clock's reading at the Unix clock's zero, in milliseconds: far below zero.
+    known_events: Vec<Event>,
+    /// The reading of this clock at the Unix epoch, in milliseconds: far below zero.
     unix_zero_ms: f64,
     classes: HashMap<String, u16>,
     widths: Vec<f64>,
-    dests: std::collections::BTreeSet<i64>,
-    ends: Ends,
-    ready: bool,
-    ending_since: Option<Duration>,
-    /// How long after the word to end anything is still waited for.
-    stays_for: Duration,
+    first_choices: std::collections::BTreeSet<i64>,
+    remembered_ends: RememberedEnds,
+    is_ready: bool,
+    shutdown_since: Option<Duration>,
+    /// How long after the shutdown request outstanding work is still waited for.
+    shutdown_limit: Duration,
     sweep_at: Duration,
 }
 
 impl Platform {
-    /// `unix_ms` is the Unix clock at `now`.
+    /// `unix_ms` is the Unix time at `now`, in milliseconds.
     pub fn new(now: Duration, unix_ms: f64, config: Config) -> Self {
         let Config { bounds, classes, plan, .. } = config;
-        let longest = plan.products.iter().map(|p| p.patience).max().unwrap_or_default();
+        let max_cut_off = plan.products.iter().map(|p| p.patience).max().unwrap_or_default();
         let edge = Edge::new(&config.name, "", plan, config.seed, bounds.edge.clone());
-        let by_name = classes.iter().enumerate().map(|(place, name)| (name.clone(), place as u16)).collect();
+        let classes_by_name =
+            classes.iter().enumerate().map(|(place, name)| (name.clone(), place as u16)).collect();
         Self {
             edge,
-            desk: Desk::new(bounds, config.connect_within, config.idle_after, classes),
-            feed: Feed::new(config.known.n),
-            feed_at: config.feed,
+            connections: ConnectionTable::new(bounds, config.connect_timeout, config.idle_timeout, classes),
+            feed: Feed::new(config.known_events.n),
+            feed_address: config.feed,
             feed_socket: None,
-            known: config.known.events,
+            known_events: config.known_events.events,
             unix_zero_ms: now.as_secs_f64() * 1000.0 - unix_ms,
-            classes: by_name,
+            classes: classes_by_name,
             widths: config.widths,
-            dests: config.dests,
-            ends: Ends::default(),
-            ready: false,
-            ending_since: None,
-            stays_for: leaving::stays_for(longest),
+            first_choices: config.first_choices,
+            remembered_ends: RememberedEnds::default(),
+            is_ready: false,
+            shutdown_since: None,
+            shutdown_limit: leaving::shutdown_limit(max_cut_off),
             sweep_at: now,
         }
     }
 
-    /// Takes in what is known at the start. Once, before any other input.
-    pub fn begin(&mut self, now: Duration, net: &mut dyn Net) {
-        self.desk.now = now;
-        self.edge.linked(now, CALLERS, &mut self.desk.hands(net));
-        self.edge.admitted(now, CALLERS, &mut self.desk.hands(net));
-        self.edge.alarm(now, &mut self.desk.hands(net)); // It begins its link to the list.
-        self.settle(net);
-        for event in std::mem::take(&mut self.known) {
-            self.event(event, net);
+    /// Applies what is known at start-up. Must be called once, before any other input.
+    pub fn start(&mut self, now: Duration, net: &mut dyn Net) {
+        self.connections.now = now;
+        self.edge.linked(now, CALLERS, &mut self.connections.effects(net));
+        self.edge.admitted(now, CALLERS, &mut self.connections.effects(net));
+        self.edge.alarm(now, &mut self.connections.effects(net)); // Opens its link to the list.
+        self.process_pending(net);
+        for event in std::mem::take(&mut self.known_events) {
+            self.apply_event(event, net);
         }
-        self.ready = true;
-        self.reach_feed(net);
-        self.settle(net);
+        self.is_ready = true;
+        self.connect_feed(net);
+        self.process_pending(net);
     }
 
+    /// The edge's counters.
     pub fn counts(&self) -> &Counts {
         self.edge.counts()
     }
 
-    /// Dialogues held; connections of callers and to core servers; dialogues remembered.
+    /// Numbers of held dialogues, caller connections, core server connections and remembered dialogues.
     pub fn sizes(&self) -> (usize, usize, usize, usize) {
         let (held, _, remembered) = self.edge.sizes();
-        (held, self.desk.callers.len(), self.desk.cores.len(), remembered)
+        (held, self.connections.callers.len(), self.connections.cores.len(), remembered)
     }
 
-    /// What is kept beside the edge: calls, releases that wait, bytes of descriptions.
-    pub fn traces(&self) -> (usize, usize, usize) {
-        (self.desk.calls.len(), self.desk.untold.len(), self.desk.described)
+    /// Sizes of the state kept beside the edge: calls, pending releases, bytes of descriptions.
+    pub fn auxiliary_sizes(&self) -> (usize, usize, usize) {
+        (
+            self.connections.calls.len(),
+            self.connections.pending_releases.len(),
+            self.connections.held_description_bytes,
+        )
     }
 
+    /// When [`Self::timer_fired`] must be called next.
     pub fn next_due(&self) -> Duration {
         self.edge.next_due().min(self.sweep_at)
     }
 
-    /// The time given by `next_due` has come.
-    pub fn alarm(&mut self, now: Duration, net: &mut dyn Net) {
-        self.desk.now = now;
-        self.edge.alarm(now, &mut self.desk.hands(net));
-        self.settle(net);
+    /// The time returned by [`Self::next_due`] has been reached.
+    pub fn timer_fired(&mut self, now: Duration, net: &mut dyn Net) {
+        self.connections.now = now;
+        self.edge.alarm(now, &mut self.connections.effects(net));
+        self.process_pending(net);
         if self.sweep_at <= now {
-            self.sweep_at = now + SWEEP;
+            self.sweep_at = now + SWEEP_INTERVAL;
             self.sweep_callers(net);
-            self.sweep_lives(net);
+            self.sweep_incarnations(net);
             self.sweep_feed(net);
-            self.desk.tell_untold(net);
-            self.settle(net);
+            self.connections.resend_releases(net);
+            self.process_pending(net);
         }
     }
 
     // Signals
 
-    /// The feed is at another address now.
+    /// The address of the feed has changed.
     pub fn feed_moved(&mut self, now: Duration, to: SocketAddr, net: &mut dyn Net) {
-        self.desk.now = now;
-        if to == self.feed_at {
+        self.connections.now = now;
+        if to == self.feed_address {
             return;
         }
-        net.log(&format!("feed moved from {} to {to}, asked from event {}", self.feed_at, self.feed.last()));
-        self.feed_at = to;
+        net.log(&format!(
+            "feed moved from {} to {to}, requesting events after {}",
+            self.feed_address,
+            self.feed.last_event()
+        ));
+        self.feed_address = to;
         if let Some(socket) = self.feed_socket.take() {
-            net.close(socket, Ending::Now);
-            self.feed.lost(now);
+            net.close(socket, CloseMode::Now);
+            self.feed.connection_lost(now);
         }
-        self.reach_feed(net);
+        self.connect_feed(net);
     }
 
     // Connections
 
-    /// A connection begun from here is up.
-    pub fn up(&mut self, now: Duration, socket: SocketId, net: &mut dyn Net) {
-        self.desk.now = now;
+    /// A connection started by this side is established.
+    pub fn connection_up(&mut self, now: Duration, socket: SocketId, net: &mut dyn Net) {
+        self.connections.now = now;
         if self.feed_socket == Some(socket) {
-            net.send(socket, &self.feed.ask());
+            net.send(socket, &self.feed.subscribe_line());
             return;
         }
-        let Some(core) = self.desk.cores.get_mut(&socket) else { return };
-        (core.up, core.heard, core.used) = (true, now, now);
+        let Some(core) = self.connections.cores.get_mut(&socket) else { return };
+        (core.is_up, core.last_received, core.last_used) = (true, now, now);
         let link = core.link;
-        self.desk.to_send.insert(socket);
-        if let Some(life) = self.desk.lives.get_mut(&link) {
-            (life.sign, life.late, life.failed) = (now, 0, false);
-            for tag in std::mem::take(&mut life.releases) {
-                self.desk.finish(net, socket, tag);
+        self.connections.cores_with_unsent_set_ups.insert(socket);
+        if let Some(incarnation) = self.connections.incarnations.get_mut(&link) {
+            (incarnation.last_activity, incarnation.connect_timeouts, incarnation.last_connect_failed) =
+                (now, 0, false);
+            for tag in std::mem::take(&mut incarnation.releases) {
+                self.connections.send_finish(net, socket, tag);
             }
         }
-        self.settle(net);
+        self.process_pending(net);
     }
 
-    /// The turn is over: all that lay there to be read at its start has been read, but for a bounded rest that
-    /// `Net::unread` tells of. Set-ups decided on in it are written now.
-    pub fn send_off(&mut self, now: Duration, net: &mut dyn Net) {
-        self.desk.now = now;
-        while self.desk.send_off(net) {
-            self.settle(net);
+    /// The loop iteration is ending: all input that was waiting at its start has been read, except for a
+    /// bounded remainder that `Net::has_unread` reports. Set-ups decided on in this iteration are written
+    /// now.
+    pub fn send_set_ups(&mut self, now: Duration, net: &mut dyn Net) {
+        self.connections.now = now;
+        while self.connections.send_set_ups(net) {
+            self.process_pending(net);
         }
-        self.settle(net);
+        self.process_pending(net);
     }
 
-    /// A connection has ended, or did not come up: `refused` where nobody listens there.
-    pub fn lost(&mut self, now: Duration, socket: SocketId, refused: bool, why: &str, net: &mut dyn Net) {
-        self.desk.now = now;
+    /// A connection has ended or did not come up; `refused` if nothing listens at the address.
+    pub fn connection_lost(
+        &mut self, now: Duration, socket: SocketId, refused: bool, reason: &str, net: &mut dyn Net,
+    ) {
+        self.connections.now = now;
         if self.feed_socket == Some(socket) {
-            self.feed_lost(why, net);
-        } else if self.desk.callers.contains_key(&socket) {
+            self.feed_lost(reason, net);
+        } else if self.connections.callers.contains_key(&socket) {
             self.caller_lost(socket, net);
         } else {
-            self.core_lost(socket, refused, why, net);
+            self.core_lost(socket, refused, reason, net);
         }
-        self.settle(net);
+        self.process_pending(net);
     }
 
-    /// Bytes have come.
-    pub fn read(&mut self, now: Duration, socket: SocketId, bytes: &[u8], net: &mut dyn Net) {
-        self.desk.now = now;
+    /// Bytes were received on a connection.
+    pub fn bytes_received(&mut self, now: Duration, socket: SocketId, bytes: &[u8], net: &mut dyn Net) {
+        self.connections.now = now;
         if self.feed_socket == Some(socket) {
             let mut events = Vec::new();
-            let read = self.feed.read(now, bytes, &mut events);
+            let read = self.feed.receive(now, bytes, &mut events);
             for event in events {
-                self.event(event, net);
+                self.apply_event(event, net);
             }
-            if let Err(broken) = read {
-                net.close(socket, Ending::Now);
-                self.feed_lost(broken.0, net);
+            if let Err(error) = read {
+                net.close(socket, CloseMode::Now);
+                self.feed_lost(error.0, net);
             }
-        } else if let Some(caller) = self.desk.callers.get_mut(&socket) {
-            let mut cutter = std::mem::replace(&mut caller.cutter, Cutter::new(Form::Lines));
-            cutter.take(bytes);
-            self.caller_read(socket, &mut cutter, net);
-            if let Some(caller) = self.desk.callers.get_mut(&socket) {
-                caller.cutter = cutter;
+        } else if let Some(caller) = self.connections.callers.get_mut(&socket) {
+            let mut splitter = std::mem::replace(&mut caller.splitter, MessageSplitter::new(Framing::Lines));
+            splitter.push(bytes);
+            self.handle_caller_messages(socket, &mut splitter, net);
+            if let Some(caller) = self.connections.callers.get_mut(&socket) {
+                caller.splitter = splitter;
             }
-        } else if let Some(core) = self.desk.cores.get_mut(&socket) {
-            core.heard = now;
+        } else if let Some(core) = self.connections.cores.get_mut(&socket) {
+            core.last_received = now;
             let link = core.link;
-            let mut cutter = std::mem::replace(&mut core.cutter, Cutter::new(Form::Binary));
-            if let Some(life) = self.desk.lives.get_mut(&link) {
-                life.sign = now;
+            let mut splitter = std::mem::replace(&mut core.splitter, MessageSplitter::new(Framing::Binary));
+            if let Some(incarnation) = self.connections.incarnations.get_mut(&link) {
+                incarnation.last_activity = now;
             }
-            cutter.take(bytes);
+            splitter.push(bytes);
             loop {
-                let said = match cutter.message() {
+                let handled = match splitter.next_message() {
                     Ok(None) => break,
-                    Ok(Some(message)) => {
-                        Binary::read(message).and_then(|m| self.core_said(socket, link, &m, net))
-                    }
-                    Err(why) => Err(why),
+                    Ok(Some(message)) => BinaryMessage::parse(message)
+                        .and_then(|m| self.handle_core_message(socket, link, &m, net)),
+                    Err(reason) => Err(reason),
                 };
-                if let Err(why) = said {
-                    net.close(socket, Ending::Now);
-                    self.core_lost(socket, false, why, net);
+                if let Err(reason) = handled {
+                    net.close(socket, CloseMode::Now);
+                    self.core_lost(socket, false, reason, net);
                     break;
                 }
-                self.settle(net);
-                if !self.desk.cores.contains_key(&socket) {
+                self.process_pending(net);
+                if !self.connections.cores.contains_key(&socket) {
                     break;
                 }
             }
-            if let Some(core) = self.desk.cores.get_mut(&socket) {
-                core.cutter = cutter;
+            if let Some(core) = self.connections.cores.get_mut(&socket) {
+                core.splitter = splitter;
             }
         }
-        self.settle(net);
+        self.process_pending(net);
     }
 
-    /// Hands the edge what came of its effects, until nothing is left.
-    fn settle(&mut self, net: &mut dyn Net) {
-        let now = self.desk.now;
+    /// Reports the results of the edge's own effects back to it until none is left.
+    fn process_pending(&mut self, net: &mut dyn Net) {
+        let now = self.connections.now;
         loop {
-            if let Some(link) = self.desk.to_admit.pop() {
-                self.edge.admitted(now, link, &mut self.desk.hands(net));
-            } else if let Some(over) = self.desk.overs.pop_front() {
-                let LaunchOver { link, tag, launch, outcome } = over;
+            if let Some(link) = self.connections.links_to_admit.pop() {
+                self.edge.admitted(now, link, &mut self.connections.effects(net));
+            } else if let Some(ended) = self.connections.ended_launches.pop_front() {
+                let EndedLaunch { link, tag, launch, outcome } = ended;
                 let report = LoadReport::default();
-                let hands = &mut self.desk.hands(net);
-                self.edge.launch_came_to(now, link, &name(tag), launch, outcome, report, hands);
-            } else if let Some(socket) = self.desk.jammed.pop() {
-                net.close(socket, Ending::Now);
-                self.core_lost(socket, false, "it reads nothing", net);
-            } else if let Some(socket) = self.desk.broken.pop() {
-                self.drop_caller(socket, Ending::Now, net);
+                let effects = &mut self.connections.effects(net);
+                self.edge.launch_came_to(now, link, &dialogue_id(tag), launch, outcome, report, effects);
+            } else if let Some(socket) = self.connections.unwritable_cores.pop() {
+                net.close(socket, CloseMode::Now);
+                self.core_lost(socket, false, "write queue full", net);
+            } else if let Some(socket) = self.connections.unusable_callers.pop() {
+                self.close_caller(socket, CloseMode::Now, net);
             } else {
                 return;
             }
--- a/crates/platform/src/sessions/callers.rs
+++ b/crates/platform/src/sessions/callers.rs
@@ -1,4 +1,4 @@
-//! What callers say, and when their connections are closed.
+//! Messages from callers, and the closing of their connections.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,235 +7,283 @@
 use lotussaddle_trunk::{Dial, Extra, Frame, Message};
 
 use super::Platform;
-use crate::codec::{self, CallerSaid, Cutter, Form, Start, Tag, ToCaller, Wrong, cause, code};
-use crate::desk::{CALLERS, Call, Caller, name};
-use crate::{Ending, Net, SocketId};
+use crate::codec::{
+    self, CallerMessage, Framing, InvalidMessage, MessageSplitter, MessageToCaller, Start, Tag, cause, code,
+};
+use crate::desk::{CALLERS, Call, CallerConnection, dialogue_id};
+use crate::{CloseMode, Net, SocketId};
 
-/// A connection that has said nothing of use for so long is closed, and so is one whose message stays a part.
-const SAY_WITHIN: Duration = Duration::from_millis(1800);
-/// Callers close a connection that is idle for 4 s; one idle for longer is held for good.
-const IDLE: Duration = Duration::from_millis(4800);
-/// So many messages that cannot be used end a connection.
-const MOST_WRONGS: u32 = 8;
+/// A connection without a valid message, or with an incomplete one, is closed after this time.
+const CALLER_MESSAGE_TIMEOUT: Duration = Duration::from_millis(1800);
+/// Callers close a connection that has been idle for 4 s; one that is idle for longer will not be closed by
+/// its caller.
+const CALLER_IDLE_TIMEOUT: Duration = Duration::from_millis(4800);
+/// A connection is closed after this many invalid messages.
+const MAX_INVALID_MESSAGES: u32 = 8;
 
 impl Platform {
     /// A caller has connected.
-    pub fn accepted(&mut self, now: Duration, socket: SocketId, net: &mut dyn Net) {
-        self.desk.now = now;
-        if self.desk.callers.len() >= self.desk.bounds.callers && !self.make_room(net) {
-            return net.close(socket, Ending::Now);
+    pub fn connection_accepted(&mut self, now: Duration, socket: SocketId, net: &mut dyn Net) {
+        self.connections.now = now;
+        if self.connections.callers.len() >= self.connections.bounds.caller_connections
+            && !self.close_least_used_caller(net)
+        {
+            return net.close(socket, CloseMode::Now);
         }
-        let caller = Caller {
-            cutter: Cutter::new(Form::Lines),
-            since: now,
-            used: now,
-            open: Default::default(),
-            standing: 0,
-            good: false,
-            served: false,
-            wrongs: 0,
+        let caller = CallerConnection {
+            splitter: MessageSplitter::new(Framing::Lines),
+            accepted_at: now,
+            last_used: now,
+            open_set_ups: Default::default(),
+            standing_calls: 0,
+            has_sent_valid: false,
+            has_been_answered: false,
+            invalid_messages: 0,
         };
-        self.desk.callers.insert(socket, caller);
+        self.connections.callers.insert(socket, caller);
     }
 
-    /// Closes the connection of least use: one that has said nothing of use before one that is idle, one on which calls
-    /// stand last, the oldest first; none on which a set-up is open, or may lie to be read.
-    pub(super) fn make_room(&mut self, net: &mut dyn Net) -> bool {
-        let idle = self.desk.callers.iter().filter(|(_, c)| c.open.is_empty());
-        let mut idle: Vec<_> =
-            idle.map(|(id, c)| ((c.good, c.standing > 0, c.used, *id), *id, c.good)).collect();
+    /// Closes the least useful connection to free a descriptor: those without a valid message first, then
+    /// idle ones, those with standing calls last; the least recently used first. Connections with an open
+    /// set-up, or with unread input that may be one, are never closed.
+    pub(super) fn close_least_used_caller(&mut self, net: &mut dyn Net) -> bool {
+        let idle = self.connections.callers.iter().filter(|(_, c)| c.open_set_ups.is_empty());
+        let mut idle: Vec<_> = idle
+            .map(|(id, c)| {
+                ((c.has_sent_valid, c.standing_calls > 0, c.last_used, *id), *id, c.has_sent_valid)
+            })
+            .collect();
         idle.sort_unstable();
-        let least = idle.into_iter().map(|(_, id, good)| (id, good)).find(|(id, _)| !net.unread(*id));
-        least.is_some_and(|(socket, good)| {
-            // The last answer on one that was of use may not be written yet.
-            self.drop_caller(socket, if good { Ending::Told } else { Ending::Now }, net);
+        let least_used = idle
+            .into_iter()
+            .map(|(_, id, has_sent_valid)| (id, has_sent_valid))
+            .find(|(id, _)| !net.has_unread(*id));
+        least_used.is_some_and(|(socket, has_sent_valid)| {
+            // On a connection that was in use the last answer may not be written yet.
+            self.close_caller(
+                socket,
+                if has_sent_valid { CloseMode::AfterWriting } else { CloseMode::Now },
+                net,
+            );
             true
         })
     }
 
-    pub(super) fn caller_read(&mut self, socket: SocketId, cutter: &mut Cutter, net: &mut dyn Net) {
+    pub(super) fn handle_caller_messages(
+        &mut self, socket: SocketId, splitter: &mut MessageSplitter, net: &mut dyn Net,
+    ) {
         loop {
-            let said = match cutter.message() {
+            let received = match splitter.next_message() {
                 Ok(None) => return,
-                Ok(Some(line)) => codec::caller_said(line),
-                Err(why) => Err(Wrong { tag: None, why }),
+                Ok(Some(line)) => codec::parse_caller_message(line),
+                Err(reason) => Err(InvalidMessage { tag: None, reason }),
             };
-            let now = self.desk.now;
-            match said {
-                Ok(CallerSaid::Start(start)) => self.start(socket, start, net),
-                Ok(CallerSaid::Finish(tag)) => self.caller_finishes(socket, tag, net),
-                Ok(CallerSaid::Echo(tag)) => {
-                    let well = self.ready && self.ending_since.is_none();
-                    if self.desk.tell(net, socket, tag, ToCaller::Echoed(well)) {
-                        self.good(socket);
+            let now = self.connections.now;
+            match received {
+                Ok(CallerMessage::Start(start)) => self.handle_start(socket, start, net),
+                Ok(CallerMessage::Finish(tag)) => self.handle_caller_finish(socket, tag, net),
+                Ok(CallerMessage::Echo(tag)) => {
+                    let is_healthy = self.is_ready && self.shutdown_since.is_none();
+                    if self.connections.send_to_caller(net, socket, tag, MessageToCaller::Echoed(is_healthy))
+                    {
+                        self.mark_valid(socket);
                     }
                 }
-                Ok(CallerSaid::Finished(tag)) => {
-                    self.desk.heard_over(tag);
-                    if let Some(caller) = self.desk.callers.get_mut(&socket) {
-                        caller.used = now;
+                Ok(CallerMessage::Finished(tag)) => {
+                    self.connections.release_acknowledged(tag);
+                    if let Some(caller) = self.connections.callers.get_mut(&socket) {
+                        caller.last_used = now;
                     }
                 }
-                Ok(CallerSaid::Nothing) => {
-                    if let Some(caller) = self.desk.callers.get_mut(&socket) {
-                        caller.used = now;
+                Ok(CallerMessage::Ignored) => {
+                    if let Some(caller) = self.connections.callers.get_mut(&socket) {
+                        caller.last_used = now;
                     }
                 }
-                Err(wrong) => self.wrong(socket, wrong, net),
+                Err(invalid) => self.reject_message(socket, invalid, net),
             }
-            self.settle(net);
-            if !self.desk.callers.contains_key(&socket) {
+            self.process_pending(net);
+            if !self.connections.callers.contains_key(&socket) {
                 return;
             }
         }
     }
 
-    pub(super) fn good(&mut self, socket: SocketId) {
-        if let Some(caller) = self.desk.callers.get_mut(&socket) {
-            (caller.good, caller.used) = (true, self.desk.now);
+    pub(super) fn mark_valid(&mut self, socket: SocketId) {
+        if let Some(caller) = self.connections.callers.get_mut(&socket) {
+            (caller.has_sent_valid, caller.last_used) = (true, self.connections.now);
         }
     }
 
-    /// What cannot be used is refused where it names a call that nobody else has, and else ends its connection.
-    pub(super) fn wrong(&mut self, socket: SocketId, wrong: Wrong, net: &mut dyn Net) {
-        let Some(caller) = self.desk.callers.get_mut(&socket) else { return };
-        caller.wrongs += 1;
-        let enough = caller.wrongs >= MOST_WRONGS;
-        let free = wrong.tag.filter(|tag| self.edge.holds(&name(*tag)).is_none());
-        if let Some(tag) = free {
-            let said = ToCaller::Finish { cause: cause::UNUSABLE, wait_ms: None };
-            self.desk.tell(net, socket, tag, said);
+    /// Refuses an invalid message if it names a call that nobody holds; otherwise closes its connection.
+    pub(super) fn reject_message(&mut self, socket: SocketId, invalid: InvalidMessage, net: &mut dyn Net) {
+        let Some(caller) = self.connections.callers.get_mut(&socket) else { return };
+        caller.invalid_messages += 1;
+        let too_many = caller.invalid_messages >= MAX_INVALID_MESSAGES;
+        let unheld_tag = invalid.tag.filter(|tag| self.edge.holds(&dialogue_id(*tag)).is_none());
+        if let Some(tag) = unheld_tag {
+            let message = MessageToCaller::Finish { cause: cause::UNUSABLE, wait_ms: None };
+            self.connections.send_to_caller(net, socket, tag, message);
         }
-        if enough || free.is_none() {
-            self.drop_caller(socket, Ending::Told, net);
+        if too_many || unheld_tag.is_none() {
+            self.close_caller(socket, CloseMode::AfterWriting, net);
         }
     }
 
-    pub(super) fn start(&mut self, socket: SocketId, start: Start, net: &mut dyn Net) {
-        let (now, tag) = (self.desk.now, start.tag);
-        let wrong = |why| Wrong { tag: Some(tag), why };
+    pub(super) fn handle_start(&mut self, socket: SocketId, start: Start, net: &mut dyn Net) {
+        let (now, tag) = (self.connections.now, start.tag);
+        let invalid = |reason| InvalidMessage { tag: Some(tag), reason };
         let Some(product) = self.classes.get(&start.class).copied() else {
-            return self.wrong(socket, wrong("no known class"), net);
+            return self.reject_message(socket, invalid("unknown class"), net);
         };
         if self.widths.get(usize::from(product)).is_some_and(|width| *width != start.width) {
-            return self.wrong(socket, wrong("not the width of its class"), net);
+            return self.reject_message(socket, invalid("width does not match the class"), net);
         }
-        if start.dest != -1 && !self.dests.is_empty() && !self.dests.contains(&start.dest) {
-            return self.wrong(socket, wrong("no known first choice"), net);
+        if start.first_choice != -1
+            && !self.first_choices.is_empty()
+            && !self.first_choices.contains(&start.first_choice)
+        {
+            return self.reject_message(socket, invalid("unknown first choice"), net);
         }
-        let id = name(tag);
+        let id = dialogue_id(tag);
         if self.edge.holds(&id).is_some() {
-            if start.at.is_none() {
-                self.wrong(socket, wrong("a call that is in already"), net);
+            if start.standing_at.is_none() {
+                self.reject_message(socket, invalid("call is already held"), net);
             }
             return;
         }
-        let bytes = start.description.len();
+        let description_bytes = start.description.len();
         let dial = Dial {
             dialogue: id.clone(),
             key: start.key.map(|key| DialledKey(Arc::from(key))),
             product,
             tenant: None,
-            first_choice: ServerNumber(start.dest),
+            first_choice: ServerNumber(start.first_choice),
             width: start.width,
-            time_left: Duration::from_secs_f64(start.left_ms / 1000.0).min(self.time_here()),
-            again: start.again,
-            came_back: start.came_back,
+            time_left: Duration::from_secs_f64(start.time_left_ms / 1000.0).min(self.remaining_time()),
+            again: start.is_retry,
+            came_back: start.redialled_after_cut,
             repeat: false,
             sent_at: None,
             try_of: None,
             dialled: None,
         };
-        self.good(socket);
-        let call = |open: bool| Call { caller: socket, open, stands: false, bytes, core: None };
-        if let Some(server) = start.at {
-            if let Some(cause) = self.ends.0.remove(&tag) {
-                return self.desk.tell_over(net, tag, cause, Some(socket));
+        self.mark_valid(socket);
+        let call =
+            |is_open: bool| Call { caller: socket, is_open, stands: false, description_bytes, core: None };
+        if let Some(server) = start.standing_at {
+            if let Some(cause) = self.remembered_ends.0.remove(&tag) {
+                return self.connections.release_caller(net, tag, cause, Some(socket));
             }
             let server = ServerId(Arc::from(server));
-            let hands = &mut self.desk.hands(net);
-            if self.edge.stands_there(now, CALLERS, &dial, &server, hands) {
-                self.desk.calls.insert(tag, call(false));
-                self.desk.stands(tag);
+            let effects = &mut self.connections.effects(net);
+            if self.edge.stands_there(now, CALLERS, &dial, &server, effects) {
+                self.connections.calls.insert(tag, call(false));
+                self.connections.mark_standing(tag);
             } else {
-                self.desk.tell_over(net, tag, cause::RESET, Some(socket));
+                self.connections.release_caller(net, tag, cause::RESET, Some(socket));
             }
             return;
         }
-        if self.desk.described + bytes > self.desk.bounds.descriptions || dial.time_left.is_zero() {
-            let said = ToCaller::Finish { cause: cause::CONGESTION, wait_ms: None };
-            self.desk.tell(net, socket, tag, said);
+        if self.connections.held_description_bytes + description_bytes
+            > self.connections.bounds.description_bytes
+            || dial.time_left.is_zero()
+        {
+            let message = MessageToCaller::Finish { cause: cause::CONGESTION, wait_ms: None };
+            self.connections.send_to_caller(net, socket, tag, message);
             return;
         }
-        self.desk.described += bytes;
-        self.desk.calls.insert(tag, call(true));
-        if let Some(caller) = self.desk.callers.get_mut(&socket) {
-            caller.open.insert(tag);
+        self.connections.held_description_bytes += description_bytes;
+        self.connections.calls.insert(tag, call(true));
+        if let Some(caller) = self.connections.callers.get_mut(&socket) {
+            caller.open_set_ups.insert(tag);
         }
         let extra = vec![Extra { tag: code::DESCRIPTION, value: start.description.into_bytes() }];
         let message = Message { frame: Frame::Dial(dial), extra };
-        self.edge.heard(now, CALLERS, message, &mut self.desk.hands(net));
+        self.edge.heard(now, CALLERS, message, &mut self.connections.effects(net));
     }
 
-    /// A set-up is given up on its own connection, a call that stands on any.
-    pub(super) fn caller_finishes(&mut self, socket: SocketId, tag: Tag, net: &mut dyn Net) {
-        match self.edge.holds(&name(tag)) {
-            Some(false) if self.desk.calls.get(&tag).is_none_or(|call| call.caller != socket) => {
-                self.wrong(socket, Wrong { tag: Some(tag), why: "a set-up of another connection" }, net);
+    /// A set-up can be given up only on its own connection, a standing call on any.
+    pub(super) fn handle_caller_finish(&mut self, socket: SocketId, tag: Tag, net: &mut dyn Net) {
+        match self.edge.holds(&dialogue_id(tag)) {
+            Some(false) if self.connections.calls.get(&tag).is_none_or(|call| call.caller != socket) => {
+                self.reject_message(
+                    socket,
+                    InvalidMessage { tag: Some(tag), reason: "set-up belongs to another connection" },
+                    net,
+                );
             }
             Some(stands) => {
-                self.good(socket);
+                self.mark_valid(socket);
                 self.hang_up(tag, net);
                 if stands {
-                    self.desk.tell(net, socket, tag, ToCaller::Finished);
+                    self.connections.send_to_caller(net, socket, tag, MessageToCaller::Finished);
                 }
             }
             None => {
-                // It may have crossed the end; whoever says nothing else is not kept.
-                let Some(caller) = self.desk.callers.get(&socket) else { return };
-                let good = caller.good;
-                self.desk.tell(net, socket, tag, ToCaller::Finished);
-                if !good {
-                    self.wrong(socket, Wrong { tag: None, why: "the end of a call that is not held" }, net);
+                // The message may have crossed the end of the call; a connection that has sent nothing else
+                // of use is closed.
+                let Some(caller) = self.connections.callers.get(&socket) else { return };
+                let has_sent_valid = caller.has_sent_valid;
+                self.connections.send_to_caller(net, socket, tag, MessageToCaller::Finished);
+                if !has_sent_valid {
+                    self.reject_message(
+                        socket,
+                        InvalidMessage { tag: None, reason: "call is not held" },
+                        net,
+                    );
                 }
             }
         }
     }
 
     pub(super) fn hang_up(&mut self, tag: Tag, net: &mut dyn Net) {
-        let message = Frame::HangUp { dialogue: name(tag) }.into();
-        self.edge.heard(self.desk.now, CALLERS, message, &mut self.desk.hands(net));
-        self.desk.drop_call(tag);
+        let message = Frame::HangUp { dialogue: dialogue_id(tag) }.into();
+        self.edge.heard(self.connections.now, CALLERS, message, &mut self.connections.effects(net));
+        self.connections.remove_call(tag);
     }
 
-    /// Ends a connection of callers from here: what is open on it is answered first, where that can still be told.
-    pub(super) fn drop_caller(&mut self, socket: SocketId, how: Ending, net: &mut dyn Net) {
-        let open = self.desk.callers.get(&socket).filter(|_| how == Ending::Told);
-        for tag in open.map(|caller| caller.open.clone()).unwrap_or_default() {
-            self.desk.tell(net, socket, tag, ToCaller::Finish { cause: cause::RESET, wait_ms: None });
+    /// Closes a caller's connection; the set-ups open on it are answered first if the answer can still be
+    /// written.
+    pub(super) fn close_caller(&mut self, socket: SocketId, how: CloseMode, net: &mut dyn Net) {
+        let open = self.connections.callers.get(&socket).filter(|_| how == CloseMode::AfterWriting);
+        for tag in open.map(|caller| caller.open_set_ups.clone()).unwrap_or_default() {
+            self.connections.send_to_caller(
+                net,
+                socket,
+                tag,
+                MessageToCaller::Finish { cause: cause::RESET, wait_ms: None },
+            );
         }
         net.close(socket, how);
         self.caller_lost(socket, net);
     }
 
-    /// The set-ups open on it are given up; what stands belongs to no connection.
+    /// Gives up the set-ups open on a lost connection; standing calls are not bound to a connection.
     pub(super) fn caller_lost(&mut self, socket: SocketId, net: &mut dyn Net) {
-        let Some(caller) = self.desk.callers.remove(&socket) else { return };
-        for tag in caller.open {
+        let Some(caller) = self.connections.callers.remove(&socket) else { return };
+        for tag in caller.open_set_ups {
             self.hang_up(tag, net);
         }
     }
 
     pub(super) fn sweep_callers(&mut self, net: &mut dyn Net) {
-        let now = self.desk.now;
-        let doomed = self.desk.callers.iter().filter(|(id, c)| {
-            let stuck = c.cutter.pending() > 0 && now >= c.used.max(c.since) + SAY_WITHIN;
-            let idle = if c.good { now >= c.used + IDLE } else { now >= c.since + SAY_WITHIN };
-            c.open.is_empty() && (stuck || c.standing == 0 && idle) && !net.unread(**id)
+        let now = self.connections.now;
+        let expired = self.connections.callers.iter().filter(|(id, c)| {
+            let is_incomplete = c.splitter.pending_bytes() > 0
+                && now >= c.last_used.max(c.accepted_at) + CALLER_MESSAGE_TIMEOUT;
+            let is_idle = if c.has_sent_valid {
+                now >= c.last_used + CALLER_IDLE_TIMEOUT
+            } else {
+                now >= c.accepted_at + CALLER_MESSAGE_TIMEOUT
+            };
+            c.open_set_ups.is_empty()
+                && (is_incomplete || c.standing_calls == 0 && is_idle)
+                && !net.has_unread(**id)
         });
-        let doomed: Vec<SocketId> = doomed.map(|(socket, _)| *socket).collect();
-        for socket in doomed {
-            self.drop_caller(socket, Ending::Told, net);
+        let expired: Vec<SocketId> = expired.map(|(socket, _)| *socket).collect();
+        for socket in expired {
+            self.close_caller(socket, CloseMode::AfterWriting, net);
         }
     }
 }
--- a/crates/platform/src/sessions/leaving.rs
+++ b/crates/platform/src/sessions/leaving.rs
@@ -1,69 +1,73 @@
-//! The way to the end of the process: what is still taken, what is still waited for, and for how long.
+//! Shutdown: what is still accepted, what is still waited for, and for how long.
 
 use std::time::Duration;
 
 use super::Platform;
-use crate::{Ending, Net, SocketId};
+use crate::{CloseMode, Net, SocketId};
 
-/// After the word to end: no connection is taken any more; and the earliest end.
-const LAST_TAKEN: Duration = Duration::from_millis(750);
-/// The kill comes no sooner than the longest cut-off, counted as this where it is longer, and 0.7 s more after the word
-/// to end. Until shortly before it the ends of standing calls are passed on: while nobody is here, nobody does.
-const LONGEST_COUNTED: Duration = Duration::from_secs(3);
-const RELAYED: Duration = Duration::from_millis(400);
-/// Then whoever reads slowly, or sends without end, is waited for so long.
-const WRITTEN: Duration = Duration::from_millis(150);
+/// Time after the shutdown request at which connections are no longer accepted; also the earliest exit.
+const ACCEPT_AFTER_SHUTDOWN: Duration = Duration::from_millis(750);
+/// The process is killed no sooner than the longest cut-off, counted as at most this, plus 0.7 s after the
+/// shutdown request. The ends of standing calls are relayed until shortly before that, because nobody relays
+/// them while no process is running.
+const MAX_COUNTED_CUT_OFF: Duration = Duration::from_secs(3);
+const RELAY_MARGIN: Duration = Duration::from_millis(400);
+/// Additional time for peers that read slowly or send without end.
+const FINAL_WRITE_TIME: Duration = Duration::from_millis(150);
 
-pub fn stays_for(longest: Duration) -> Duration {
-    longest.min(LONGEST_COUNTED) + RELAYED
+/// How long after the shutdown request outstanding work is waited for.
+pub fn shutdown_limit(max_cut_off: Duration) -> Duration {
+    max_cut_off.min(MAX_COUNTED_CUT_OFF) + RELAY_MARGIN
 }
 
 impl Platform {
-    /// It is to end: what was taken is answered first.
-    pub fn end(&mut self, now: Duration, net: &mut dyn Net) {
-        self.desk.now = now;
-        if self.ending_since.is_none() {
-            net.log(&format!("told to end; {} set-ups are open", self.open()));
-            self.ending_since = Some(now);
+    /// Starts the shutdown; accepted set-ups are answered first.
+    pub fn start_shutdown(&mut self, now: Duration, net: &mut dyn Net) {
+        self.connections.now = now;
+        if self.shutdown_since.is_none() {
+            net.log(&format!("shutdown requested; {} set-ups open", self.open_set_ups()));
+            self.shutdown_since = Some(now);
         }
     }
 
-    /// Connections are taken no more.
-    pub fn shut(&self, now: Duration) -> bool {
-        self.ending_since.is_some_and(|since| now >= since + LAST_TAKEN)
+    /// Whether connections are no longer accepted.
+    pub fn has_stopped_accepting(&self, now: Duration) -> bool {
+        self.shutdown_since.is_some_and(|since| now >= since + ACCEPT_AFTER_SHUTDOWN)
     }
 
-    /// It was to end, and owes nothing any more; or there is no time left to wait for what it owes.
-    pub fn ended(&self, now: Duration) -> bool {
-        let stayed = self.ending_since.is_some_and(|since| now >= since + self.stays_for);
-        let quiet = self.edge.sizes().0 == 0 && self.desk.untold.is_empty();
-        let half_said = self.desk.callers.values().any(|caller| caller.cutter.pending() > 0);
-        self.shut(now) && (self.open() == 0 && quiet && !half_said || stayed)
+    /// Whether the shutdown is complete: nothing is outstanding, or no time is left to wait for it.
+    pub fn can_exit(&self, now: Duration) -> bool {
+        let limit_reached = self.shutdown_since.is_some_and(|since| now >= since + self.shutdown_limit);
+        let nothing_held = self.edge.sizes().0 == 0 && self.connections.pending_releases.is_empty();
+        let message_incomplete =
+            self.connections.callers.values().any(|caller| caller.splitter.pending_bytes() > 0);
+        self.has_stopped_accepting(now)
+            && (self.open_set_ups() == 0 && nothing_held && !message_incomplete || limit_reached)
     }
 
-    /// Whatever is still to be read or written, the kill is about to come.
-    pub fn overdue(&self, now: Duration) -> bool {
-        self.ending_since.is_some_and(|since| now >= since + self.stays_for + WRITTEN)
+    /// Whether the process must exit now because the kill is imminent, even with input or output outstanding.
+    pub fn must_exit(&self, now: Duration) -> bool {
+        self.shutdown_since.is_some_and(|since| now >= since + self.shutdown_limit + FINAL_WRITE_TIME)
     }
 
-    /// The last thing: connections of callers are closed, so that what they were told still reaches them. What has no answer
-    /// by now has failed, and hears so.
-    pub fn leave(&mut self, now: Duration, net: &mut dyn Net) {
-        self.desk.now = now;
-        let callers: Vec<SocketId> = self.desk.callers.keys().copied().collect();
+    /// The last step: closes all caller connections after their queued bytes are written. Set-ups without an
+    /// answer have failed, and their callers are sent that.
+    pub fn close_callers(&mut self, now: Duration, net: &mut dyn Net) {
+        self.connections.now = now;
+        let callers: Vec<SocketId> = self.connections.callers.keys().copied().collect();
         for socket in callers {
-            self.drop_caller(socket, Ending::Told, net);
+            self.close_caller(socket, CloseMode::AfterWriting, net);
         }
-        self.settle(net);
+        self.process_pending(net);
     }
 
-    /// How long a set-up that is taken now can be waited for here.
-    pub(super) fn time_here(&self) -> Duration {
-        let until = self.ending_since.map(|since| since + self.stays_for);
-        until.map_or(Duration::MAX, |until| until.saturating_sub(self.desk.now))
+    /// How long a set-up accepted now can be waited for before the process exits.
+    pub(super) fn remaining_time(&self) -> Duration {
+        let until = self.shutdown_since.map(|since| since + self.shutdown_limit);
+        until.map_or(Duration::MAX, |until| until.saturating_sub(self.connections.now))
     }
 
-    pub(super) fn open(&self) -> usize {
-        self.desk.calls.values().filter(|call| call.open).count()
+    pub(super) fn open_set_ups(&self) -> usize {
+        self.connections.calls.values().filter(|call| call.is_open).count()
     }
 }
