--- a/crates/day/tests/virtual_days.rs
+++ b/crates/day/tests/virtual_days.rs
@@ -129,7 +129,7 @@
     let mut day = short(1, 6);
     let kind = Kind::AnswersLost { part: 1.0, share: 0.3, by_reset: true };
     day.troubles = vec![Trouble { at: S, lasts: S * 4, kind }];
-    let hasty = |plan: RoutePlan, seed| Brain::new(RoutePlan { release: MS * 100, ..plan }, seed);
+    let hasty = |plan: RoutePlan, seed| Brain::new(RoutePlan { release_time: MS * 100, ..plan }, seed);
     let played = virt::play_with(&day, &Play::default(), hasty).unwrap();
     assert_eq!(rules_broken(&played.verdict), [Rule::Release]);
 }
@@ -178,53 +178,53 @@
 
     struct Deaf(Brain);
     impl Decisions for Deaf {
-        fn rest_until(&mut self, until: Duration) {
-            self.0.rest_until(until);
+        fn hold_launches_until(&mut self, until: Duration) {
+            self.0.hold_launches_until(until);
         }
-        fn listed(
+        fn list_received(
             &mut self, now: Duration, whole: bool, entries: &[lotussaddle::interface::ListEntry],
             out: &mut dyn lotussaddle::interface::Signalling,
         ) {
-            use lotussaddle::interface::Listed;
-            let active: Vec<_> = entries.iter().filter(|e| e.listed == Listed::Active).cloned().collect();
-            self.0.listed(now, whole, &active, out);
+            use lotussaddle::interface::ServerState;
+            let active: Vec<_> = entries.iter().filter(|e| e.state == ServerState::Active).cloned().collect();
+            self.0.server_list_received(now, whole, &active, out);
         }
-        fn arrived(
+        fn dialogue_arrived(
             &mut self, now: Duration, arrival: lotussaddle::interface::Arrival,
             out: &mut dyn lotussaddle::interface::Signalling,
         ) {
-            self.0.arrived(now, arrival, out);
+            self.0.dialogue_arrived(now, arrival, out);
         }
-        fn left(
+        fn caller_left(
             &mut self, now: Duration, id: &lotussaddle::interface::DialogueId,
             out: &mut dyn lotussaddle::interface::Signalling,
         ) {
-            self.0.left(now, id, out);
+            self.0.caller_left(now, id, out);
         }
-        fn reported(
+        fn load_reported(
             &mut self, now: Duration, id: &lotussaddle::interface::ServerId,
             report: &lotussaddle::interface::LoadReport, out: &mut dyn lotussaddle::interface::Signalling,
         ) {
-            self.0.reported(now, id, report, out);
+            self.0.load_reported(now, id, report, out);
         }
-        fn stands(
+        fn dialogue_stands(
             &mut self, now: Duration, id: &lotussaddle::interface::DialogueId,
-            launch: lotussaddle::interface::LaunchNo, server: &lotussaddle::interface::ServerId,
+            launch: lotussaddle::interface::LaunchNumber, server: &lotussaddle::interface::ServerId,
             out: &mut dyn lotussaddle::interface::Signalling,
         ) {
-            self.0.stands(now, id, launch, server, out);
+            self.0.dialogue_stands(now, id, launch, server, out);
         }
-        fn ended(
+        fn launch_ended(
             &mut self, now: Duration, end: lotussaddle::interface::LaunchEnd,
             out: &mut dyn lotussaddle::interface::Signalling,
         ) {
-            self.0.ended(now, end, out);
+            self.0.launch_ended(now, end, out);
         }
-        fn alarm(
+        fn timer_fired(
             &mut self, now: Duration, timer: lotussaddle::interface::TimerId,
             out: &mut dyn lotussaddle::interface::Signalling,
         ) {
-            self.0.alarm(now, timer, out);
+            self.0.timer_fired(now, timer, out);
         }
     }
 
@@ -261,7 +261,7 @@
     let (mut caught, mut kills) = (0, 0);
     // The disk stands still for 40 ms now and then; who waits no longer than 20 gives answers that a kill forgets.
     let mut patient = Play::default();
-    patient.limits.record_within = MS * 60;
+    patient.limits.answer_record_timeout = MS * 60;
     for seed in 0..30 {
         let mut day = short(seed, 7);
         (day.net.caller, day.callers.repeats) = (MS * 80, 1.0);
--- a/crates/edge/benches/fleet.rs
+++ b/crates/edge/benches/fleet.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use lotussaddle::interface::*;
-use lotussaddle_edge::{Edge, Limits, LinkId, Note, Wires};
+use lotussaddle_edge::{Edge, EdgeEffects, Limits, LinkId, LogTopic};
 use lotussaddle_trunk::*;
 
 /// Takes all that is said, and keeps the launches.
@@ -14,11 +14,11 @@
 struct Taken {
     links: u64,
     begun: Vec<(String, LinkId)>,
-    launched: Vec<(DialogueId, LaunchNo, LinkId)>,
+    launched: Vec<(DialogueId, LaunchNumber, LinkId)>,
 }
 
-impl Wires for Taken {
-    fn say(&mut self, link: LinkId, message: Message) -> bool {
+impl EdgeEffects for Taken {
+    fn send(&mut self, link: LinkId, message: Message) -> bool {
         if let Frame::Launch(launch) = message.frame {
             self.launched.push((launch.dialogue, launch.launch, link));
         }
@@ -30,7 +30,7 @@
         LinkId(self.links)
     }
     fn close(&mut self, _: LinkId, _: &str) {}
-    fn log(&mut self, _: Note, _: &str) {}
+    fn log(&mut self, _: LogTopic, _: &str) {}
 }
 
 fn plan(proxies: u32) -> RoutePlan {
@@ -38,8 +38,8 @@
         proxies,
         products: vec![Product {
             promised: Duration::from_secs(2),
-            lasts: Duration::from_secs(8),
-            patience: Duration::from_secs(9),
+            mean_duration: Duration::from_secs(8),
+            redial_window: Duration::from_secs(9),
             gain: 1.0,
             late_share: 0.25,
             servers: None,
@@ -47,16 +47,16 @@
         tenants: vec![],
         over_quota_share: 0.2,
         tick: Duration::from_millis(5),
-        release: Duration::from_millis(300),
-        resend: Duration::ZERO,
+        release_time: Duration::from_millis(300),
+        resend_after: Duration::ZERO,
         max_launches: 6,
-        marks_again: true,
+        callers_mark_retries: true,
         may_cancel: true,
-        longest_return: Duration::ZERO,
-        cold_share: 0.35,
-        warm_after: Duration::from_secs(15),
-        fall_multiple: 2.5,
-        fall_within: Duration::from_secs(1),
+        max_retry_after: Duration::ZERO,
+        cold_start_share: 0.35,
+        warm_up_time: Duration::from_secs(15),
+        overload_multiple: 2.5,
+        overload_window: Duration::from_secs(1),
     }
 }
 
@@ -65,29 +65,38 @@
 /// Microseconds of each input, by kind.
 fn run(callers: u64, cores: u64, proxies: u32, standing: usize, rounds: usize) -> [Vec<f64>; 4] {
     let (mut wires, mut now) = (Taken { links: 1_000_000, ..Taken::default() }, Duration::from_millis(1));
-    let limits =
-        Limits { links: 10_000, fresh: 10_000, dead_after: Duration::from_secs(900), ..Limits::default() };
+    let limits = Limits {
+        max_links: 10_000,
+        max_unidentified_links: 10_000,
+        response_timeout: Duration::from_secs(900),
+        ..Limits::default()
+    };
     let mut edge = Edge::new("edge-0", "list", plan(proxies), 7, limits);
-    edge.alarm(now, &mut wires);
+    edge.timer_fired(now, &mut wires);
     let hello = |role, name: &str| Frame::Hello(Hello::new(role, Arc::from(name))).into();
     let list = wires.begun[0].1;
-    edge.heard(now, list, hello(Role::List, "list"), &mut wires);
+    edge.frame_received(now, list, hello(Role::List, "list"), &mut wires);
     let entry = |n: u64| Entry {
         server: ServerId(Arc::from(format!("core-{n}"))),
         number: ServerNumber(n as i64),
         address: Arc::from(format!("core-{n}")),
-        listed: Listed::Active,
-        life: 0,
+        state: ServerState::Active,
+        incarnation: 0,
         age: Duration::ZERO,
     };
     let entries = (0..cores).map(entry).collect();
-    edge.heard(now, list, Frame::List { whole: true, entries }.into(), &mut wires);
+    edge.frame_received(now, list, Frame::List { is_complete: true, entries }.into(), &mut wires);
     for (name, link) in wires.begun.clone().into_iter().skip(1) {
-        edge.heard(now, link, hello(Role::Core, &name), &mut wires);
+        edge.frame_received(now, link, hello(Role::Core, &name), &mut wires);
     }
     for caller in 0..callers {
-        edge.linked(now, LinkId(caller), &mut wires);
-        edge.heard(now, LinkId(caller), hello(Role::Caller, &format!("gateway-{caller}")), &mut wires);
+        edge.link_opened(now, LinkId(caller), &mut wires);
+        edge.frame_received(
+            now,
+            LinkId(caller),
+            hello(Role::Caller, &format!("gateway-{caller}")),
+            &mut wires,
+        );
     }
     let mut took: [Vec<f64>; 4] = Default::default();
     let mut stands = VecDeque::new();
@@ -108,32 +117,33 @@
             first_choice: ServerNumber((round as u64 % cores) as i64),
             width: 1.0,
             time_left: Duration::from_secs(3),
-            again: false,
-            came_back: false,
-            repeat: false,
+            is_retry: false,
+            redialled_after_cut: false,
+            is_repeat: false,
             sent_at: None,
             try_of: None,
             dialled: None,
         };
-        timed(0, &mut |edge| edge.heard(now, caller, Frame::Dial(dial.clone()).into(), &mut wires));
+        timed(0, &mut |edge| edge.frame_received(now, caller, Frame::Dial(dial.clone()).into(), &mut wires));
         if let Some((dialogue, launch, link)) = wires.launched.pop() {
             let report = LoadReport { free_lines: Some(1e6), ..LoadReport::default() };
             let stood = Frame::Stood { dialogue: dialogue.clone(), launch, report };
-            timed(1, &mut |edge| edge.heard(now, link, stood.clone().into(), &mut wires));
+            timed(1, &mut |edge| edge.frame_received(now, link, stood.clone().into(), &mut wires));
             stands.push_back((caller, dialogue, launch, link));
         }
         if round >= standing
             && let Some((caller, dialogue, launch, link)) = stands.pop_front()
         {
             let hang_up = Frame::HangUp { dialogue: dialogue.clone() };
-            let ended = Frame::Ended { dialogue, launch, end: End::Released, report: LoadReport::default() };
+            let ended =
+                Frame::Ended { dialogue, launch, end: DialogueEnd::Released, report: LoadReport::default() };
             timed(2, &mut |edge| {
-                edge.heard(now, caller, hang_up.clone().into(), &mut wires);
-                edge.heard(now, link, ended.clone().into(), &mut wires);
+                edge.frame_received(now, caller, hang_up.clone().into(), &mut wires);
+                edge.frame_received(now, link, ended.clone().into(), &mut wires);
             });
         }
         // Where it is due; a look at all links for silence is among them.
-        timed(3, &mut |edge| edge.alarm(now, &mut wires));
+        timed(3, &mut |edge| edge.timer_fired(now, &mut wires));
         for (kind, time) in times.into_iter().enumerate().filter(|(_, time)| round >= standing && *time > 0.0)
         {
             took[kind].push(time);
--- a/crates/edge/tests/numbers.rs
+++ b/crates/edge/tests/numbers.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::*;
-use lotussaddle_edge::{Edge, Limits, LinkId, Note, Numbers, Wires};
+use lotussaddle_edge::{Edge, EdgeEffects, Limits, LinkId, LogTopic, NumberAnalysis};
 use lotussaddle_numbers::{Group, Known, Loaded, Tables, Timestamp, no_lines};
 use lotussaddle_portability::{Plan, answer, question_of};
 use lotussaddle_sheet::Sheet;
@@ -29,8 +29,8 @@
     gone: Vec<String>,
 }
 
-impl Wires for Trace {
-    fn say(&mut self, link: LinkId, message: Message) -> bool {
+impl EdgeEffects for Trace {
+    fn send(&mut self, link: LinkId, message: Message) -> bool {
         self.said.push((link, message.frame));
         true
     }
@@ -40,15 +40,15 @@
         LinkId(self.links)
     }
     fn close(&mut self, _link: LinkId, _why: &str) {}
-    fn log(&mut self, _note: Note, _line: &str) {}
-    fn load(&mut self, name: &str, bases: Vec<Arc<Tables>>) -> bool {
+    fn log(&mut self, _note: LogTopic, _line: &str) {}
+    fn load_tables(&mut self, name: &str, bases: Vec<Arc<Tables>>) -> bool {
         self.loading.push((name.into(), bases));
         true
     }
-    fn ask(&mut self, server: usize, datagram: &[u8]) {
+    fn send_look_up(&mut self, server: usize, datagram: &[u8]) {
         self.asked.push((server, datagram.to_vec()));
     }
-    fn let_go(&mut self, tables: Vec<Arc<Tables>>) {
+    fn drop_tables(&mut self, tables: Vec<Arc<Tables>>) {
         self.gone.extend(tables.iter().map(|tables| tables.name.clone()));
     }
 }
@@ -101,8 +101,8 @@
 fn plan() -> RoutePlan {
     let product = |servers: Option<&[i64]>| Product {
         promised: ms(1500),
-        lasts: ms(8000),
-        patience: ms(9000),
+        mean_duration: ms(8000),
+        redial_window: ms(9000),
         gain: 1.0,
         late_share: 0.25,
         servers: servers.map(|all| all.iter().copied().map(ServerNumber).collect()),
@@ -115,16 +115,16 @@
         tenants: vec![],
         over_quota_share: 0.2,
         tick: ms(5),
-        release: ms(300),
-        resend: Duration::ZERO,
+        release_time: ms(300),
+        resend_after: Duration::ZERO,
         max_launches: 4,
-        marks_again: true,
+        callers_mark_retries: true,
         may_cancel: true,
-        longest_return: ms(2000),
-        cold_share: 0.4,
-        warm_after: ms(10_000),
-        fall_multiple: 2.5,
-        fall_within: Duration::from_secs(1),
+        max_retry_after: ms(2000),
+        cold_start_share: 0.4,
+        warm_up_time: ms(10_000),
+        overload_multiple: 2.5,
+        overload_window: Duration::from_secs(1),
     }
 }
 
@@ -137,9 +137,9 @@
         first_choice: ServerNumber(0),
         width: 1.0,
         time_left: ms(time_left),
-        again: false,
-        came_back: false,
-        repeat: false,
+        is_retry: false,
+        redialled_after_cut: false,
+        is_repeat: false,
         sent_at: None,
         try_of: None,
         dialled: Some(number.into()),
@@ -160,29 +160,29 @@
     fn with(look_ups: Plan) -> Self {
         let mut edge = Edge::new("edge-0", "list", plan(), 7, Limits::default());
         let wall: Timestamp = "2026-12-31T22:59:50Z".parse().unwrap();
-        edge.analyse_by(Numbers::new(vec![ms(1500); 2], 2, wall, Some((look_ups, 1))));
+        edge.use_number_analysis(NumberAnalysis::new(vec![ms(1500); 2], 2, wall, Some((look_ups, 1))));
         let mut bench = Self { edge, trace: Trace::default(), now: 0 };
         bench.at(0);
         let list = bench.link_to("list");
-        bench.edge.connected(ms(0), list, &mut bench.trace);
+        bench.edge.link_connected(ms(0), list, &mut bench.trace);
         bench.hears(list, Frame::Hello(Hello::new(Role::List, "list".into())));
         let entries = (0..4).map(|n| Entry {
             server: ServerId(Arc::from(format!("core-{n}"))),
             number: ServerNumber(n),
             address: Arc::from(format!("core-{n}")),
-            listed: Listed::Active,
-            life: 0,
+            state: ServerState::Active,
+            incarnation: 0,
             age: Duration::ZERO,
         });
-        bench.hears(list, Frame::List { whole: true, entries: entries.collect() });
+        bench.hears(list, Frame::List { is_complete: true, entries: entries.collect() });
         for n in 0..4 {
             let name = format!("core-{n}");
             let link = bench.link_to(&name);
-            bench.edge.connected(ms(0), link, &mut bench.trace);
+            bench.edge.link_connected(ms(0), link, &mut bench.trace);
             bench.hears(link, Frame::Hello(Hello::new(Role::Core, name.as_str().into())));
         }
         for (link, name) in [(100, "gateway"), (101, "gateway")] {
-            bench.edge.linked(ms(0), LinkId(link), &mut bench.trace);
+            bench.edge.link_opened(ms(0), LinkId(link), &mut bench.trace);
             bench.hears(LinkId(link), Frame::Hello(Hello::new(Role::Caller, name.into())));
         }
         bench.at(10);
@@ -191,7 +191,7 @@
 
     fn new() -> Self {
         let mut bench = Self::without_tables();
-        bench.edge.numbers().unwrap().begin_with(tables("old").unwrap());
+        bench.edge.number_analysis().unwrap().set_initial_tables(tables("old").unwrap());
         bench
     }
 
@@ -203,14 +203,14 @@
         while self.edge.next_due() <= ms(time) {
             let due = self.edge.next_due().max(ms(self.now));
             self.now = due.as_millis() as u64;
-            self.edge.alarm(due, &mut self.trace);
+            self.edge.timer_fired(due, &mut self.trace);
         }
         self.now = time;
         self
     }
 
     fn hears(&mut self, link: LinkId, frame: Frame) -> &mut Self {
-        self.edge.heard(ms(self.now), link, frame.into(), &mut self.trace);
+        self.edge.frame_received(ms(self.now), link, frame.into(), &mut self.trace);
         self
     }
 
@@ -227,7 +227,7 @@
         let asked = question_of(&asked, "e164.arpa").unwrap().0;
         let rule = [(1, 1, "u", "E2U+pstn:tel", "!^.*$!tel:+49;npdi;rn=+49999!", ".")];
         let reply = answer(&asked, moved.then_some(&rule[..]), 60);
-        self.edge.replied(ms(self.now), server, &reply, &mut self.trace);
+        self.edge.look_up_reply_received(ms(self.now), server, &reply, &mut self.trace);
         self
     }
 
@@ -239,7 +239,7 @@
     /// All generations asked for are read.
     fn reads(&mut self) -> &mut Self {
         for (name, _bases) in std::mem::take(&mut self.trace.loading) {
-            self.edge.loaded(ms(self.now), &name, tables(&name), &mut self.trace);
+            self.edge.tables_loaded(ms(self.now), &name, tables(&name), &mut self.trace);
         }
         self
     }
@@ -265,7 +265,7 @@
 
     fn tabled(&self) -> Vec<(u64, u64, String)> {
         let tabled = self.trace.said.iter().filter_map(|(_, frame)| match frame {
-            Frame::Tabled { serial, in_force, why, .. } => {
+            Frame::TablesResult { serial, in_force, why, .. } => {
                 Some((*serial, *in_force, why.as_deref().unwrap_or("done").to_string()))
             }
             _ => None,
@@ -321,13 +321,13 @@
     let mut b = Bench::new();
     b.dials("d1", "089333").at(50);
     b.hears(LinkId(100), Frame::HangUp { dialogue: id("d1") });
-    assert_eq!((b.edge.sizes().0, b.edge.numbers().unwrap().asking()), (0, 0));
+    assert_eq!((b.edge.sizes().0, b.edge.number_analysis().unwrap().pending_look_ups()), (0, 0));
     b.at(60).replies(0, true).at(2000);
     assert_eq!(b.said_of("d1"), Vec::<&Frame>::new());
-    assert_eq!((b.edge.sizes().0, b.edge.numbers().unwrap().asking()), (0, 0));
+    assert_eq!((b.edge.sizes().0, b.edge.number_analysis().unwrap().pending_look_ups()), (0, 0));
     // Its link going does the same.
     b.dials("d2", "089444").at(2050);
-    b.edge.lost(ms(2050), LinkId(100), "closed by its peer", &mut b.trace);
+    b.edge.link_closed(ms(2050), LinkId(100), "closed by its peer", &mut b.trace);
     b.at(5000);
     assert_eq!(b.said_of("d2"), Vec::<&Frame>::new());
     assert_eq!(b.edge.sizes().0, 0);
@@ -341,7 +341,7 @@
     assert_eq!(b.launches("d1").len(), 1);
     let report = LoadReport::default();
     let link = b.link_to(&b.launches("d1")[0].0);
-    b.hears(link, Frame::Stood { dialogue: id("d1"), launch: LaunchNo(0), report });
+    b.hears(link, Frame::Stood { dialogue: id("d1"), launch: LaunchNumber(0), report });
     let stands: Vec<LinkId> =
         b.trace.said.iter().filter(|(_, f)| matches!(f, Frame::Stands { .. })).map(|(l, _)| *l).collect();
     assert_eq!(stands, [LinkId(101)]);
@@ -381,7 +381,7 @@
                             // The first launch is turned back, and another comes.
                             let (far, sent) = b.launches("d1").last().expect("it is launched by now").clone();
                             let link = b.link_to(&far);
-                            let (report, cause) = (LoadReport::default(), Cause::Processor);
+                            let (report, cause) = (LoadReport::default(), TurnBackCause::Processor);
                             let (dialogue, no) = (id("d1"), sent.launch);
                             b.hears(link, Frame::TurnedBack { dialogue, launch: no, cause, report });
                             launch = Some(sent);
@@ -414,23 +414,23 @@
 fn at_midnight_by_hand_and_with_thousands_of_look_ups_out() {
     // Servers that hang are asked all the same, so that all wait until their patience ends.
     let mut b = Bench::with(Plan { breaks: false, ..Plan::default() });
-    b.edge.numbers().unwrap().begin_with(tables("old").unwrap());
+    b.edge.number_analysis().unwrap().set_initial_tables(tables("old").unwrap());
     // A swap timed for 200 ms from now, and 3,000 dialogues whose look-ups are out by then.
     b.swaps(1, "new", 200);
     for n in 0..3000 {
         b.dials(&format!("d{n}"), &format!("089{n:06}"));
     }
-    assert!(b.edge.numbers().unwrap().asking() > 2900);
+    assert!(b.edge.number_analysis().unwrap().pending_look_ups() > 2900);
     b.at(209);
     // By hand, at the very moment: back to the old one, which is "old" still, and then undone.
     b.orders(4, TablesOrder::Swap { name: "old".into(), after: ms(1) }).at(210);
     assert_eq!(b.tabled().iter().filter(|(s, f, _)| s == f).map(|(s, ..)| *s).collect::<Vec<_>>(), [2, 4]);
     b.orders(5, TablesOrder::Undo { of: 4, to: Some("new".into()) });
-    assert_eq!(b.edge.numbers().unwrap().generations.in_force().unwrap().name, "new");
+    assert_eq!(b.edge.number_analysis().unwrap().generations.in_force().unwrap().name, "new");
     b.dials("late", "089333");
     assert_eq!(by(&b.launches("late")[0]), "new");
     // What was asked goes on by the old one, all of it.
-    let before = b.edge.numbers().unwrap().generations.alive();
+    let before = b.edge.number_analysis().unwrap().generations.alive();
     assert_eq!(before, 2);
     for question in 0..b.trace.asked.len().min(16) {
         b.replies(question, true);
@@ -441,8 +441,8 @@
             assert_eq!(by(first), "old", "d{n}");
         }
     }
-    assert_eq!(b.edge.numbers().unwrap().asking(), 0);
-    assert_eq!(b.edge.numbers().unwrap().generations.alive(), 1, "nobody holds the old one any more");
+    assert_eq!(b.edge.number_analysis().unwrap().pending_look_ups(), 0);
+    assert_eq!(b.edge.number_analysis().unwrap().generations.alive(), 1, "nobody holds the old one any more");
 }
 
 #[test]
@@ -458,7 +458,7 @@
 fn without_tables_a_number_is_declined_and_a_broken_one_changes_nothing() {
     let mut b = Bench::without_tables();
     b.dials("d1", "089333");
-    assert!(matches!(b.said_of("d1")[..], [Frame::Declined { why: NotTaken::NotReady, .. }]));
+    assert!(matches!(b.said_of("d1")[..], [Frame::Declined { why: DeclineReason::NotReady, .. }]));
     b.swaps(1, "way \"broken\" { }", 0);
     assert_eq!(b.tabled().last().unwrap().2, "generation way \"broken\" { } is not staged");
     b.swaps(5, "new", 0).dials("d2", "089333");
--- a/crates/fleet/src/member/mod.rs
+++ b/crates/fleet/src/member/mod.rs
@@ -24,8 +24,8 @@
 
 use lotussaddle::interface::{DialogueId, ServerId};
 use lotussaddle_chores::{Budget, Chores};
-use lotussaddle_replica::{Book, Bounds};
-use lotussaddle_trunk::{Cursor, Owner, Peer};
+use lotussaddle_replica::{ReplicaLimits, ReplicaTable};
+use lotussaddle_trunk::{Cursor, Owner, PeerMessage};
 
 use crate::duties::Duties;
 use crate::lives::Lives;
@@ -52,7 +52,7 @@
     view: MembershipView,
     lives: Lives,
     peers: Peers,
-    book: Book,
+    book: ReplicaTable,
     redials: Redials,
     takeovers: Takeovers,
     duties: Option<Duties>,
@@ -76,9 +76,9 @@
     lets: BTreeMap<DialogueId, Vec<(u16, u64, Owner)>>,
     findings: Vec<Finding>,
     /// Said to peers at the end of the turn.
-    to_say: Vec<(u16, Peer)>,
+    to_say: Vec<(u16, PeerMessage)>,
     /// Answers to questions, each a promise: said once it is kept.
-    known: Vec<(u16, Peer)>,
+    known: Vec<(u16, PeerMessage)>,
     /// Changed in this turn, to be kept on disk.
     changed: BTreeSet<DialogueId>,
     writes: DiskWrites,
@@ -103,7 +103,11 @@
     /// A member that starts at `now` with what its disk had stored; `chance` is drawn from the system.
     pub fn new(now: Duration, plan: Plan, stored: Stored, chance: u64) -> Self {
         let (me, members) = (plan.me, plan.members.len());
-        let book = Book::new(me, plan.group(), Bounds { most: plan.most, forget: plan.forget });
+        let book = ReplicaTable::new(
+            me,
+            plan.group(),
+            ReplicaLimits { max_replicas: plan.most, retention: plan.forget },
+        );
         let mut chores = Chores::new(Budget::default());
         for (chore, priority) in [(FORGET, 1), (LOOK, 2), (PIECES, 3), (REPAIR, 1)] {
             chores.add(chore, priority);
@@ -163,7 +167,7 @@
             counts: Counts::default(),
             plan,
         };
-        stored.copies.iter().for_each(|copy| member.book.recall(now, copy));
+        stored.copies.iter().for_each(|copy| member.book.restore(now, copy));
         member
     }
 
@@ -182,7 +186,7 @@
     }
 
     /// Its own dialogues and the copies that it holds for others.
-    pub fn book(&self) -> &Book {
+    pub fn book(&self) -> &ReplicaTable {
         &self.book
     }
 
--- a/crates/fleet/src/takeovers.rs
+++ b/crates/fleet/src/takeovers.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, ServerId};
-use lotussaddle_replica::{Copy, Reading};
+use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
+use lotussaddle_replica::{Replica, ReplicaReading};
 use lotussaddle_trunk::{HeldLine, Owner};
 
 /// Dialogues being taken over at once; those beyond it wait for the next look.
@@ -38,12 +38,12 @@
         dialogue: DialogueId,
         owner: Owner,
         server: ServerId,
-        launch: LaunchNo,
+        launch: LaunchNumber,
     },
     Release {
         server: ServerId,
         dialogue: DialogueId,
-        launch: LaunchNo,
+        launch: LaunchNumber,
     },
     /// It is over, by this owner's word.
     Over {
@@ -68,7 +68,7 @@
     /// It stands, and waits for its caller until then.
     Kept {
         until: Duration,
-        launch: LaunchNo,
+        launch: LaunchNumber,
     },
     /// Nobody owns it: it is adopted to be released.
     Freeing {
@@ -199,7 +199,7 @@
 
     /// Whether this owner's life has ended.
     pub fn is_ended(&self, owner: Owner) -> bool {
-        self.ended_incarnations.get(&owner.member).is_some_and(|ended| owner.life <= ended.life)
+        self.ended_incarnations.get(&owner.member).is_some_and(|ended| owner.incarnation <= ended.life)
     }
 
     pub fn any_ended(&self) -> bool {
@@ -210,9 +210,9 @@
 
     /// Looks at a copy: is it this member's to take over? `first`: the first of those who may hold copies that is there.
     pub fn look(
-        &mut self, now: Duration, id: &DialogueId, copy: &Copy, first: Option<u16>, life: u64,
+        &mut self, now: Duration, id: &DialogueId, copy: &Replica, first: Option<u16>, life: u64,
     ) -> Option<TakeoverAction> {
-        let Reading::Stands { server, .. } = copy.reading() else { return None };
+        let ReplicaReading::Stands { server, .. } = copy.reading() else { return None };
         let top = copy.owner().filter(|owner| self.is_ended(*owner))?;
         if first != Some(self.me)
             || self.orphans.len() >= MOST_ADOPTING * 2
@@ -224,7 +224,7 @@
         if self.orphans.contains_key(id) {
             return None;
         }
-        let owner = Owner { round: top.round + 1, member: self.me, life };
+        let owner = Owner { round: top.round + 1, member: self.me, incarnation: life };
         let server = server.clone();
         let adopt =
             TakeoverAction::Adopt { server: server.clone(), dialogue: id.clone(), owner, swept: false };
@@ -248,7 +248,7 @@
     }
 
     /// Its caller has come for what is kept here: where it stands.
-    pub fn claim(&mut self, id: &DialogueId) -> Option<(ServerId, LaunchNo)> {
+    pub fn claim(&mut self, id: &DialogueId) -> Option<(ServerId, LaunchNumber)> {
         let Stage::Kept { launch, .. } = self.orphans.get(id)?.stage else { return None };
         let server = self.orphans[id].server.clone();
         self.drop_of(id);
@@ -256,7 +256,9 @@
     }
 
     /// What this member has taken over for a caller that could not be told waits for that caller as if it had been left behind.
-    pub fn keep(&mut self, now: Duration, id: &DialogueId, server: ServerId, owner: Owner, launch: LaunchNo) {
+    pub fn keep(
+        &mut self, now: Duration, id: &DialogueId, server: ServerId, owner: Owner, launch: LaunchNumber,
+    ) {
         let stage = Stage::Kept { until: now + self.unclaimed, launch };
         self.put(id, Orphan { server, owner, stage });
     }
@@ -270,8 +272,8 @@
 
     /// A core server has answered.
     pub fn adopted(
-        &mut self, now: Duration, id: &DialogueId, server: &ServerId, owner: Owner, launch: Option<LaunchNo>,
-        by: Owner,
+        &mut self, now: Duration, id: &DialogueId, server: &ServerId, owner: Owner,
+        launch: Option<LaunchNumber>, by: Owner,
     ) -> Vec<TakeoverAction> {
         let known = self.orphans.get(id).filter(|orphan| orphan.owner == owner && orphan.server == *server);
         let Some(orphan) = known else { return Vec::new() };
@@ -418,7 +420,8 @@
             }),
             None => drop(self.questions.remove(&serial)),
         }
-        for line in lines.iter().filter(|line| line.owner.member == member && line.owner.life <= up_to) {
+        for line in lines.iter().filter(|line| line.owner.member == member && line.owner.incarnation <= up_to)
+        {
             let key = (server.clone(), line.dialogue.clone());
             let whose = match whose(line) {
                 LineOf::Nobody if gently => LineOf::Claimed,
@@ -443,7 +446,7 @@
                 LineOf::Nobody => {}
             }
             self.left.remove(&key);
-            let owner = Owner { round: line.owner.round + 1, member: self.me, life };
+            let owner = Owner { round: line.owner.round + 1, member: self.me, incarnation: life };
             let dialogue = line.dialogue.clone();
             let swept = member != self.me;
             actions.push(TakeoverAction::Adopt { server: server.clone(), dialogue, owner, swept });
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -8,7 +8,7 @@
 
 use lotussaddle::interface::RoutePlan;
 use lotussaddle_edge::Limits;
-use lotussaddle_settings::{read_named, settings};
+use lotussaddle_settings::{parse_json, settings};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
@@ -97,10 +97,10 @@
             pending_releases: dialogues,
             remembered_ends: 1024,
             edge: Limits {
-                dialogues,
-                links: 1,
-                remembered: (memory / 32 / 200).min(100_000),
-                remember_for: Duration::from_secs(30),
+                max_dialogues: dialogues,
+                max_links: 1,
+                max_concluded: (memory / 32 / 200).min(100_000),
+                concluded_retention: Duration::from_secs(30),
                 ..Limits::default()
             },
         }
@@ -134,14 +134,14 @@
     struct FeedSetting {
         feed: String,
     }
-    let file: FeedSetting = read_named(text).map_err(|e| ConfigError(e.to_string()))?;
+    let file: FeedSetting = parse_json(text).map_err(|e| ConfigError(e.to_string()))?;
     address("feed", &file.feed)
 }
 
 impl Config {
     /// Parses and validates a configuration file.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
-        let file: ConfigFile = read_named(text).map_err(|e| ConfigError(e.to_string()))?;
+        let file: ConfigFile = parse_json(text).map_err(|e| ConfigError(e.to_string()))?;
         let seed = u64::from_str_radix(&file.seed, 16)
             .map_err(|_| ConfigError(format!("seed: {:?} is not a hexadecimal number", file.seed)))?;
         let limit = |name, value: f64| {
@@ -153,7 +153,7 @@
         let memory_mb = limit("memory_mb", file.limits.memory_mb)?;
         let sockets = limit("sockets", file.limits.sockets)?;
         let settings = settings(file.settings.get()).map_err(|e| ConfigError(format!("settings: {e:#}")))?;
-        if let Some(place) = settings.classes.iter().position(String::is_empty) {
+        if let Some(place) = settings.product_names.iter().position(String::is_empty) {
             return Err(ConfigError(format!("settings: categories[{place}].name: is empty")));
         }
         let first_choices = settings.plan.products.iter().filter_map(|product| product.servers.as_ref());
@@ -166,10 +166,10 @@
             known_events: file.known,
             first_choices,
             bounds: Bounds::new(memory_mb as u64, sockets as usize),
-            connect_timeout: settings.connect_within.clamp(Duration::from_millis(50), Duration::from_secs(5)),
-            idle_timeout: settings.idle_after.max(Duration::from_millis(500)),
-            classes: settings.classes,
-            widths: settings.widths,
+            connect_timeout: settings.connect_timeout.clamp(Duration::from_millis(50), Duration::from_secs(5)),
+            idle_timeout: settings.idle_timeout.max(Duration::from_millis(500)),
+            classes: settings.product_names,
+            widths: settings.product_widths,
             plan: settings.plan,
         })
     }
--- a/crates/platform/src/cores.rs
+++ b/crates/platform/src/cores.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lotussaddle::interface::LaunchNo;
+use lotussaddle::interface::LaunchNumber;
 use lotussaddle_edge::LinkId;
 
 use crate::SocketId;
@@ -106,7 +106,7 @@
     /// Splits the received bytes into messages.
     pub splitter: MessageSplitter,
     /// Launches sent or to be sent on it that have no outcome.
-    pub open_launches: BTreeMap<Tag, LaunchNo>,
+    pub open_launches: BTreeMap<Tag, LaunchNumber>,
     /// Set-ups to be sent at the end of the loop iteration in which they were decided on, or when the
     /// connection comes up.
     pub unsent_set_ups: Vec<SetUp>,
@@ -131,7 +131,7 @@
     }
 
     /// Removes and returns the launch of a call; `None` if there is none or its set-up was not sent yet.
-    pub fn take_open_launch(&mut self, tag: Tag) -> Option<LaunchNo> {
+    pub fn take_open_launch(&mut self, tag: Tag) -> Option<LaunchNumber> {
         if self.is_unsent(tag) { None } else { self.open_launches.remove(&tag) }
     }
 
--- a/crates/platform/src/desk.rs
+++ b/crates/platform/src/desk.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
 
-use lotussaddle::interface::{DialogueId, LaunchNo, LoadReport, Outcome};
-use lotussaddle_edge::{LinkId, Note, Wires};
-use lotussaddle_trunk::{End, Frame, Launch, Message, NotTaken};
+use lotussaddle::interface::{DialogueId, LaunchNumber, LoadReport, Outcome};
+use lotussaddle_edge::{EdgeEffects, LinkId, LogTopic};
+use lotussaddle_trunk::{DeclineReason, DialogueEnd, Frame, Launch, Message};
 
 use crate::codec::{self, MessageSplitter, MessageToCaller, Tag, cause, code, kind};
 use crate::config::Bounds;
@@ -58,7 +58,7 @@
     /// The call's identifier.
     pub tag: Tag,
     /// Number of the launch.
-    pub launch: LaunchNo,
+    pub launch: LaunchNumber,
     /// How it ended.
     pub outcome: Outcome,
 }
@@ -447,10 +447,10 @@
     net: &'a mut dyn Net,
 }
 
-impl Wires for PlatformEffects<'_> {
+impl EdgeEffects for PlatformEffects<'_> {
     /// Always returns true: a message that cannot be sent is reported later as an ended launch or a lost
     /// caller connection.
-    fn say(&mut self, link: LinkId, message: Message) -> bool {
+    fn send(&mut self, link: LinkId, message: Message) -> bool {
         let (connections, net) = (&mut *self.connections, &mut *self.net);
         match message.frame {
             Frame::Launch(launch) => connections.queue_set_up(net, link, launch, &message.extra),
@@ -470,7 +470,7 @@
                     caller.has_been_answered = true;
                 }
             }
-            Frame::Refused { dialogue, come_back } => {
+            Frame::Refused { dialogue, retry_after: come_back } => {
                 let wait_ms = come_back.map(|time| time.as_millis() as u64);
                 send_final_answer(
                     connections,
@@ -488,7 +488,7 @@
                 );
             }
             Frame::Declined { dialogue, why, .. } => {
-                let cause = if why == NotTaken::Full { cause::CONGESTION } else { cause::UNUSABLE };
+                let cause = if why == DeclineReason::Full { cause::CONGESTION } else { cause::UNUSABLE };
                 send_final_answer(
                     connections,
                     net,
@@ -498,7 +498,7 @@
             }
             Frame::Over { dialogue, end } => {
                 let tag = tag_of(&dialogue);
-                let cause = if end == End::Released { cause::NORMAL } else { cause::RESET };
+                let cause = if end == DialogueEnd::Released { cause::NORMAL } else { cause::RESET };
                 let own_socket = connections.remove_call(tag);
                 connections.release_caller(net, tag, cause, own_socket);
             }
@@ -524,7 +524,7 @@
         self.connections.close_incarnation(self.net, link);
     }
 
-    fn log(&mut self, _note: Note, line: &str) {
+    fn log(&mut self, _note: LogTopic, line: &str) {
         self.net.log(line);
     }
 }
--- a/crates/platform/src/feed.rs
+++ b/crates/platform/src/feed.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use lotussaddle::interface::Listed;
+use lotussaddle::interface::ServerState;
 use serde::Deserialize;
 
 use crate::codec::{Framing, MessageSplitter};
@@ -74,11 +74,11 @@
 
 impl Health {
     /// The state as the edge's list expresses it.
-    pub fn server_state(self) -> Listed {
+    pub fn server_state(self) -> ServerState {
         match self {
-            Self::Ready => Listed::Active,
-            Self::Terminating => Listed::Leaving,
-            Self::Gone => Listed::Gone,
+            Self::Ready => ServerState::Active,
+            Self::Terminating => ServerState::Draining,
+            Self::Gone => ServerState::Gone,
         }
     }
 }
--- a/crates/platform/src/sessions.rs
+++ b/crates/platform/src/sessions.rs
@@ -50,7 +50,7 @@
     /// `unix_ms` is the Unix time at `now`, in milliseconds.
     pub fn new(now: Duration, unix_ms: f64, config: Config) -> Self {
         let Config { bounds, classes, plan, .. } = config;
-        let max_cut_off = plan.products.iter().map(|p| p.patience).max().unwrap_or_default();
+        let max_cut_off = plan.products.iter().map(|p| p.redial_window).max().unwrap_or_default();
         let edge = Edge::new(&config.name, "", plan, config.seed, bounds.edge.clone());
         let classes_by_name =
             classes.iter().enumerate().map(|(place, name)| (name.clone(), place as u16)).collect();
@@ -76,9 +76,9 @@
     /// Applies what is known at start-up. Must be called once, before any other input.
     pub fn start(&mut self, now: Duration, net: &mut dyn Net) {
         self.connections.now = now;
-        self.edge.linked(now, CALLERS, &mut self.connections.effects(net));
-        self.edge.admitted(now, CALLERS, &mut self.connections.effects(net));
-        self.edge.alarm(now, &mut self.connections.effects(net)); // Opens its link to the list.
+        self.edge.link_opened(now, CALLERS, &mut self.connections.effects(net));
+        self.edge.link_trusted(now, CALLERS, &mut self.connections.effects(net));
+        self.edge.timer_fired(now, &mut self.connections.effects(net)); // Opens its link to the list.
         self.process_pending(net);
         for event in std::mem::take(&mut self.known_events) {
             self.apply_event(event, net);
@@ -116,7 +116,7 @@
     /// The time returned by [`Self::next_due`] has been reached.
     pub fn timer_fired(&mut self, now: Duration, net: &mut dyn Net) {
         self.connections.now = now;
-        self.edge.alarm(now, &mut self.connections.effects(net));
+        self.edge.timer_fired(now, &mut self.connections.effects(net));
         self.process_pending(net);
         if self.sweep_at <= now {
             self.sweep_at = now + SWEEP_INTERVAL;
@@ -255,12 +255,12 @@
         let now = self.connections.now;
         loop {
             if let Some(link) = self.connections.links_to_admit.pop() {
-                self.edge.admitted(now, link, &mut self.connections.effects(net));
+                self.edge.link_trusted(now, link, &mut self.connections.effects(net));
             } else if let Some(ended) = self.connections.ended_launches.pop_front() {
                 let EndedLaunch { link, tag, launch, outcome } = ended;
                 let report = LoadReport::default();
                 let effects = &mut self.connections.effects(net);
-                self.edge.launch_came_to(now, link, &dialogue_id(tag), launch, outcome, report, effects);
+                self.edge.launch_outcome_reported(now, link, &dialogue_id(tag), launch, outcome, report, effects);
             } else if let Some(socket) = self.connections.unwritable_cores.pop() {
                 net.close(socket, CloseMode::Now);
                 self.core_lost(socket, false, "write queue full", net);
--- a/crates/platform/src/sessions/callers.rs
+++ b/crates/platform/src/sessions/callers.rs
@@ -120,7 +120,7 @@
         let Some(caller) = self.connections.callers.get_mut(&socket) else { return };
         caller.invalid_messages += 1;
         let too_many = caller.invalid_messages >= MAX_INVALID_MESSAGES;
-        let unheld_tag = invalid.tag.filter(|tag| self.edge.holds(&dialogue_id(*tag)).is_none());
+        let unheld_tag = invalid.tag.filter(|tag| self.edge.dialogue_stands(&dialogue_id(*tag)).is_none());
         if let Some(tag) = unheld_tag {
             let message = MessageToCaller::Finish { cause: cause::UNUSABLE, wait_ms: None };
             self.connections.send_to_caller(net, socket, tag, message);
@@ -146,7 +146,7 @@
             return self.reject_message(socket, invalid("unknown first choice"), net);
         }
         let id = dialogue_id(tag);
-        if self.edge.holds(&id).is_some() {
+        if self.edge.dialogue_stands(&id).is_some() {
             if start.standing_at.is_none() {
                 self.reject_message(socket, invalid("call is already held"), net);
             }
@@ -161,9 +161,9 @@
             first_choice: ServerNumber(start.first_choice),
             width: start.width,
             time_left: Duration::from_secs_f64(start.time_left_ms / 1000.0).min(self.remaining_time()),
-            again: start.is_retry,
-            came_back: start.redialled_after_cut,
-            repeat: false,
+            is_retry: start.is_retry,
+            redialled_after_cut: start.redialled_after_cut,
+            is_repeat: false,
             sent_at: None,
             try_of: None,
             dialled: None,
@@ -177,7 +177,7 @@
             }
             let server = ServerId(Arc::from(server));
             let effects = &mut self.connections.effects(net);
-            if self.edge.stands_there(now, CALLERS, &dial, &server, effects) {
+            if self.edge.adopt_standing(now, CALLERS, &dial, &server, effects) {
                 self.connections.calls.insert(tag, call(false));
                 self.connections.mark_standing(tag);
             } else {
@@ -200,12 +200,12 @@
         }
         let extra = vec![Extra { tag: code::DESCRIPTION, value: start.description.into_bytes() }];
         let message = Message { frame: Frame::Dial(dial), extra };
-        self.edge.heard(now, CALLERS, message, &mut self.connections.effects(net));
+        self.edge.frame_received(now, CALLERS, message, &mut self.connections.effects(net));
     }
 
     /// A set-up can be given up only on its own connection, a standing call on any.
     pub(super) fn handle_caller_finish(&mut self, socket: SocketId, tag: Tag, net: &mut dyn Net) {
-        match self.edge.holds(&dialogue_id(tag)) {
+        match self.edge.dialogue_stands(&dialogue_id(tag)) {
             Some(false) if self.connections.calls.get(&tag).is_none_or(|call| call.caller != socket) => {
                 self.reject_message(
                     socket,
@@ -239,7 +239,7 @@
 
     pub(super) fn hang_up(&mut self, tag: Tag, net: &mut dyn Net) {
         let message = Frame::HangUp { dialogue: dialogue_id(tag) }.into();
-        self.edge.heard(self.connections.now, CALLERS, message, &mut self.connections.effects(net));
+        self.edge.frame_received(self.connections.now, CALLERS, message, &mut self.connections.effects(net));
         self.connections.remove_call(tag);
     }
 
--- a/crates/platform/src/sessions/lives.rs
+++ b/crates/platform/src/sessions/lives.rs
@@ -4,7 +4,7 @@
 
 use lotussaddle::interface::*;
 use lotussaddle_edge::LinkId;
-use lotussaddle_trunk::{End, Extra, Frame, Message};
+use lotussaddle_trunk::{DialogueEnd, Extra, Frame, Message};
 
 use super::Platform;
 use crate::codec::{self, BinaryMessage, Tag, cause, code, kind};
@@ -30,7 +30,7 @@
 /// it cannot be distinguished from a call whose end must be passed on.
 fn refusal_outcome(cause: u8, note: &str) -> Option<Outcome> {
     match (cause, note) {
-        (cause::FULL, "atb" | "rtb") => Some(Outcome::LinesTaken),
+        (cause::FULL, "atb" | "rtb") => Some(Outcome::NoFreeLine),
         (cause::FULL, _) => Some(Outcome::TurnedBack),
         (cause::BUSY | cause::ERROR, "sub") => Some(Outcome::NumberBusy),
         (cause::BUSY | cause::ERROR, _) => Some(Outcome::Fault),
@@ -39,8 +39,8 @@
     }
 }
 
-fn end_for_cause(cause: u8) -> End {
-    if cause == cause::NORMAL { End::Released } else { End::Cut }
+fn end_for_cause(cause: u8) -> DialogueEnd {
+    if cause == cause::NORMAL { DialogueEnd::Released } else { DialogueEnd::Cut }
 }
 
 impl Platform {
@@ -54,8 +54,9 @@
             kind::FINISH => self.handle_core_finish(socket, link, message, report, net),
             kind::FINISHED => {
                 let id = dialogue_id(message.tag);
-                if self.edge.holds(&id) == Some(true) && !self.connections.calls.contains_key(&message.tag) {
-                    self.end_call(link, message.tag, End::Released, report, net);
+                if self.edge.dialogue_stands(&id) == Some(true) && !self.connections.calls.contains_key(&message.tag)
+                {
+                    self.end_call(link, message.tag, DialogueEnd::Released, report, net);
                 }
                 Ok(())
             }
@@ -94,7 +95,7 @@
         core.open_launches.remove(&tag);
         let extra = vec![Extra { tag: code::DESCRIPTION, value: description.to_vec() }];
         let frame = Frame::Stood { dialogue: dialogue_id(tag), launch, report };
-        self.edge.heard(now, link, Message { frame, extra }, &mut self.connections.effects(net));
+        self.edge.frame_received(now, link, Message { frame, extra }, &mut self.connections.effects(net));
         Ok(())
     }
 
@@ -106,7 +107,7 @@
         }
         self.connections.send_finish(net, socket, tag);
         let now = self.connections.now;
-        self.edge.stood_after_give_up(now, link, &dialogue_id(tag), &mut self.connections.effects(net));
+        self.edge.stood_after_cancel(now, link, &dialogue_id(tag), &mut self.connections.effects(net));
     }
 
     /// The server at which the call is being set up, or stands.
@@ -128,22 +129,24 @@
             let (now, id) = (self.connections.now, dialogue_id(tag));
             let effects = &mut self.connections.effects(net);
             match refusal_outcome(cause, note) {
-                Some(outcome) => self.edge.launch_came_to(now, link, &id, launch, outcome, report, effects),
+                Some(outcome) => {
+                    self.edge.launch_outcome_reported(now, link, &id, launch, outcome, report, effects)
+                }
                 None => {
-                    self.edge.over_unheard(
+                    self.edge.unanswered_launch_ended(
                         now,
                         link,
                         &id,
                         Some(launch),
                         end_for_cause(cause),
                         report,
-                        effects,
+                        effects,,
                     );
                 }
             }
             return Ok(());
         }
-        if refusal_outcome(cause, note).is_none() && self.edge.has_former_launch(&dialogue_id(tag)) {
+        if refusal_outcome(cause, note).is_none() && self.edge.has_previous_launch(&dialogue_id(tag)) {
             self.end_former_launch(socket, link, tag, end_for_cause(cause), report, net);
             return Ok(());
         }
@@ -169,13 +172,14 @@
     /// Handles the end of a call that stood through an earlier launch, while its caller still waits for an
     /// answer: the end has crossed the cancellation, or the answer was lost with its connection.
     fn end_former_launch(
-        &mut self, socket: SocketId, link: LinkId, tag: Tag, end: End, report: LoadReport, net: &mut dyn Net,
+        &mut self, socket: SocketId, link: LinkId, tag: Tag, end: DialogueEnd, report: LoadReport,
+        net: &mut dyn Net,
     ) {
         if let Some(core) = self.connections.cores.get_mut(&socket) {
             core.clear_cancellation(tag);
         }
         let now = self.connections.now;
-        self.edge.over_unheard(
+        self.edge.unanswered_launch_ended(
             now,
             link,
             &dialogue_id(tag),
@@ -189,15 +193,15 @@
     /// Handles the end of a standing call. The end of a call that is not held is remembered, because a caller
     /// may still report that call as standing.
     pub(super) fn end_call(
-        &mut self, link: LinkId, tag: Tag, end: End, report: LoadReport, net: &mut dyn Net,
+        &mut self, link: LinkId, tag: Tag, end: DialogueEnd, report: LoadReport, net: &mut dyn Net,
     ) {
         let (now, id) = (self.connections.now, dialogue_id(tag));
-        if self.edge.over(now, link, &id, end, report, &mut self.connections.effects(net))
-            || self.edge.holds(&id).is_some()
+        if self.edge.standing_dialogue_ended(now, link, &id, end, report, &mut self.connections.effects(net))
+            || self.edge.dialogue_stands(&id).is_some()
         {
             return;
         }
-        let cause = if end == End::Released { cause::NORMAL } else { cause::RESET };
+        let cause = if end == DialogueEnd::Released { cause::NORMAL } else { cause::RESET };
         let (ends, order) = &mut self.remembered_ends;
         if ends.insert(tag, cause).is_none() {
             order.push_back(tag);
@@ -228,7 +232,7 @@
             return;
         }
         incarnation.last_report = (now, text.to_owned());
-        self.edge.heard(now, link, Frame::Report { report }.into(), &mut self.connections.effects(net));
+        self.edge.frame_received(now, link, Frame::Report { report }.into(), &mut self.connections.effects(net));
     }
 
     pub(super) fn core_lost(&mut self, socket: SocketId, refused: bool, reason: &str, net: &mut dyn Net) {
@@ -258,7 +262,7 @@
         let sockets = &self.connections.incarnations[&link].sockets;
         let none_up = !sockets.iter().any(|s| self.connections.cores.get(s).is_some_and(|core| core.is_up));
         self.process_pending(net);
-        if refused && none_up && self.edge.held_on(link) > 0 {
+        if refused && none_up && self.edge.dialogues_on_link(link) > 0 {
             self.incarnation_ended(link, "connection refused", net);
         }
     }
@@ -267,7 +271,7 @@
     pub(super) fn incarnation_ended(&mut self, link: LinkId, reason: &str, net: &mut dyn Net) {
         self.connections.close_incarnation(net, link);
         let now = self.connections.now;
-        self.edge.lost(now, link, reason, &mut self.connections.effects(net));
+        self.edge.link_closed(now, link, reason, &mut self.connections.effects(net));
         self.process_pending(net);
     }
 
@@ -296,7 +300,7 @@
         }
         let links: Vec<LinkId> = self.connections.incarnations.keys().copied().collect();
         for link in links {
-            let held_count = self.edge.held_on(link);
+            let held_count = self.edge.dialogues_on_link(link);
             let Some(incarnation) = self.connections.incarnations.get(&link) else { continue };
             let up_count = incarnation
                 .sockets
--- a/crates/platform/src/sessions/watch.rs
+++ b/crates/platform/src/sessions/watch.rs
@@ -29,7 +29,7 @@
         net.log(&format!("feed event {}: {}", event.n, hosts.join(", ")));
         // A new incarnation at an address, or of a host, means that the process before it no longer exists.
         for entry in &entries {
-            let is_listed = entry.listed != Listed::Gone;
+            let is_listed = entry.state != ServerState::Gone;
             let replaced = self.connections.incarnations.iter().filter(|(_, incarnation)| {
                 let is_same_host = *incarnation.host == *entry.server.0;
                 let address =
@@ -44,14 +44,14 @@
             }
         }
         if let Some(list) = self.connections.list_link {
-            let frame = Frame::List { whole: members.whole, entries: entries.clone() };
-            self.edge.heard(now, list, frame.into(), &mut self.connections.effects(net));
+            let frame = Frame::List { is_complete: members.whole, entries: entries.clone() };
+            self.edge.frame_received(now, list, frame.into(), &mut self.connections.effects(net));
         }
         for incarnation in self.connections.incarnations.values_mut() {
             match entries.iter().find(|entry| *entry.server.0 == *incarnation.host) {
                 Some(entry) => {
                     (incarnation.is_gone, incarnation.is_draining) =
-                        (entry.listed == Listed::Gone, entry.listed != Listed::Active);
+                        (entry.state == ServerState::Gone, entry.state != ServerState::Active);
                 }
                 None => {
                     (incarnation.is_gone, incarnation.is_draining) =
@@ -77,8 +77,8 @@
             server: ServerId(Arc::from(&*host.host)),
             number: ServerNumber(host.block),
             address: Arc::from(Incarnation::format_address(&host.host, &host.dial, host.born_ms as u64)),
-            listed: host.health.server_state(),
-            life: host.born_ms as u64,
+            state: host.health.server_state(),
+            incarnation: host.born_ms as u64,
             age,
         })
     }
