--- a/crates/edge/src/edge/connections.rs
+++ b/crates/edge/src/edge/connections.rs
@@ -5,224 +5,253 @@
 use std::time::Duration;
 
 use lotussaddle::interface::{DialogueId, LoadReport, Outcome, ServerId, ServerState};
-use lotussaddle_trunk::{End, Frame, Hello, Role};
+use lotussaddle_trunk::{DialogueEnd, Frame, Hello, Role};
 
 use super::Edge;
 use crate::held::Stage;
 use crate::links::{CoreServer, Link, Peer};
-use crate::{Decisions, LinkId, Note, Wires};
+use crate::{Decisions, EdgeEffects, LinkId, LogTopic};
 
 /// Between tries to reach the list.
 const LIST_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 impl<D: Decisions> Edge<D> {
     /// Says something to a core server that is no matter of this edge proxy's own; false: there is no link to it.
-    pub fn pass_on(&mut self, now: Duration, server: &ServerId, frame: Frame, wires: &mut dyn Wires) -> bool {
+    pub fn send_to_core(
+        &mut self, now: Duration, server: &ServerId, frame: Frame, effects: &mut dyn EdgeEffects,
+    ) -> bool {
         self.state.now = now;
         let link = self.state.servers.get(server).and_then(|core| core.link);
-        let link = link.filter(|link| self.state.links.get(link).is_some_and(|known| known.greeted));
+        let link = link.filter(|link| self.state.links.get(link).is_some_and(|known| known.handshake_done));
         if let Some(link) = link {
-            self.hands(wires).say(link, frame);
+            self.signalling(effects).send_frame(link, frame);
         }
-        self.settle(wires);
+        self.finish_input(effects);
         link.is_some()
     }
 
     /// The server at the other end of a link that is up, where that is one.
-    pub fn core_at(&self, link: LinkId) -> Option<ServerId> {
-        self.server_of(link).filter(|_| self.state.links.get(&link).is_some_and(|known| known.greeted))
+    pub fn connected_core(&self, link: LinkId) -> Option<ServerId> {
+        self.server_of_link(link)
+            .filter(|_| self.state.links.get(&link).is_some_and(|known| known.handshake_done))
     }
 
     /// Core servers to which a link is up.
-    pub fn cores_up(&self) -> impl Iterator<Item = &ServerId> {
-        let up = |core: &CoreServer| {
-            core.link.and_then(|link| self.state.links.get(&link)).is_some_and(|l| l.greeted)
+    pub fn connected_cores(&self) -> impl Iterator<Item = &ServerId> {
+        let is_up = |core: &CoreServer| {
+            core.link.and_then(|link| self.state.links.get(&link)).is_some_and(|l| l.handshake_done)
         };
-        self.state.servers.iter().filter(move |(_, core)| up(core)).map(|(id, _)| id)
+        self.state.servers.iter().filter(move |(_, core)| is_up(core)).map(|(id, _)| id)
     }
 
     /// A link has come in.
-    pub fn linked(&mut self, now: Duration, link: LinkId, wires: &mut dyn Wires) {
+    pub fn link_opened(&mut self, now: Duration, link: LinkId, effects: &mut dyn EdgeEffects) {
         self.state.now = now;
-        if self.state.callers >= self.state.limits.links {
+        if self.state.caller_links >= self.state.limits.max_links {
             self.state.counts.links_closed += 1;
-            wires.close(link, "too many links");
+            effects.close(link, "too many links");
             return;
         }
-        self.state.callers += 1;
-        self.state.links.insert(link, Link::new(Peer::Fresh, now));
-        self.state.fresh.push_back(link);
-        if self.state.fresh.len() > self.state.limits.fresh
-            && let Some(oldest) = self.state.fresh.front().copied()
+        self.state.caller_links += 1;
+        self.state.links.insert(link, Link::new(Peer::Unidentified, now));
+        self.state.unidentified.push_back(link);
+        if self.state.unidentified.len() > self.state.limits.max_unidentified_links
+            && let Some(oldest) = self.state.unidentified.front().copied()
         {
-            self.drop_link(oldest, "too many links that say no hello", wires);
+            self.drop_link(oldest, "too many links that say no hello", effects);
         }
     }
 
     /// A link that was begun from here is up.
-    pub fn connected(&mut self, now: Duration, link: LinkId, wires: &mut dyn Wires) {
+    pub fn link_connected(&mut self, now: Duration, link: LinkId, effects: &mut dyn EdgeEffects) {
         self.state.now = now;
         if self.state.links.contains_key(&link) {
             let hello = Hello::new(Role::Edge, self.name.clone());
-            self.hands(wires).say(link, Frame::Hello(hello));
+            self.signalling(effects).send_frame(link, Frame::Hello(hello));
         }
-        self.settle(wires);
+        self.finish_input(effects);
     }
 
     /// The shell vouches for a link that came in or was begun: it is up, whoever is there needs no hello, and it lasts
     /// until the shell says that it is lost. So it is where dialogues belong to no connection.
-    pub fn admitted(&mut self, now: Duration, link: LinkId, wires: &mut dyn Wires) {
+    pub fn link_trusted(&mut self, now: Duration, link: LinkId, effects: &mut dyn EdgeEffects) {
         self.state.now = now;
         if let Some(known) = self.state.links.get_mut(&link) {
-            (known.greeted, known.vouched) = (true, true);
-            if matches!(known.kind, Peer::Fresh) {
-                known.kind = Peer::Caller(Arc::from("callers"));
-                self.state.fresh.retain(|fresh| *fresh != link);
+            (known.handshake_done, known.trusted) = (true, true);
+            if matches!(known.peer, Peer::Unidentified) {
+                known.peer = Peer::Caller(Arc::from("callers"));
+                self.state.unidentified.retain(|known| *known != link);
             }
-            self.send_queued(link, wires);
+            self.send_queued_launches(link, effects);
         }
-        self.settle(wires);
+        self.finish_input(effects);
     }
 
-    pub(super) fn server_of(&self, link: LinkId) -> Option<ServerId> {
-        match &self.state.links.get(&link)?.kind {
+    pub(super) fn server_of_link(&self, link: LinkId) -> Option<ServerId> {
+        match &self.state.links.get(&link)?.peer {
             Peer::Core(server) => Some(server.clone()),
             _ => None,
         }
     }
 
     /// A link has gone, or did not come up.
-    pub fn lost(&mut self, now: Duration, link: LinkId, why: &str, wires: &mut dyn Wires) {
+    pub fn link_closed(&mut self, now: Duration, link: LinkId, why: &str, effects: &mut dyn EdgeEffects) {
         self.state.now = now;
-        self.forget_link(link, why, wires);
-        self.settle(wires);
+        self.remove_link(link, why, effects);
+        self.finish_input(effects);
     }
 
     /// What waited for this link to come up goes.
-    pub(super) fn send_queued(&mut self, link: LinkId, wires: &mut dyn Wires) {
-        let Some(server) = self.server_of(link) else { return };
+    pub(super) fn send_queued_launches(&mut self, link: LinkId, effects: &mut dyn EdgeEffects) {
+        let Some(server) = self.server_of_link(link) else { return };
         let core = self.state.servers.get_mut(&server).filter(|core| core.link == Some(link));
-        let queued = core.map(|core| std::mem::take(&mut core.queued)).unwrap_or_default();
+        let queued = core.map(|core| std::mem::take(&mut core.queued_launches)).unwrap_or_default();
         for id in queued {
-            if !self.hands(wires).send_launch(&id, link) {
-                self.server_unreachable(&id, &server, wires);
+            if !self.signalling(effects).send_launch(&id, link) {
+                self.end_launch_as_unreachable(&id, &server, effects);
             }
         }
     }
 
-    pub(super) fn server_unreachable(&mut self, id: &DialogueId, server: &ServerId, wires: &mut dyn Wires) {
-        let at = self.state.held.get(id).map(|held| &held.at);
-        if let Some(&Stage::Out { launch, .. }) = at {
-            self.hands(wires).launch_unreachable(id, launch, server);
+    pub(super) fn end_launch_as_unreachable(
+        &mut self, id: &DialogueId, server: &ServerId, effects: &mut dyn EdgeEffects,
+    ) {
+        let at = self.state.held.get(id).map(|held| &held.stage);
+        if let Some(&Stage::Launched { launch, .. }) = at {
+            self.signalling(effects).end_unreachable_launch(id, launch, server);
         }
     }
 
-    pub(super) fn sweep(&mut self, wires: &mut dyn Wires) {
+    pub(super) fn check_links(&mut self, effects: &mut dyn EdgeEffects) {
         let (now, limits) = (self.state.now, self.state.limits.clone());
         let mut closing: Vec<(LinkId, &str)> = Vec::new();
-        let mut silent = Vec::new();
+        let mut unresponsive = Vec::new();
         for (id, link) in &mut self.state.links {
-            let within =
-                if matches!(link.kind, Peer::Fresh) { limits.hello_within } else { limits.connect_within };
+            let timeout = if matches!(link.peer, Peer::Unidentified) {
+                limits.hello_timeout
+            } else {
+                limits.connect_timeout
+            };
             // The link to a former life of a server, or to one that is gone, ends with the last dialogue there.
-            let left = |server| {
+            let is_abandoned = |server| {
                 let core: Option<&CoreServer> = self.state.servers.get(server);
-                core.is_none_or(|core| core.link != Some(*id) || core.listed == ServerState::Gone)
+                core.is_none_or(|core| core.link != Some(*id) || core.state == ServerState::Gone)
             };
-            if matches!(&link.kind, Peer::Core(server) if link.dialogues.is_empty() && left(server)) {
+            if matches!(&link.peer, Peer::Core(server) if link.dialogues.is_empty() && is_abandoned(server)) {
                 closing.push((*id, "nobody is there any more"));
-            } else if link.vouched {
-            } else if !link.greeted && now >= link.since + within {
+            } else if link.trusted {
+            } else if !link.handshake_done && now >= link.opened_at + timeout {
                 closing.push((*id, "no hello in time"));
-            } else if link.greeted && now >= link.heard + limits.dead_after {
+            } else if link.handshake_done && now >= link.last_received + limits.response_timeout {
                 closing.push((*id, "silent, taken as dead"));
-            } else if link.greeted && !link.asked && now >= link.heard + limits.ask_after {
-                link.asked = true;
-                silent.push(*id);
+            } else if link.handshake_done && !link.ping_sent && now >= link.last_received + limits.ping_after
+            {
+                link.ping_sent = true;
+                unresponsive.push(*id);
             }
         }
-        for link in silent {
-            self.hands(wires).say(link, Frame::Ping { nonce: now.as_micros() as u64 });
+        for link in unresponsive {
+            self.signalling(effects).send_frame(link, Frame::Ping { nonce: now.as_micros() as u64 });
         }
         for (link, why) in closing {
-            self.drop_link(link, why, wires);
+            self.drop_link(link, why, effects);
         }
     }
 
     /// Ends a link from this side.
-    pub(super) fn drop_link(&mut self, link: LinkId, why: &str, wires: &mut dyn Wires) {
+    pub(super) fn drop_link(&mut self, link: LinkId, why: &str, effects: &mut dyn EdgeEffects) {
         if self.state.links.contains_key(&link) {
-            wires.close(link, why);
-            self.forget_link(link, why, wires);
+            effects.close(link, why);
+            self.remove_link(link, why, effects);
         }
     }
 
     /// What was on a link that is gone, ends.
-    fn forget_link(&mut self, link: LinkId, why: &str, wires: &mut dyn Wires) {
+    fn remove_link(&mut self, link: LinkId, why: &str, effects: &mut dyn EdgeEffects) {
         let Some(mut known) = self.state.links.remove(&link) else { return };
         self.state.counts.links_closed += 1;
         let dialogues = std::mem::take(&mut known.dialogues);
-        match known.kind {
-            Peer::Fresh => self.forget_caller_link(link, "that said no hello", dialogues, why, wires),
-            Peer::Caller(name) => self.forget_caller_link(link, &name, dialogues, why, wires),
+        match known.peer {
+            Peer::Unidentified => {
+                self.remove_caller_link(link, "that said no hello", dialogues, why, effects)
+            }
+            Peer::Caller(name) => self.remove_caller_link(link, &name, dialogues, why, effects),
             Peer::List => {
-                wires.log(Note::Link, &format!("list gone: {why}"));
-                self.list_at = Some(self.state.now + LIST_RETRY_INTERVAL);
+                effects.log(LogTopic::Link, &format!("list gone: {why}"));
+                self.next_list_connect = Some(self.state.now + LIST_RETRY_INTERVAL);
             }
-            Peer::Core(server) => self.forget_core_link(link, &server, dialogues, why, wires),
+            Peer::Core(server) => self.remove_core_link(link, &server, dialogues, why, effects),
         }
     }
 
-    fn forget_caller_link(
+    fn remove_caller_link(
         &mut self, link: LinkId, name: &str, dialogues: BTreeSet<DialogueId>, why: &str,
-        wires: &mut dyn Wires,
+        effects: &mut dyn EdgeEffects,
     ) {
-        self.state.callers -= 1;
-        self.state.fresh.retain(|fresh| *fresh != link);
+        self.state.caller_links -= 1;
+        self.state.unidentified.retain(|known| *known != link);
         let open = dialogues.len();
-        wires.log(Note::Link, &format!("caller {name} gone with {open} dialogues: {why}"));
+        effects.log(LogTopic::Link, &format!("caller {name} gone with {open} dialogues: {why}"));
         for id in dialogues {
-            self.hung_up(&id, wires);
-            self.hand_over_ends(wires);
+            self.caller_hung_up(&id, effects);
+            self.report_launch_ends(effects);
         }
     }
 
-    fn forget_core_link(
+    fn remove_core_link(
         &mut self, link: LinkId, server: &ServerId, dialogues: BTreeSet<DialogueId>, why: &str,
-        wires: &mut dyn Wires,
+        effects: &mut dyn EdgeEffects,
     ) {
-        let there = dialogues.len();
-        wires.log(Note::Link, &format!("link to {} gone with {there} dialogues: {why}", server.0));
+        let open = dialogues.len();
+        effects.log(LogTopic::Link, &format!("link to {} gone with {open} dialogues: {why}", server.0));
         let core = self.state.servers.get_mut(server).filter(|core| core.link == Some(link));
         let queued = core.map(|core| {
             core.link = None;
-            std::mem::take(&mut core.queued)
+            std::mem::take(&mut core.queued_launches)
         });
         for id in queued.unwrap_or_default() {
-            self.server_unreachable(&id, server, wires);
+            self.end_launch_as_unreachable(&id, server, effects);
         }
         for id in dialogues {
-            self.cut_off(&id, server, wires);
-            self.hand_over_ends(wires);
+            self.end_dialogue_of_lost_link(&id, server, effects);
+            self.report_launch_ends(effects);
         }
         self.remove_server_if_gone(server);
     }
 
     /// The link that this dialogue was on is gone.
-    fn cut_off(&mut self, id: &DialogueId, server: &ServerId, wires: &mut dyn Wires) {
-        let at = self.state.held.get(id).map(|held| held.at.clone());
+    fn end_dialogue_of_lost_link(
+        &mut self, id: &DialogueId, server: &ServerId, effects: &mut dyn EdgeEffects,
+    ) {
+        let at = self.state.held.get(id).map(|held| held.stage.clone());
         match at {
-            Some(Stage::Out { launch, .. }) => {
-                let mut hands = self.hands(wires);
-                hands.launch_over(id);
-                hands.back(id, true);
-                hands.end(id, launch, server, Outcome::BrokenOff);
+            Some(Stage::Launched { launch, .. }) => {
+                let mut signalling = self.signalling(effects);
+                signalling.clear_launch(id);
+                signalling.record_launch_returned(id, true);
+                signalling.queue_launch_end(id, launch, server, Outcome::BrokenOff);
             }
             Some(Stage::Standing { launch, link, .. }) => {
-                self.standing_ended(id, launch, server, link, End::Cut, LoadReport::default(), wires);
+                self.standing_ended(
+                    id,
+                    launch,
+                    server,
+                    link,
+                    DialogueEnd::Cut,
+                    LoadReport::default(),
+                    effects,
+                );
             }
             Some(Stage::Releasing { launch, link, .. }) => {
-                self.standing_ended(id, launch, server, link, End::Released, LoadReport::default(), wires);
+                self.standing_ended(
+                    id,
+                    launch,
+                    server,
+                    link,
+                    DialogueEnd::Released,
+                    LoadReport::default(),
+                    effects,
+                );
             }
             _ => {}
         }
--- a/crates/edge/src/edge/dialling.rs
+++ b/crates/edge/src/edge/dialling.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use lotussaddle::interface::{Arrival, DialogueId, ProductId, TenantId};
-use lotussaddle_trunk::{Dial, Extra, Frame, NotTaken};
+use lotussaddle_trunk::{DeclineReason, Dial, Extra, Frame};
 
 use super::{Edge, NO_LAUNCH};
-use crate::hands::Hands;
-use crate::held::{Held, Stage};
+use crate::held::{HeldDialogue, Stage};
 use crate::links::{Link, Peer};
-use crate::{Decisions, LinkId, Step, Wires};
+use crate::signalling::ModuleSignalling;
+use crate::{Decisions, DialogueStep, EdgeEffects, LinkId};
 
 /// More lines than this no dialogue takes.
 const MAX_WIDTH: f64 = 10_000.0;
@@ -18,90 +18,94 @@
 enum Admission {
     /// It is held already, and will have its answer.
     Repeated,
-    Declined(NotTaken),
-    /// It is held from now on; `seeks`: what is known of it elsewhere is sought first.
-    Taken {
-        seeks: bool,
+    Declined(DeclineReason),
+    /// It is held from now on; `look_up_first`: what is known of it elsewhere is sought first.
+    Accepted {
+        look_up_first: bool,
     },
 }
 
 impl<D: Decisions> Edge<D> {
-    pub(super) fn dialled(&mut self, link: LinkId, dial: Dial, extra: Vec<Extra>, wires: &mut dyn Wires) {
+    pub(super) fn dial_received(
+        &mut self, link: LinkId, dial: Dial, extra: Vec<Extra>, effects: &mut dyn EdgeEffects,
+    ) {
         let id = dial.dialogue.clone();
-        let seeks = match self.admission(link, &dial, wires) {
+        let look_up_first = match self.admission(link, &dial, effects) {
             Admission::Repeated => return,
             Admission::Declined(why) => {
                 self.state.counts.declined += 1;
-                return self.hands(wires).say(link, Frame::Declined { dialogue: id, why, come_back: None });
+                return self
+                    .signalling(effects)
+                    .send_frame(link, Frame::Declined { dialogue: id, why, retry_after: None });
             }
-            Admission::Taken { seeks } => seeks,
+            Admission::Accepted { look_up_first } => look_up_first,
         };
         self.state.counts.taken += 1;
-        let cut_off = self.cut_off_of(link, &dial);
-        let held = Held::of_dial(&dial, link, cut_off, Stage::Waiting, extra);
+        let cut_off = self.cut_off_time(link, &dial);
+        let held = HeldDialogue::from_dial(&dial, link, cut_off, Stage::Waiting, extra);
         self.state.held.insert(id.clone(), held);
-        self.hands(wires).add_to_link(link, &id);
-        if seeks {
+        self.signalling(effects).add_dialogue_to_link(link, &id);
+        if look_up_first {
             self.state.counts.sought += 1;
             self.state.deadlines.set(cut_off, &id, NO_LAUNCH);
             if let Some(held) = self.state.held.get_mut(&id) {
-                held.at = Stage::Sought(Box::new(dial));
+                held.stage = Stage::LookingUpOutcome(Box::new(dial));
             }
             return;
         }
-        wires.record(&id, Step::Taken);
-        self.decide(&dial, wires);
+        effects.record(&id, DialogueStep::Accepted);
+        self.submit_to_decisions(&dial, effects);
     }
 
     /// Whether a dial is taken. Where it may have been dialled before elsewhere, it is asked after on the way.
-    fn admission(&mut self, link: LinkId, dial: &Dial, wires: &mut dyn Wires) -> Admission {
+    fn admission(&mut self, link: LinkId, dial: &Dial, effects: &mut dyn EdgeEffects) -> Admission {
         let id = &dial.dialogue;
         if let Some(held) = self.state.held.get(id) {
-            if held.link == link && !matches!(held.at, Stage::Releasing { .. }) {
+            if held.caller_link == link && !matches!(held.stage, Stage::Releasing { .. }) {
                 self.state.counts.repeats += 1; // It is in already, and will have its answer.
                 return Admission::Repeated;
             }
-            return self.take_over(id, link).map_or(Admission::Repeated, Admission::Declined);
+            return self.move_to_newer_link(id, link).map_or(Admission::Repeated, Admission::Declined);
         }
         let concluded = self.state.concluded.contains(id);
-        if concluded && !dial.repeat {
-            return Admission::Declined(NotTaken::Concluded);
+        if concluded && !dial.is_repeat {
+            return Admission::Declined(DeclineReason::Concluded);
         }
-        if self.state.held.len() >= self.state.limits.dialogues {
-            return Admission::Declined(NotTaken::Full);
+        if self.state.held.len() >= self.state.limits.max_dialogues {
+            return Admission::Declined(DeclineReason::Full);
         }
-        if !self.can_be_read(dial) {
-            return Admission::Declined(NotTaken::Unknown);
+        if !self.is_valid_dial(dial) {
+            return Admission::Declined(DeclineReason::Unknown);
         }
-        if dial.dialled.is_some() && self.numbers.as_ref().is_some_and(|numbers| !numbers.is_ready()) {
-            return Admission::Declined(NotTaken::NotReady);
+        if dial.dialled.is_some() && self.numbers.as_ref().is_some_and(|numbers| !numbers.has_tables()) {
+            return Admission::Declined(DeclineReason::NotReady);
         }
-        let seeks = dial.repeat && wires.seek(id, self.state.now + dial.time_left);
-        if concluded && !seeks {
-            return Admission::Declined(NotTaken::Concluded);
+        let look_up_first = dial.is_repeat && effects.look_up_dialogue(id, self.state.now + dial.time_left);
+        if concluded && !look_up_first {
+            return Admission::Declined(DeclineReason::Concluded);
         }
-        Admission::Taken { seeks }
+        Admission::Accepted { look_up_first }
     }
 
     /// Whether product, tenant, width and time left are such as can be.
-    fn can_be_read(&self, dial: &Dial) -> bool {
-        usize::from(dial.product) < self.products
-            && dial.tenant.is_none_or(|tenant| usize::from(tenant) < self.tenants)
+    fn is_valid_dial(&self, dial: &Dial) -> bool {
+        usize::from(dial.product) < self.product_count
+            && dial.tenant.is_none_or(|tenant| usize::from(tenant) < self.tenant_count)
             && (dial.width > 0.0 && dial.width <= MAX_WIDTH)
             && !dial.time_left.is_zero()
     }
 
     /// When the caller gives this dial up. One that was long on its way has lost that time; one that lost all of it is
     /// answered at once.
-    fn cut_off_of(&mut self, link: LinkId, dial: &Dial) -> Duration {
+    fn cut_off_time(&mut self, link: LinkId, dial: &Dial) -> Duration {
         let now = self.state.now;
         let known = self.state.links.get_mut(&link).zip(dial.sent_at);
-        let delay = known.map_or(Duration::ZERO, |(known, sent_at)| known.delay.of(now, sent_at));
+        let delay = known.map_or(Duration::ZERO, |(known, sent_at)| known.delay.measure(now, sent_at));
         now + dial.time_left.saturating_sub(delay)
     }
 
     /// From now on it is for the module to decide, once its number is analysed.
-    pub(super) fn decide(&mut self, dial: &Dial, wires: &mut dyn Wires) {
+    pub(super) fn submit_to_decisions(&mut self, dial: &Dial, effects: &mut dyn EdgeEffects) {
         let now = self.state.now;
         let id = dial.dialogue.clone();
         let Some(cut_off) = self.state.held.get(&id).map(|held| held.cut_off) else { return };
@@ -114,37 +118,38 @@
             first_choice: dial.first_choice,
             width: dial.width,
             dialled_at: now,
-            cut_off: cut_off.saturating_sub(self.state.limits.record_within).max(now),
-            is_retry: dial.again,
-            redialled_after_cut: dial.came_back,
+            cut_off: cut_off.saturating_sub(self.state.limits.answer_record_timeout).max(now),
+            is_retry: dial.is_retry,
+            redialled_after_cut: dial.redialled_after_cut,
             key: dial.key.clone(),
         };
         if self.numbers.is_some() && dial.dialled.is_some() {
-            return self.analyse(dial, arrival, wires);
+            return self.analyse(dial, arrival, effects);
         }
-        let mut hands = Hands { state: &mut self.state, wires };
-        self.brain.arrived(now, arrival, &mut hands);
+        let mut signalling = ModuleSignalling { state: &mut self.state, effects };
+        self.brain.dialogue_arrived(now, arrival, &mut signalling);
     }
 
     /// A dialogue that is held is dialled on another link: where it is the same caller's, its former link is
     /// probably dead, and the answer goes to the new one.
-    fn take_over(&mut self, id: &DialogueId, link: LinkId) -> Option<NotTaken> {
-        let name = |link: &Link| match &link.kind {
+    fn move_to_newer_link(&mut self, id: &DialogueId, link: LinkId) -> Option<DeclineReason> {
+        let caller_name = |link: &Link| match &link.peer {
             Peer::Caller(name) => Some(name.clone()),
             _ => None,
         };
         let held = self.state.held.get_mut(id)?;
-        let before = held.link;
-        let same = self.state.links.get(&before).and_then(name) == self.state.links.get(&link).and_then(name);
-        if !same {
-            return Some(NotTaken::NotYours);
+        let previous_link = held.caller_link;
+        let is_same_caller = self.state.links.get(&previous_link).and_then(caller_name)
+            == self.state.links.get(&link).and_then(caller_name);
+        if !is_same_caller {
+            return Some(DeclineReason::NotYours);
         }
-        if matches!(held.at, Stage::Standing { .. } | Stage::Releasing { .. }) {
-            return Some(NotTaken::Concluded);
+        if matches!(held.stage, Stage::Standing { .. } | Stage::Releasing { .. }) {
+            return Some(DeclineReason::Concluded);
         }
-        held.link = link;
+        held.caller_link = link;
         self.state.counts.repeats += 1;
-        if let Some(known) = self.state.links.get_mut(&before) {
+        if let Some(known) = self.state.links.get_mut(&previous_link) {
             known.dialogues.remove(id);
         }
         if let Some(known) = self.state.links.get_mut(&link) {
@@ -154,41 +159,41 @@
     }
 
     /// The caller wants no more of this dialogue.
-    pub(super) fn hung_up(&mut self, id: &DialogueId, wires: &mut dyn Wires) {
+    pub(super) fn caller_hung_up(&mut self, id: &DialogueId, effects: &mut dyn EdgeEffects) {
         let now = self.state.now;
         let Some(held) = self.state.held.get_mut(id) else { return };
-        match held.at.clone() {
+        match held.stage.clone() {
             Stage::Standing { server, launch, link } => {
-                let until = now + self.state.limits.release_within;
-                held.at = Stage::Releasing { server, launch, link, until };
+                let until = now + self.state.limits.release_timeout;
+                held.stage = Stage::Releasing { server, launch, link, until };
                 self.state.deadlines.set(until, id, launch);
-                self.hands(wires).say(link, Frame::Release { dialogue: id.clone(), launch });
+                self.signalling(effects).send_frame(link, Frame::Release { dialogue: id.clone(), launch });
             }
             Stage::Releasing { .. } => {}
             at => {
                 self.state.counts.left += 1;
-                self.drop_unanswered(id, &at, wires);
+                self.withdraw_unanswered(id, &at, effects);
             }
         }
     }
 
     /// Lets go of a dialogue that has no answer yet, and withdraws it from whoever works on it; gives its caller's link.
-    pub(super) fn drop_unanswered(
-        &mut self, id: &DialogueId, at: &Stage, wires: &mut dyn Wires,
+    pub(super) fn withdraw_unanswered(
+        &mut self, id: &DialogueId, at: &Stage, effects: &mut dyn EdgeEffects,
     ) -> Option<LinkId> {
         match at {
-            Stage::Sought(_) | Stage::Barred(..) => self.clear_sought_deadline(id, at),
-            Stage::Asking => {
+            Stage::LookingUpOutcome(_) | Stage::Blocked(..) => self.clear_outcome_deadline(id, at),
+            Stage::LookingUpNumber => {
                 if let Some(numbers) = &mut self.numbers {
-                    numbers.forget(id);
+                    numbers.cancel_look_up(id);
                 }
             }
-            Stage::Waiting | Stage::Out { .. } => {
-                let mut hands = Hands { state: &mut self.state, wires };
-                self.brain.left(hands.state.now, id, &mut hands);
+            Stage::Waiting | Stage::Launched { .. } => {
+                let mut signalling = ModuleSignalling { state: &mut self.state, effects };
+                self.brain.caller_left(signalling.state.now, id, &mut signalling);
             }
             Stage::Standing { .. } | Stage::Releasing { .. } => return None,
         }
-        self.hands(wires).conclude(id).map(|(link, _)| link)
+        self.signalling(effects).conclude(id).map(|(link, _)| link)
     }
 }
--- a/crates/edge/src/held.rs
+++ b/crates/edge/src/held.rs
@@ -13,53 +13,53 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// Dialogues held at once, standing ones included; beyond it a dial is declined.
-    pub dialogues: usize,
+    pub max_dialogues: usize,
     /// Links of callers; beyond it a new one is closed.
-    pub links: usize,
+    pub max_links: usize,
     /// Links that have not said hello; beyond it the oldest of them is closed.
-    pub fresh: usize,
+    pub max_unidentified_links: usize,
     /// How long a link may take to say hello.
-    pub hello_within: Duration,
+    pub hello_timeout: Duration,
     /// A link that said nothing for so long is asked whether it is there ...
-    pub ask_after: Duration,
+    pub ping_after: Duration,
     /// ... and closed when it has said nothing for so long.
-    pub dead_after: Duration,
+    pub response_timeout: Duration,
     /// Launches that wait for one link to come up.
-    pub queued: usize,
+    pub max_queued_launches: usize,
     /// How long a link to a core server or list may take to come up.
-    pub connect_within: Duration,
+    pub connect_timeout: Duration,
     /// Concluded dialogues that are remembered, so that a repeat is not taken as new ...
-    pub remembered: usize,
+    pub max_concluded: usize,
     /// ... and for how long.
-    pub remember_for: Duration,
+    pub concluded_retention: Duration,
     /// How long the end of a released dialogue is awaited.
-    pub release_within: Duration,
+    pub release_timeout: Duration,
     /// How long an answer waits until it is recorded; then it is given all the same. So much time is kept back from
     /// each dialogue's cut-off. Zero where nothing is recorded.
-    pub record_within: Duration,
+    pub answer_record_timeout: Duration,
     /// How long a launch waits until it is recorded; zero: it does not wait ...
-    pub launch_within: Duration,
+    pub launch_record_timeout: Duration,
     /// ... and then it is not sent, but goes on to the module as one that could not be; else it is sent all the same.
-    pub launch_strictly: bool,
+    pub withhold_unrecorded_launches: bool,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            dialogues: 200_000,
-            links: 2_000,
-            fresh: 512,
-            hello_within: Duration::from_secs(2),
-            ask_after: Duration::from_secs(1),
-            dead_after: Duration::from_secs(5),
-            queued: 1_000,
-            connect_within: Duration::from_millis(500),
-            remembered: 200_000,
-            remember_for: Duration::from_secs(60),
-            release_within: Duration::from_secs(5),
-            record_within: Duration::ZERO,
-            launch_within: Duration::ZERO,
-            launch_strictly: false,
+            max_dialogues: 200_000,
+            max_links: 2_000,
+            max_unidentified_links: 512,
+            hello_timeout: Duration::from_secs(2),
+            ping_after: Duration::from_secs(1),
+            response_timeout: Duration::from_secs(5),
+            max_queued_launches: 1_000,
+            connect_timeout: Duration::from_millis(500),
+            max_concluded: 200_000,
+            concluded_retention: Duration::from_secs(60),
+            release_timeout: Duration::from_secs(5),
+            answer_record_timeout: Duration::ZERO,
+            launch_record_timeout: Duration::ZERO,
+            withhold_unrecorded_launches: false,
         }
     }
 }
@@ -102,14 +102,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Stage {
     /// It was dialled before, and what is known of it elsewhere is sought; the module does not know of it yet.
-    Sought(Box<Dial>),
+    LookingUpOutcome(Box<Dial>),
     /// Nor before this time: a launch of it may be out elsewhere.
-    Barred(Box<Dial>, Duration),
+    Blocked(Box<Dial>, Duration),
     /// Its number is looked up; the module does not know of it yet.
-    Asking,
+    LookingUpNumber,
     Waiting,
     /// On its way to a server; none yet of its link: it waits for that to come up.
-    Out {
+    Launched {
         server: ServerId,
         launch: LaunchNumber,
         until: Duration,
@@ -130,31 +130,33 @@
 }
 
 /// The number to be dialled on, and where it has moved to.
-pub type Numbered = (Arc<str>, Option<Arc<str>>);
+pub type AnalysedNumber = (Arc<str>, Option<Arc<str>>);
 
-pub struct Held {
+pub struct HeldDialogue {
     /// The caller's link.
-    pub link: LinkId,
+    pub caller_link: LinkId,
     /// When the caller gives this try up.
     pub cut_off: Duration,
-    pub at: Stage,
+    pub stage: Stage,
     pub launches: u32,
     pub product: u16,
     pub width: f64,
     pub key: Option<DialledKey>,
     /// The number to be dialled on, and where it has moved to.
-    pub number: Option<Box<Numbered>>,
+    pub number: Option<Box<AnalysedNumber>>,
     /// Optional fields of its dial, which its launches carry on.
     pub extra: Box<[Extra]>,
 }
 
-impl Held {
+impl HeldDialogue {
     /// A dialogue as it was dialled, with no launch yet.
-    pub fn of_dial(dial: &Dial, link: LinkId, cut_off: Duration, at: Stage, extra: Vec<Extra>) -> Self {
+    pub fn from_dial(
+        dial: &Dial, caller_link: LinkId, cut_off: Duration, stage: Stage, extra: Vec<Extra>,
+    ) -> Self {
         Self {
-            link,
+            caller_link,
             cut_off,
-            at,
+            stage,
             launches: 0,
             product: dial.product,
             width: dial.width,
@@ -167,35 +169,35 @@
 
 /// Dialogues that have had their answer, so that a repeat of their dial is not taken for a new one.
 #[derive(Default)]
-pub struct Concluded {
-    known: HashMap<DialogueId, Duration>,
-    in_order: VecDeque<(Duration, DialogueId)>,
+pub struct ConcludedDialogues {
+    concluded_at: HashMap<DialogueId, Duration>,
+    by_time: VecDeque<(Duration, DialogueId)>,
 }
 
-impl Concluded {
+impl ConcludedDialogues {
     pub fn contains(&self, id: &DialogueId) -> bool {
-        self.known.contains_key(id)
+        self.concluded_at.contains_key(id)
     }
 
     pub fn add(&mut self, now: Duration, id: &DialogueId, limits: &Limits) {
-        self.known.insert(id.clone(), now);
-        self.in_order.push_back((now, id.clone()));
-        while let Some((since, oldest)) = self.in_order.front()
-            && (self.in_order.len() > limits.remembered || *since + limits.remember_for <= now)
+        self.concluded_at.insert(id.clone(), now);
+        self.by_time.push_back((now, id.clone()));
+        while let Some((since, oldest)) = self.by_time.front()
+            && (self.by_time.len() > limits.max_concluded || *since + limits.concluded_retention <= now)
         {
-            if self.known.get(oldest) == Some(since) {
-                self.known.remove(oldest);
+            if self.concluded_at.get(oldest) == Some(since) {
+                self.concluded_at.remove(oldest);
             }
-            self.in_order.pop_front();
+            self.by_time.pop_front();
         }
     }
 
     pub fn remove(&mut self, id: &DialogueId) {
-        self.known.remove(id);
+        self.concluded_at.remove(id);
     }
 
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.concluded_at.len()
     }
 }
 
@@ -207,51 +209,51 @@
 
 /// Answers and launches that wait until they are recorded, one a dialogue.
 #[derive(Default)]
-pub struct Pending {
-    by_number: BTreeMap<u64, (Duration, DialogueId, Deferred)>,
+pub struct DeferredSends {
+    by_record: BTreeMap<u64, (Duration, DialogueId, Deferred)>,
     by_dialogue: HashMap<DialogueId, u64>,
-    dues: BTreeSet<(Duration, u64)>,
+    deadlines: BTreeSet<(Duration, u64)>,
 }
 
-impl Pending {
+impl DeferredSends {
     pub fn add(&mut self, by: Duration, number: u64, dialogue: &DialogueId, deferred: Deferred) {
         self.by_dialogue.insert(dialogue.clone(), number);
-        self.by_number.insert(number, (by, dialogue.clone(), deferred));
-        self.dues.insert((by, number));
+        self.by_record.insert(number, (by, dialogue.clone(), deferred));
+        self.deadlines.insert((by, number));
     }
 
     pub fn take(&mut self, number: u64) -> Option<(DialogueId, Deferred)> {
-        let (by, dialogue, deferred) = self.by_number.remove(&number)?;
-        self.dues.remove(&(by, number));
+        let (by, dialogue, deferred) = self.by_record.remove(&number)?;
+        self.deadlines.remove(&(by, number));
         self.by_dialogue.remove(&dialogue);
         Some((dialogue, deferred))
     }
 
     /// The caller's link of an answer of this dialogue that waits.
     pub fn answer_link(&mut self, id: &DialogueId) -> Option<&mut LinkId> {
-        match self.by_number.get_mut(self.by_dialogue.get(id)?) {
+        match self.by_record.get_mut(self.by_dialogue.get(id)?) {
             Some((_, _, Deferred::Answer { link, .. })) => Some(link),
             _ => None,
         }
     }
 
-    pub fn drop_of(&mut self, id: &DialogueId) -> Option<Deferred> {
+    pub fn remove_dialogue(&mut self, id: &DialogueId) -> Option<Deferred> {
         let number = self.by_dialogue.get(id).copied()?;
         self.take(number).map(|(_, deferred)| deferred)
     }
 
     pub fn len(&self) -> usize {
-        self.by_number.len()
+        self.by_record.len()
     }
 
     /// When the first of them has waited long enough.
-    pub fn first(&self) -> Option<Duration> {
-        self.dues.first().map(|(by, _)| *by)
+    pub fn next_deadline(&self) -> Option<Duration> {
+        self.deadlines.first().map(|(by, _)| *by)
     }
 
     /// One that has waited long enough.
-    pub fn overdue(&mut self, now: Duration) -> Option<(DialogueId, Deferred)> {
-        let (by, number) = self.dues.first().copied()?;
+    pub fn take_overdue(&mut self, now: Duration) -> Option<(DialogueId, Deferred)> {
+        let (by, number) = self.deadlines.first().copied()?;
         if by <= now { self.take(number) } else { None }
     }
 }
@@ -265,16 +267,16 @@
         self.0.insert((at, id.clone(), launch));
     }
 
-    pub fn unset(&mut self, at: Duration, id: &DialogueId, launch: LaunchNumber) {
+    pub fn clear(&mut self, at: Duration, id: &DialogueId, launch: LaunchNumber) {
         self.0.remove(&(at, id.clone(), launch));
     }
 
-    pub fn first(&self) -> Option<Duration> {
+    pub fn next(&self) -> Option<Duration> {
         self.0.first().map(|(at, ..)| *at)
     }
 
-    pub fn pop(&mut self, now: Duration) -> Option<(DialogueId, LaunchNumber)> {
-        if self.first()? > now {
+    pub fn take_due(&mut self, now: Duration) -> Option<(DialogueId, LaunchNumber)> {
+        if self.next()? > now {
             return None;
         }
         self.0.pop_first().map(|(_, id, launch)| (id, launch))
--- a/crates/fleet/src/member/links.rs
+++ b/crates/fleet/src/member/links.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lotussaddle_trunk::{Frame, Hello, Peer, Role, VERSION};
+use lotussaddle_trunk::{Frame, Hello, PeerMessage, Role, VERSION};
 
 use super::Member;
 use super::interface::Effects;
@@ -58,8 +58,15 @@
         if let Some(known) = self.peers.links.get_mut(&link) {
             known.told_life = Some(life);
         }
-        let here = Peer::Here { group, member: me, life, yours, saved, away };
-        self.tell(link, Frame::Peer(here), effects);
+        let here = PeerMessage::Greeting {
+            group,
+            member: me,
+            incarnation: life,
+            known_remote_incarnation: yours,
+            saved,
+            last_seen_ago: away,
+        };
+        self.tell(link, Frame::PeerMessage(here), effects);
     }
 
     /// Closes a link that cannot take what is said: what was to be said is not lost in silence.
@@ -200,7 +207,7 @@
         if self.lives.told(member, yours, saved) {
             self.overtaken(effects);
         } else if still.is_some() && self.lives.mine() > 0 {
-            let dropped = self.book.drop_others();
+            let dropped = self.book.drop_not_owned();
             effects.log(&format!("this clock stood still: {dropped} copies let go, a new life begins"));
             self.lives.renew();
             self.end_life(effects);
--- a/crates/fleet/src/takeovers.rs
+++ b/crates/fleet/src/takeovers.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
-use lotussaddle_replica::{Copy, Reading};
+use lotussaddle_replica::{Replica, ReplicaReading};
 use lotussaddle_trunk::{HeldLine, Owner};
 
 /// Dialogues being taken over at once; those beyond it wait for the next look.
@@ -199,7 +199,7 @@
 
     /// Whether this owner's life has ended.
     pub fn is_ended(&self, owner: Owner) -> bool {
-        self.ended_incarnations.get(&owner.member).is_some_and(|ended| owner.life <= ended.life)
+        self.ended_incarnations.get(&owner.member).is_some_and(|ended| owner.incarnation <= ended.life)
     }
 
     pub fn any_ended(&self) -> bool {
@@ -210,9 +210,9 @@
 
     /// Looks at a copy: is it this member's to take over? `first`: the first of those who may hold copies that is there.
     pub fn look(
-        &mut self, now: Duration, id: &DialogueId, copy: &Copy, first: Option<u16>, life: u64,
+        &mut self, now: Duration, id: &DialogueId, copy: &Replica, first: Option<u16>, life: u64,
     ) -> Option<TakeoverAction> {
-        let Reading::Stands { server, .. } = copy.reading() else { return None };
+        let ReplicaReading::Stands { server, .. } = copy.reading() else { return None };
         let top = copy.owner().filter(|owner| self.is_ended(*owner))?;
         if first != Some(self.me)
             || self.orphans.len() >= MOST_ADOPTING * 2
@@ -224,7 +224,7 @@
         if self.orphans.contains_key(id) {
             return None;
         }
-        let owner = Owner { round: top.round + 1, member: self.me, life };
+        let owner = Owner { round: top.round + 1, member: self.me, incarnation: life };
         let server = server.clone();
         let adopt =
             TakeoverAction::Adopt { server: server.clone(), dialogue: id.clone(), owner, swept: false };
@@ -420,7 +420,8 @@
             }),
             None => drop(self.questions.remove(&serial)),
         }
-        for line in lines.iter().filter(|line| line.owner.member == member && line.owner.life <= up_to) {
+        for line in lines.iter().filter(|line| line.owner.member == member && line.owner.incarnation <= up_to)
+        {
             let key = (server.clone(), line.dialogue.clone());
             let whose = match whose(line) {
                 LineOf::Nobody if gently => LineOf::Claimed,
@@ -445,7 +446,7 @@
                 LineOf::Nobody => {}
             }
             self.left.remove(&key);
-            let owner = Owner { round: line.owner.round + 1, member: self.me, life };
+            let owner = Owner { round: line.owner.round + 1, member: self.me, incarnation: life };
             let dialogue = line.dialogue.clone();
             let swept = member != self.me;
             actions.push(TakeoverAction::Adopt { server: server.clone(), dialogue, owner, swept });
--- a/crates/lease/src/fence.rs
+++ b/crates/lease/src/fence.rs
@@ -1,46 +1,55 @@
-//! What a receiver of acts keeps: of each duty the highest number that it has seen, and whose it was.
+//! The receiver's side of fencing: the highest token accepted of each duty, and its holder.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-use crate::ids::{Duty, Number};
+use crate::ids::{Duty, FencingToken};
 
+/// An act was refused because its token is outdated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refused {
-    /// The highest number that was seen: an act has to bear a higher one, or this one from the same member.
-    pub highest: Number,
+pub struct FenceRefusal {
+    /// The highest token accepted so far: an act needs a higher one, or this one from the same member and incarnation.
+    pub highest: FencingToken,
 }
 
-/// To be kept past a restart of the receiver.
+/// The highest token accepted of each duty. Has to be persisted across restarts of the receiver.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fence {
-    seen: BTreeMap<Duty, (Number, u16, u64)>,
+    /// Token, member and incarnation.
+    accepted: BTreeMap<Duty, (FencingToken, u16, u64)>,
 }
 
 impl Fence {
-    /// An act of this duty under this number is to be done: may it be? `Ok(true)`: the number is new and is to be kept first.
+    /// Checks whether an act of this duty under this token may be performed. `Ok(true)`: the token is new, and the fence has to be
+    /// persisted before the act is performed.
     ///
     /// # Errors
-    /// A higher number was seen, or another member's or life's act under the same one: the act is not to be done.
-    pub fn admits(&mut self, duty: Duty, number: Number, member: u16, life: u64) -> Result<bool, Refused> {
-        // Nobody's number: it was never given.
-        let seen = self.seen.get(&duty).copied().unwrap_or_default();
-        if number.0 == 0 || number < seen.0 || number == seen.0 && (member, life) != (seen.1, seen.2) {
-            return Err(Refused { highest: seen.0 });
+    /// A higher token was accepted, or the same one of another member or incarnation: the act must not be performed.
+    pub fn admit(
+        &mut self, duty: Duty, token: FencingToken, member: u16, incarnation: u64,
+    ) -> Result<bool, FenceRefusal> {
+        let accepted = self.accepted.get(&duty).copied().unwrap_or_default();
+        // Token 0 is never issued.
+        if token.0 == 0
+            || token < accepted.0
+            || token == accepted.0 && (member, incarnation) != (accepted.1, accepted.2)
+        {
+            return Err(FenceRefusal { highest: accepted.0 });
         }
-        let new = number > seen.0;
-        if new {
-            if self.seen.len() >= crate::table::MOST_DUTIES && !self.seen.contains_key(&duty) {
-                return Err(Refused { highest: Number(0) });
+        let is_new = token > accepted.0;
+        if is_new {
+            if self.accepted.len() >= crate::table::MAX_DUTIES && !self.accepted.contains_key(&duty) {
+                return Err(FenceRefusal { highest: FencingToken(0) });
             }
-            self.seen.insert(duty, (number, member, life));
+            self.accepted.insert(duty, (token, member, incarnation));
         }
-        Ok(new)
+        Ok(is_new)
     }
 
-    pub fn seen(&self) -> impl Iterator<Item = (Duty, Number)> {
-        self.seen.iter().map(|(duty, seen)| (*duty, seen.0))
+    /// The highest token accepted of each duty, in order of duties.
+    pub fn highest_tokens(&self) -> impl Iterator<Item = (Duty, FencingToken)> {
+        self.accepted.iter().map(|(duty, accepted)| (*duty, accepted.0))
     }
 }
 
@@ -49,24 +58,40 @@
     use super::*;
 
     #[test]
-    fn numbers_never_go_down_and_none_is_two_members() {
+    fn tokens_never_decrease_and_belong_to_one_incarnation() {
         let mut fence = Fence::default();
-        assert_eq!(fence.admits(Duty(0), Number(0), 1, 7), Err(Refused { highest: Number(0) }));
-        assert_eq!(fence.admits(Duty(0), Number(4), 1, 7), Ok(true));
-        assert_eq!(fence.admits(Duty(0), Number(4), 1, 7), Ok(false));
-        assert_eq!(fence.admits(Duty(0), Number(4), 2, 7), Err(Refused { highest: Number(4) }));
         assert_eq!(
-            fence.admits(Duty(0), Number(4), 1, 8),
-            Err(Refused { highest: Number(4) }),
-            "another life"
+            fence.admit(Duty(0), FencingToken(0), 1, 7),
+            Err(FenceRefusal { highest: FencingToken(0) })
+        );
+        assert_eq!(fence.admit(Duty(0), FencingToken(4), 1, 7), Ok(true));
+        assert_eq!(fence.admit(Duty(0), FencingToken(4), 1, 7), Ok(false));
+        assert_eq!(
+            fence.admit(Duty(0), FencingToken(4), 2, 7),
+            Err(FenceRefusal { highest: FencingToken(4) })
+        );
+        assert_eq!(
+            fence.admit(Duty(0), FencingToken(4), 1, 8),
+            Err(FenceRefusal { highest: FencingToken(4) }),
+            "same member, another incarnation"
+        );
+        assert_eq!(
+            fence.admit(Duty(0), FencingToken(3), 1, 7),
+            Err(FenceRefusal { highest: FencingToken(4) })
+        );
+        assert_eq!(
+            fence.admit(Duty(1), FencingToken(3), 1, 7),
+            Ok(true),
+            "duties are independent of each other"
+        );
+        assert_eq!(fence.admit(Duty(0), FencingToken(9), 2, 7), Ok(true));
+        assert_eq!(
+            fence.admit(Duty(0), FencingToken(4), 1, 7),
+            Err(FenceRefusal { highest: FencingToken(9) })
         );
-        assert_eq!(fence.admits(Duty(0), Number(3), 1, 7), Err(Refused { highest: Number(4) }));
-        assert_eq!(fence.admits(Duty(1), Number(3), 1, 7), Ok(true), "each duty by itself");
-        assert_eq!(fence.admits(Duty(0), Number(9), 2, 7), Ok(true));
-        assert_eq!(fence.admits(Duty(0), Number(4), 1, 7), Err(Refused { highest: Number(9) }));
         for duty in 2..u16::MAX {
-            let _ = fence.admits(Duty(duty), Number(1), 1, 7);
+            let _ = fence.admit(Duty(duty), FencingToken(1), 1, 7);
         }
-        assert_eq!(fence.seen().count(), crate::table::MOST_DUTIES);
+        assert_eq!(fence.highest_tokens().count(), crate::table::MAX_DUTIES);
     }
 }
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,17 +1,17 @@
-//! Copies of dialogues at the members of a fleet: who owns a dialogue, who keeps copies, what two copies that differ come to, and
-//! how they are brought to agree.
+//! Replicas of dialogues at the members of a fleet: who owns a dialogue, who holds replicas, how replicas that differ are merged, and
+//! how members bring them to agree.
 //!
-//! No socket, clock, thread or file: times are brought. It decides nothing about core servers, routes or launches. Start reading
-//! at [`Copy`], then at [`Book`].
+//! No socket, clock, thread or file: the caller passes the time. Nothing here decides about core servers, routes or launches. Start
+//! reading at [`Replica`], then at [`ReplicaTable`].
 
-mod book;
-mod copy;
-mod holders;
+mod digest_tree;
+mod placement;
+mod replica;
 mod stream;
-mod sums;
+mod table;
 
-pub use book::{Book, Bounds, Differing, News, Repair, Written};
-pub use copy::{Copy, LONGEST_SENT, MOST_ANSWERS, MOST_OWNERS, Mine, Reading, for_ever};
-pub use holders::{Group, Ranks, digest, print};
-pub use stream::{Stream, TAIL};
-pub use sums::{FAN, Sums};
+pub use digest_tree::{DigestTree, FAN_OUT};
+pub use placement::{RankedMembers, ReplicaGroup, digest, fingerprint};
+pub use replica::{MAX_ANSWERS, MAX_OWNERS, MAX_SENT_SPAN, OwnerState, Replica, ReplicaReading, no_expiry};
+pub use stream::{MAX_RETAINED, ReplicaStream};
+pub use table::{MergeResult, RangeDifference, Repair, ReplicaLimits, ReplicaTable, WriteResult};
