--- a/crates/platform/src/sessions.rs
+++ b/crates/platform/src/sessions.rs
@@ -260,7 +260,15 @@
                 let EndedLaunch { link, tag, launch, outcome } = ended;
                 let report = LoadReport::default();
                 let effects = &mut self.connections.effects(net);
-                self.edge.launch_outcome_reported(now, link, &dialogue_id(tag), launch, outcome, report, effects);
+                self.edge.launch_outcome_reported(
+                    now,
+                    link,
+                    &dialogue_id(tag),
+                    launch,
+                    outcome,
+                    report,
+                    effects,
+                );
             } else if let Some(socket) = self.connections.unwritable_cores.pop() {
                 net.close(socket, CloseMode::Now);
                 self.core_lost(socket, false, "write queue full", net);
--- a/crates/platform/src/sessions/lives.rs
+++ b/crates/platform/src/sessions/lives.rs
@@ -54,7 +54,8 @@
             kind::FINISH => self.handle_core_finish(socket, link, message, report, net),
             kind::FINISHED => {
                 let id = dialogue_id(message.tag);
-                if self.edge.dialogue_stands(&id) == Some(true) && !self.connections.calls.contains_key(&message.tag)
+                if self.edge.dialogue_stands(&id) == Some(true)
+                    && !self.connections.calls.contains_key(&message.tag)
                 {
                     self.end_call(link, message.tag, DialogueEnd::Released, report, net);
                 }
@@ -140,7 +141,7 @@
                         Some(launch),
                         end_for_cause(cause),
                         report,
-                        effects,,
+                        effects,
                     );
                 }
             }
@@ -232,7 +233,12 @@
             return;
         }
         incarnation.last_report = (now, text.to_owned());
-        self.edge.frame_received(now, link, Frame::Report { report }.into(), &mut self.connections.effects(net));
+        self.edge.frame_received(
+            now,
+            link,
+            Frame::Report { report }.into(),
+            &mut self.connections.effects(net),
+        );
     }
 
     pub(super) fn core_lost(&mut self, socket: SocketId, refused: bool, reason: &str, net: &mut dyn Net) {
--- a/crates/replica/src/table.rs
+++ b/crates/replica/src/table.rs
@@ -188,7 +188,7 @@
                 continue;
             };
             let mut replica = entry.replica.clone();
-            replica.change_owner(owner, Owner { incarnation: life: incarnation, ..owner });
+            replica.change_owner(owner, Owner { incarnation, ..owner });
             self.store(now, key, replica);
             self.queue_for_holders(&id, None);
         }
