--- a/crates/edge/src/decisions.rs
+++ b/crates/edge/src/decisions.rs
@@ -1,25 +1,33 @@
-//! The calls by which an edge proxy brings its inputs to the decisions. The module is the one that decides in
-//! service; baselines stand behind the same calls so that they can be measured beside it.
+//! Interface between an edge proxy and its decisions. The decision module implements it for service; baselines
+//! implement it so that they can be compared with the module.
 
 use std::time::Duration;
 
 use lotussaddle::brain::Brain;
 use lotussaddle::interface::*;
 
+/// Inputs of the decisions of an edge proxy. Their effects go to `out`.
 pub trait Decisions {
-    /// Nothing is launched before.
+    /// Forbids launches before `until`.
     fn hold_launches_until(&mut self, until: Duration);
+    /// The pool list has sent all entries (`whole`) or only the changed ones.
     fn server_list_received(
         &mut self, now: Duration, whole: bool, entries: &[ListEntry], out: &mut dyn Signalling,
     );
+    /// A dialogue was dialled.
     fn dialogue_arrived(&mut self, now: Duration, arrival: Arrival, out: &mut dyn Signalling);
+    /// The caller gave up a dialogue that has no final answer.
     fn caller_left(&mut self, now: Duration, id: &DialogueId, out: &mut dyn Signalling);
+    /// A core server has reported its load.
     fn load_reported(&mut self, now: Duration, id: &ServerId, report: &LoadReport, out: &mut dyn Signalling);
+    /// A launch was set up, and its dialogue stands.
     fn dialogue_stands(
         &mut self, now: Duration, id: &DialogueId, launch: LaunchNumber, server: &ServerId,
         out: &mut dyn Signalling,
     );
+    /// A launch, or a dialogue that stood, has ended.
     fn launch_ended(&mut self, now: Duration, end: LaunchEnd, out: &mut dyn Signalling);
+    /// A timer set by the decisions has expired.
     fn timer_fired(&mut self, now: Duration, timer: TimerId, out: &mut dyn Signalling);
 }
 
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -1,5 +1,5 @@
-//! Inputs of an edge proxy, each turned straight into calls on the module: what it owns, and what can be read of it.
-//! The inputs themselves are in the modules below, by what they are about.
+//! The state of an edge proxy and the queries on it. Its inputs are in the modules below, by subject; each input is
+//! turned directly into calls on the decision module.
 
 mod connections;
 mod core_frames;
@@ -23,10 +23,10 @@
 use crate::signalling::{ModuleSignalling, State};
 use crate::{Decisions, EdgeEffects, LinkId};
 
-/// Stands for a launch where a dialogue that was dialled before waits to be decided on.
+/// Launch number for deadlines of a dialogue that has no launch, while its earlier outcome is looked up.
 const NO_LAUNCH: LaunchNumber = LaunchNumber(u32::MAX);
 
-/// One edge proxy. Inputs are method calls with the time since the start, effects are calls on [`EdgeEffects`].
+/// One edge proxy. Inputs are method calls with the time since the start; effects are calls on [`EdgeEffects`].
 pub struct Edge<D = Brain> {
     name: Arc<str>,
     list_address: Arc<str>,
@@ -35,20 +35,20 @@
     brain: D,
     state: State,
     numbers: Option<Box<NumberAnalysis>>,
-    /// When links are looked at again, and when the list is tried again.
+    /// Time of the next check of all links, and of the next attempt to connect to the pool list.
     next_sweep: Duration,
     next_list_connect: Option<Duration>,
 }
 
 impl Edge {
-    /// `list` is the address of the pool list.
+    /// Creates an edge proxy that uses the decision module; `list_address` is the address of the pool list.
     pub fn new(name: &str, list_address: &str, plan: RoutePlan, seed: u64, limits: Limits) -> Self {
         Self::with_decisions(name, list_address, plan, limits, |plan| Brain::new(plan, seed))
     }
 }
 
 impl<D: Decisions> Edge<D> {
-    /// With other decisions than the module's, for baselines.
+    /// Creates an edge proxy with other decisions than the module's, such as baselines.
     pub fn with_decisions(
         name: &str, list_address: &str, plan: RoutePlan, limits: Limits,
         decisions: impl FnOnce(RoutePlan) -> D,
@@ -82,61 +82,62 @@
         }
     }
 
-    /// From now on numbers that are dialled are analysed.
+    /// Enables the analysis of dialled numbers.
     pub fn use_number_analysis(&mut self, numbers: NumberAnalysis) {
         self.product_count = numbers.products();
         self.numbers = Some(Box::new(numbers));
     }
 
-    /// A former life may have left launches at core servers: until then nothing is launched.
+    /// Launches nothing before `until`, since a previous incarnation may have left launches at core servers.
     pub fn hold_launches_until(&mut self, until: Duration) {
         self.brain.hold_launches_until(until);
     }
 
-    /// The number analysis, where there is one.
+    /// The number analysis, if it is enabled.
     pub fn number_analysis(&mut self) -> Option<&mut NumberAnalysis> {
         self.numbers.as_deref_mut()
     }
 
-    /// What has happened since the start.
+    /// Counters since the start.
     pub fn counts(&self) -> &Counts {
         &self.state.counts
     }
 
-    /// Dialogues held, standing ones included; links; concluded dialogues remembered.
+    /// Number of dialogues held (standing ones included), of links, and of concluded dialogues remembered.
     pub fn sizes(&self) -> (usize, usize, usize) {
         (self.state.held.len(), self.state.links.len(), self.state.concluded.len())
     }
 
-    /// When the launch of a dialogue ends by itself, where one is out.
+    /// Time-out of the launch that is in progress for a dialogue, if there is one.
     pub fn launch_deadline(&self, id: &DialogueId) -> Option<Duration> {
         let held = self.state.held.get(id)?;
         if let Stage::Launched { until, .. } = held.stage { Some(until) } else { None }
     }
 
-    /// The decisions that it owns, for reading.
+    /// The decisions that this edge proxy owns.
     pub fn decisions(&self) -> &D {
         &self.brain
     }
 
-    /// What is kept of dialogues beside what is held: on links, in their queues, and answers not yet given.
+    /// Number of references to dialogues in secondary tables: on links, in launch queues, among deferred sends and in
+    /// undelivered launch ends. Zero once all dialogues have ended.
     pub fn auxiliary_entries(&self) -> usize {
         let on_links: usize = self.state.links.values().map(|link| link.dialogues.len()).sum();
         let queued: usize = self.state.servers.values().map(|core| core.queued_launches.len()).sum();
         on_links + queued + self.state.deferred.len() + self.state.launch_ends.len()
     }
 
-    /// A dialogue that had its final answer in a former life.
+    /// Remembers a dialogue that had its final answer in a previous incarnation.
     pub fn remember_concluded(&mut self, dialogue: &DialogueId) {
         self.state.concluded.add(self.state.now, dialogue, &self.state.limits);
     }
 
-    /// Dialogues that came or went over this link and are still held.
+    /// Number of held dialogues that use this link.
     pub fn dialogues_on_link(&self, link: LinkId) -> usize {
         self.state.links.get(&link).map_or(0, |known| known.dialogues.len())
     }
 
-    /// Whether this dialogue is held, and whether it stands.
+    /// Whether a dialogue stands; `None` if it is not held.
     pub fn dialogue_stands(&self, id: &DialogueId) -> Option<bool> {
         let stands = |stage: &Stage| matches!(stage, Stage::Standing { .. } | Stage::Releasing { .. });
         self.state.held.get(id).map(|held| stands(&held.stage))
@@ -146,7 +147,7 @@
         ModuleSignalling { state: &mut self.state, effects }
     }
 
-    /// ModuleSignalling the module the ends that came of what it did, until there is none.
+    /// Reports launch ends that the decision module itself caused back to it, until none is left.
     fn report_launch_ends(&mut self, effects: &mut dyn EdgeEffects) {
         while let Some(mut end) = self.state.launch_ends.pop_front() {
             end.closed = !self.state.held.contains_key(&end.dialogue);
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Ends every input: the module hears of all ends, and links that could not be written to are closed.
+    /// Completes an input: reports all launch ends to the decision module and closes links that could not be written to.
     fn finish_input(&mut self, effects: &mut dyn EdgeEffects) {
         loop {
             self.report_launch_ends(effects);
--- a/crates/edge/src/edge/connections.rs
+++ b/crates/edge/src/edge/connections.rs
@@ -1,4 +1,4 @@
-//! Links: how they come up, how long they may be silent, and what ends with them.
+//! Links: opening, time-outs, and what ends with a link.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,11 +12,11 @@
 use crate::links::{CoreServer, Link, Peer};
 use crate::{Decisions, EdgeEffects, LinkId, LogTopic};
 
-/// Between tries to reach the list.
+/// Time between attempts to connect to the pool list.
 const LIST_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 impl<D: Decisions> Edge<D> {
-    /// Says something to a core server that is no matter of this edge proxy's own; false: there is no link to it.
+    /// Sends a core server a frame that concerns no dialogue held here. Returns false if no link to it is open.
     pub fn send_to_core(
         &mut self, now: Duration, server: &ServerId, frame: Frame, effects: &mut dyn EdgeEffects,
     ) -> bool {
@@ -30,13 +30,13 @@
         link.is_some()
     }
 
-    /// The server at the other end of a link that is up, where that is one.
+    /// The core server on this link, if there is one and the link is open.
     pub fn connected_core(&self, link: LinkId) -> Option<ServerId> {
         self.server_of_link(link)
             .filter(|_| self.state.links.get(&link).is_some_and(|known| known.handshake_done))
     }
 
-    /// Core servers to which a link is up.
+    /// Core servers with an open link.
     pub fn connected_cores(&self) -> impl Iterator<Item = &ServerId> {
         let is_up = |core: &CoreServer| {
             core.link.and_then(|link| self.state.links.get(&link)).is_some_and(|l| l.handshake_done)
@@ -44,7 +44,7 @@
         self.state.servers.iter().filter(move |(_, core)| is_up(core)).map(|(id, _)| id)
     }
 
-    /// A link has come in.
+    /// A link was accepted.
     pub fn link_opened(&mut self, now: Duration, link: LinkId, effects: &mut dyn EdgeEffects) {
         self.state.now = now;
         if self.state.caller_links >= self.state.limits.max_links {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// A link that was begun from here is up.
+    /// A link that this edge proxy opened is connected.
     pub fn link_connected(&mut self, now: Duration, link: LinkId, effects: &mut dyn EdgeEffects) {
         self.state.now = now;
         if self.state.links.contains_key(&link) {
@@ -72,8 +72,8 @@
         self.finish_input(effects);
     }
 
-    /// The shell vouches for a link that came in or was begun: it is up, whoever is there needs no hello, and it lasts
-    /// until the shell says that it is lost. So it is where dialogues belong to no connection.
+    /// The I/O driver guarantees a link: it is open without a hello and lasts until the driver reports it closed. This is
+    /// used where dialogues are not bound to a connection.
     pub fn link_trusted(&mut self, now: Duration, link: LinkId, effects: &mut dyn EdgeEffects) {
         self.state.now = now;
         if let Some(known) = self.state.links.get_mut(&link) {
@@ -94,14 +94,14 @@
         }
     }
 
-    /// A link has gone, or did not come up.
+    /// A link was closed or could not be opened.
     pub fn link_closed(&mut self, now: Duration, link: LinkId, why: &str, effects: &mut dyn EdgeEffects) {
         self.state.now = now;
         self.remove_link(link, why, effects);
         self.finish_input(effects);
     }
 
-    /// What waited for this link to come up goes.
+    /// Sends the launches that waited for this link to open.
     pub(super) fn send_queued_launches(&mut self, link: LinkId, effects: &mut dyn EdgeEffects) {
         let Some(server) = self.server_of_link(link) else { return };
         let core = self.state.servers.get_mut(&server).filter(|core| core.link == Some(link));
@@ -132,7 +132,7 @@
             } else {
                 limits.connect_timeout
             };
-            // The link to a former life of a server, or to one that is gone, ends with the last dialogue there.
+            // A link to a previous incarnation, or to a server no longer listed, is closed after its last dialogue.
             let is_abandoned = |server| {
                 let core: Option<&CoreServer> = self.state.servers.get(server);
                 core.is_none_or(|core| core.link != Some(*id) || core.state == ServerState::Gone)
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Ends a link from this side.
+    /// Closes a link from this side.
     pub(super) fn drop_link(&mut self, link: LinkId, why: &str, effects: &mut dyn EdgeEffects) {
         if self.state.links.contains_key(&link) {
             effects.close(link, why);
@@ -166,7 +166,7 @@
         }
     }
 
-    /// What was on a link that is gone, ends.
+    /// Removes a closed link and ends what depended on it.
     fn remove_link(&mut self, link: LinkId, why: &str, effects: &mut dyn EdgeEffects) {
         let Some(mut known) = self.state.links.remove(&link) else { return };
         self.state.counts.links_closed += 1;
@@ -219,7 +219,7 @@
         self.remove_server_if_gone(server);
     }
 
-    /// The link that this dialogue was on is gone.
+    /// Ends a dialogue whose link to its core server was lost.
     fn end_dialogue_of_lost_link(
         &mut self, id: &DialogueId, server: &ServerId, effects: &mut dyn EdgeEffects,
     ) {
--- a/crates/edge/src/edge/core_frames.rs
+++ b/crates/edge/src/edge/core_frames.rs
@@ -1,4 +1,4 @@
-//! Frames of core servers.
+//! Frames received from core servers.
 
 use lotussaddle::interface::{DialogueId, LaunchNumber, LoadReport, Outcome, ServerId};
 use lotussaddle_trunk::{Extra, Frame, Message, TurnBackCause};
@@ -9,7 +9,7 @@
 use crate::{Decisions, EdgeEffects, LinkId};
 
 impl<D: Decisions> Edge<D> {
-    /// False: a frame that a core server does not send.
+    /// Handles a frame of a core server. Returns false for a frame that core servers do not send.
     pub(super) fn core_frame_received(
         &mut self, link: LinkId, server: &ServerId, frame: Frame, extra: Vec<Extra>,
         effects: &mut dyn EdgeEffects,
@@ -44,13 +44,13 @@
         true
     }
 
-    /// A server says that a launch stands.
+    /// A core server reports that a launch stands.
     fn launch_stood(
         &mut self, link: LinkId, server: &ServerId, dialogue: DialogueId, launch: LaunchNumber,
         extra: Vec<Extra>, effects: &mut dyn EdgeEffects,
     ) {
         if !self.is_launched(&dialogue, launch, link) {
-            // It crossed a cancel, or comes twice: unless it is the one that stands, its lines go back.
+            // The answer crossed a cancel or is a duplicate: unless this launch is the standing one, its lines are released.
             self.state.counts.strays += 1;
             if !self.is_standing(&dialogue, launch, link) {
                 self.restart_release_time(&dialogue, server.clone(), effects);
--- a/crates/edge/src/edge/dialling.rs
+++ b/crates/edge/src/edge/dialling.rs
@@ -1,4 +1,4 @@
-//! Callers: which of their dials are taken, and what becomes of a dialogue that they leave.
+//! Dials of callers, and dialogues that their callers give up.
 
 use std::time::Duration;
 
@@ -11,15 +11,15 @@
 use crate::signalling::ModuleSignalling;
 use crate::{Decisions, DialogueStep, EdgeEffects, LinkId};
 
-/// More lines than this no dialogue takes.
+/// Maximum number of lines of one dialogue.
 const MAX_WIDTH: f64 = 10_000.0;
 
 /// What becomes of a dial.
 enum Admission {
-    /// It is held already, and will have its answer.
+    /// The dialogue is held already, and its answer follows.
     Repeated,
     Declined(DeclineReason),
-    /// It is held from now on; `look_up_first`: what is known of it elsewhere is sought first.
+    /// The dialogue is held from now on; with `look_up_first`, its earlier outcome is looked up first.
     Accepted {
         look_up_first: bool,
     },
@@ -57,12 +57,12 @@
         self.submit_to_decisions(&dial, effects);
     }
 
-    /// Whether a dial is taken. Where it may have been dialled before elsewhere, it is asked after on the way.
+    /// Decides whether a dial is accepted, and starts the look-up of an earlier outcome for a repeated one.
     fn admission(&mut self, link: LinkId, dial: &Dial, effects: &mut dyn EdgeEffects) -> Admission {
         let id = &dial.dialogue;
         if let Some(held) = self.state.held.get(id) {
             if held.caller_link == link && !matches!(held.stage, Stage::Releasing { .. }) {
-                self.state.counts.repeats += 1; // It is in already, and will have its answer.
+                self.state.counts.repeats += 1; // The dialogue is held, and its answer follows.
                 return Admission::Repeated;
             }
             return self.move_to_newer_link(id, link).map_or(Admission::Repeated, Admission::Declined);
@@ -87,7 +87,7 @@
         Admission::Accepted { look_up_first }
     }
 
-    /// Whether product, tenant, width and time left are such as can be.
+    /// Whether product, tenant, width and remaining time are valid.
     fn is_valid_dial(&self, dial: &Dial) -> bool {
         usize::from(dial.product) < self.product_count
             && dial.tenant.is_none_or(|tenant| usize::from(tenant) < self.tenant_count)
@@ -95,8 +95,7 @@
             && !dial.time_left.is_zero()
     }
 
-    /// When the caller gives this dial up. One that was long on its way has lost that time; one that lost all of it is
-    /// answered at once.
+    /// Cut-off of a dial. Transit delay reduces the remaining time; a dial that lost all of it is answered at once.
     fn cut_off_time(&mut self, link: LinkId, dial: &Dial) -> Duration {
         let now = self.state.now;
         let known = self.state.links.get_mut(&link).zip(dial.sent_at);
@@ -104,7 +103,7 @@
         now + dial.time_left.saturating_sub(delay)
     }
 
-    /// From now on it is for the module to decide, once its number is analysed.
+    /// Passes a dial to the decisions, after the analysis of its number.
     pub(super) fn submit_to_decisions(&mut self, dial: &Dial, effects: &mut dyn EdgeEffects) {
         let now = self.state.now;
         let id = dial.dialogue.clone();
@@ -130,8 +129,8 @@
         self.brain.dialogue_arrived(now, arrival, &mut signalling);
     }
 
-    /// A dialogue that is held is dialled on another link: where it is the same caller's, its former link is
-    /// probably dead, and the answer goes to the new one.
+    /// Moves a dialogue that is dialled again on another link of the same caller to that link, since its previous link
+    /// is probably dead. Returns the reason if the dial is declined.
     fn move_to_newer_link(&mut self, id: &DialogueId, link: LinkId) -> Option<DeclineReason> {
         let caller_name = |link: &Link| match &link.peer {
             Peer::Caller(name) => Some(name.clone()),
@@ -158,7 +157,7 @@
         None
     }
 
-    /// The caller wants no more of this dialogue.
+    /// The caller gave up this dialogue.
     pub(super) fn caller_hung_up(&mut self, id: &DialogueId, effects: &mut dyn EdgeEffects) {
         let now = self.state.now;
         let Some(held) = self.state.held.get_mut(id) else { return };
@@ -177,7 +176,7 @@
         }
     }
 
-    /// Lets go of a dialogue that has no answer yet, and withdraws it from whoever works on it; gives its caller's link.
+    /// Concludes a dialogue that has no answer yet and withdraws it from where it is processed; returns its caller's link.
     pub(super) fn withdraw_unanswered(
         &mut self, id: &DialogueId, at: &Stage, effects: &mut dyn EdgeEffects,
     ) -> Option<LinkId> {
--- a/crates/edge/src/edge/frames.rs
+++ b/crates/edge/src/edge/frames.rs
@@ -1,4 +1,4 @@
-//! Frames as they come in: who may say what on which link, and whose business it is.
+//! Incoming frames: which peer may send which frame, and who handles it.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 use crate::{Decisions, EdgeEffects, LinkId};
 
 impl<D: Decisions> Edge<D> {
-    /// A message has come in on a link.
+    /// A message was received on a link.
     pub fn frame_received(
         &mut self, now: Duration, link: LinkId, message: Message, effects: &mut dyn EdgeEffects,
     ) {
         self.state.now = now;
-        // After a stall, what timed out meanwhile has timed out, though its answer lies in the queue.
+        // After a stall, expired launches count as timed out even if their answers are in the queue.
         self.expire_deadlines(effects);
         self.process_number_analysis(effects);
         let Some(known) = self.state.links.get_mut(&link) else { return };
--- a/crates/edge/src/edge/launch_ends.rs
+++ b/crates/edge/src/edge/launch_ends.rs
@@ -1,4 +1,4 @@
-//! Ends of launches and of dialogues that stand, as core servers and the shell tell them.
+//! Ends of launches and of standing dialogues, as reported by core servers and the I/O driver.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::{Decisions, DialogueStep, EdgeEffects, LinkId};
 
 impl<D: Decisions> Edge<D> {
-    /// A launch on this link has ended with this outcome, which no frame tells.
+    /// A launch on this link has ended with an outcome that no frame reports.
     #[expect(clippy::too_many_arguments)]
     pub fn launch_outcome_reported(
         &mut self, now: Duration, link: LinkId, id: &DialogueId, launch: LaunchNumber, outcome: Outcome,
@@ -27,11 +27,11 @@
         self.finish_input(effects);
     }
 
-    /// A launch on this link is over that has stood, or may have, though no answer came: its end is owed to the caller. What
-    /// was wanted has been, so nothing is launched again, and the caller hears now that it has failed.
+    /// A launch on this link has ended that stood, or may have stood, without an answer, so its end is owed to the caller.
+    /// The dialogue is not launched again, since it may have taken place; the caller is notified that it failed.
     ///
-    /// `launch` is the one that is out there. None: the end came of a former launch, which timed out, was called off or
-    /// lost its connection before; whatever is out by now is called off.
+    /// `launch` is the launch in progress. `None` means the end of a previous launch, which had timed out, was cancelled or
+    /// lost its connection; a launch in progress is then cancelled.
     #[expect(clippy::too_many_arguments)]
     pub fn unanswered_launch_ended(
         &mut self, now: Duration, link: LinkId, id: &DialogueId, launch: Option<LaunchNumber>,
@@ -60,8 +60,8 @@
         self.finish_input(effects);
     }
 
-    /// A launch on this link has answered after it was called off: its server had not read that yet. The release time of a
-    /// dialogue that waits for its next launch counts from now on.
+    /// A launch on this link was answered after its cancellation, because the server had not yet read the cancel. The
+    /// release time of a dialogue that waits for its next launch restarts now.
     pub fn stood_after_cancel(
         &mut self, now: Duration, link: LinkId, id: &DialogueId, effects: &mut dyn EdgeEffects,
     ) {
@@ -73,7 +73,7 @@
         self.finish_input(effects);
     }
 
-    /// Tells the module, and whoever keeps a copy of the dialogue, that its last launch was out until now.
+    /// Reports the last launch of a waiting dialogue to the decisions and the replicas as cancelled only now.
     pub(super) fn restart_release_time(
         &mut self, id: &DialogueId, server: ServerId, effects: &mut dyn EdgeEffects,
     ) {
@@ -94,7 +94,7 @@
         self.brain.launch_ended(signalling.state.now, end, &mut signalling);
     }
 
-    /// Whether a dialogue that has no answer yet had a launch that is not out any more.
+    /// Whether a dialogue without an answer had a launch that is no longer in progress.
     pub fn has_previous_launch(&self, id: &DialogueId) -> bool {
         self.state.held.get(id).is_some_and(|held| match held.stage {
             Stage::Waiting => held.launches > 0,
@@ -103,8 +103,8 @@
         })
     }
 
-    /// A dialogue that stands, or is being released, at this link's server is over, whichever launch of it that was.
-    /// False: none is held there.
+    /// A dialogue that stands, or is being released, at this link's server has ended, whichever launch it came from.
+    /// Returns false if no such dialogue is held.
     pub fn standing_dialogue_ended(
         &mut self, now: Duration, link: LinkId, id: &DialogueId, end: DialogueEnd, report: LoadReport,
         effects: &mut dyn EdgeEffects,
@@ -151,7 +151,7 @@
         self.brain.launch_ended(signalling.state.now, end, &mut signalling);
     }
 
-    /// A dialogue that stood is over, by its caller's release or without.
+    /// Ends a dialogue that stood, whether or not its caller released it.
     #[expect(clippy::too_many_arguments)]
     pub(super) fn standing_ended(
         &mut self, id: &DialogueId, launch: LaunchNumber, server: &ServerId, link: LinkId, end: DialogueEnd,
--- a/crates/edge/src/edge/number_analysis.rs
+++ b/crates/edge/src/edge/number_analysis.rs
@@ -1,4 +1,4 @@
-//! NumberAnalysis that are dialled: their analysis, look-ups, and the tables it goes by.
+//! Dialled numbers: their analysis, look-ups, and the tables in force.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use crate::{Decisions, EdgeEffects, LinkId, LogTopic};
 
 impl<D: Decisions> Edge<D> {
-    /// A datagram of a look-up server.
+    /// A datagram of a look-up server was received.
     pub fn look_up_reply_received(
         &mut self, now: Duration, server: usize, datagram: &[u8], effects: &mut dyn EdgeEffects,
     ) {
@@ -28,7 +28,7 @@
         self.finish_input(effects);
     }
 
-    /// What came of `EdgeEffects::load`.
+    /// Result of [`EdgeEffects::load_tables`].
     pub fn tables_loaded(
         &mut self, now: Duration, name: &str, tables: Result<Arc<Tables>, String>,
         effects: &mut dyn EdgeEffects,
@@ -44,7 +44,7 @@
         self.finish_input(effects);
     }
 
-    /// An order about tables, from elsewhere than the list; `EdgeEffects::tabled` tells what came of it.
+    /// An order about tables from a source other than the list; [`EdgeEffects::tables_order_done`] reports its result.
     pub fn order_tables(
         &mut self, now: Duration, serial: u64, order: TablesOrder, effects: &mut dyn EdgeEffects,
     ) {
@@ -57,7 +57,7 @@
         self.finish_input(effects);
     }
 
-    /// An order about tables came from the list.
+    /// An order about tables from the pool list.
     pub(super) fn tables_order_received(
         &mut self, link: LinkId, serial: u64, order: TablesOrder, effects: &mut dyn EdgeEffects,
     ) {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Has generations taken apart that nobody needs any more.
+    /// Frees generations of tables that are no longer used.
     pub(super) fn release_unused_tables(&mut self, effects: &mut dyn EdgeEffects) {
         let unused = self.numbers.as_mut().map(|numbers| numbers.generations.take_gone()).unwrap_or_default();
         if !unused.is_empty() {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// What is due of tables and look-ups, and what came of look-ups meanwhile.
+    /// Processes look-ups that were answered or timed out, swaps that are due, and reports on orders.
     pub(super) fn process_number_analysis(&mut self, effects: &mut dyn EdgeEffects) {
         let Some(numbers) = &mut self.numbers else { return };
         let (found, unanswered) = numbers.process_due(self.state.now, effects);
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Tells the list, where its link is up, and the shell what came of orders about tables.
+    /// Reports the results of orders about tables to the list, if its link is open, and to the I/O driver.
     fn report_table_orders(&mut self, reports: Vec<Frame>, effects: &mut dyn EdgeEffects) {
         let list =
             self.state.links.iter().find(|(_, link)| matches!(link.peer, Peer::List) && link.handshake_done);
--- a/crates/edge/src/edge/server_list.rs
+++ b/crates/edge/src/edge/server_list.rs
@@ -1,4 +1,4 @@
-//! The pool list: which core servers there are, and on which links.
+//! The pool list: core servers and the links to them.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 use crate::signalling::ModuleSignalling;
 use crate::{Decisions, EdgeEffects, LinkId, LogTopic};
 
-/// Core servers known at once; beyond it a new one of the list is left out, and the log says so.
+/// Maximum number of known core servers. Further ones in the list are ignored and logged.
 const MAX_SERVERS: usize = 10_000;
 
 impl<D: Decisions> Edge<D> {
-    /// A list has come, whole or with the entries that changed.
+    /// Handles a list, either whole or with the changed entries only.
     pub(super) fn list_received(&mut self, whole: bool, entries: Vec<Entry>, effects: &mut dyn EdgeEffects) {
         if whole {
             self.state.servers.values_mut().for_each(|core| core.state = ServerState::Gone);
@@ -31,7 +31,7 @@
         self.remove_gone_servers(replaced_links, effects);
     }
 
-    /// Takes the entries in, up to the bound; gives what the module is to know of them, and the links to former lives.
+    /// Applies entries up to the maximum; returns them for the decisions, with the links to previous incarnations.
     fn apply_entries(
         &mut self, entries: Vec<Entry>, effects: &mut dyn EdgeEffects,
     ) -> (Vec<ListEntry>, Vec<LinkId>) {
@@ -54,7 +54,7 @@
         (known, replaced_links)
     }
 
-    /// Takes one entry in; gives the link to a former life of that server, where there is one.
+    /// Applies one entry; returns the link to a previous incarnation of that server, if there is one.
     fn apply_entry(&mut self, entry: Entry) -> (ListEntry, Option<LinkId>) {
         let started = start_time(self.state.now, entry.age);
         let mut replaced_link = None;
@@ -67,7 +67,7 @@
             queued_launches: Vec::new(),
         });
         if core.incarnation != entry.incarnation || core.address != entry.address {
-            // Another process answers there; what is out on the old link ends with that.
+            // Another process answers at this address; launches on the old link end with that link.
             replaced_link = core.link.take();
             if core.incarnation != entry.incarnation {
                 core.started = started;
@@ -79,7 +79,7 @@
         (ListEntry { server: entry.server, number, state, started }, replaced_link)
     }
 
-    /// What waits for the link of a server that drains is not sent there when the link is up.
+    /// Ends launches that wait for the link of a server that no longer accepts launches.
     fn return_queued_of_inactive(&mut self, effects: &mut dyn EdgeEffects) {
         let inactive = self.state.servers.iter_mut().filter(|(_, core)| core.state != ServerState::Active);
         let returned: Vec<_> = inactive
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Ends links on which nothing is left of those to former lives and to servers that are gone, and forgets the latter.
+    /// Closes unused links to previous incarnations and to servers no longer listed, and removes those servers.
     fn remove_gone_servers(&mut self, mut unused_links: Vec<LinkId>, effects: &mut dyn EdgeEffects) {
         let gone = self.state.servers.iter().filter(|(_, core)| core.state == ServerState::Gone);
         let gone: Vec<ServerId> = gone.map(|(id, _)| id.clone()).collect();
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Forgets a server that is gone from the list, once no link to it is left and nothing waits for one.
+    /// Removes a server that is no longer listed, once it has no link and no queued launches.
     pub(super) fn remove_server_if_gone(&mut self, id: &ServerId) {
         let unused = |core: &CoreServer| {
             core.state == ServerState::Gone && core.link.is_none() && core.queued_launches.is_empty()
@@ -118,8 +118,8 @@
     }
 }
 
-/// The start of a server of that age, on this clock. Zero means long ago and stays zero; no other
-/// age gives it.
+/// Start of a server of this age, on this clock. An age of zero means long ago and gives zero; no other age
+/// does.
 fn start_time(now: Duration, age: Duration) -> Duration {
     if age.is_zero() {
         return Duration::ZERO;
--- a/crates/edge/src/edge/takeover.rs
+++ b/crates/edge/src/edge/takeover.rs
@@ -1,4 +1,4 @@
-//! Dialogues that another edge proxy, or a former life of this one, has dealt with before.
+//! Dialogues that another edge proxy, or a previous incarnation of this one, handled before.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::{Decisions, EdgeEffects, LinkId, PriorOutcome};
 
 impl<D: Decisions> Edge<D> {
-    /// What `EdgeEffects::seek` came to.
+    /// Result of [`EdgeEffects::look_up_dialogue`].
     pub fn prior_outcome_found(
         &mut self, now: Duration, id: &DialogueId, found: PriorOutcome, effects: &mut dyn EdgeEffects,
     ) {
@@ -54,7 +54,7 @@
         self.finish_input(effects);
     }
 
-    /// It stands at that server, and goes on here; where the server cannot be reached, it is not taken.
+    /// Resumes a dialogue that stands at this server, or declines it if the server cannot be reached.
     fn resume_standing(
         &mut self, id: &DialogueId, caller: LinkId, server: ServerId, launch: LaunchNumber,
         effects: &mut dyn EdgeEffects,
@@ -68,7 +68,7 @@
         signalling.send_frame(caller, Frame::Stands { dialogue: id.clone(), server });
     }
 
-    /// What came of a dialogue dialled before cannot be told: it was never taken here.
+    /// Declines a dialogue dialled before whose outcome stayed unknown; it was never accepted here.
     pub(super) fn decline_unresolved(
         &mut self, id: &DialogueId, come_back: Option<Duration>, effects: &mut dyn EdgeEffects,
     ) {
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Another edge proxy has this dialogue now: nothing more of it is sent here, and what is out is called off. Mostly its caller has
-    /// dialled it again there; one that still waits here hears that it may ask again what came of it.
+    /// Another edge proxy owns this dialogue now: its launch is cancelled, and nothing more of it is sent. Usually its
+    /// caller has dialled it again there; a caller still waiting here is notified that it may ask again for the outcome.
     pub fn dialogue_replaced(&mut self, now: Duration, id: &DialogueId, effects: &mut dyn EdgeEffects) {
         self.state.now = now;
         self.expire_deadlines(effects);
@@ -108,12 +108,12 @@
                 Frame::Declined { dialogue: id.clone(), why: DeclineReason::Unsure, retry_after: None };
             self.signalling(effects).send_frame(link, frame);
         }
-        // It is not concluded as far as its caller is concerned, who may yet dial it here again.
+        // To its caller the dialogue is not concluded: it may be dialled here again.
         self.state.concluded.remove(id);
         self.finish_input(effects);
     }
 
-    /// Lets go of one that stood; `caller_notified`: its caller has heard so, and hears now that it is cut.
+    /// Drops a standing dialogue. If its caller was notified that it stands, it is notified now that it is cut.
     fn drop_replaced_standing(
         &mut self, id: &DialogueId, at: &Stage, caller_notified: bool, effects: &mut dyn EdgeEffects,
     ) {
@@ -134,7 +134,7 @@
         }
     }
 
-    /// A dialogue that was dialled before is sought no longer, nor barred: its deadline goes.
+    /// Clears the deadline of a dialogue whose outcome is looked up, or which is blocked.
     pub(super) fn clear_outcome_deadline(&mut self, id: &DialogueId, at: &Stage) {
         let Some(held) = self.state.held.get(id) else { return };
         match at {
@@ -144,8 +144,8 @@
         }
     }
 
-    /// A dialogue stands at that server already, placed by a former life of this edge proxy: no answer is owed for
-    /// it. False: it is not taken, since the server is not known here or too much is held.
+    /// Adopts a dialogue that a previous incarnation of this edge proxy set up at this server; no answer is owed for it.
+    /// Returns false if the server is unknown or the maximum number of dialogues is held.
     pub fn adopt_standing(
         &mut self, now: Duration, link: LinkId, dial: &Dial, server: &ServerId, effects: &mut dyn EdgeEffects,
     ) -> bool {
--- a/crates/edge/src/edge/timers.rs
+++ b/crates/edge/src/edge/timers.rs
@@ -1,4 +1,4 @@
-//! Deadlines: when the next one is due, launches that time out, and what a stall left behind.
+//! Deadlines: the next time at which something is due, launches that time out, and recovery after a stall.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 use crate::signalling::ModuleSignalling;
 use crate::{Decisions, EdgeEffects};
 
-/// How often links are looked at for silence.
+/// Time between two checks of all links for time-outs.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
 impl<D: Decisions> Edge<D> {
-    /// When `alarm` is to be called next.
+    /// Time at which [`Self::timer_fired`] is to be called next.
     pub fn next_due(&self) -> Duration {
         let numbers = self.numbers.as_ref().and_then(|numbers| numbers.next_due());
         let pending = self.state.deferred.next_deadline();
@@ -24,10 +24,10 @@
         dues.into_iter().flatten().fold(self.next_sweep, Duration::min)
     }
 
-    /// What `EdgeEffects::record` gave this number is remembered.
+    /// The step for which [`EdgeEffects::record`] returned this number is recorded.
     pub fn step_recorded(&mut self, now: Duration, number: u64, effects: &mut dyn EdgeEffects) {
         self.state.now = now;
-        // After a stall, what timed out meanwhile has timed out, and is not sent any more.
+        // After a stall, expired launches count as timed out and are not sent.
         self.expire_deadlines(effects);
         if let Some((id, deferred)) = self.state.deferred.take(number) {
             self.signalling(effects).resume_deferred(id, deferred, true);
@@ -35,7 +35,7 @@
         self.finish_input(effects);
     }
 
-    /// The time given by `next_due` has come.
+    /// The time returned by [`Self::next_due`] has come.
     pub fn timer_fired(&mut self, now: Duration, effects: &mut dyn EdgeEffects) {
         self.state.now = now;
         self.expire_deadlines(effects);
@@ -62,7 +62,7 @@
         self.finish_input(effects);
     }
 
-    /// Ends every launch, search and release whose deadline has passed.
+    /// Handles each launch, look-up and release whose deadline has passed.
     pub(super) fn expire_deadlines(&mut self, effects: &mut dyn EdgeEffects) {
         while let Some((id, launch)) = self.state.deadlines.take_due(self.state.now) {
             self.deadline_passed(&id, launch, effects);
--- a/crates/edge/src/held.rs
+++ b/crates/edge/src/held.rs
@@ -1,4 +1,4 @@
-//! What is held of each dialogue, and the bounds of all that is held.
+//! Dialogues held, sends that wait for their records, deadlines, limits and counters.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
@@ -9,37 +9,38 @@
 
 use crate::LinkId;
 
-/// Each bound, and (in the operators' page) what happens beyond it.
+/// Limits of an edge proxy. The operators' page describes what happens beyond each.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Dialogues held at once, standing ones included; beyond it a dial is declined.
+    /// Maximum number of dialogues held, including standing ones; further dials are declined.
     pub max_dialogues: usize,
-    /// Links of callers; beyond it a new one is closed.
+    /// Maximum number of caller links; a further one is closed.
     pub max_links: usize,
-    /// Links that have not said hello; beyond it the oldest of them is closed.
+    /// Maximum number of links that have not sent a hello; beyond it the oldest of them is closed.
     pub max_unidentified_links: usize,
-    /// How long a link may take to say hello.
+    /// Time within which a link must send its hello.
     pub hello_timeout: Duration,
-    /// A link that said nothing for so long is asked whether it is there ...
+    /// Time without a message after which a link is pinged.
     pub ping_after: Duration,
-    /// ... and closed when it has said nothing for so long.
+    /// Time without a message after which a link is closed.
     pub response_timeout: Duration,
-    /// Launches that wait for one link to come up.
+    /// Maximum number of launches that wait for one link to open.
     pub max_queued_launches: usize,
-    /// How long a link to a core server or list may take to come up.
+    /// Time within which a link to a core server or the list must open.
     pub connect_timeout: Duration,
-    /// Concluded dialogues that are remembered, so that a repeat is not taken as new ...
+    /// Maximum number of concluded dialogues remembered, by which repeated dials are recognised.
     pub max_concluded: usize,
-    /// ... and for how long.
+    /// Time for which a concluded dialogue is remembered.
     pub concluded_retention: Duration,
-    /// How long the end of a released dialogue is awaited.
+    /// Time for which the end of a released dialogue is awaited.
     pub release_timeout: Duration,
-    /// How long an answer waits until it is recorded; then it is given all the same. So much time is kept back from
-    /// each dialogue's cut-off. Zero where nothing is recorded.
+    /// Time for which an answer waits until it is recorded; then it is sent without. This time is reserved before
+    /// each dialogue's cut-off. Zero if nothing is recorded.
     pub answer_record_timeout: Duration,
-    /// How long a launch waits until it is recorded; zero: it does not wait ...
+    /// Time for which a launch waits until it is recorded; zero: it does not wait.
     pub launch_record_timeout: Duration,
-    /// ... and then it is not sent, but goes on to the module as one that could not be; else it is sent all the same.
+    /// A launch that is not recorded in time is withheld and reported to the decisions as unreachable; otherwise it is
+    /// sent without its record.
     pub withhold_unrecorded_launches: bool,
 }
 
@@ -64,92 +65,97 @@
     }
 }
 
-/// What has happened since the start.
+/// Counters since the start. Their names appear in logs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
+    /// Dials accepted.
     pub taken: u64,
+    /// Dialogues that stood.
     pub stood: u64,
+    /// Dialogues refused.
     pub refused: u64,
+    /// Dialogues failed.
     pub failed: u64,
+    /// Dialogues that their callers gave up before a final answer.
     pub left: u64,
+    /// Standing dialogues that were cut.
     pub cut: u64,
+    /// Dials declined.
     pub declined: u64,
+    /// Dials of dialogues that were held already.
     pub repeats: u64,
+    /// Launches sent.
     pub launches: u64,
-    /// Answers of core servers to launches that were over by then.
+    /// Answers of core servers to launches that had already ended.
     pub strays: u64,
+    /// Links closed.
     pub links_closed: u64,
-    /// Answers given before they were recorded, since that took too long or could not be had.
+    /// Answers sent before they were recorded, because that timed out or was not possible.
     pub unrecorded: u64,
-    /// Launches sent before they were recorded, and launches not sent for that.
+    /// Launches sent before they were recorded.
     pub launched_unrecorded: u64,
+    /// Launches not sent because they were not recorded in time.
     pub withheld: u64,
-    /// Dialogues dialled before that were sought elsewhere: in all, found answered or standing, and not found out.
+    /// Dialogues dialled before whose outcome was looked up.
     pub sought: u64,
+    /// Look-ups that found the dialogue answered or standing.
     pub recognised: u64,
+    /// Look-ups whose outcome stayed unknown.
     pub unsure: u64,
-    /// Dialogues let go because another edge proxy has them now.
+    /// Dialogues dropped because another edge proxy owns them now.
     pub replaced: u64,
-    /// Dialogues whose number was analysed, those that were refused by it, those that waited for a look-up, and
-    /// those that waited no longer.
+    /// Dialogues whose number was analysed.
     pub analysed: u64,
+    /// Dialogues refused by the number analysis.
     pub barred: u64,
+    /// Dialogues that waited for a number look-up.
     pub looked_up: u64,
+    /// Number look-ups that timed out.
     pub unanswered: u64,
 }
 
-/// Where a dialogue is.
+/// Stage of a dialogue.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Stage {
-    /// It was dialled before, and what is known of it elsewhere is sought; the module does not know of it yet.
+    /// The dialogue was dialled before and its outcome is looked up; the decisions do not know it yet.
     LookingUpOutcome(Box<Dial>),
-    /// Nor before this time: a launch of it may be out elsewhere.
+    /// Blocked until this time, because a launch of it may be in progress elsewhere; the decisions do not know it yet.
     Blocked(Box<Dial>, Duration),
-    /// Its number is looked up; the module does not know of it yet.
+    /// The dialled number is looked up; the decisions do not know the dialogue yet.
     LookingUpNumber,
+    /// With the decisions; no launch is in progress.
     Waiting,
-    /// On its way to a server; none yet of its link: it waits for that to come up.
-    Launched {
-        server: ServerId,
-        launch: LaunchNumber,
-        until: Duration,
-        link: Option<LinkId>,
-    },
-    Standing {
-        server: ServerId,
-        launch: LaunchNumber,
-        link: LinkId,
-    },
-    /// Its caller hung up; the server was told.
-    Releasing {
-        server: ServerId,
-        launch: LaunchNumber,
-        link: LinkId,
-        until: Duration,
-    },
+    /// Launched at a server. While `link` is `None`, the launch waits for its record or for the link to open.
+    Launched { server: ServerId, launch: LaunchNumber, until: Duration, link: Option<LinkId> },
+    /// Stands at a server.
+    Standing { server: ServerId, launch: LaunchNumber, link: LinkId },
+    /// The caller hung up, and the release was sent to the server.
+    Releasing { server: ServerId, launch: LaunchNumber, link: LinkId, until: Duration },
 }
 
-/// The number to be dialled on, and where it has moved to.
+/// The analysed number to dial, and its routing number if it was ported.
 pub type AnalysedNumber = (Arc<str>, Option<Arc<str>>);
 
+/// A dialogue that this edge proxy holds.
 pub struct HeldDialogue {
     /// The caller's link.
     pub caller_link: LinkId,
-    /// When the caller gives this try up.
+    /// Time at which the caller gives up this try.
     pub cut_off: Duration,
     pub stage: Stage,
+    /// Number of launches so far.
     pub launches: u32,
     pub product: u16,
     pub width: f64,
     pub key: Option<DialledKey>,
-    /// The number to be dialled on, and where it has moved to.
+    /// The analysed number to dial, and its routing number if it was ported.
     pub number: Option<Box<AnalysedNumber>>,
-    /// Optional fields of its dial, which its launches carry on.
+    /// Extra fields of the dial, which its launches carry on.
     pub extra: Box<[Extra]>,
 }
 
 impl HeldDialogue {
-    /// A dialogue as it was dialled, with no launch yet.
+    /// Creates a dialogue from its dial, with no launch yet.
     pub fn from_dial(
         dial: &Dial, caller_link: LinkId, cut_off: Duration, stage: Stage, extra: Vec<Extra>,
     ) -> Self {
@@ -167,7 +173,7 @@
     }
 }
 
-/// Dialogues that have had their answer, so that a repeat of their dial is not taken for a new one.
+/// Concluded dialogues, by which repeated dials are recognised.
 #[derive(Default)]
 pub struct ConcludedDialogues {
     concluded_at: HashMap<DialogueId, Duration>,
@@ -201,13 +207,13 @@
     }
 }
 
-/// What waits until it is recorded.
+/// A send that waits for its record.
 pub enum Deferred {
     Answer { link: LinkId, message: Message },
     Launch(LaunchNumber),
 }
 
-/// Answers and launches that wait until they are recorded, one a dialogue.
+/// Answers and launches that wait for their records, at most one per dialogue.
 #[derive(Default)]
 pub struct DeferredSends {
     by_record: BTreeMap<u64, (Duration, DialogueId, Deferred)>,
@@ -229,7 +235,7 @@
         Some((dialogue, deferred))
     }
 
-    /// The caller's link of an answer of this dialogue that waits.
+    /// The caller's link of a deferred answer of this dialogue.
     pub fn answer_link(&mut self, id: &DialogueId) -> Option<&mut LinkId> {
         match self.by_record.get_mut(self.by_dialogue.get(id)?) {
             Some((_, _, Deferred::Answer { link, .. })) => Some(link),
@@ -246,19 +252,19 @@
         self.by_record.len()
     }
 
-    /// When the first of them has waited long enough.
+    /// The earliest time-out of a deferred send.
     pub fn next_deadline(&self) -> Option<Duration> {
         self.deadlines.first().map(|(by, _)| *by)
     }
 
-    /// One that has waited long enough.
+    /// Removes and returns one send whose wait has timed out.
     pub fn take_overdue(&mut self, now: Duration) -> Option<(DialogueId, Deferred)> {
         let (by, number) = self.deadlines.first().copied()?;
         if by <= now { self.take(number) } else { None }
     }
 }
 
-/// Ends of time, earliest first; what is no longer meant is passed over when it comes up.
+/// Deadlines of dialogues, earliest first; an outdated one is ignored when it expires.
 #[derive(Default)]
 pub struct Deadlines(BTreeSet<(Duration, DialogueId, LaunchNumber)>);
 
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,8 +1,8 @@
-//! One edge proxy: dialogues taken, launches out, links up, and the decisions that it owns.
+//! One edge proxy without I/O: its dialogues, launches and links, and the decision module that it owns.
 //!
-//! It never touches a socket, a clock, a thread or a file: each input is a call on [`Edge`] with the time since
-//! the start, each effect a call on [`EdgeEffects`]. It decides nothing about routes, limits or further launches;
-//! that is `lotussaddle::brain`. Start reading at [`Edge`].
+//! It uses no socket, clock, thread or file. Each input is a call on [`Edge`] with the time since
+//! the start, each effect a call on [`EdgeEffects`]. Routes, limits and further launches are decided by
+//! `lotussaddle::brain`. Start reading at [`Edge`].
 
 mod decisions;
 mod edge;
@@ -24,86 +24,81 @@
 use lotussaddle_numbers::Tables;
 use lotussaddle_trunk::{Frame, Message};
 
-/// A link of this edge proxy, named by the shell and never named again.
+/// Identifier of a link of this edge proxy. The I/O driver assigns it and never reuses it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u64);
 
-/// Whom a line of the log is for.
+/// Topic of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogTopic {
-    /// The module changed its mode.
+    /// The decision module changed its mode, or a notice about servers and tables.
     Mode,
-    /// A link came up or went.
+    /// A link opened or closed, or a generation of tables could not be loaded.
     Link,
 }
 
-/// How a dialogue went on, for whoever keeps it past the end of this process. What is sent or said next may wait for
-/// that: a launch, an answer.
+/// A step of a dialogue, for replicas and the store that outlive this process. The launch or answer that follows
+/// may wait until the step is recorded.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DialogueStep<'a> {
+    /// The dial was accepted.
     Accepted,
-    /// A launch is to be sent, and ends by itself at that time.
-    Launch {
-        server: &'a ServerId,
-        launch: LaunchNumber,
-        until: Duration,
-    },
-    /// No launch is out any more, and it does not stand; in doubt: the last one may be set up for a release time yet.
-    LaunchReturned {
-        outcome_unknown: bool,
-    },
-    /// A final answer is to be given; where it stands, at this launch.
-    Answer {
-        answer: &'a Frame,
-        launch: LaunchNumber,
-    },
-    /// It stood, and is over.
+    /// A launch is about to be sent; it times out at `until`.
+    Launch { server: &'a ServerId, launch: LaunchNumber, until: Duration },
+    /// No launch is in progress and the dialogue does not stand. With `outcome_unknown`, the last launch may still be
+    /// set up until the release time has passed.
+    LaunchReturned { outcome_unknown: bool },
+    /// A final answer is about to be sent; if the dialogue stands, `launch` is the launch that stood.
+    Answer { answer: &'a Frame, launch: LaunchNumber },
+    /// The dialogue stood and has ended.
     Ended,
 }
 
-/// What was found of a dialogue that was dialled before.
+/// Outcome of a look-up of a dialogue that was dialled before.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PriorOutcome {
-    /// It is to be decided on here, and not to be launched before.
+    /// This edge proxy may decide on the dialogue, but must not launch it before this time.
     Free { launch_not_before: Duration },
-    /// It has had this final answer, and does not stand.
+    /// The dialogue had this final answer and does not stand.
     Answered(Frame),
-    /// It stands there, and belongs to this edge proxy now.
+    /// The dialogue stands at this core server and now belongs to this edge proxy.
     Stands { server: ServerId, launch: LaunchNumber },
-    /// It stood, and is over.
+    /// The dialogue stood and has ended.
     Concluded,
-    /// Who would know is not reached, or it cannot be taken up in its time.
+    /// The replicas that would know cannot be reached, or the dialogue cannot be resumed in time.
     Unresolved { retry_after: Option<Duration> },
 }
 
-/// All that an edge proxy does to the world. None of it waits.
+/// Effects of an edge proxy on the outside world. No method blocks.
 pub trait EdgeEffects {
-    /// Queues a message; false where the queue is full or the link gone: then nothing was queued.
+    /// Queues a message. Returns false, with nothing queued, if the queue is full or the link is closed.
     fn send(&mut self, link: LinkId, message: Message) -> bool;
-    /// Begins a link; `Edge::connected` or `Edge::lost` tells what came of it.
+    /// Opens a link; the result arrives through [`Edge::link_connected`] or [`Edge::link_closed`].
     fn connect(&mut self, address: &str) -> LinkId;
-    /// Ends a link at once; no input of it comes any more.
+    /// Closes a link at once; it delivers no further input.
     fn close(&mut self, link: LinkId, why: &str);
-    fn log(&mut self, note: LogTopic, line: &str);
-    /// Has it kept, past the end of this process, that a dialogue has come so far: by a disk, by others, or by both.
-    /// `Edge::recorded` tells by this number when it is. None: nobody keeps it, or not now; nothing waits for it.
+    /// Writes a line to the log.
+    fn log(&mut self, topic: LogTopic, line: &str);
+    /// Records a step of a dialogue beyond the lifetime of this process, on disk, in replicas or both.
+    /// [`Edge::step_recorded`] reports the returned number when that is done. Returns `None` if the step is not
+    /// recorded; nothing waits for it then.
     fn record(&mut self, _dialogue: &DialogueId, _step: DialogueStep) -> Option<u64> {
         None
     }
-    /// Finds out what is known elsewhere of a dialogue that was dialled before, whose caller gives it up at that time;
-    /// `Edge::found` tells. False: there is nobody to ask.
+    /// Looks up a dialogue that was dialled before and whose caller gives up at `cut_off`; the result arrives through
+    /// [`Edge::prior_outcome_found`]. Returns false if there is nobody to ask.
     fn look_up_dialogue(&mut self, _dialogue: &DialogueId, _cut_off: Duration) -> bool {
         false
     }
-    /// Has a generation of tables read and checked; `Edge::loaded` tells what came of it. A change is read on one of
-    /// these. False: not now.
+    /// Loads and checks a generation of tables; the result arrives through [`Edge::tables_loaded`]. A generation that
+    /// is a change applies to one of `bases`. Returns false if tables cannot be loaded now.
     fn load_tables(&mut self, _name: &str, _bases: Vec<Arc<Tables>>) -> bool {
         false
     }
-    /// What came of an order about tables; `why`: it was not carried out.
+    /// Reports that an order about tables was carried out, or in `why` the reason why it was not.
     fn tables_order_done(&mut self, _serial: u64, _why: Option<&str>) {}
-    /// Sends a datagram to a look-up server, by its number.
+    /// Sends a datagram to the look-up server with this index.
     fn send_look_up(&mut self, _server: usize, _datagram: &[u8]) {}
-    /// Takes generations apart that nobody needs, which may take a while: not here.
+    /// Frees generations of tables that are no longer used. This may take long, so it must not run on this thread.
     fn drop_tables(&mut self, _tables: Vec<Arc<Tables>>) {}
 }
--- a/crates/edge/src/links.rs
+++ b/crates/edge/src/links.rs
@@ -1,4 +1,4 @@
-//! What is known of each link, and of the core servers behind them.
+//! State of the links and of the core servers behind them.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -8,26 +8,34 @@
 
 use crate::LinkId;
 
+/// The other side of a link.
 pub enum Peer {
-    /// Accepted, and has not said hello.
+    /// Accepted, and has not sent a hello.
     Unidentified,
+    /// A caller, by the name in its hello.
     Caller(Arc<str>),
+    /// A core server.
     Core(ServerId),
+    /// The pool list.
     List,
 }
 
+/// A link and what is known of its other side.
 pub struct Link {
     pub peer: Peer,
-    /// It is up and the other side has said hello.
+    /// The link is connected and the other side has sent a hello.
     pub handshake_done: bool,
-    /// The shell vouches for it: no hello, no pings, never swept for silence.
+    /// The I/O driver guarantees the link: no hello or ping is needed, and it never times out.
     pub trusted: bool,
-    /// When it was begun.
+    /// Time at which the link was accepted or its connection begun.
     pub opened_at: Duration,
+    /// Time of the last message received.
     pub last_received: Duration,
+    /// A ping was sent since the last message.
     pub ping_sent: bool,
+    /// Transit delay of messages received.
     pub delay: TransitDelay,
-    /// Dialogues that came or went over it and are still held.
+    /// Held dialogues that use this link.
     pub dialogues: BTreeSet<DialogueId>,
 }
 
@@ -46,16 +54,16 @@
     }
 }
 
-/// How much longer than the minimum a message of a link was on its way, by the sender's clock and this one. A
-/// reader that stood still, a link that trickles and a peer that could not write show alike.
+/// Transit delay of the messages of a link, relative to the fastest message, by the sender's clock and this one. It
+/// covers stalled readers, slow links and peers that could not write alike.
 #[derive(Default)]
 pub struct TransitDelay {
-    /// This clock less the sender's, at the quickest message, in microseconds; and when that was last seen to.
+    /// Difference of this clock and the sender's for the fastest message, in microseconds, and the time of its update.
     minimum: Option<(i64, Duration)>,
 }
 
 impl TransitDelay {
-    /// Clocks drift offset by less than this, in parts of a million.
+    /// Maximum drift between two clocks, in parts per million.
     const MAX_DRIFT_PPM: u64 = 500;
 
     pub fn measure(&mut self, now: Duration, sent_at: Duration) -> Duration {
@@ -70,16 +78,16 @@
     }
 }
 
-/// A core server as the list names it.
+/// A core server as the pool list describes it.
 pub struct CoreServer {
     pub address: Arc<str>,
     pub state: ServerState,
-    /// Which life of it is known, and since when that runs on this clock: it is told as an age, which wavers
-    /// with the list's delay, and a start must not seem to be another one for that.
+    /// Known incarnation and its start on this clock. The list sends the start as an age, which varies with the list's
+    /// delay; it is stored once per incarnation so that the variation does not look like another start.
     pub incarnation: u64,
     pub started: Duration,
     /// The link for new launches.
     pub link: Option<LinkId>,
-    /// Launches that wait for that link to come up.
+    /// Dialogues whose launches wait for that link to open.
     pub queued_launches: Vec<DialogueId>,
 }
--- a/crates/edge/src/numbers.rs
+++ b/crates/edge/src/numbers.rs
@@ -1,5 +1,5 @@
-//! NumberAnalysis on their way to the module: which generation is in force, which dialogues wait for a look-up, and what
-//! both come to. What may wait how long is decided in `portability::Patience`, where a number leads in `numbers`.
+//! Analysis of dialled numbers: the generation of tables in force, dialogues that wait for a look-up, and orders
+//! about tables. The wait for a look-up is bounded by the portability crate, and routing is decided by `numbers`.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
@@ -12,25 +12,27 @@
 
 use crate::EdgeEffects;
 
-/// Orders that wait until a generation is read; beyond it an order is answered with a no.
+/// Maximum number of orders that wait while a generation is loaded; a further one is declined.
 const MAX_QUEUED_ORDERS: usize = 256;
-/// Signs of a reason that goes over the wire; the log has it whole.
+/// Maximum length of a reason that is sent, in bytes; the log has the whole text.
 const MAX_REASON_BYTES: usize = 100;
 
-/// What an edge proxy has to know of its plan to analyse numbers.
+/// Number analysis of an edge proxy.
 pub struct NumberAnalysis {
     /// Promised times, by product.
     promised_times: Vec<Duration>,
     group_count: usize,
-    /// The time of day at the start of the clock that all else goes by.
+    /// Time of day at the start of the edge proxy's clock.
     wall_at_start: Timestamp,
+    /// Generations of tables.
     pub generations: Generations,
+    /// Client of the look-up servers; `None` if numbers are not looked up.
     pub client: Option<Client>,
     pending: HashMap<u64, PendingLookUp>,
     by_dialogue: HashMap<DialogueId, u64>,
     deadlines: BTreeSet<(Duration, u64)>,
     last_waiter: u64,
-    /// Orders in the order they came; nothing goes on while a generation is read.
+    /// Orders in order of arrival; none is carried out while a generation is loaded.
     orders: VecDeque<(u64, QueuedOrder)>,
     loading: Option<(u64, Arc<str>)>,
     reports: Vec<Frame>,
@@ -41,7 +43,7 @@
     Order(Order),
 }
 
-/// A dialogue whose look-up is out.
+/// A dialogue that waits for its look-up.
 struct PendingLookUp {
     arrival: Arrival,
     dial: (u16, f64),
@@ -49,21 +51,27 @@
     until: Duration,
 }
 
-/// Where a dialogue goes.
+/// Route of an analysed number.
 #[derive(Debug)]
 pub struct AnalysedRoute {
+    /// Product as callers name it.
     pub product: u16,
-    /// The product as the module knows it: with its trunk group.
+    /// Index of the product in the decision module's plan, which depends on the trunk group.
     pub module_product: usize,
+    /// First-choice server, if the tables give one.
     pub first: Option<i64>,
+    /// Number of lines.
     pub width: f64,
+    /// Number to dial.
     pub number: Digits,
+    /// Routing number of a ported number.
     pub routing: Option<Digits>,
 }
 
+/// A dialogue with the route of its number, or the reason for refusing it.
 pub type AnalysisResult = (Arrival, Result<AnalysedRoute, Refusal>);
 
-/// The client's datagrams, by the effects.
+/// Sends the look-up client's datagrams through the effects.
 struct LookUpSender<'a>(&'a mut dyn EdgeEffects);
 
 impl Outside for LookUpSender<'_> {
@@ -73,7 +81,7 @@
 }
 
 impl NumberAnalysis {
-    /// `look_ups`: none where nothing is looked up, and what would be goes on unanswered at once.
+    /// Creates the analysis. Without `look_ups`, numbers that need a look-up count as unanswered at once.
     pub fn new(
         promised_times: Vec<Duration>, group_count: usize, wall_at_start: Timestamp,
         look_ups: Option<(Plan, u64)>,
@@ -94,26 +102,28 @@
         }
     }
 
-    /// A generation that is in force from the start on.
+    /// Sets the generation that is in force from the start.
     pub fn set_initial_tables(&mut self, tables: Arc<Tables>) {
         self.generations.begin_with(tables);
     }
 
-    /// Products as callers name them.
+    /// Number of products as callers name them.
     pub fn products(&self) -> usize {
         self.promised_times.len()
     }
 
-    /// The product that the module knows: each comes once without a trunk group, and once for each of them.
+    /// Index of a product in the decision module's plan: each product appears once without a trunk group and once
+    /// per trunk group.
     pub fn module_product(&self, product: u16, group: Option<u16>) -> usize {
         usize::from(product) * (self.group_count + 1) + group.map_or(0, |group| usize::from(group) + 1)
     }
 
+    /// Whether a generation of tables is in force.
     pub fn has_tables(&self) -> bool {
         self.generations.in_force().is_some()
     }
 
-    /// The machine's clock says so; it may be set while this runs.
+    /// Sets the time of day, since the machine's clock may be changed while this runs.
     pub fn set_wall_clock(&mut self, now: Duration, wall: Timestamp) {
         self.wall_at_start = wall.checked_sub(now).unwrap_or(wall);
     }
@@ -122,6 +132,7 @@
         self.wall_at_start.checked_add(now).unwrap_or(self.wall_at_start)
     }
 
+    /// Time of the next call of [`Self::process_due`].
     pub fn next_due(&self) -> Option<Duration> {
         let deadlines = [
             self.deadlines.first().map(|(due, _)| *due),
@@ -131,12 +142,12 @@
         deadlines.into_iter().flatten().min()
     }
 
-    /// Dialogues that wait for a look-up.
+    /// Number of dialogues that wait for a look-up.
     pub fn pending_look_ups(&self) -> usize {
         self.pending.len()
     }
 
-    /// Begins to analyse a number; none: its look-up is out.
+    /// Starts the analysis of a number; `None` if its look-up is in progress.
     pub fn start_analysis(
         &mut self, now: Duration, dial: &Dial, arrival: Arrival, effects: &mut dyn EdgeEffects,
     ) -> Option<AnalysisResult> {
@@ -172,7 +183,7 @@
                 return None;
             }
             (Asked::Waits, Wait::Not) => {
-                // The question stays out: its answer is the next one's.
+                // The query stays in progress: its answer serves later dialogues.
                 self.client.as_mut().expect("it was asked").forget(waiter);
                 analysis.gives_up()
             }
@@ -195,12 +206,12 @@
                 })
             }
             Step::Refuse(why) => Err(why),
-            // An analysis asks once.
+            // An analysis asks at most once.
             Step::Ask { .. } => Err(Refusal::NoWay),
         }
     }
 
-    /// Its caller has hung up.
+    /// Cancels the look-up of a dialogue whose caller hung up.
     pub fn cancel_look_up(&mut self, id: &DialogueId) {
         if let Some(waiter) = self.by_dialogue.get(id).copied() {
             self.remove_look_up(waiter);
@@ -217,6 +228,7 @@
         Some(look_up)
     }
 
+    /// A datagram of a look-up server was received.
     pub fn reply_received(
         &mut self, now: Duration, server: usize, datagram: &[u8], effects: &mut dyn EdgeEffects,
     ) {
@@ -225,7 +237,7 @@
         }
     }
 
-    /// Dialogues whose look-up has come to something or is waited for no longer, and how many of the latter.
+    /// Results of look-ups that were answered or timed out, and the number of the latter.
     pub fn process_due(
         &mut self, now: Duration, effects: &mut dyn EdgeEffects,
     ) -> (Vec<AnalysisResult>, u64) {
@@ -244,8 +256,8 @@
         }
         for answer in answers {
             let Some(mut look_up) = self.remove_look_up(answer.waiter) else { continue };
-            // One whose wait_policy ended while all stood still has waited long enough, whatever lies here by now; the
-            // answer is known to the next.
+            // After a stall an answer may arrive past its deadline: it counts as timed out, and the cached answer serves
+            // later dialogues.
             let known = match answer.outcome {
                 Outcome::Known(moved) if now < look_up.until => Some(moved.routing()),
                 _ => None,
@@ -271,8 +283,7 @@
         (found, unanswered)
     }
 
-    // Generations
-
+    /// Queues an order about tables and carries out the orders that can be.
     pub fn order_received(
         &mut self, now: Duration, serial: u64, order: TablesOrder, effects: &mut dyn EdgeEffects,
     ) {
@@ -299,7 +310,7 @@
             && let Some((serial, queued)) = self.orders.pop_front()
         {
             match queued {
-                // What is ready, or in force, need not be read again.
+                // A generation that is loaded or in force is not loaded again.
                 QueuedOrder::Load(name) if self.generations.named(&name).is_some() => {
                     self.generations.used(serial);
                     self.report(serial, Some(&name), None);
@@ -322,6 +333,7 @@
         }
     }
 
+    /// Stages the generation that was loaded, reports the result, and continues with the queued orders.
     pub fn tables_loaded(
         &mut self, now: Duration, name: &str, tables: Result<Arc<Tables>, String>,
         effects: &mut dyn EdgeEffects,
@@ -340,7 +352,7 @@
 
     fn report_swap(&mut self, swapped: Swapped) {
         match swapped {
-            // Of several that came up together after a stall, each was in force for a moment.
+            // Several swaps that fell due during a stall were each in force for a moment.
             Swapped::InForce(serial, name) => self.report_as_of(serial, serial, Some(&name), None),
             Swapped::Waits(serial) => self.report(serial, None, Some("waits for its time".into())),
             Swapped::Dropped(serial) => self.report(serial, None, None),
@@ -363,6 +375,7 @@
         self.reports.push(Frame::TablesResult { serial, in_force, name, why: why.map(short) });
     }
 
+    /// Takes the reports on orders that are to be sent.
     pub fn take_reports(&mut self) -> Vec<Frame> {
         std::mem::take(&mut self.reports)
     }
--- a/crates/edge/src/signalling.rs
+++ b/crates/edge/src/signalling.rs
@@ -1,4 +1,4 @@
-//! The module's `Signalling`: what it decides becomes frames and ends of launches.
+//! Implementation of the decision module's `Signalling`: turns decisions into frames and launch ends.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::links::{CoreServer, Link, Peer};
 use crate::{DialogueStep, EdgeEffects, LinkId, LogTopic};
 
-/// All that an edge proxy holds beside the decisions.
+/// State of an edge proxy except for its decisions.
 pub struct State {
     pub limits: Limits,
     pub now: Duration,
@@ -24,41 +24,42 @@
     pub deadlines: Deadlines,
     pub concluded: ConcludedDialogues,
     pub counts: Counts,
-    /// When the module wants its alarm.
+    /// Time at which the decision module's timer expires.
     pub module_timer: Option<Duration>,
-    /// Ends that came of what the module itself did; it hears of them as the next inputs.
+    /// Launch ends caused by the decision module itself; it receives them as its next inputs.
     pub launch_ends: VecDeque<LaunchEnd>,
-    /// Links that turned out to be of no use while they were written to.
+    /// Links that failed while being written to, with the reason for closing them.
     pub failed_links: VecDeque<(LinkId, &'static str)>,
     pub deferred: DeferredSends,
 }
 
-/// State and effects, lent to the module for one input.
+/// The state and the effects, lent to the decision module for one input.
 pub struct ModuleSignalling<'a> {
     pub state: &'a mut State,
     pub effects: &'a mut dyn EdgeEffects,
 }
 
 impl ModuleSignalling<'_> {
-    /// A link that cannot take a message is given up: what was to be said is not to be lost in silence.
+    /// Sends a frame without extra fields; see [`Self::send_message`].
     pub fn send_frame(&mut self, link: LinkId, frame: Frame) {
         self.send_message(link, frame.into());
     }
 
+    /// Sends a message. A link that cannot take it is closed, so that no message is lost unnoticed.
     pub fn send_message(&mut self, link: LinkId, message: Message) {
         if !self.effects.send(link, message) {
             self.state.failed_links.push_back((link, "its queue is full"));
         }
     }
 
-    /// Gives a final answer, once it is recorded that it is given: a crash in between leaves a dialogue that is known
-    /// to have been answered and was not, never one that is answered twice.
+    /// Sends a final answer once the answer is recorded. After a crash in between, the dialogue counts as answered
+    /// though it was not, but no dialogue is answered twice.
     pub fn send_final_answer(
         &mut self, (link, cut_off): (LinkId, Duration), dialogue: &DialogueId, launch: LaunchNumber,
         message: Message,
     ) {
         match self.effects.record(dialogue, DialogueStep::Answer { answer: &message.frame, launch }) {
-            // After a stall there may be no time to wait for it.
+            // After a stall the cut-off may have passed, so the answer does not wait for its record.
             Some(number) if self.state.now < cut_off => {
                 let by = cut_off.min(self.state.now + self.state.limits.answer_record_timeout);
                 self.state.deferred.add(by, number, dialogue, Deferred::Answer { link, message });
@@ -70,7 +71,7 @@
         }
     }
 
-    /// A dialogue may be over before its caller is told that it stands: then it is told that first.
+    /// Sends the pending answer of a dialogue that ends before its caller was notified that it stands.
     pub fn send_pending_answer(&mut self, id: &DialogueId) {
         if let Some(Deferred::Answer { link, message }) = self.state.deferred.remove_dialogue(id) {
             self.state.counts.unrecorded += 1;
@@ -78,7 +79,7 @@
         }
     }
 
-    /// What waited for its record is recorded, or waits no longer: `is_recorded` tells which.
+    /// Continues a send that waited for its record, either since it is recorded or since the wait timed out.
     pub fn resume_deferred(&mut self, id: DialogueId, deferred: Deferred, is_recorded: bool) {
         match deferred {
             Deferred::Answer { link, message } => {
@@ -102,12 +103,12 @@
         }
     }
 
-    /// No launch of it is out any more, and it does not stand.
+    /// Records that no launch of the dialogue is in progress and that it does not stand.
     pub fn record_launch_returned(&mut self, id: &DialogueId, outcome_unknown: bool) {
         self.effects.record(id, DialogueStep::LaunchReturned { outcome_unknown });
     }
 
-    /// Takes out a dialogue that is over for its caller.
+    /// Removes a dialogue that has ended for its caller.
     pub fn remove_held(&mut self, id: &DialogueId) -> Option<HeldDialogue> {
         let held = self.state.held.remove(id)?;
         if let Some(link) = self.state.links.get_mut(&held.caller_link) {
@@ -116,8 +117,8 @@
         Some(held)
     }
 
-    /// Its caller's link, and when that gives up. Where the module may call nothing off, a launch may still be out:
-    /// it ends here, or its line stayed busy and the module counted it for ever.
+    /// Concludes a dialogue; returns its caller's link and cut-off. If the module may not cancel, a launch may still be
+    /// in progress: it ends here, as its line would otherwise stay occupied in the module's count for ever.
     pub fn conclude(&mut self, id: &DialogueId) -> Option<(LinkId, Duration)> {
         if let Stage::Launched { launch, .. } = self.state.held.get(id)?.stage
             && let Some(server) = self.cancel_launch(id, launch)
@@ -129,7 +130,7 @@
         Some((held.caller_link, held.cut_off))
     }
 
-    /// The launch is over as far as this edge proxy is concerned.
+    /// Moves a dialogue from its launch back to waiting and clears what belongs to the launch.
     pub fn clear_launch(&mut self, id: &DialogueId) {
         let Some(held) = self.state.held.get_mut(id) else { return };
         let Stage::Launched { server, launch, until, link } =
@@ -138,7 +139,7 @@
             return;
         };
         self.state.deadlines.clear(until, id, launch);
-        self.state.deferred.remove_dialogue(id); // If it waited for its record, it is not sent.
+        self.state.deferred.remove_dialogue(id); // A launch that still waits for its record is not sent.
         match link {
             Some(link) => self.state.links.get_mut(&link).map(|link| link.dialogues.remove(id)),
             None => self.state.servers.get_mut(&server).map(|core| {
@@ -148,7 +149,7 @@
         };
     }
 
-    /// Calls a launch off where it is out; gives the server.
+    /// Cancels a launch if it is in progress; returns its core server.
     pub fn cancel_launch(&mut self, id: &DialogueId, launch: LaunchNumber) -> Option<ServerId> {
         let held = self.state.held.get(id)?;
         let Stage::Launched { server, launch: out, link, .. } = &held.stage else { return None };
@@ -164,7 +165,7 @@
         Some(server)
     }
 
-    /// Sends a launch, or has it wait for its link to come up.
+    /// Sends a launch, or queues it until the link opens.
     fn send_or_queue_launch(&mut self, dialogue: &DialogueId, launch: LaunchNumber) {
         let server = match self.state.held.get(dialogue).map(|held| &held.stage) {
             Some(Stage::Launched { server, launch: out, link: None, .. }) if *out == launch => server.clone(),
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Sends a launch on a link that is up.
+    /// Sends a launch on an open link. Returns false if the link cannot take it.
     pub fn send_launch(&mut self, id: &DialogueId, link: LinkId) -> bool {
         let now = self.state.now;
         let Some(held) = self.state.held.get_mut(id) else { return true };
@@ -213,7 +214,7 @@
         true
     }
 
-    /// The link for new launches to a server; begun where there is none.
+    /// The link for new launches to a core server, opened if there is none; `None` for an unknown server.
     pub fn link_to_core(&mut self, id: &ServerId) -> Option<LinkId> {
         let core = self.state.servers.get_mut(id)?;
         if core.link.is_none() {
@@ -224,26 +225,26 @@
         core.link
     }
 
-    /// A dialogue comes or goes over this link from now on.
+    /// Registers a dialogue as a user of this link.
     pub fn add_dialogue_to_link(&mut self, link: LinkId, id: &DialogueId) {
         if let Some(known) = self.state.links.get_mut(&link) {
             known.dialogues.insert(id.clone());
         }
     }
 
-    /// A held dialogue stands at that server from now on; gives its caller's link, and when that gives up.
+    /// Marks a held dialogue as standing; returns its caller's link and cut-off.
     pub fn mark_standing(
         &mut self, id: &DialogueId, server: &ServerId, launch: LaunchNumber, link: LinkId,
     ) -> Option<(LinkId, Duration)> {
         let held = self.state.held.get_mut(id)?;
         held.stage = Stage::Standing { server: server.clone(), launch, link };
-        held.extra = Box::default(); // No launch will carry it any more.
+        held.extra = Box::default(); // No launch will carry the extra fields any more.
         let caller = (held.caller_link, held.cut_off);
         self.add_dialogue_to_link(link, id);
         Some(caller)
     }
 
-    /// A launch that was never sent ends, as one whose server cannot be reached.
+    /// Ends a launch that was never sent, as one whose core server cannot be reached.
     pub fn end_unreachable_launch(&mut self, id: &DialogueId, launch: LaunchNumber, server: &ServerId) {
         self.clear_launch(id);
         self.record_launch_returned(id, false);
@@ -258,12 +259,12 @@
             launch,
             server: server.clone(),
             outcome,
-            closed: false, // settled when it is handed over
+            closed: false, // Set when the end is reported.
             report: LoadReport::default(),
         });
     }
 
-    /// A standing dialogue is cut: its caller is told.
+    /// Ends a standing dialogue that was cut and notifies its caller.
     pub fn cut_standing(&mut self, id: &DialogueId) {
         self.state.counts.cut += 1;
         if let Some((link, _)) = self.conclude(id) {
@@ -278,7 +279,7 @@
     fn launch(&mut self, dialogue: &DialogueId, server: &ServerId, time_out: Duration) {
         let until = self.state.now + time_out;
         let Some(held) = self.state.held.get_mut(dialogue) else { return };
-        // Rule 2 is the module's to keep; whoever decides otherwise is not helped to break it.
+        // A dialogue has one launch at a time (rule 2). The decision module ensures it; other decisions cannot break it.
         if held.stage != Stage::Waiting {
             let line = format!("a launch of {} is not sent: it is {:?}", dialogue.0, held.stage);
             return self.effects.log(LogTopic::Mode, &line);
@@ -321,8 +322,8 @@
         }
     }
 
-    /// The end of the launch does not wait for the server's word: an answer that crosses the cancel finds the
-    /// launch over and is released there.
+    /// Ends the launch without waiting for the core server: an answer that crosses the cancel finds the launch ended
+    /// and is released there.
     fn cancel(&mut self, dialogue: &DialogueId, launch: LaunchNumber) {
         if let Some(server) = self.cancel_launch(dialogue, launch) {
             self.queue_launch_end(dialogue, launch, &server, Outcome::Cancelled);
