--- a/crates/edge/benches/fleet.rs
+++ b/crates/edge/benches/fleet.rs
@@ -1,5 +1,5 @@
-//! What one input costs a whole edge proxy as its links grow tenfold: callers' links, core servers, dialogues that
-//! stand. `cargo bench -p lotussaddle-edge --bench fleet`
+//! Time per input of a whole edge proxy as callers' links, core servers and standing dialogues grow tenfold.
+//! `cargo bench -p lotussaddle-edge --bench fleet`
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -9,15 +9,15 @@
 use lotussaddle_edge::{Edge, EdgeEffects, Limits, LinkId, LogTopic};
 use lotussaddle_trunk::*;
 
-/// Takes all that is said, and keeps the launches.
+/// Accepts all messages and stores the launches.
 #[derive(Default)]
-struct Taken {
+struct Effects {
     links: u64,
-    begun: Vec<(String, LinkId)>,
+    opened: Vec<(String, LinkId)>,
     launched: Vec<(DialogueId, LaunchNumber, LinkId)>,
 }
 
-impl EdgeEffects for Taken {
+impl EdgeEffects for Effects {
     fn send(&mut self, link: LinkId, message: Message) -> bool {
         if let Frame::Launch(launch) = message.frame {
             self.launched.push((launch.dialogue, launch.launch, link));
@@ -26,7 +26,7 @@
     }
     fn connect(&mut self, address: &str) -> LinkId {
         self.links += 1;
-        self.begun.push((address.into(), LinkId(self.links)));
+        self.opened.push((address.into(), LinkId(self.links)));
         LinkId(self.links)
     }
     fn close(&mut self, _: LinkId, _: &str) {}
@@ -64,7 +64,8 @@
 
 /// Microseconds of each input, by kind.
 fn run(callers: u64, cores: u64, proxies: u32, standing: usize, rounds: usize) -> [Vec<f64>; 4] {
-    let (mut wires, mut now) = (Taken { links: 1_000_000, ..Taken::default() }, Duration::from_millis(1));
+    let (mut effects, mut now) =
+        (Effects { links: 1_000_000, ..Effects::default() }, Duration::from_millis(1));
     let limits = Limits {
         max_links: 10_000,
         max_unidentified_links: 10_000,
@@ -72,10 +73,10 @@
         ..Limits::default()
     };
     let mut edge = Edge::new("edge-0", "list", plan(proxies), 7, limits);
-    edge.timer_fired(now, &mut wires);
+    edge.timer_fired(now, &mut effects);
     let hello = |role, name: &str| Frame::Hello(Hello::new(role, Arc::from(name))).into();
-    let list = wires.begun[0].1;
-    edge.frame_received(now, list, hello(Role::List, "list"), &mut wires);
+    let list = effects.opened[0].1;
+    edge.frame_received(now, list, hello(Role::List, "list"), &mut effects);
     let entry = |n: u64| Entry {
         server: ServerId(Arc::from(format!("core-{n}"))),
         number: ServerNumber(n as i64),
@@ -85,28 +86,28 @@
         age: Duration::ZERO,
     };
     let entries = (0..cores).map(entry).collect();
-    edge.frame_received(now, list, Frame::List { is_complete: true, entries }.into(), &mut wires);
-    for (name, link) in wires.begun.clone().into_iter().skip(1) {
-        edge.frame_received(now, link, hello(Role::Core, &name), &mut wires);
+    edge.frame_received(now, list, Frame::List { is_complete: true, entries }.into(), &mut effects);
+    for (name, link) in effects.opened.clone().into_iter().skip(1) {
+        edge.frame_received(now, link, hello(Role::Core, &name), &mut effects);
     }
     for caller in 0..callers {
-        edge.link_opened(now, LinkId(caller), &mut wires);
+        edge.link_opened(now, LinkId(caller), &mut effects);
         edge.frame_received(
             now,
             LinkId(caller),
             hello(Role::Caller, &format!("gateway-{caller}")),
-            &mut wires,
+            &mut effects,
         );
     }
-    let mut took: [Vec<f64>; 4] = Default::default();
+    let mut times_by_kind: [Vec<f64>; 4] = Default::default();
     let mut stands = VecDeque::new();
     for round in 0..standing + rounds {
         now += Duration::from_micros(500);
         let mut times = [0.0; 4];
         let mut timed = |kind: usize, input: &mut dyn FnMut(&mut Edge)| {
-            let begun = Instant::now();
+            let started = Instant::now();
             input(&mut edge);
-            times[kind] = begun.elapsed().as_secs_f64() * 1e6;
+            times[kind] = started.elapsed().as_secs_f64() * 1e6;
         };
         let caller = LinkId(round as u64 % callers);
         let dial = Dial {
@@ -124,11 +125,13 @@
             try_of: None,
             dialled: None,
         };
-        timed(0, &mut |edge| edge.frame_received(now, caller, Frame::Dial(dial.clone()).into(), &mut wires));
-        if let Some((dialogue, launch, link)) = wires.launched.pop() {
+        timed(0, &mut |edge| {
+            edge.frame_received(now, caller, Frame::Dial(dial.clone()).into(), &mut effects)
+        });
+        if let Some((dialogue, launch, link)) = effects.launched.pop() {
             let report = LoadReport { free_lines: Some(1e6), ..LoadReport::default() };
             let stood = Frame::Stood { dialogue: dialogue.clone(), launch, report };
-            timed(1, &mut |edge| edge.frame_received(now, link, stood.clone().into(), &mut wires));
+            timed(1, &mut |edge| edge.frame_received(now, link, stood.clone().into(), &mut effects));
             stands.push_back((caller, dialogue, launch, link));
         }
         if round >= standing
@@ -138,22 +141,22 @@
             let ended =
                 Frame::Ended { dialogue, launch, end: DialogueEnd::Released, report: LoadReport::default() };
             timed(2, &mut |edge| {
-                edge.frame_received(now, caller, hang_up.clone().into(), &mut wires);
-                edge.frame_received(now, link, ended.clone().into(), &mut wires);
+                edge.frame_received(now, caller, hang_up.clone().into(), &mut effects);
+                edge.frame_received(now, link, ended.clone().into(), &mut effects);
             });
         }
-        // Where it is due; a look at all links for silence is among them.
-        timed(3, &mut |edge| edge.timer_fired(now, &mut wires));
+        // Fires timers that are due, including the check of all links for time-outs.
+        timed(3, &mut |edge| edge.timer_fired(now, &mut effects));
         for (kind, time) in times.into_iter().enumerate().filter(|(_, time)| round >= standing && *time > 0.0)
         {
-            took[kind].push(time);
+            times_by_kind[kind].push(time);
         }
     }
-    took
+    times_by_kind
 }
 
 fn main() {
-    // Under `cargo test` it only shows that it runs.
+    // Under `cargo test` it only checks that the benchmark runs.
     let quick = std::env::args().any(|a| a == "--test");
     let rounds = if quick { 20 } else { 8_000 };
     println!(
--- a/crates/edge/src/edge/connections.rs
+++ b/crates/edge/src/edge/connections.rs
@@ -116,8 +116,8 @@
     pub(super) fn end_launch_as_unreachable(
         &mut self, id: &DialogueId, server: &ServerId, effects: &mut dyn EdgeEffects,
     ) {
-        let at = self.state.held.get(id).map(|held| &held.stage);
-        if let Some(&Stage::Launched { launch, .. }) = at {
+        let stage = self.state.held.get(id).map(|held| &held.stage);
+        if let Some(&Stage::Launched { launch, .. }) = stage {
             self.signalling(effects).end_unreachable_launch(id, launch, server);
         }
     }
@@ -172,12 +172,10 @@
         self.state.counts.links_closed += 1;
         let dialogues = std::mem::take(&mut known.dialogues);
         match known.peer {
-            Peer::Unidentified => {
-                self.remove_caller_link(link, "that said no hello", dialogues, why, effects)
-            }
+            Peer::Unidentified => self.remove_caller_link(link, "(no hello)", dialogues, why, effects),
             Peer::Caller(name) => self.remove_caller_link(link, &name, dialogues, why, effects),
             Peer::List => {
-                effects.log(LogTopic::Link, &format!("list gone: {why}"));
+                effects.log(LogTopic::Link, &format!("link to the pool list closed: {why}"));
                 self.next_list_connect = Some(self.state.now + LIST_RETRY_INTERVAL);
             }
             Peer::Core(server) => self.remove_core_link(link, &server, dialogues, why, effects),
@@ -191,7 +189,7 @@
         self.state.caller_links -= 1;
         self.state.unidentified.retain(|known| *known != link);
         let open = dialogues.len();
-        effects.log(LogTopic::Link, &format!("caller {name} gone with {open} dialogues: {why}"));
+        effects.log(LogTopic::Link, &format!("link of caller {name} closed with {open} dialogues: {why}"));
         for id in dialogues {
             self.caller_hung_up(&id, effects);
             self.report_launch_ends(effects);
@@ -203,7 +201,7 @@
         effects: &mut dyn EdgeEffects,
     ) {
         let open = dialogues.len();
-        effects.log(LogTopic::Link, &format!("link to {} gone with {open} dialogues: {why}", server.0));
+        effects.log(LogTopic::Link, &format!("link to {} closed with {open} dialogues: {why}", server.0));
         let core = self.state.servers.get_mut(server).filter(|core| core.link == Some(link));
         let queued = core.map(|core| {
             core.link = None;
@@ -223,8 +221,8 @@
     fn end_dialogue_of_lost_link(
         &mut self, id: &DialogueId, server: &ServerId, effects: &mut dyn EdgeEffects,
     ) {
-        let at = self.state.held.get(id).map(|held| held.stage.clone());
-        match at {
+        let stage = self.state.held.get(id).map(|held| held.stage.clone());
+        match stage {
             Some(Stage::Launched { launch, .. }) => {
                 let mut signalling = self.signalling(effects);
                 signalling.clear_launch(id);
--- a/crates/edge/src/edge/core_frames.rs
+++ b/crates/edge/src/edge/core_frames.rs
@@ -78,22 +78,22 @@
     }
 
     pub(super) fn is_launched(&self, id: &DialogueId, launch: LaunchNumber, link: LinkId) -> bool {
-        let at = self.state.held.get(id).map(|held| &held.stage);
-        matches!(at, Some(Stage::Launched { launch: out, link: over, .. }) if (*out, *over) == (launch, Some(link)))
+        let stage = self.state.held.get(id).map(|held| &held.stage);
+        matches!(stage, Some(Stage::Launched { launch: current, link: sent_on, .. }) if (*current, *sent_on) == (launch, Some(link)))
     }
 
     fn is_standing_or_releasing(&self, id: &DialogueId, launch: LaunchNumber, link: LinkId) -> bool {
         match self.state.held.get(id).map(|held| &held.stage) {
             Some(
-                Stage::Standing { launch: out, link: over, .. }
-                | Stage::Releasing { launch: out, link: over, .. },
-            ) => (*out, *over) == (launch, link),
+                Stage::Standing { launch: current, link: sent_on, .. }
+                | Stage::Releasing { launch: current, link: sent_on, .. },
+            ) => (*current, *sent_on) == (launch, link),
             _ => false,
         }
     }
 
     fn is_standing(&self, id: &DialogueId, launch: LaunchNumber, link: LinkId) -> bool {
-        let at = self.state.held.get(id).map(|held| &held.stage);
-        matches!(at, Some(Stage::Standing { launch: out, link: over, .. }) if (*out, *over) == (launch, link))
+        let stage = self.state.held.get(id).map(|held| &held.stage);
+        matches!(stage, Some(Stage::Standing { launch: current, link: sent_on, .. }) if (*current, *sent_on) == (launch, link))
     }
 }
--- a/crates/edge/src/edge/dialling.rs
+++ b/crates/edge/src/edge/dialling.rs
@@ -169,19 +169,19 @@
                 self.signalling(effects).send_frame(link, Frame::Release { dialogue: id.clone(), launch });
             }
             Stage::Releasing { .. } => {}
-            at => {
+            stage => {
                 self.state.counts.left += 1;
-                self.withdraw_unanswered(id, &at, effects);
+                self.withdraw_unanswered(id, &stage, effects);
             }
         }
     }
 
     /// Concludes a dialogue that has no answer yet and withdraws it from where it is processed; returns its caller's link.
     pub(super) fn withdraw_unanswered(
-        &mut self, id: &DialogueId, at: &Stage, effects: &mut dyn EdgeEffects,
+        &mut self, id: &DialogueId, stage: &Stage, effects: &mut dyn EdgeEffects,
     ) -> Option<LinkId> {
-        match at {
-            Stage::LookingUpOutcome(_) | Stage::Blocked(..) => self.clear_outcome_deadline(id, at),
+        match stage {
+            Stage::LookingUpOutcome(_) | Stage::Blocked(..) => self.clear_outcome_deadline(id, stage),
             Stage::LookingUpNumber => {
                 if let Some(numbers) = &mut self.numbers {
                     numbers.cancel_look_up(id);
--- a/crates/edge/src/edge/frames.rs
+++ b/crates/edge/src/edge/frames.rs
@@ -54,7 +54,7 @@
     }
 
     fn hello_received(&mut self, link: LinkId, hello: Hello, effects: &mut dyn EdgeEffects) {
-        let known = self.state.links.get_mut(&link).expect("it was looked up");
+        let known = self.state.links.get_mut(&link).expect("it was found above");
         let mismatch = match (&known.peer, hello.role) {
             _ if hello.version != VERSION => Some(format!("speaks version {}, not {VERSION}", hello.version)),
             (Peer::Unidentified, Role::Caller) => {
--- a/crates/edge/src/edge/launch_ends.rs
+++ b/crates/edge/src/edge/launch_ends.rs
@@ -40,8 +40,8 @@
         self.state.now = now;
         self.expire_deadlines(effects);
         let Some(server) = self.server_of_link(link) else { return self.finish_input(effects) };
-        let out = launch.filter(|launch| self.is_launched(id, *launch, link));
-        if let Some(launch) = out {
+        let in_progress = launch.filter(|launch| self.is_launched(id, *launch, link));
+        if let Some(launch) = in_progress {
             let mut signalling = ModuleSignalling { state: &mut self.state, effects };
             signalling.clear_launch(id);
             signalling.fail(id);
@@ -111,11 +111,12 @@
     ) -> bool {
         self.state.now = now;
         self.expire_deadlines(effects);
-        let at = self.state.held.get(id).map(|held| &held.stage);
-        let launch = match at {
+        let stage = self.state.held.get(id).map(|held| &held.stage);
+        let launch = match stage {
             Some(
-                Stage::Standing { launch, link: over, .. } | Stage::Releasing { launch, link: over, .. },
-            ) if *over == link => *launch,
+                Stage::Standing { launch, link: sent_on, .. }
+                | Stage::Releasing { launch, link: sent_on, .. },
+            ) if *sent_on == link => *launch,
             _ => return false,
         };
         if let Some(server) = self.server_of_link(link) {
@@ -161,8 +162,8 @@
         if let Some(known) = signalling.state.links.get_mut(&link) {
             known.dialogues.remove(id);
         }
-        let at = signalling.state.held.get(id).map(|held| held.stage.clone());
-        match at {
+        let stage = signalling.state.held.get(id).map(|held| held.stage.clone());
+        match stage {
             Some(Stage::Releasing { until, .. }) => {
                 signalling.state.deadlines.clear(until, id, launch);
                 signalling.conclude(id);
--- a/crates/edge/src/edge/number_analysis.rs
+++ b/crates/edge/src/edge/number_analysis.rs
@@ -36,7 +36,7 @@
         self.state.now = now;
         if let Some(numbers) = &mut self.numbers {
             if let Err(why) = &tables {
-                effects.log(LogTopic::Link, &format!("generation {name} is not taken:\n{why}"));
+                effects.log(LogTopic::Link, &format!("generation {name} rejected:\n{why}"));
             }
             numbers.tables_loaded(now, name, tables, effects);
         }
--- a/crates/edge/src/edge/server_list.rs
+++ b/crates/edge/src/edge/server_list.rs
@@ -48,7 +48,9 @@
             replaced_links.extend(replaced_link);
         }
         if skipped > 0 {
-            let line = format!("{skipped} servers of the list are left out: {MAX_SERVERS} are known already");
+            let line = format!(
+                "{skipped} servers of the list ignored: the maximum of {MAX_SERVERS} servers is reached"
+            );
             effects.log(LogTopic::Mode, &line);
         }
         (known, replaced_links)
--- a/crates/edge/src/edge/takeover.rs
+++ b/crates/edge/src/edge/takeover.rs
@@ -12,19 +12,19 @@
 impl<D: Decisions> Edge<D> {
     /// Result of [`EdgeEffects::look_up_dialogue`].
     pub fn prior_outcome_found(
-        &mut self, now: Duration, id: &DialogueId, found: PriorOutcome, effects: &mut dyn EdgeEffects,
+        &mut self, now: Duration, id: &DialogueId, outcome: PriorOutcome, effects: &mut dyn EdgeEffects,
     ) {
         self.state.now = now;
         self.expire_deadlines(effects);
-        let at = self.state.held.get(id).map(|held| held.stage.clone());
-        let Some(Stage::LookingUpOutcome(dial)) = at else { return self.finish_input(effects) };
-        let held = self.state.held.get_mut(id).expect("it was looked up");
+        let stage = self.state.held.get(id).map(|held| held.stage.clone());
+        let Some(Stage::LookingUpOutcome(dial)) = stage else { return self.finish_input(effects) };
+        let held = self.state.held.get_mut(id).expect("it was found above");
         let (caller, cut_off) = (held.caller_link, held.cut_off);
         self.state.deadlines.clear(cut_off, id, NO_LAUNCH);
-        match found {
-            PriorOutcome::Free { launch_not_before: not_before } if not_before > now => {
-                held.stage = Stage::Blocked(dial, not_before);
-                self.state.deadlines.set(not_before.min(cut_off), id, NO_LAUNCH);
+        match outcome {
+            PriorOutcome::Free { launch_not_before } if launch_not_before > now => {
+                held.stage = Stage::Blocked(dial, launch_not_before);
+                self.state.deadlines.set(launch_not_before.min(cut_off), id, NO_LAUNCH);
             }
             PriorOutcome::Free { .. } => {
                 held.stage = Stage::Waiting;
@@ -47,9 +47,7 @@
                 signalling
                     .send_frame(caller, Frame::Declined { dialogue: id.clone(), why, retry_after: None });
             }
-            PriorOutcome::Unresolved { retry_after: come_back } => {
-                self.decline_unresolved(id, come_back, effects)
-            }
+            PriorOutcome::Unresolved { retry_after } => self.decline_unresolved(id, retry_after, effects),
         }
         self.finish_input(effects);
     }
@@ -70,13 +68,12 @@
 
     /// Declines a dialogue dialled before whose outcome stayed unknown; it was never accepted here.
     pub(super) fn decline_unresolved(
-        &mut self, id: &DialogueId, come_back: Option<Duration>, effects: &mut dyn EdgeEffects,
+        &mut self, id: &DialogueId, retry_after: Option<Duration>, effects: &mut dyn EdgeEffects,
     ) {
         let mut signalling = self.signalling(effects);
         if let Some(held) = signalling.remove_held(id) {
             signalling.state.counts.unsure += 1;
-            let frame =
-                Frame::Declined { dialogue: id.clone(), why: DeclineReason::Unsure, retry_after: come_back };
+            let frame = Frame::Declined { dialogue: id.clone(), why: DeclineReason::Unsure, retry_after };
             signalling.send_frame(held.caller_link, frame);
         }
     }
@@ -86,20 +83,20 @@
     pub fn dialogue_replaced(&mut self, now: Duration, id: &DialogueId, effects: &mut dyn EdgeEffects) {
         self.state.now = now;
         self.expire_deadlines(effects);
-        let at = self.state.held.get(id).map(|held| held.stage.clone());
+        let stage = self.state.held.get(id).map(|held| held.stage.clone());
         let deferred = self.state.deferred.remove_dialogue(id);
         let mut waiting_link = match deferred {
             Some(Deferred::Answer { link, .. }) => Some(link),
             _ => None,
         };
-        match at {
+        match stage {
             None => {}
-            Some(at @ (Stage::Standing { .. } | Stage::Releasing { .. })) => {
-                self.drop_replaced_standing(id, &at, waiting_link.is_none(), effects);
+            Some(stage @ (Stage::Standing { .. } | Stage::Releasing { .. })) => {
+                self.drop_replaced_standing(id, &stage, waiting_link.is_none(), effects);
             }
-            Some(at) => {
+            Some(stage) => {
                 self.state.counts.replaced += 1;
-                waiting_link = self.withdraw_unanswered(id, &at, effects);
+                waiting_link = self.withdraw_unanswered(id, &stage, effects);
             }
         }
         if let Some(link) = waiting_link {
@@ -115,19 +112,20 @@
 
     /// Drops a standing dialogue. If its caller was notified that it stands, it is notified now that it is cut.
     fn drop_replaced_standing(
-        &mut self, id: &DialogueId, at: &Stage, caller_notified: bool, effects: &mut dyn EdgeEffects,
+        &mut self, id: &DialogueId, stage: &Stage, caller_notified: bool, effects: &mut dyn EdgeEffects,
     ) {
-        if let Stage::Releasing { launch, until, .. } = at {
+        if let Stage::Releasing { launch, until, .. } = stage {
             self.state.deadlines.clear(*until, id, *launch);
         }
-        if let Stage::Standing { link, .. } | Stage::Releasing { link, .. } = at
+        if let Stage::Standing { link, .. } | Stage::Releasing { link, .. } = stage
             && let Some(known) = self.state.links.get_mut(link)
         {
             known.dialogues.remove(id);
         }
         self.state.counts.replaced += 1;
         let mut signalling = self.signalling(effects);
-        if let (Some(held), true, Stage::Standing { .. }) = (signalling.remove_held(id), caller_notified, at)
+        if let (Some(held), true, Stage::Standing { .. }) =
+            (signalling.remove_held(id), caller_notified, stage)
         {
             signalling
                 .send_frame(held.caller_link, Frame::Over { dialogue: id.clone(), end: DialogueEnd::Cut });
@@ -135,9 +133,9 @@
     }
 
     /// Clears the deadline of a dialogue whose outcome is looked up, or which is blocked.
-    pub(super) fn clear_outcome_deadline(&mut self, id: &DialogueId, at: &Stage) {
+    pub(super) fn clear_outcome_deadline(&mut self, id: &DialogueId, stage: &Stage) {
         let Some(held) = self.state.held.get(id) else { return };
-        match at {
+        match stage {
             Stage::LookingUpOutcome(_) => self.state.deadlines.clear(held.cut_off, id, NO_LAUNCH),
             Stage::Blocked(_, until) => self.state.deadlines.clear((*until).min(held.cut_off), id, NO_LAUNCH),
             _ => {}
@@ -152,23 +150,23 @@
         self.state.now = now;
         self.expire_deadlines(effects);
         let id = &dial.dialogue;
-        let taken = if self.state.held.contains_key(id) {
+        let adopted = if self.state.held.contains_key(id) {
             true
         } else if self.state.held.len() < self.state.limits.max_dialogues
-            && let Some(there) = self.signalling(effects).link_to_core(server)
+            && let Some(core_link) = self.signalling(effects).link_to_core(server)
         {
-            let at = Stage::Standing { server: server.clone(), launch: LaunchNumber(0), link: there };
-            let mut held = HeldDialogue::from_dial(dial, link, now, at, Vec::new());
+            let stage = Stage::Standing { server: server.clone(), launch: LaunchNumber(0), link: core_link };
+            let mut held = HeldDialogue::from_dial(dial, link, now, stage, Vec::new());
             held.launches = 1;
             self.state.held.insert(id.clone(), held);
             let mut signalling = self.signalling(effects);
             signalling.add_dialogue_to_link(link, id);
-            signalling.add_dialogue_to_link(there, id);
+            signalling.add_dialogue_to_link(core_link, id);
             true
         } else {
             false
         };
         self.finish_input(effects);
-        taken
+        adopted
     }
 }
--- a/crates/edge/src/edge/timers.rs
+++ b/crates/edge/src/edge/timers.rs
@@ -73,7 +73,7 @@
     fn deadline_passed(&mut self, id: &DialogueId, launch: LaunchNumber, effects: &mut dyn EdgeEffects) {
         let Some(held) = self.state.held.get(id) else { return };
         match held.stage.clone() {
-            Stage::Launched { server, launch: out, .. } if out == launch => {
+            Stage::Launched { server, launch: current, .. } if current == launch => {
                 let mut signalling = self.signalling(effects);
                 signalling.cancel_launch(id, launch);
                 signalling.queue_launch_end(id, launch, &server, Outcome::TimedOut);
@@ -85,7 +85,7 @@
                 }
                 self.submit_to_decisions(&dial, effects);
             }
-            Stage::Releasing { server, launch: out, link, .. } if out == launch => {
+            Stage::Releasing { server, launch: current, link, .. } if current == launch => {
                 self.standing_ended(
                     id,
                     launch,
--- a/crates/edge/src/held.rs
+++ b/crates/edge/src/held.rs
@@ -222,15 +222,15 @@
 }
 
 impl DeferredSends {
-    pub fn add(&mut self, by: Duration, number: u64, dialogue: &DialogueId, deferred: Deferred) {
+    pub fn add(&mut self, deadline: Duration, number: u64, dialogue: &DialogueId, deferred: Deferred) {
         self.by_dialogue.insert(dialogue.clone(), number);
-        self.by_record.insert(number, (by, dialogue.clone(), deferred));
-        self.deadlines.insert((by, number));
+        self.by_record.insert(number, (deadline, dialogue.clone(), deferred));
+        self.deadlines.insert((deadline, number));
     }
 
     pub fn take(&mut self, number: u64) -> Option<(DialogueId, Deferred)> {
-        let (by, dialogue, deferred) = self.by_record.remove(&number)?;
-        self.deadlines.remove(&(by, number));
+        let (deadline, dialogue, deferred) = self.by_record.remove(&number)?;
+        self.deadlines.remove(&(deadline, number));
         self.by_dialogue.remove(&dialogue);
         Some((dialogue, deferred))
     }
@@ -254,13 +254,13 @@
 
     /// The earliest time-out of a deferred send.
     pub fn next_deadline(&self) -> Option<Duration> {
-        self.deadlines.first().map(|(by, _)| *by)
+        self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
     /// Removes and returns one send whose wait has timed out.
     pub fn take_overdue(&mut self, now: Duration) -> Option<(DialogueId, Deferred)> {
-        let (by, number) = self.deadlines.first().copied()?;
-        if by <= now { self.take(number) } else { None }
+        let (deadline, number) = self.deadlines.first().copied()?;
+        if deadline <= now { self.take(number) } else { None }
     }
 }
 
--- a/crates/edge/src/numbers.rs
+++ b/crates/edge/src/numbers.rs
@@ -46,7 +46,7 @@
 /// A dialogue that waits for its look-up.
 struct PendingLookUp {
     arrival: Arrival,
-    dial: (u16, f64),
+    dialled_as: (u16, f64),
     analysis: Analysis,
     until: Duration,
 }
@@ -170,21 +170,21 @@
         };
         self.last_waiter += 1;
         let (waiter, tenant) = (self.last_waiter, dial.tenant.map_or(u32::MAX, u32::from));
-        let asked = match &mut self.client {
+        let query = match &mut self.client {
             Some(client) => client.ask(now, tenant, number, waiter, &mut LookUpSender(effects)),
             None => Asked::Never,
         };
-        let step = match (asked, wait_policy.wait(now)) {
+        let step = match (query, wait_policy.wait(now)) {
             (Asked::Now(moved), _) => analysis.told(moved.routing()),
             (Asked::Waits, Wait::Until(until)) => {
                 self.deadlines.insert((until, waiter));
                 self.by_dialogue.insert(arrival.id.clone(), waiter);
-                self.pending.insert(waiter, PendingLookUp { arrival, dial: dialled_as, analysis, until });
+                self.pending.insert(waiter, PendingLookUp { arrival, dialled_as, analysis, until });
                 return None;
             }
             (Asked::Waits, Wait::Not) => {
                 // The query stays in progress: its answer serves later dialogues.
-                self.client.as_mut().expect("it was asked").forget(waiter);
+                self.client.as_mut().expect("the client was used above").forget(waiter);
                 analysis.gives_up()
             }
             (Asked::Never, _) => analysis.gives_up(),
@@ -245,7 +245,7 @@
         for swapped in self.generations.alarm(now, wall) {
             self.report_swap(swapped);
         }
-        let mut found = Vec::new();
+        let mut results = Vec::new();
         let mut unanswered = 0;
         let mut answers = Vec::new();
         if let Some(client) = &mut self.client {
@@ -269,7 +269,7 @@
                     look_up.analysis.gives_up()
                 }
             };
-            found.push((look_up.arrival, self.result_of(look_up.dial, step)));
+            results.push((look_up.arrival, self.result_of(look_up.dialled_as, step)));
         }
         while let Some((_, waiter)) = self.deadlines.first().copied().filter(|(due, _)| *due <= now) {
             let Some(mut look_up) = self.remove_look_up(waiter) else { continue };
@@ -278,9 +278,9 @@
             }
             unanswered += 1;
             let step = look_up.analysis.gives_up();
-            found.push((look_up.arrival, self.result_of(look_up.dial, step)));
+            results.push((look_up.arrival, self.result_of(look_up.dialled_as, step)));
         }
-        (found, unanswered)
+        (results, unanswered)
     }
 
     /// Queues an order about tables and carries out the orders that can be.
--- a/crates/edge/src/signalling.rs
+++ b/crates/edge/src/signalling.rs
@@ -61,8 +61,8 @@
         match self.effects.record(dialogue, DialogueStep::Answer { answer: &message.frame, launch }) {
             // After a stall the cut-off may have passed, so the answer does not wait for its record.
             Some(number) if self.state.now < cut_off => {
-                let by = cut_off.min(self.state.now + self.state.limits.answer_record_timeout);
-                self.state.deferred.add(by, number, dialogue, Deferred::Answer { link, message });
+                let deadline = cut_off.min(self.state.now + self.state.limits.answer_record_timeout);
+                self.state.deferred.add(deadline, number, dialogue, Deferred::Answer { link, message });
             }
             _ => {
                 self.state.counts.unrecorded += u64::from(!self.state.limits.answer_record_timeout.is_zero());
@@ -89,7 +89,9 @@
             Deferred::Launch(launch) if !is_recorded && self.state.limits.withhold_unrecorded_launches => {
                 self.state.counts.withheld += 1;
                 let server = self.state.held.get(&id).and_then(|held| match &held.stage {
-                    Stage::Launched { server, launch: out, .. } if *out == launch => Some(server.clone()),
+                    Stage::Launched { server, launch: current, .. } if *current == launch => {
+                        Some(server.clone())
+                    }
                     _ => None,
                 });
                 if let Some(server) = server {
@@ -152,8 +154,8 @@
     /// Cancels a launch if it is in progress; returns its core server.
     pub fn cancel_launch(&mut self, id: &DialogueId, launch: LaunchNumber) -> Option<ServerId> {
         let held = self.state.held.get(id)?;
-        let Stage::Launched { server, launch: out, link, .. } = &held.stage else { return None };
-        if *out != launch {
+        let Stage::Launched { server, launch: current, link, .. } = &held.stage else { return None };
+        if *current != launch {
             return None;
         }
         let (server, link) = (server.clone(), *link);
@@ -168,7 +170,9 @@
     /// Sends a launch, or queues it until the link opens.
     fn send_or_queue_launch(&mut self, dialogue: &DialogueId, launch: LaunchNumber) {
         let server = match self.state.held.get(dialogue).map(|held| &held.stage) {
-            Some(Stage::Launched { server, launch: out, link: None, .. }) if *out == launch => server.clone(),
+            Some(Stage::Launched { server, launch: current, link: None, .. }) if *current == launch => {
+                server.clone()
+            }
             _ => return,
         };
         let link = self.link_to_core(&server);
@@ -281,18 +285,19 @@
         let Some(held) = self.state.held.get_mut(dialogue) else { return };
         // A dialogue has one launch at a time (rule 2). The decision module ensures it; other decisions cannot break it.
         if held.stage != Stage::Waiting {
-            let line = format!("a launch of {} is not sent: it is {:?}", dialogue.0, held.stage);
+            let line =
+                format!("launch of {} not sent: the dialogue is in stage {:?}", dialogue.0, held.stage);
             return self.effects.log(LogTopic::Mode, &line);
         }
         let launch = LaunchNumber(held.launches);
         held.launches += 1;
         held.stage = Stage::Launched { server: server.clone(), launch, until, link: None };
         self.state.deadlines.set(until, dialogue, launch);
-        let within = self.state.limits.launch_record_timeout;
+        let timeout = self.state.limits.launch_record_timeout;
         match self.effects.record(dialogue, DialogueStep::Launch { server, launch, until }) {
-            Some(number) if !within.is_zero() => {
-                let by = until.min(self.state.now + within);
-                self.state.deferred.add(by, number, dialogue, Deferred::Launch(launch));
+            Some(number) if !timeout.is_zero() => {
+                let deadline = until.min(self.state.now + timeout);
+                self.state.deferred.add(deadline, number, dialogue, Deferred::Launch(launch));
             }
             _ => self.send_or_queue_launch(dialogue, launch),
         }
--- a/crates/edge/tests/numbers.rs
+++ b/crates/edge/tests/numbers.rs
@@ -1,5 +1,5 @@
-//! Hard cases of numbers at one edge proxy: look-ups that hang, generations that change at each step of a dialogue's
-//! way. Times in milliseconds; all that is said is kept.
+//! Edge cases of number analysis at one edge proxy: look-ups that hang, and generations of tables that change at each
+//! step of a dialogue. Times are in milliseconds; all messages sent are stored.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,34 +22,34 @@
 #[derive(Default)]
 struct Trace {
     links: u64,
-    begun: Vec<(LinkId, String)>,
-    said: Vec<(LinkId, Frame)>,
-    asked: Vec<(usize, Vec<u8>)>,
+    opened: Vec<(LinkId, String)>,
+    sent: Vec<(LinkId, Frame)>,
+    look_ups: Vec<(usize, Vec<u8>)>,
     loading: Vec<(String, Vec<Arc<Tables>>)>,
-    gone: Vec<String>,
+    dropped_tables: Vec<String>,
 }
 
 impl EdgeEffects for Trace {
     fn send(&mut self, link: LinkId, message: Message) -> bool {
-        self.said.push((link, message.frame));
+        self.sent.push((link, message.frame));
         true
     }
     fn connect(&mut self, address: &str) -> LinkId {
         self.links += 1;
-        self.begun.push((LinkId(self.links), address.into()));
+        self.opened.push((LinkId(self.links), address.into()));
         LinkId(self.links)
     }
     fn close(&mut self, _link: LinkId, _why: &str) {}
-    fn log(&mut self, _note: LogTopic, _line: &str) {}
+    fn log(&mut self, _topic: LogTopic, _line: &str) {}
     fn load_tables(&mut self, name: &str, bases: Vec<Arc<Tables>>) -> bool {
         self.loading.push((name.into(), bases));
         true
     }
     fn send_look_up(&mut self, server: usize, datagram: &[u8]) {
-        self.asked.push((server, datagram.to_vec()));
+        self.look_ups.push((server, datagram.to_vec()));
     }
     fn drop_tables(&mut self, tables: Vec<Arc<Tables>>) {
-        self.gone.extend(tables.iter().map(|tables| tables.name.clone()));
+        self.dropped_tables.extend(tables.iter().map(|tables| tables.name.clone()));
     }
 }
 
@@ -62,8 +62,8 @@
 tenant "*" { plan "de"; table "main"; }
 "#;
 
-/// The old generation asks whether a number has moved, and leads north or south by the answer; the new one leads
-/// south by itself, under another product.
+/// The old generation looks up whether a number was ported and routes it north or south accordingly; the new one
+/// routes it south without a look-up, as another product.
 fn sheet(name: &str) -> String {
     let rest = match name {
         "old" => {
@@ -77,7 +77,7 @@
         }
         other => other,
     };
-    // Whoever looks up the ways of one in the other finds other ones.
+    // The ways of the two generations have different indices, so that mixing them shows.
     let first = if name == "new" { "way \"first\" { refuse \"first\"; }\n" } else { "" };
     format!("{first}{HEAD}{rest}")
 }
@@ -107,7 +107,7 @@
         late_share: 0.25,
         servers: servers.map(|all| all.iter().copied().map(ServerNumber).collect()),
     };
-    // Each of two products: by itself, in the north, in the south.
+    // Each of two products without a trunk group, in the north and in the south.
     let groups: [Option<&[i64]>; 3] = [None, Some(&[0, 1]), Some(&[2, 3, 7])];
     RoutePlan {
         proxies: 1,
@@ -165,7 +165,7 @@
         bench.at(0);
         let list = bench.link_to("list");
         bench.edge.link_connected(ms(0), list, &mut bench.trace);
-        bench.hears(list, Frame::Hello(Hello::new(Role::List, "list".into())));
+        bench.receives(list, Frame::Hello(Hello::new(Role::List, "list".into())));
         let entries = (0..4).map(|n| Entry {
             server: ServerId(Arc::from(format!("core-{n}"))),
             number: ServerNumber(n),
@@ -174,16 +174,16 @@
             incarnation: 0,
             age: Duration::ZERO,
         });
-        bench.hears(list, Frame::List { is_complete: true, entries: entries.collect() });
+        bench.receives(list, Frame::List { is_complete: true, entries: entries.collect() });
         for n in 0..4 {
             let name = format!("core-{n}");
             let link = bench.link_to(&name);
             bench.edge.link_connected(ms(0), link, &mut bench.trace);
-            bench.hears(link, Frame::Hello(Hello::new(Role::Core, name.as_str().into())));
+            bench.receives(link, Frame::Hello(Hello::new(Role::Core, name.as_str().into())));
         }
         for (link, name) in [(100, "gateway"), (101, "gateway")] {
             bench.edge.link_opened(ms(0), LinkId(link), &mut bench.trace);
-            bench.hears(LinkId(link), Frame::Hello(Hello::new(Role::Caller, name.into())));
+            bench.receives(LinkId(link), Frame::Hello(Hello::new(Role::Caller, name.into())));
         }
         bench.at(10);
         bench
@@ -196,7 +196,7 @@
     }
 
     fn link_to(&self, address: &str) -> LinkId {
-        self.trace.begun.iter().rev().find(|(_, known)| known == address).expect("it was begun").0
+        self.trace.opened.iter().rev().find(|(_, known)| known == address).expect("it was opened").0
     }
 
     fn at(&mut self, time: u64) -> &mut Self {
@@ -209,13 +209,13 @@
         self
     }
 
-    fn hears(&mut self, link: LinkId, frame: Frame) -> &mut Self {
+    fn receives(&mut self, link: LinkId, frame: Frame) -> &mut Self {
         self.edge.frame_received(ms(self.now), link, frame.into(), &mut self.trace);
         self
     }
 
     fn dials_for(&mut self, name: &str, number: &str, time_left: u64) -> &mut Self {
-        self.hears(LinkId(100), Frame::Dial(dial(name, number, time_left)))
+        self.receives(LinkId(100), Frame::Dial(dial(name, number, time_left)))
     }
 
     fn dials(&mut self, name: &str, number: &str) -> &mut Self {
@@ -223,7 +223,7 @@
     }
 
     fn replies(&mut self, question: usize, moved: bool) -> &mut Self {
-        let (server, asked) = self.trace.asked[question].clone();
+        let (server, asked) = self.trace.look_ups[question].clone();
         let asked = question_of(&asked, "e164.arpa").unwrap().0;
         let rule = [(1, 1, "u", "E2U+pstn:tel", "!^.*$!tel:+49;npdi;rn=+49999!", ".")];
         let reply = answer(&asked, moved.then_some(&rule[..]), 60);
@@ -233,68 +233,71 @@
 
     fn orders(&mut self, serial: u64, order: TablesOrder) -> &mut Self {
         let list = self.link_to("list");
-        self.hears(list, Frame::Tables { serial, order })
+        self.receives(list, Frame::Tables { serial, order })
     }
 
-    /// All generations asked for are read.
-    fn reads(&mut self) -> &mut Self {
+    /// Completes all pending loads of generations.
+    fn completes_loads(&mut self) -> &mut Self {
         for (name, _bases) in std::mem::take(&mut self.trace.loading) {
             self.edge.tables_loaded(ms(self.now), &name, tables(&name), &mut self.trace);
         }
         self
     }
 
-    fn swaps(&mut self, serial: u64, name: &str, after: u64) -> &mut Self {
+    fn loads_and_swaps(&mut self, serial: u64, name: &str, after: u64) -> &mut Self {
         self.orders(serial, TablesOrder::Load { name: name.into() });
-        self.orders(serial + 1, TablesOrder::Swap { name: name.into(), after: ms(after) }).reads()
+        self.orders(serial + 1, TablesOrder::Swap { name: name.into(), after: ms(after) }).completes_loads()
     }
 
     fn launches(&self, name: &str) -> Vec<(String, Launch)> {
-        let far = |link: &LinkId| self.trace.begun.iter().find(|(known, _)| known == link).unwrap().1.clone();
-        let launches = self.trace.said.iter().filter_map(|(link, frame)| match frame {
-            Frame::Launch(launch) if launch.dialogue.0.as_ref() == name => Some((far(link), launch.clone())),
+        let address =
+            |link: &LinkId| self.trace.opened.iter().find(|(known, _)| known == link).unwrap().1.clone();
+        let launches = self.trace.sent.iter().filter_map(|(link, frame)| match frame {
+            Frame::Launch(launch) if launch.dialogue.0.as_ref() == name => {
+                Some((address(link), launch.clone()))
+            }
             _ => None,
         });
         launches.collect()
     }
 
-    fn said_of(&self, name: &str) -> Vec<&Frame> {
+    fn sent_about(&self, name: &str) -> Vec<&Frame> {
         let of = |frame: &&Frame| frame.dialogue().is_some_and(|d| d.0.as_ref() == name);
-        self.trace.said.iter().map(|(_, frame)| frame).filter(of).collect()
+        self.trace.sent.iter().map(|(_, frame)| frame).filter(of).collect()
     }
 
-    fn tabled(&self) -> Vec<(u64, u64, String)> {
-        let tabled = self.trace.said.iter().filter_map(|(_, frame)| match frame {
+    fn table_results(&self) -> Vec<(u64, u64, String)> {
+        let table_results = self.trace.sent.iter().filter_map(|(_, frame)| match frame {
             Frame::TablesResult { serial, in_force, why, .. } => {
                 Some((*serial, *in_force, why.as_deref().unwrap_or("done").to_string()))
             }
             _ => None,
         });
-        tabled.collect()
+        table_results.collect()
     }
 }
 
-/// Which generation a launch is by, as `sheet` has them.
-fn by(launch: &(String, Launch)) -> &'static str {
-    let (far, launch) = launch;
-    let south = far == "core-2" || far == "core-3";
+/// The generation of `sheet` that produced a launch.
+fn generation_of(launch: &(String, Launch)) -> &'static str {
+    let (address, launch) = launch;
+    let south = address == "core-2" || address == "core-3";
     match (south, launch.product, launch.routing.is_some()) {
         (false, 0, false) | (true, 1, true) => "old",
         (true, 1, false) => "new",
-        other => panic!("half of one and half of another: {far} {other:?}"),
+        other => panic!("a mixture of both generations: {address} {other:?}"),
     }
 }
 
 #[test]
-fn a_look_up_that_hangs_past_patience_goes_on_unported_and_its_answer_is_the_nexts() {
+fn a_look_up_that_times_out_is_routed_unported_and_its_answer_is_cached() {
     let mut b = Bench::new();
     b.dials("d1", "089333").at(309);
-    assert_eq!(b.launches("d1"), [], "it waits");
+    assert_eq!(b.launches("d1"), [], "the dialogue waits for its look-up");
     b.at(311);
-    assert_eq!(by(&b.launches("d1")[0]), "old");
+    assert_eq!(generation_of(&b.launches("d1")[0]), "old");
     assert!(b.launches("d1")[0].1.routing.is_none());
     b.at(350).replies(0, true);
-    assert_eq!(b.launches("d1").len(), 1, "what comes later changes nothing for it");
+    assert_eq!(b.launches("d1").len(), 1, "a late answer has no effect on the dialogue");
     b.dials("d2", "089333");
     let moved = &b.launches("d2")[0].1;
     assert_eq!((moved.routing.as_deref(), moved.number.as_deref()), (Some("+49999"), Some("+4989333")));
@@ -303,61 +306,61 @@
 }
 
 #[test]
-fn a_look_up_that_hangs_where_nothing_else_will_do_is_refused_in_time() {
+fn a_dialogue_that_needs_a_look_up_is_refused_in_time_if_that_hangs() {
     let mut b = Bench::new();
     b.dials("d1", "0040333333").at(425);
-    assert_eq!(b.said_of("d1"), Vec::<&Frame>::new());
-    // All tries are over before patience is; then it is told at once.
+    assert_eq!(b.sent_about("d1"), Vec::<&Frame>::new());
+    // All attempts end before the deadline; the caller is then notified at once.
     b.at(435);
-    assert!(matches!(b.said_of("d1")[..], [Frame::Refused { .. }]));
-    // A caller without patience is let go before its own cut-off.
+    assert!(matches!(b.sent_about("d1")[..], [Frame::Refused { .. }]));
+    // A dialogue with little time left is refused before its cut-off.
     let mut b = Bench::new();
     b.dials_for("d2", "0040333333", 100).at(109);
-    assert!(matches!(b.said_of("d2")[..], [Frame::Refused { .. }]), "{:?}", b.said_of("d2"));
+    assert!(matches!(b.sent_about("d2")[..], [Frame::Refused { .. }]), "{:?}", b.sent_about("d2"));
 }
 
 #[test]
-fn a_caller_that_hangs_up_while_its_number_is_looked_up_is_gone() {
+fn a_caller_that_hangs_up_during_the_look_up_leaves_no_residue() {
     let mut b = Bench::new();
     b.dials("d1", "089333").at(50);
-    b.hears(LinkId(100), Frame::HangUp { dialogue: id("d1") });
+    b.receives(LinkId(100), Frame::HangUp { dialogue: id("d1") });
     assert_eq!((b.edge.sizes().0, b.edge.number_analysis().unwrap().pending_look_ups()), (0, 0));
     b.at(60).replies(0, true).at(2000);
-    assert_eq!(b.said_of("d1"), Vec::<&Frame>::new());
+    assert_eq!(b.sent_about("d1"), Vec::<&Frame>::new());
     assert_eq!((b.edge.sizes().0, b.edge.number_analysis().unwrap().pending_look_ups()), (0, 0));
-    // Its link going does the same.
+    // Losing the caller's link has the same effect.
     b.dials("d2", "089444").at(2050);
     b.edge.link_closed(ms(2050), LinkId(100), "closed by its peer", &mut b.trace);
     b.at(5000);
-    assert_eq!(b.said_of("d2"), Vec::<&Frame>::new());
+    assert_eq!(b.sent_about("d2"), Vec::<&Frame>::new());
     assert_eq!(b.edge.sizes().0, 0);
 }
 
 #[test]
-fn one_that_is_dialled_again_elsewhere_while_it_is_looked_up_is_one() {
+fn a_dialogue_dialled_again_on_another_link_during_the_look_up_is_launched_once() {
     let mut b = Bench::new();
     b.dials("d1", "089333").at(50);
-    b.hears(LinkId(101), Frame::Dial(dial("d1", "089333", 2900))).at(60).replies(0, false).at(70);
+    b.receives(LinkId(101), Frame::Dial(dial("d1", "089333", 2900))).at(60).replies(0, false).at(70);
     assert_eq!(b.launches("d1").len(), 1);
     let report = LoadReport::default();
     let link = b.link_to(&b.launches("d1")[0].0);
-    b.hears(link, Frame::Stood { dialogue: id("d1"), launch: LaunchNumber(0), report });
+    b.receives(link, Frame::Stood { dialogue: id("d1"), launch: LaunchNumber(0), report });
     let stands: Vec<LinkId> =
-        b.trace.said.iter().filter(|(_, f)| matches!(f, Frame::Stands { .. })).map(|(l, _)| *l).collect();
+        b.trace.sent.iter().filter(|(_, f)| matches!(f, Frame::Stands { .. })).map(|(l, _)| *l).collect();
     assert_eq!(stands, [LinkId(101)]);
 }
 
 #[test]
-fn an_answer_that_lay_in_a_queue_past_patience_is_too_late() {
+fn an_answer_read_after_its_deadline_is_too_late() {
     let mut b = Bench::new();
     b.dials("d1", "089333");
-    b.now = 700; // all stands still until then, and the answer has been there for long
+    b.now = 700; // a stall until then, with the answer queued
     b.replies(0, true);
     let launches = b.launches("d1");
     assert_eq!((launches.len(), launches[0].1.routing.is_none()), (1, true));
 }
 
-/// The way of one dialogue, in steps; tables are swapped before each of them, by turns.
+/// Runs one dialogue in steps, with the tables swapped before each step in turn.
 #[test]
 fn a_swap_at_any_step_leaves_a_dialogue_with_one_generation() {
     let mut seen = std::collections::BTreeSet::new();
@@ -369,21 +372,25 @@
                 for step in 0..9u64 {
                     b.at(20 + step * 20);
                     if step == swap_before {
-                        b.swaps(1, "new", 0);
+                        b.loads_and_swaps(1, "new", 0);
                     }
                     if step == undo_before {
                         b.orders(5, TablesOrder::Undo { of: 2, to: None });
                     }
                     match step {
                         1 => drop(b.dials("d1", "089333")),
-                        3 if !b.trace.asked.is_empty() => drop(b.replies(0, moved)),
+                        3 if !b.trace.look_ups.is_empty() => drop(b.replies(0, moved)),
                         4 => {
-                            // The first launch is turned back, and another comes.
-                            let (far, sent) = b.launches("d1").last().expect("it is launched by now").clone();
-                            let link = b.link_to(&far);
+                            // The first launch is turned back and followed by another.
+                            let (address, sent) = b
+                                .launches("d1")
+                                .last()
+                                .expect("the dialogue was launched before step 4")
+                                .clone();
+                            let link = b.link_to(&address);
                             let (report, cause) = (LoadReport::default(), TurnBackCause::Processor);
                             let (dialogue, no) = (id("d1"), sent.launch);
-                            b.hears(link, Frame::TurnedBack { dialogue, launch: no, cause, report });
+                            b.receives(link, Frame::TurnedBack { dialogue, launch: no, cause, report });
                             launch = Some(sent);
                         }
                         _ => {}
@@ -392,103 +399,110 @@
                 b.at(2000);
                 let launches = b.launches("d1");
                 assert!(launches.len() >= 2 && launch.is_some(), "{launches:?}");
-                let bys: std::collections::BTreeSet<_> = launches.iter().map(by).collect();
+                let generations: std::collections::BTreeSet<_> = launches.iter().map(generation_of).collect();
                 assert_eq!(
-                    bys.len(),
+                    generations.len(),
                     1,
                     "swap before step {swap_before}, undo before {undo_before}: {launches:?}"
                 );
                 let wanted = if swap_before <= 1 && undo_before > 1 { "new" } else { "old" };
                 assert!(
-                    bys.contains(wanted),
-                    "swap before {swap_before}, undo before {undo_before}: {bys:?}"
+                    generations.contains(wanted),
+                    "swap before {swap_before}, undo before {undo_before}: {generations:?}"
                 );
-                seen.extend(bys);
+                seen.extend(generations);
             }
         }
     }
-    assert_eq!(seen.len(), 2, "both were seen");
+    assert_eq!(seen.len(), 2, "both generations occurred");
 }
 
 #[test]
-fn at_midnight_by_hand_and_with_thousands_of_look_ups_out() {
-    // Servers that hang are asked all the same, so that all wait until their patience ends.
+fn a_timed_swap_and_manual_orders_with_thousands_of_pending_look_ups() {
+    // The circuit breaker is off: servers that hang are still asked, so that all look-ups wait until they time out.
     let mut b = Bench::with(Plan { breaks: false, ..Plan::default() });
     b.edge.number_analysis().unwrap().set_initial_tables(tables("old").unwrap());
-    // A swap timed for 200 ms from now, and 3,000 dialogues whose look-ups are out by then.
-    b.swaps(1, "new", 200);
+    // A swap in 200 ms, and 3,000 dialogues whose look-ups are pending by then.
+    b.loads_and_swaps(1, "new", 200);
     for n in 0..3000 {
         b.dials(&format!("d{n}"), &format!("089{n:06}"));
     }
     assert!(b.edge.number_analysis().unwrap().pending_look_ups() > 2900);
     b.at(209);
-    // By hand, at the very moment: back to the old one, which is "old" still, and then undone.
+    // A manual swap back to the old generation at that moment, which is then undone.
     b.orders(4, TablesOrder::Swap { name: "old".into(), after: ms(1) }).at(210);
-    assert_eq!(b.tabled().iter().filter(|(s, f, _)| s == f).map(|(s, ..)| *s).collect::<Vec<_>>(), [2, 4]);
+    assert_eq!(
+        b.table_results().iter().filter(|(s, f, _)| s == f).map(|(s, ..)| *s).collect::<Vec<_>>(),
+        [2, 4]
+    );
     b.orders(5, TablesOrder::Undo { of: 4, to: Some("new".into()) });
     assert_eq!(b.edge.number_analysis().unwrap().generations.in_force().unwrap().name, "new");
     b.dials("late", "089333");
-    assert_eq!(by(&b.launches("late")[0]), "new");
-    // What was asked goes on by the old one, all of it.
-    let before = b.edge.number_analysis().unwrap().generations.alive();
-    assert_eq!(before, 2);
-    for question in 0..b.trace.asked.len().min(16) {
+    assert_eq!(generation_of(&b.launches("late")[0]), "new");
+    // All pending look-ups continue with the old generation.
+    let generations_alive = b.edge.number_analysis().unwrap().generations.alive();
+    assert_eq!(generations_alive, 2);
+    for question in 0..b.trace.look_ups.len().min(16) {
         b.replies(question, true);
     }
     b.at(900);
     for n in 0..3000 {
         if let Some(first) = b.launches(&format!("d{n}")).first() {
-            assert_eq!(by(first), "old", "d{n}");
+            assert_eq!(generation_of(first), "old", "d{n}");
         }
     }
     assert_eq!(b.edge.number_analysis().unwrap().pending_look_ups(), 0);
-    assert_eq!(b.edge.number_analysis().unwrap().generations.alive(), 1, "nobody holds the old one any more");
+    assert_eq!(
+        b.edge.number_analysis().unwrap().generations.alive(),
+        1,
+        "the old generation is no longer referenced"
+    );
 }
 
 #[test]
-fn a_first_choice_that_is_not_there_leads_to_another_of_its_group() {
+fn an_unlisted_first_choice_is_replaced_by_another_server_of_its_group() {
     let mut b = Bench::new();
     b.dials("d1", "0041333333").at(50);
-    // Core server 7 is in the group and in no list: the module passes it over.
-    let far = &b.launches("d1")[0].0;
-    assert!(far == "core-2" || far == "core-3", "{far}");
+    // Core server 7 is in the group but not listed, so the module skips it.
+    let address = &b.launches("d1")[0].0;
+    assert!(address == "core-2" || address == "core-3", "{address}");
 }
 
 #[test]
-fn without_tables_a_number_is_declined_and_a_broken_one_changes_nothing() {
+fn numbers_are_declined_without_tables_and_invalid_tables_change_nothing() {
     let mut b = Bench::without_tables();
     b.dials("d1", "089333");
-    assert!(matches!(b.said_of("d1")[..], [Frame::Declined { why: DeclineReason::NotReady, .. }]));
-    b.swaps(1, "way \"broken\" { }", 0);
-    assert_eq!(b.tabled().last().unwrap().2, "generation way \"broken\" { } is not staged");
-    b.swaps(5, "new", 0).dials("d2", "089333");
-    assert_eq!(by(&b.launches("d2")[0]), "new");
-    b.swaps(7, "way \"broken\" { }", 0).dials("d3", "089334");
-    assert_eq!(by(&b.launches("d3")[0]), "new");
+    assert!(matches!(b.sent_about("d1")[..], [Frame::Declined { why: DeclineReason::NotReady, .. }]));
+    b.loads_and_swaps(1, "way \"broken\" { }", 0);
+    assert_eq!(b.table_results().last().unwrap().2, "generation way \"broken\" { } is not staged");
+    b.loads_and_swaps(5, "new", 0).dials("d2", "089333");
+    assert_eq!(generation_of(&b.launches("d2")[0]), "new");
+    b.loads_and_swaps(7, "way \"broken\" { }", 0).dials("d3", "089334");
+    assert_eq!(generation_of(&b.launches("d3")[0]), "new");
 }
 
 #[test]
-fn orders_wait_for_a_generation_that_is_read_and_not_without_bound() {
+fn orders_wait_while_a_generation_is_loaded_up_to_a_maximum() {
     let mut b = Bench::new();
     b.orders(1, TablesOrder::Load { name: "new".into() });
     for serial in 2..300 {
         b.orders(serial, TablesOrder::Drop { of: 1 });
     }
-    assert_eq!(b.tabled().iter().filter(|(.., why)| why == "too many orders wait").count(), 298 - 256);
-    b.reads();
-    // Each order has had one answer by now.
-    let mut answered: Vec<u64> = b.tabled().into_iter().map(|(serial, ..)| serial).collect();
+    assert_eq!(b.table_results().iter().filter(|(.., why)| why == "too many orders wait").count(), 298 - 256);
+    b.completes_loads();
+    // Each order has had exactly one answer.
+    let mut answered: Vec<u64> = b.table_results().into_iter().map(|(serial, ..)| serial).collect();
     answered.sort_unstable();
     assert_eq!(answered, (1..300).collect::<Vec<_>>());
 }
 
 #[test]
-fn emergency_is_never_looked_up_and_barred_numbers_are_refused_at_once() {
+fn emergency_numbers_are_never_looked_up_and_unroutable_numbers_are_refused_at_once() {
     let mut b = Bench::new();
     b.dials("d1", "112").dials("d2", "0041").dials("d3", "#31#");
     assert_eq!(b.launches("d1").len(), 1);
     for name in ["d2", "d3"] {
-        assert!(matches!(b.said_of(name)[..], [Frame::Refused { .. }]), "{name}");
+        assert!(matches!(b.sent_about(name)[..], [Frame::Refused { .. }]), "{name}");
     }
-    assert!(b.trace.asked.is_empty());
+    assert!(b.trace.look_ups.is_empty());
 }
--- a/crates/edge/tests/stages.rs
+++ b/crates/edge/tests/stages.rs
@@ -1,7 +1,7 @@
-//! One dialogue at each stage of its way through setup, and all that can befall it there, in virtual time before the
-//! stand-in of a core server. Whatever happens: one answer at most, none after the cut-off or a hang-up, never two
-//! launches out, none within the release after one in doubt, and in the end nothing is held in the module, the edge
-//! proxy or the core servers. NumberAnalysis that are looked up have their stages in `numbers.rs`.
+//! One dialogue at each stage of its set-up, combined with each event that can happen there, in virtual time with
+//! simulated core servers. In every combination there is at most one answer, none after the cut-off or a hang-up, at most
+//! one launch in progress, and no launch within the release time after one with an unknown outcome; in the end nothing is
+//! held in the module, the edge proxy or the core servers. Stages of number look-ups are in `numbers.rs`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,42 +14,43 @@
 
 const MS: Duration = Duration::from_millis(1);
 const RELEASE: Duration = Duration::from_millis(300);
-const WAY: Duration = Duration::from_millis(2);
+/// Transit time of each message.
+const TRANSIT_TIME: Duration = Duration::from_millis(2);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
-    /// The proxy has just started and launches nothing yet.
-    Resting,
+    /// The proxy has just started and holds its launches.
+    OnHold,
     /// No server has a free line.
     Waiting,
-    /// Its launch was broken off; it waits for the release.
-    Barred,
-    /// Its launch waits for a link that is being made.
+    /// The launch was broken off; the dialogue waits for the release time.
+    Blocked,
+    /// The launch waits for a link that is being opened.
     Queued,
     Out,
-    /// The answer of the core server is on its way to the proxy.
+    /// The answer of the core server is in transit to the proxy.
     Answering,
-    /// It stands, and its caller is not told before that is recorded.
+    /// The dialogue stands; its caller is notified once that is recorded.
     Recording,
     Standing,
-    /// Its caller has hung up.
+    /// The caller has hung up.
     Releasing,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Event {
     HangsUp,
-    /// The time it was promised within passes; its cut-off has not come.
+    /// The promised time passes, but not the cut-off.
     Promised,
-    /// Nothing more comes from the core servers: its time-out and its cut-off pass.
+    /// The core servers stop answering: the launch time-out and the cut-off pass.
     CutOff,
-    /// The answer of the core server and the launch's time-out come in the same instant.
+    /// The answer of the core server arrives at the instant of the launch time-out.
     TimeOut,
-    /// The same, and the proxy stands still until they have passed.
+    /// The core servers stop answering, and the proxy stalls until launch time-out and cut-off have passed.
     Stall,
     CallerGone,
     CoreGone,
-    /// The list says that the servers drain.
+    /// The list reports that the servers drain.
     Drains,
     DialledAgain,
     DialledElsewhere,
@@ -59,7 +60,7 @@
 use Event::*;
 use Stage::*;
 
-const STAGES: [Stage; 9] = [Resting, Waiting, Barred, Queued, Out, Answering, Recording, Standing, Releasing];
+const STAGES: [Stage; 9] = [OnHold, Waiting, Blocked, Queued, Out, Answering, Recording, Standing, Releasing];
 const EVENTS: [Event; 11] = [
     HangsUp,
     Promised,
@@ -75,50 +76,51 @@
 ];
 
 #[derive(Clone, Debug)]
-enum Happens {
-    /// To the edge proxy.
-    Heard(LinkId, Frame),
-    /// To the core server of this name.
-    Core(&'static str, LinkId, Frame),
+enum Delivery {
+    /// A frame to the edge proxy.
+    ToEdge(LinkId, Frame),
+    /// A frame to the core server of this name.
+    ToCore(&'static str, LinkId, Frame),
     Recorded(u64),
 }
 
-/// What goes to and fro, and what the rules say to it.
+/// The simulated network; checks the rules on everything that is sent.
 #[derive(Default)]
 struct Net {
     now: Duration,
     links: u64,
     records: Option<u64>,
-    coming: BTreeMap<(Duration, u64), Happens>,
+    in_transit: BTreeMap<(Duration, u64), Delivery>,
     count: u64,
     cores: BTreeMap<LinkId, &'static str>,
     list: Option<LinkId>,
     closed: BTreeSet<LinkId>,
-    /// Core servers say nothing any more.
-    mute: bool,
-    /// When the caller gives up, or has hung up.
-    over_at: Duration,
+    /// Core servers send nothing any more.
+    cores_muted: bool,
+    /// Time at which the caller gives up or has hung up.
+    answer_until: Duration,
     answers: Vec<(Duration, String)>,
     declined: usize,
-    out: Option<(LaunchNumber, LinkId)>,
-    doubt: Option<Duration>,
+    launched: Option<(LaunchNumber, LinkId)>,
+    /// Since when the outcome of the last launch is unknown.
+    unknown_since: Option<Duration>,
     launches: u32,
-    wrong: Vec<String>,
+    violations: Vec<String>,
 }
 
 impl Net {
-    fn send(&mut self, happens: Happens) {
+    fn deliver(&mut self, delivery: Delivery) {
         self.count += 1;
-        self.coming.insert((self.now + WAY, self.count), happens);
+        self.in_transit.insert((self.now + TRANSIT_TIME, self.count), delivery);
     }
 
-    fn wrong(&mut self, what: impl Into<String>) {
-        self.wrong.push(format!("at {:?}: {}", self.now, what.into()));
+    fn violation(&mut self, what: impl Into<String>) {
+        self.violations.push(format!("at {:?}: {}", self.now, what.into()));
     }
 
-    fn in_doubt(&mut self, link: LinkId) {
-        if self.out.is_some_and(|(_, over)| over == link) {
-            (self.out, self.doubt) = (None, Some(self.now));
+    fn launch_outcome_unknown(&mut self, link: LinkId) {
+        if self.launched.is_some_and(|(_, launch_link)| launch_link == link) {
+            (self.launched, self.unknown_since) = (None, Some(self.now));
         }
     }
 }
@@ -130,31 +132,33 @@
         }
         match &message.frame {
             Frame::Stands { .. } | Frame::Refused { .. } | Frame::Failed { .. } => {
-                // What arrives with the cut-off is in time.
-                if self.now > self.over_at {
-                    self.wrong(format!("answered late: {:?}", message.frame));
+                // An answer at the cut-off is in time.
+                if self.now > self.answer_until {
+                    self.violation(format!("answered late: {:?}", message.frame));
                 }
                 self.answers.push((self.now, format!("{:?}", message.frame)));
             }
             Frame::Declined { .. } => self.declined += 1,
             Frame::Launch(launch) => {
                 self.launches += 1;
-                if self.out.is_some() {
-                    self.wrong("a second launch is out");
+                if self.launched.is_some() {
+                    self.violation("a second launch is in progress");
                 }
-                if self.doubt.is_some_and(|doubt| self.now < doubt + RELEASE) {
-                    self.wrong("launched within the release");
+                if self.unknown_since.is_some_and(|since| self.now < since + RELEASE) {
+                    self.violation("launched within the release");
                 }
-                if !self.answers.is_empty() || self.now > self.over_at {
-                    self.wrong("launched though no answer is owed");
+                if !self.answers.is_empty() || self.now > self.answer_until {
+                    self.violation("launched though no answer is owed");
                 }
-                self.out = Some((launch.launch, link));
+                self.launched = Some((launch.launch, link));
+            }
+            Frame::Cancel { launch, .. } if self.launched == Some((*launch, link)) => {
+                self.launch_outcome_unknown(link)
             }
-            Frame::Cancel { launch, .. } if self.out == Some((*launch, link)) => self.in_doubt(link),
             _ => {}
         }
         if let Some(name) = self.cores.get(&link).copied() {
-            self.send(Happens::Core(name, link, message.frame));
+            self.deliver(Delivery::ToCore(name, link, message.frame));
         }
         true
     }
@@ -172,7 +176,7 @@
 
     fn close(&mut self, link: LinkId, _why: &str) {
         self.closed.insert(link);
-        self.in_doubt(link);
+        self.launch_outcome_unknown(link);
     }
 
     fn record(&mut self, _: &DialogueId, step: DialogueStep) -> Option<u64> {
@@ -181,20 +185,20 @@
         }
         let number = self.records? + 1;
         self.records = Some(number);
-        self.send(Happens::Recorded(number));
+        self.deliver(Delivery::Recorded(number));
         Some(number)
     }
 
     fn log(&mut self, _: LogTopic, _: &str) {}
 }
 
-/// What a core server says on a link goes to the edge proxy.
-struct Ends<'a>(&'a mut Net);
+/// Delivers what core servers send to the edge proxy.
+struct CoreOutput<'a>(&'a mut Net);
 
-impl Floor for Ends<'_> {
+impl Floor for CoreOutput<'_> {
     fn say(&mut self, link: u64, message: Message) {
-        if !self.0.mute && !self.0.closed.contains(&LinkId(link)) {
-            self.0.send(Happens::Heard(LinkId(link), message.frame));
+        if !self.0.cores_muted && !self.0.closed.contains(&LinkId(link)) {
+            self.0.deliver(Delivery::ToEdge(LinkId(link), message.frame));
         }
     }
     fn close(&mut self, _: u64, _: bool) {}
@@ -275,23 +279,23 @@
         };
         let edge = Edge::new("edge-0", "list", plan(may_cancel), 7, limits);
         let cores = ["a", "b"].map(|name| (name, CoreServer::new(figures(name), 1))).into();
-        let net = Net { over_at: MS * 60_000, records: records.then_some(0), ..Net::default() };
+        let net = Net { answer_until: MS * 60_000, records: records.then_some(0), ..Net::default() };
         Self { net, owner: 100, hung_up: false, up: false, edge: Some(edge), cores }
     }
 
-    /// List, core servers and callers are there; the proxy has started.
+    /// Starts the proxy with the list, callers and, if `up`, the core servers.
     fn begin(&mut self, up: bool) {
         self.until(MS);
-        let list = self.net.list.expect("the list is asked first");
+        let list = self.net.list.expect("the link to the list is opened first");
         self.edge(|edge, now, net| edge.link_connected(now, list, net));
-        self.heard(list, Frame::Hello(Hello::new(Role::List, Arc::from("list"))));
-        self.lists(ServerState::Active);
+        self.edge_receives(list, Frame::Hello(Hello::new(Role::List, Arc::from("list"))));
+        self.list_sends(ServerState::Active);
         if up {
             self.cores_up();
         }
         for caller in [100, 101] {
             self.edge(|edge, now, net| edge.link_opened(now, LinkId(caller), net));
-            self.heard(LinkId(caller), Frame::Hello(Hello::new(Role::Caller, Arc::from("gateway"))));
+            self.edge_receives(LinkId(caller), Frame::Hello(Hello::new(Role::Caller, Arc::from("gateway"))));
         }
     }
 
@@ -302,24 +306,24 @@
         let mut open = self.net.cores.clone();
         open.retain(|link, _| !self.net.closed.contains(link));
         for (link, name) in open {
-            self.cores.get_mut(name).expect("a or b").linked(link.0, &mut Ends(&mut self.net));
+            self.cores.get_mut(name).expect("a or b").linked(link.0, &mut CoreOutput(&mut self.net));
             self.edge(|edge, now, net| edge.link_connected(now, link, net));
         }
         let soon = self.net.now + MS * 8;
         self.until(soon);
     }
 
-    fn lists(&mut self, listed: ServerState) {
+    fn list_sends(&mut self, state: ServerState) {
         let entry = |(number, name): (i64, &str)| Entry {
             server: ServerId(Arc::from(name)),
             number: ServerNumber(number),
             address: Arc::from(name),
-            state: listed,
+            state,
             incarnation: 0,
             age: Duration::ZERO,
         };
         let entries = [(0, "a"), (1, "b")].map(entry).to_vec();
-        self.heard(self.net.list.expect("it is up"), Frame::List { is_complete: true, entries });
+        self.edge_receives(self.net.list.expect("it is up"), Frame::List { is_complete: true, entries });
     }
 
     fn edge(&mut self, input: impl FnOnce(&mut Edge, Duration, &mut Net)) {
@@ -328,16 +332,16 @@
         }
     }
 
-    fn heard(&mut self, link: LinkId, frame: Frame) {
-        // As the rules see it, an answer ends a launch in the moment it is read.
+    fn edge_receives(&mut self, link: LinkId, frame: Frame) {
+        // For the rules an answer ends its launch when it is read.
         if let Frame::Stood { launch, .. } | Frame::TurnedBack { launch, .. } = &frame
-            && self.net.out == Some((*launch, link))
+            && self.net.launched == Some((*launch, link))
         {
-            self.net.out = None;
+            self.net.launched = None;
         } else if let Frame::BrokenOff { launch, .. } | Frame::Ended { launch, .. } = &frame
-            && self.net.out == Some((*launch, link))
+            && self.net.launched == Some((*launch, link))
         {
-            self.net.in_doubt(link);
+            self.net.launch_outcome_unknown(link);
         }
         self.edge(|edge, now, net| edge.frame_received(now, link, frame.into(), net));
     }
@@ -358,33 +362,36 @@
             try_of: None,
             dialled: None,
         };
-        self.heard(LinkId(link), Frame::Dial(dial));
+        self.edge_receives(LinkId(link), Frame::Dial(dial));
     }
 
-    /// Lets time pass; while the proxy stands still, what comes to it is read when it goes on.
-    fn pass(&mut self, time: Duration, still: bool) {
+    /// Advances the time. While the proxy is stalled, its inputs are queued until it continues.
+    fn pass(&mut self, time: Duration, is_stalled: bool) {
         loop {
-            let coming = self.net.coming.keys().map(|(at, _)| *at).find(|_| !still);
+            let in_transit = self.net.in_transit.keys().map(|(at, _)| *at).find(|_| !is_stalled);
             let cores = self.cores.values().filter_map(CoreServer::next_due);
-            let edge = self.edge.as_ref().filter(|_| !still).map(|edge| edge.next_due());
-            let Some(due) = cores.chain(edge).chain(coming).min().filter(|due| *due <= time) else { break };
+            let edge = self.edge.as_ref().filter(|_| !is_stalled).map(|edge| edge.next_due());
+            let Some(due) = cores.chain(edge).chain(in_transit).min().filter(|due| *due <= time) else {
+                break;
+            };
             self.net.now = self.net.now.max(due);
             let now = self.net.now;
             for core in self.cores.values_mut() {
-                core.alarm(now, &mut Ends(&mut self.net));
+                core.alarm(now, &mut CoreOutput(&mut self.net));
             }
-            if let Some(entry) = self.net.coming.first_entry().filter(|e| !still && e.key().0 <= now) {
+            if let Some(entry) = self.net.in_transit.first_entry().filter(|e| !is_stalled && e.key().0 <= now)
+            {
                 match entry.remove() {
-                    Happens::Heard(link, frame) => self.heard(link, frame),
-                    Happens::Core(name, link, frame) => {
+                    Delivery::ToEdge(link, frame) => self.edge_receives(link, frame),
+                    Delivery::ToCore(name, link, frame) => {
                         let core = self.cores.get_mut(name).expect("a or b");
-                        core.heard(now, link.0, frame.into(), &mut Ends(&mut self.net));
+                        core.heard(now, link.0, frame.into(), &mut CoreOutput(&mut self.net));
                     }
-                    Happens::Recorded(number) => {
+                    Delivery::Recorded(number) => {
                         self.edge(|edge, now, net| edge.step_recorded(now, number, net))
                     }
                 }
-            } else if !still {
+            } else if !is_stalled {
                 self.edge(|edge, now, net| {
                     if edge.next_due() <= now {
                         edge.timer_fired(now, net);
@@ -401,14 +408,14 @@
 
     fn hangs_up(&mut self, link: u64) {
         let now = self.net.now;
-        self.net.over_at = self.net.over_at.min(now);
+        self.net.answer_until = self.net.answer_until.min(now);
         self.hung_up |= link == self.owner;
-        self.heard(LinkId(link), Frame::HangUp { dialogue: id() });
+        self.edge_receives(LinkId(link), Frame::HangUp { dialogue: id() });
     }
 
     fn lose(&mut self, link: LinkId) {
         self.net.closed.insert(link);
-        self.net.in_doubt(link);
+        self.net.launch_outcome_unknown(link);
         self.edge(|edge, now, net| edge.link_closed(now, link, "broken", net));
         let now = self.net.now;
         for core in self.cores.values_mut() {
@@ -423,9 +430,9 @@
         }
     }
 
-    /// Brings the dialogue to a stage.
+    /// Brings the dialogue to this stage.
     fn reach(&mut self, stage: Stage) {
-        if stage == Resting {
+        if stage == OnHold {
             self.edge.as_mut().expect("it runs").hold_launches_until(RELEASE);
         }
         self.begin(stage != Queued);
@@ -433,18 +440,18 @@
         if stage == Waiting {
             for link in self.net.cores.keys().copied().collect::<Vec<_>>() {
                 let report = LoadReport { free_lines: Some(0.0), ..LoadReport::default() };
-                self.heard(link, Frame::Report { report });
+                self.edge_receives(link, Frame::Report { report });
             }
         }
         let resets = Strain { lost: 1.0, lost_by_reset: true, ..Strain::default() };
-        let strain = if stage == Barred { resets } else { Strain::default() };
+        let strain = if stage == Blocked { resets } else { Strain::default() };
         self.cores.values_mut().for_each(|core| core.strain = strain.clone());
-        self.net.over_at = self.net.now + MS * 1500;
+        self.net.answer_until = self.net.now + MS * 1500;
         self.dials(100, MS * 1500);
         match stage {
-            Resting | Waiting | Queued | Out => self.until(MS * 30),
-            Barred => {
-                while self.net.doubt.is_none() {
+            OnHold | Waiting | Queued | Out => self.until(MS * 30),
+            Blocked => {
+                while self.net.unknown_since.is_none() {
                     let next = self.net.now + MS;
                     self.until(next);
                 }
@@ -452,7 +459,7 @@
             }
             Answering => {
                 let answers = |net: &Net| {
-                    net.coming.values().any(|h| matches!(h, Happens::Heard(_, Frame::Stood { .. })))
+                    net.in_transit.values().any(|h| matches!(h, Delivery::ToEdge(_, Frame::Stood { .. })))
                 };
                 while !answers(&self.net) {
                     let next = self.net.now + MS;
@@ -460,14 +467,14 @@
                 }
             }
             Recording => {
-                while !self.net.coming.values().any(|h| matches!(h, Happens::Recorded(_))) {
+                while !self.net.in_transit.values().any(|h| matches!(h, Delivery::Recorded(_))) {
                     let next = self.net.now + MS;
                     self.until(next);
                 }
             }
             Standing | Releasing => {
                 self.until(MS * 100);
-                assert_eq!(self.net.answers.len(), 1, "it stands");
+                assert_eq!(self.net.answers.len(), 1, "the dialogue stands");
                 if stage == Releasing {
                     self.hangs_up(100);
                 }
@@ -475,49 +482,49 @@
         }
     }
 
-    fn befalls(&mut self, event: Event) {
+    fn apply(&mut self, event: Event) {
         match event {
             HangsUp => self.hangs_up(self.owner),
             Promised => self.until(self.net.now + MS * 700),
-            CutOff => self.net.mute = true,
+            CutOff => self.net.cores_muted = true,
             TimeOut => {
-                self.net.mute = true;
-                let Some((launch, link)) = self.net.out else { return };
+                self.net.cores_muted = true;
+                let Some((launch, link)) = self.net.launched else { return };
                 let due = self.edge.as_ref().expect("it runs").launch_deadline(&id()).expect("it is out");
-                // The module gives up before; not where the proxy stands still until then.
+                // The module would give up before the time-out, but not while the proxy is stalled.
                 self.pass(due, true);
                 let report = LoadReport::default();
-                let out = self.net.out == Some((launch, link));
-                self.heard(link, Frame::Stood { dialogue: id(), launch, report });
-                // A time-out that has come is one, though the answer lies beside it.
+                let out = self.net.launched == Some((launch, link));
+                self.edge_receives(link, Frame::Stood { dialogue: id(), launch, report });
+                // A time-out that is due counts, even if the answer is queued.
                 if out && self.net.answers.iter().any(|(_, answer)| answer.contains("Stands")) {
-                    self.net.wrong("stands in the instant of its time-out");
+                    self.net.violation("stands in the instant of its time-out");
                 }
             }
             Stall => {
-                self.net.mute = true;
+                self.net.cores_muted = true;
                 let past = self.net.now + MS * 2000;
-                // A proxy that stands still answers when it goes on.
-                if self.net.over_at > self.net.now {
-                    self.net.over_at = past;
+                // A stalled proxy answers when it continues.
+                if self.net.answer_until > self.net.now {
+                    self.net.answer_until = past;
                 }
                 self.pass(past, true);
             }
             CallerGone => {
-                self.net.over_at = self.net.over_at.min(self.net.now);
+                self.net.answer_until = self.net.answer_until.min(self.net.now);
                 self.lose(LinkId(self.owner));
             }
             CoreGone => self.lose_cores(),
-            Drains => self.lists(ServerState::Draining),
+            Drains => self.list_sends(ServerState::Draining),
             DialledAgain => {
                 let (declined, edge) = (self.net.declined, self.edge.as_ref());
-                // What was hung up and is not over yet is neither taken again nor left without a word.
-                let over = edge.is_some_and(|edge| edge.sizes().0 == 1)
+                // A dialogue that was hung up and has not ended is neither accepted again nor left unanswered.
+                let is_releasing = edge.is_some_and(|edge| edge.sizes().0 == 1)
                     && self.hung_up
                     && !self.net.closed.contains(&LinkId(self.owner));
                 self.dials(self.owner, MS * 1500);
-                if over && self.net.declined == declined {
-                    self.net.wrong("dialled again after a hang-up, and not declined");
+                if is_releasing && self.net.declined == declined {
+                    self.net.violation("dialled again after a hang-up, and not declined");
                 }
             }
             DialledElsewhere => {
@@ -530,25 +537,25 @@
             Killed => {
                 self.edge = None;
                 self.lose_cores();
-                self.net.over_at = self.net.now;
+                self.net.answer_until = self.net.now;
             }
         }
         if event == Drains {
-            // A link that comes up late brings nothing new to a server that drains.
+            // A link that opens late carries no new launch to a draining server.
             let launches = self.net.launches;
             self.until(self.net.now + MS * 100);
             self.cores_up();
             self.until(self.net.now + MS * 1000);
             if self.net.launches > launches {
-                self.net.wrong("launched at a server told to drain");
+                self.net.violation("launched at a draining server");
             }
         }
     }
 
-    /// In the end everybody hangs up, and all that was begun is over.
-    fn ends(&mut self) {
+    /// All callers hang up, and everything must have ended.
+    fn finish(&mut self) {
         self.until(self.net.now + MS * 2000);
-        self.net.mute = false;
+        self.net.cores_muted = false;
         for link in [100, 101] {
             if !self.net.closed.contains(&LinkId(link)) {
                 self.hangs_up(link);
@@ -557,18 +564,18 @@
         self.until(self.net.now + MS * 3000);
         if self.net.answers.len() > 1 {
             let answers = format!("more than one answer: {:?}", self.net.answers);
-            self.net.wrong(answers);
+            self.net.violation(answers);
         }
         for (name, core) in &self.cores {
             if core.used() > 0.0 || core.standing() > 0 {
-                self.net.wrong.push(format!("{name} has lines in use: {}", core.used()));
+                self.net.violations.push(format!("{name} has lines in use: {}", core.used()));
             }
         }
         if let Some(edge) = &self.edge {
             let (dialogues, _, out, _) = edge.decisions().held_counts();
             if (edge.sizes().0, edge.auxiliary_entries(), dialogues, out) != (0, 0, 0, 0) {
-                self.net.wrong.push(format!(
-                    "left over: {} held, {} traces, in the module {dialogues} dialogues, {out} out",
+                self.net.violations.push(format!(
+                    "left over: {} held, {} auxiliary entries, in the module {dialogues} dialogues, {out} launches",
                     edge.sizes().0,
                     edge.auxiliary_entries()
                 ));
@@ -578,29 +585,35 @@
 }
 
 #[test]
-fn whatever_befalls_a_dialogue_at_any_stage_the_rules_hold_and_nothing_is_left() {
-    let mut wrong = Vec::new();
+fn any_event_at_any_stage_keeps_the_rules_and_leaves_no_residue() {
+    let mut violations = Vec::new();
     let mut played = 0;
     for (may_cancel, records) in [(true, false), (true, true), (false, false), (false, true)] {
         for stage in STAGES.into_iter().filter(|stage| *stage != Recording || records) {
             for event in EVENTS {
-                // A second event after the first: what was mended halfway shows then.
+                // A second event shows state that the first left inconsistent.
                 for then in [None, Some(HangsUp), Some(DialledAgain), Some(CoreGone), Some(CallerGone)] {
                     let mut world = World::new(may_cancel, records);
                     world.reach(stage);
-                    world.befalls(event);
+                    world.apply(event);
                     if let Some(then) = then {
                         world.until(world.net.now + MS * 3);
-                        world.befalls(then);
+                        world.apply(then);
                     }
-                    world.ends();
+                    world.finish();
                     played += 1;
-                    let way =
+                    let combination =
                         format!("{stage:?}, {event:?}, {then:?}, cancel {may_cancel}, records {records}");
-                    wrong.extend(world.net.wrong.iter().map(|what| format!("{way}: {what}")));
+                    violations
+                        .extend(world.net.violations.iter().map(|what| format!("{combination}: {what}")));
                 }
             }
         }
     }
-    assert!(wrong.is_empty(), "{} of {played} ways: {:#?}", wrong.len(), &wrong[..wrong.len().min(40)]);
+    assert!(
+        violations.is_empty(),
+        "{} of {played} combinations: {:#?}",
+        violations.len(),
+        &violations[..violations.len().min(40)]
+    );
 }
