--- a/crates/edge/src/edge/takeover.rs
+++ b/crates/edge/src/edge/takeover.rs
@@ -1,4 +1,4 @@
-//! Dialogues that another edge proxy, or a former life of this one, has dealt with before.
+//! Dialogues that another edge proxy, or a previous incarnation of this one, handled before.
 
 use std::time::Duration;
 
@@ -10,21 +10,21 @@
 use crate::{Decisions, EdgeEffects, LinkId, PriorOutcome};
 
 impl<D: Decisions> Edge<D> {
-    /// What `EdgeEffects::seek` came to.
+    /// Result of [`EdgeEffects::look_up_dialogue`].
     pub fn prior_outcome_found(
-        &mut self, now: Duration, id: &DialogueId, found: PriorOutcome, effects: &mut dyn EdgeEffects,
+        &mut self, now: Duration, id: &DialogueId, outcome: PriorOutcome, effects: &mut dyn EdgeEffects,
     ) {
         self.state.now = now;
         self.expire_deadlines(effects);
-        let at = self.state.held.get(id).map(|held| held.stage.clone());
-        let Some(Stage::LookingUpOutcome(dial)) = at else { return self.finish_input(effects) };
-        let held = self.state.held.get_mut(id).expect("it was looked up");
+        let stage = self.state.held.get(id).map(|held| held.stage.clone());
+        let Some(Stage::LookingUpOutcome(dial)) = stage else { return self.finish_input(effects) };
+        let held = self.state.held.get_mut(id).expect("it was found above");
         let (caller, cut_off) = (held.caller_link, held.cut_off);
         self.state.deadlines.clear(cut_off, id, NO_LAUNCH);
-        match found {
-            PriorOutcome::Free { launch_not_before: not_before } if not_before > now => {
-                held.stage = Stage::Blocked(dial, not_before);
-                self.state.deadlines.set(not_before.min(cut_off), id, NO_LAUNCH);
+        match outcome {
+            PriorOutcome::Free { launch_not_before } if launch_not_before > now => {
+                held.stage = Stage::Blocked(dial, launch_not_before);
+                self.state.deadlines.set(launch_not_before.min(cut_off), id, NO_LAUNCH);
             }
             PriorOutcome::Free { .. } => {
                 held.stage = Stage::Waiting;
@@ -47,14 +47,12 @@
                 signalling
                     .send_frame(caller, Frame::Declined { dialogue: id.clone(), why, retry_after: None });
             }
-            PriorOutcome::Unresolved { retry_after: come_back } => {
-                self.decline_unresolved(id, come_back, effects)
-            }
+            PriorOutcome::Unresolved { retry_after } => self.decline_unresolved(id, retry_after, effects),
         }
         self.finish_input(effects);
     }
 
-    /// It stands at that server, and goes on here; where the server cannot be reached, it is not taken.
+    /// Resumes a dialogue that stands at this server, or declines it if the server cannot be reached.
     fn resume_standing(
         &mut self, id: &DialogueId, caller: LinkId, server: ServerId, launch: LaunchNumber,
         effects: &mut dyn EdgeEffects,
@@ -68,38 +66,37 @@
         signalling.send_frame(caller, Frame::Stands { dialogue: id.clone(), server });
     }
 
-    /// What came of a dialogue dialled before cannot be told: it was never taken here.
+    /// Declines a dialogue dialled before whose outcome stayed unknown; it was never accepted here.
     pub(super) fn decline_unresolved(
-        &mut self, id: &DialogueId, come_back: Option<Duration>, effects: &mut dyn EdgeEffects,
+        &mut self, id: &DialogueId, retry_after: Option<Duration>, effects: &mut dyn EdgeEffects,
     ) {
         let mut signalling = self.signalling(effects);
         if let Some(held) = signalling.remove_held(id) {
             signalling.state.counts.unsure += 1;
-            let frame =
-                Frame::Declined { dialogue: id.clone(), why: DeclineReason::Unsure, retry_after: come_back };
+            let frame = Frame::Declined { dialogue: id.clone(), why: DeclineReason::Unsure, retry_after };
             signalling.send_frame(held.caller_link, frame);
         }
     }
 
-    /// Another edge proxy has this dialogue now: nothing more of it is sent here, and what is out is called off. Mostly its caller has
-    /// dialled it again there; one that still waits here hears that it may ask again what came of it.
+    /// Another edge proxy owns this dialogue now: its launch is cancelled, and nothing more of it is sent. Usually its
+    /// caller has dialled it again there; a caller still waiting here is notified that it may ask again for the outcome.
     pub fn dialogue_replaced(&mut self, now: Duration, id: &DialogueId, effects: &mut dyn EdgeEffects) {
         self.state.now = now;
         self.expire_deadlines(effects);
-        let at = self.state.held.get(id).map(|held| held.stage.clone());
+        let stage = self.state.held.get(id).map(|held| held.stage.clone());
         let deferred = self.state.deferred.remove_dialogue(id);
         let mut waiting_link = match deferred {
             Some(Deferred::Answer { link, .. }) => Some(link),
             _ => None,
         };
-        match at {
+        match stage {
             None => {}
-            Some(at @ (Stage::Standing { .. } | Stage::Releasing { .. })) => {
-                self.drop_replaced_standing(id, &at, waiting_link.is_none(), effects);
+            Some(stage @ (Stage::Standing { .. } | Stage::Releasing { .. })) => {
+                self.drop_replaced_standing(id, &stage, waiting_link.is_none(), effects);
             }
-            Some(at) => {
+            Some(stage) => {
                 self.state.counts.replaced += 1;
-                waiting_link = self.withdraw_unanswered(id, &at, effects);
+                waiting_link = self.withdraw_unanswered(id, &stage, effects);
             }
         }
         if let Some(link) = waiting_link {
@@ -108,67 +105,68 @@
                 Frame::Declined { dialogue: id.clone(), why: DeclineReason::Unsure, retry_after: None };
             self.signalling(effects).send_frame(link, frame);
         }
-        // It is not concluded as far as its caller is concerned, who may yet dial it here again.
+        // To its caller the dialogue is not concluded: it may be dialled here again.
         self.state.concluded.remove(id);
         self.finish_input(effects);
     }
 
-    /// Lets go of one that stood; `caller_notified`: its caller has heard so, and hears now that it is cut.
+    /// Drops a standing dialogue. If its caller was notified that it stands, it is notified now that it is cut.
     fn drop_replaced_standing(
-        &mut self, id: &DialogueId, at: &Stage, caller_notified: bool, effects: &mut dyn EdgeEffects,
+        &mut self, id: &DialogueId, stage: &Stage, caller_notified: bool, effects: &mut dyn EdgeEffects,
     ) {
-        if let Stage::Releasing { launch, until, .. } = at {
+        if let Stage::Releasing { launch, until, .. } = stage {
             self.state.deadlines.clear(*until, id, *launch);
         }
-        if let Stage::Standing { link, .. } | Stage::Releasing { link, .. } = at
+        if let Stage::Standing { link, .. } | Stage::Releasing { link, .. } = stage
             && let Some(known) = self.state.links.get_mut(link)
         {
             known.dialogues.remove(id);
         }
         self.state.counts.replaced += 1;
         let mut signalling = self.signalling(effects);
-        if let (Some(held), true, Stage::Standing { .. }) = (signalling.remove_held(id), caller_notified, at)
+        if let (Some(held), true, Stage::Standing { .. }) =
+            (signalling.remove_held(id), caller_notified, stage)
         {
             signalling
                 .send_frame(held.caller_link, Frame::Over { dialogue: id.clone(), end: DialogueEnd::Cut });
         }
     }
 
-    /// A dialogue that was dialled before is sought no longer, nor barred: its deadline goes.
-    pub(super) fn clear_outcome_deadline(&mut self, id: &DialogueId, at: &Stage) {
+    /// Clears the deadline of a dialogue whose outcome is looked up, or which is blocked.
+    pub(super) fn clear_outcome_deadline(&mut self, id: &DialogueId, stage: &Stage) {
         let Some(held) = self.state.held.get(id) else { return };
-        match at {
+        match stage {
             Stage::LookingUpOutcome(_) => self.state.deadlines.clear(held.cut_off, id, NO_LAUNCH),
             Stage::Blocked(_, until) => self.state.deadlines.clear((*until).min(held.cut_off), id, NO_LAUNCH),
             _ => {}
         }
     }
 
-    /// A dialogue stands at that server already, placed by a former life of this edge proxy: no answer is owed for
-    /// it. False: it is not taken, since the server is not known here or too much is held.
+    /// Adopts a dialogue that a previous incarnation of this edge proxy set up at this server; no answer is owed for it.
+    /// Returns false if the server is unknown or the maximum number of dialogues is held.
     pub fn adopt_standing(
         &mut self, now: Duration, link: LinkId, dial: &Dial, server: &ServerId, effects: &mut dyn EdgeEffects,
     ) -> bool {
         self.state.now = now;
         self.expire_deadlines(effects);
         let id = &dial.dialogue;
-        let taken = if self.state.held.contains_key(id) {
+        let adopted = if self.state.held.contains_key(id) {
             true
         } else if self.state.held.len() < self.state.limits.max_dialogues
-            && let Some(there) = self.signalling(effects).link_to_core(server)
+            && let Some(core_link) = self.signalling(effects).link_to_core(server)
         {
-            let at = Stage::Standing { server: server.clone(), launch: LaunchNumber(0), link: there };
-            let mut held = HeldDialogue::from_dial(dial, link, now, at, Vec::new());
+            let stage = Stage::Standing { server: server.clone(), launch: LaunchNumber(0), link: core_link };
+            let mut held = HeldDialogue::from_dial(dial, link, now, stage, Vec::new());
             held.launches = 1;
             self.state.held.insert(id.clone(), held);
             let mut signalling = self.signalling(effects);
             signalling.add_dialogue_to_link(link, id);
-            signalling.add_dialogue_to_link(there, id);
+            signalling.add_dialogue_to_link(core_link, id);
             true
         } else {
             false
         };
         self.finish_input(effects);
-        taken
+        adopted
     }
 }
