--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -166,7 +166,9 @@
             known_events: file.known,
             first_choices,
             bounds: Bounds::new(memory_mb as u64, sockets as usize),
-            connect_timeout: settings.connect_timeout.clamp(Duration::from_millis(50), Duration::from_secs(5)),
+            connect_timeout: settings
+                .connect_timeout
+                .clamp(Duration::from_millis(50), Duration::from_secs(5)),
             idle_timeout: settings.idle_timeout.max(Duration::from_millis(500)),
             classes: settings.product_names,
             widths: settings.product_widths,
--- a/crates/platform/src/desk.rs
+++ b/crates/platform/src/connections.rs
@@ -470,8 +470,8 @@
                     caller.has_been_answered = true;
                 }
             }
-            Frame::Refused { dialogue, retry_after: come_back } => {
-                let wait_ms = come_back.map(|time| time.as_millis() as u64);
+            Frame::Refused { dialogue, retry_after } => {
+                let wait_ms = retry_after.map(|time| time.as_millis() as u64);
                 send_final_answer(
                     connections,
                     net,
@@ -524,7 +524,7 @@
         self.connections.close_incarnation(self.net, link);
     }
 
-    fn log(&mut self, _note: LogTopic, line: &str) {
+    fn log(&mut self, _topic: LogTopic, line: &str) {
         self.net.log(line);
     }
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -6,8 +6,8 @@
 /// Encoding and decoding of messages.
 pub mod codec;
 mod config;
+mod connections;
 mod cores;
-mod desk;
 /// The control feed.
 pub mod feed;
 mod sessions;
--- a/crates/platform/src/sessions.rs
+++ b/crates/platform/src/sessions.rs
@@ -1,9 +1,9 @@
 //! The inputs of the platform's edge proxy, each translated directly into calls on the edge.
 
 mod callers;
-mod leaving;
-mod lives;
-mod watch;
+mod core_servers;
+mod feed_events;
+mod shutdown;
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 
 use crate::codec::{BinaryMessage, Framing, MessageSplitter, Tag};
 use crate::config::Config;
-use crate::desk::{CALLERS, ConnectionTable, EndedLaunch, dialogue_id};
+use crate::connections::{CALLERS, ConnectionTable, EndedLaunch, dialogue_id};
 use crate::feed::{Event, Feed};
 use crate::{CloseMode, Net, SocketId};
 
@@ -68,7 +68,7 @@
             remembered_ends: RememberedEnds::default(),
             is_ready: false,
             shutdown_since: None,
-            shutdown_limit: leaving::shutdown_limit(max_cut_off),
+            shutdown_limit: shutdown::shutdown_limit(max_cut_off),
             sweep_at: now,
         }
     }
@@ -260,7 +260,15 @@
                 let EndedLaunch { link, tag, launch, outcome } = ended;
                 let report = LoadReport::default();
                 let effects = &mut self.connections.effects(net);
-                self.edge.launch_outcome_reported(now, link, &dialogue_id(tag), launch, outcome, report, effects);
+                self.edge.launch_outcome_reported(
+                    now,
+                    link,
+                    &dialogue_id(tag),
+                    launch,
+                    outcome,
+                    report,
+                    effects,
+                );
             } else if let Some(socket) = self.connections.unwritable_cores.pop() {
                 net.close(socket, CloseMode::Now);
                 self.core_lost(socket, false, "write queue full", net);
--- a/crates/platform/src/sessions/callers.rs
+++ b/crates/platform/src/sessions/callers.rs
@@ -10,7 +10,7 @@
 use crate::codec::{
     self, CallerMessage, Framing, InvalidMessage, MessageSplitter, MessageToCaller, Start, Tag, cause, code,
 };
-use crate::desk::{CALLERS, Call, CallerConnection, dialogue_id};
+use crate::connections::{CALLERS, Call, CallerConnection, dialogue_id};
 use crate::{CloseMode, Net, SocketId};
 
 /// A connection without a valid message, or with an incomplete one, is closed after this time.
--- a/crates/platform/src/sessions/lives.rs
+++ b/crates/platform/src/sessions/core_servers.rs
@@ -8,8 +8,8 @@
 
 use super::Platform;
 use crate::codec::{self, BinaryMessage, Tag, cause, code, kind};
+use crate::connections::{EndedLaunch, dialogue_id};
 use crate::cores::CoreConnection;
-use crate::desk::{EndedLaunch, dialogue_id};
 use crate::{CloseMode, Net, SocketId};
 
 /// Connections kept open to a listed core server.
@@ -54,7 +54,8 @@
             kind::FINISH => self.handle_core_finish(socket, link, message, report, net),
             kind::FINISHED => {
                 let id = dialogue_id(message.tag);
-                if self.edge.dialogue_stands(&id) == Some(true) && !self.connections.calls.contains_key(&message.tag)
+                if self.edge.dialogue_stands(&id) == Some(true)
+                    && !self.connections.calls.contains_key(&message.tag)
                 {
                     self.end_call(link, message.tag, DialogueEnd::Released, report, net);
                 }
@@ -85,7 +86,7 @@
         let Some(launch) = core.open_launches.get(&tag).copied().filter(|_| !core.is_unsent(tag)) else {
             // A duplicate, or an answer with an unknown identifier, is ignored.
             if core.was_cancelled(tag) {
-                self.stood_after_give_up(socket, link, tag, net);
+                self.stood_after_cancel(socket, link, tag, net);
             }
             return Ok(());
         };
@@ -101,7 +102,7 @@
 
     /// An answer that arrives after its launch was cancelled is released, unless the call is at that server
     /// again: the server has only one call with this identifier.
-    fn stood_after_give_up(&mut self, socket: SocketId, link: LinkId, tag: Tag, net: &mut dyn Net) {
+    fn stood_after_cancel(&mut self, socket: SocketId, link: LinkId, tag: Tag, net: &mut dyn Net) {
         if self.server_of_call(tag) == Some(link) {
             return;
         }
@@ -140,7 +141,7 @@
                         Some(launch),
                         end_for_cause(cause),
                         report,
-                        effects,,
+                        effects,
                     );
                 }
             }
@@ -232,7 +233,12 @@
             return;
         }
         incarnation.last_report = (now, text.to_owned());
-        self.edge.frame_received(now, link, Frame::Report { report }.into(), &mut self.connections.effects(net));
+        self.edge.frame_received(
+            now,
+            link,
+            Frame::Report { report }.into(),
+            &mut self.connections.effects(net),
+        );
     }
 
     pub(super) fn core_lost(&mut self, socket: SocketId, refused: bool, reason: &str, net: &mut dyn Net) {
