--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,4 +1,5 @@
 //! I/O driver of the platform's edge proxy: one thread and one readiness loop around `platform::Platform`.
+//!
 //! Takes no decisions and does not interpret messages: it accepts, connects, reads, writes and reads the
 //! clock. The entry point is [`serve`].
 
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -16,6 +16,8 @@
 
 const LISTENER: Token = Token(0);
 const SIGNALS: Token = Token(1);
+/// Connections get tokens above this one, so that they never collide with the two above.
+const LAST_RESERVED_TOKEN: u64 = 16;
 /// Descriptors that are not connections: standard streams, poll, listener, signals.
 const OTHER_DESCRIPTORS: usize = 14;
 /// Maximum number of connections accepted in one iteration.
@@ -30,6 +32,9 @@
 const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Time that callers have at the end to read the last messages and to close.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
+/// Upper bound on one wait for readiness.
+const MAX_POLL_WAIT: Duration = Duration::from_millis(500);
+/// Interval at which the counters are logged.
 const COUNTS_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Runs an edge proxy as the platform starts it, until a signal asks it to end.
@@ -50,7 +55,12 @@
 
     let bounds = config.bounds.clone();
     let max_connections = bounds.caller_connections * 2 - OTHER_DESCRIPTORS;
-    let mut sockets = Sockets::new(poll.registry().try_clone()?, max_connections, bounds.unwritten_bytes, 16);
+    let mut sockets = Sockets::new(
+        poll.registry().try_clone()?,
+        max_connections,
+        bounds.unwritten_bytes,
+        LAST_RESERVED_TOKEN,
+    );
     let start = Instant::now();
     let clock = || EPOCH + start.elapsed();
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0;
@@ -69,7 +79,7 @@
     let mut close_deadline: Option<Instant> = None;
     loop {
         let now = clock();
-        let mut wait = platform.next_due().saturating_sub(now).min(Duration::from_millis(500));
+        let mut wait = platform.next_due().saturating_sub(now).min(MAX_POLL_WAIT);
         let instant = Instant::now();
         for deadline in [accept_at, sockets.next_expiry(), close_deadline].into_iter().flatten() {
             wait = wait.min(deadline.saturating_duration_since(instant));
--- a/crates/front/src/sockets.rs
+++ b/crates/front/src/sockets.rs
@@ -15,6 +15,8 @@
 /// Bounds on the input discarded from a connection that is closing, in bytes and in time.
 const MAX_DRAINED_BYTES: usize = 256 * 1024;
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(700);
+/// An empty write queue with a larger capacity than this is freed.
+const MAX_IDLE_QUEUE_BYTES: usize = 4096;
 /// Log lines written in one second; those beyond are only counted.
 const MAX_LOG_LINES_PER_SECOND: u32 = 40;
 
@@ -162,7 +164,7 @@
                 Err(e) => return self.fail(socket, &e),
             }
         }
-        if connection.write_queue.capacity() > 4096 && connection.write_queue.is_empty() {
+        if connection.write_queue.capacity() > MAX_IDLE_QUEUE_BYTES && connection.write_queue.is_empty() {
             connection.write_queue = VecDeque::new();
         }
         if let Some(drain) = &mut connection.drain
--- a/crates/platform/src/codec.rs
+++ b/crates/platform/src/codec.rs
@@ -9,6 +9,12 @@
 
 /// Maximum length of one message, without its length prefix or line feed.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
+/// Length of a binary message's header: type and tag.
+const HEADER_BYTES: usize = 9;
+/// Length of a parameter's header: code and length of the value.
+const PARAMETER_HEADER_BYTES: usize = 3;
+/// An empty receive buffer with a larger capacity than this is freed.
+const MAX_IDLE_BUFFER_BYTES: usize = 4096;
 
 /// Identifier of a call in both protocols: 16 hexadecimal digits as text, 8 bytes in binary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -308,11 +314,13 @@
 impl<'a> BinaryMessage<'a> {
     /// Decodes a message without its length prefix; the error is the reason why it is invalid.
     pub fn parse(message: &'a [u8]) -> Result<Self, &'static str> {
-        let (head, mut rest) = message.split_at_checked(9).ok_or("message is shorter than its header")?;
+        let (head, mut rest) =
+            message.split_at_checked(HEADER_BYTES).ok_or("message is shorter than its header")?;
         let tag = Tag(u64::from_be_bytes(head[1..].try_into().expect("the header holds eight bytes of tag")));
         let mut parameters = Vec::new();
         while !rest.is_empty() {
-            let (head, after) = rest.split_at_checked(3).ok_or("truncated parameter header")?;
+            let (head, after) =
+                rest.split_at_checked(PARAMETER_HEADER_BYTES).ok_or("truncated parameter header")?;
             let length = usize::from(u16::from_be_bytes([head[1], head[2]]));
             let (value, after) =
                 after.split_at_checked(length).ok_or("parameter is longer than the message")?;
@@ -348,7 +356,8 @@
 /// Appends a binary message with its length prefix. Returns false and appends nothing if it would exceed
 /// [`MAX_MESSAGE_BYTES`].
 pub fn write_binary_message(kind: u8, tag: Tag, parameters: &[(u8, &[u8])], out: &mut Vec<u8>) -> bool {
-    let length = 9 + parameters.iter().map(|(_, value)| 3 + value.len()).sum::<usize>();
+    let length = HEADER_BYTES
+        + parameters.iter().map(|(_, value)| PARAMETER_HEADER_BYTES + value.len()).sum::<usize>();
     if length > MAX_MESSAGE_BYTES {
         return false;
     }
@@ -371,13 +380,13 @@
     /// Binary messages with a two-byte length prefix.
     Binary,
     /// Lines of up to this many bytes.
-    LongLines(usize),
+    LinesUpTo(usize),
 }
 
 /// Splits a byte stream into messages. Buffers at most one incomplete message and the bytes received after
 /// it.
 pub struct MessageSplitter {
-    form: Framing,
+    framing: Framing,
     buffer: Vec<u8>,
     read_offset: usize,
     /// Offset up to which the buffer has already been scanned for a line feed.
@@ -386,8 +395,8 @@
 
 impl MessageSplitter {
     /// Creates a splitter with an empty buffer.
-    pub fn new(form: Framing) -> Self {
-        Self { form, buffer: Vec::new(), read_offset: 0, scanned: 0 }
+    pub fn new(framing: Framing) -> Self {
+        Self { framing, buffer: Vec::new(), read_offset: 0, scanned: 0 }
     }
 
     /// Appends received bytes to the buffer.
@@ -395,7 +404,7 @@
         self.buffer.drain(..self.read_offset);
         self.scanned -= self.read_offset.min(self.scanned);
         self.read_offset = 0;
-        if self.buffer.is_empty() && self.buffer.capacity() > 4096 {
+        if self.buffer.is_empty() && self.buffer.capacity() > MAX_IDLE_BUFFER_BYTES {
             self.buffer = Vec::new();
         }
         self.buffer.extend_from_slice(bytes);
@@ -409,11 +418,11 @@
     /// The next complete message; `None` if more bytes are needed. An error means that the stream is invalid.
     pub fn next_message(&mut self) -> Result<Option<&[u8]>, &'static str> {
         let buffer = &self.buffer[self.read_offset..];
-        let max_length = match self.form {
+        let max_length = match self.framing {
             Framing::Binary => {
                 let Some((length, rest)) = buffer.split_first_chunk::<2>() else { return Ok(None) };
                 let length = usize::from(u16::from_be_bytes(*length));
-                if !(9..=MAX_MESSAGE_BYTES).contains(&length) {
+                if !(HEADER_BYTES..=MAX_MESSAGE_BYTES).contains(&length) {
                     return Err("message length out of range");
                 }
                 if rest.len() < length {
@@ -424,7 +433,7 @@
                 return Ok(Some(&self.buffer[from..self.read_offset]));
             }
             Framing::Lines => MAX_MESSAGE_BYTES,
-            Framing::LongLines(max_length) => max_length,
+            Framing::LinesUpTo(max_length) => max_length,
         };
         let from = self.scanned.max(self.read_offset);
         let Some(end) = self.buffer[from..].iter().position(|b| *b == b'\n').map(|end| from + end) else {
--- a/crates/platform/src/connections.rs
+++ b/crates/platform/src/connections.rs
@@ -67,8 +67,9 @@
 pub struct PendingRelease {
     ended_at: Duration,
     cause: u8,
-    /// The connections on which it was sent, in order, and when it was last sent.
+    /// The connections on which it was sent, in order.
     sent_on: Vec<SocketId>,
+    /// When it was last sent.
     sent_at: Duration,
     /// Whether it was last sent on the connection of its call, whose owner knows the call.
     sent_on_own_connection: bool,
@@ -344,6 +345,7 @@
     }
 
     /// Writes the waiting set-ups to connections that are up. Returns true if some of them ended instead.
+    ///
     /// A set-up whose caller's connection has unread input is held back until the next iteration, because
     /// that input may cancel it.
     pub fn send_set_ups(&mut self, net: &mut dyn Net) -> bool {
--- a/crates/platform/src/feed.rs
+++ b/crates/platform/src/feed.rs
@@ -98,7 +98,7 @@
 impl Feed {
     /// `last_event` is the number of the last event known.
     pub fn new(last_event: u64) -> Self {
-        let splitter = MessageSplitter::new(Framing::LongLines(MAX_FEED_LINE_BYTES));
+        let splitter = MessageSplitter::new(Framing::LinesUpTo(MAX_FEED_LINE_BYTES));
         Self { last_event, splitter, last_received: Duration::ZERO, retry_at: Duration::ZERO }
     }
 
@@ -109,7 +109,7 @@
 
     /// The connection ended or did not come up. An incomplete line is discarded.
     pub fn connection_lost(&mut self, now: Duration) {
-        self.splitter = MessageSplitter::new(Framing::LongLines(MAX_FEED_LINE_BYTES));
+        self.splitter = MessageSplitter::new(Framing::LinesUpTo(MAX_FEED_LINE_BYTES));
         self.retry_at = now + FEED_RECONNECT_DELAY;
     }
 
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,14 +1,13 @@
 //! The platform's protocol, spoken with callers, core servers and the control feed, for this edge proxy.
+//!
 //! Does no I/O and uses no clock or thread: inputs are calls on [`Platform`] with the time, effects are calls
 //! on [`Net`]. Dialogues are held by `edge::Edge` and decided on by the decision module; this crate records
 //! which connection carries what. The entry point is [`Platform`].
 
-/// Encoding and decoding of messages.
 pub mod codec;
 mod config;
 mod connections;
 mod cores;
-/// The control feed.
 pub mod feed;
 mod sessions;
 
--- a/crates/platform/src/sessions/core_servers.rs
+++ b/crates/platform/src/sessions/core_servers.rs
@@ -148,7 +148,7 @@
             return Ok(());
         }
         if refusal_outcome(cause, note).is_none() && self.edge.has_previous_launch(&dialogue_id(tag)) {
-            self.end_former_launch(socket, link, tag, end_for_cause(cause), report, net);
+            self.end_previous_launch(socket, link, tag, end_for_cause(cause), report, net);
             return Ok(());
         }
         // A server that has answered a later launch has one call with this identifier and may report its end
@@ -172,7 +172,7 @@
 
     /// Handles the end of a call that stood through an earlier launch, while its caller still waits for an
     /// answer: the end has crossed the cancellation, or the answer was lost with its connection.
-    fn end_former_launch(
+    fn end_previous_launch(
         &mut self, socket: SocketId, link: LinkId, tag: Tag, end: DialogueEnd, report: LoadReport,
         net: &mut dyn Net,
     ) {
--- a/crates/platform/tests/drawn.rs
+++ b/crates/platform/tests/drawn.rs
@@ -80,8 +80,8 @@
     }
 
     fn connection_ended(&mut self, on: SocketId, at: Duration) {
-        let connection = self.calls.iter().filter(|(_, call)| call.launch_connection == Some(on));
-        for tag in connection.map(|(tag, _)| *tag).collect::<Vec<_>>() {
+        let affected = self.calls.iter().filter(|(_, call)| call.launch_connection == Some(on));
+        for tag in affected.map(|(tag, _)| *tag).collect::<Vec<_>>() {
             self.launch_ended(tag, at, true);
         }
     }
@@ -182,9 +182,9 @@
     }
 
     fn open_launches(&self) -> Vec<(u64, SocketId)> {
-        let out =
+        let launches =
             self.obligations.calls.iter().filter_map(|(tag, call)| Some((*tag, call.launch_connection?)));
-        out.filter(|(_, on)| !self.w.net.closed.contains_key(on)).collect()
+        launches.filter(|(_, on)| !self.w.net.closed.contains_key(on)).collect()
     }
 
     fn send_host_event(&mut self, letter: &str, place: usize, health: &str) {
@@ -198,7 +198,7 @@
 
     fn step(&mut self) {
         let callers: Vec<SocketId> = self.callers.keys().copied().collect();
-        let out = self.open_launches();
+        let open = self.open_launches();
         match self.below(30) {
             0 | 1 => {
                 let caller = self.w.new_caller();
@@ -236,7 +236,7 @@
                 }
             }
             12..=17 => {
-                let Some((tag, on)) = self.pick(&out) else { return };
+                let Some((tag, on)) = self.pick(&open) else { return };
                 self.obligations.launch_ended(tag, self.w.now, false);
                 self.standing.insert(tag, on);
                 self.w.answer_from_core(on, tag);
@@ -245,7 +245,7 @@
                 }
             }
             18 | 19 => {
-                let Some((tag, on)) = self.pick(&out) else { return };
+                let Some((tag, on)) = self.pick(&open) else { return };
                 let causes =
                     [cause::FULL, cause::ERROR, cause::NOT_PROCESSED, cause::RESET, cause::NORMAL, 99];
                 let cause = self.pick(&causes).expect("the list is not empty");
@@ -253,12 +253,12 @@
                 self.w.end_from_core(on, tag, cause);
             }
             20 => {
-                let Some((_, on)) = self.pick(&out) else { return };
+                let Some((_, on)) = self.pick(&open) else { return };
                 self.w.platform.bytes_received(self.w.now, on, &[0xff; 40], &mut self.w.net);
                 self.w.end_iteration();
             }
             21 => {
-                let Some((_, on)) = self.pick(&out) else { return };
+                let Some((_, on)) = self.pick(&open) else { return };
                 self.w.lose_connection(on, false);
             }
             22..=24 => {
