--- a/crates/platform/src/sessions/lives.rs
+++ b/crates/platform/src/sessions/core_servers.rs
@@ -8,8 +8,8 @@
 
 use super::Platform;
 use crate::codec::{self, BinaryMessage, Tag, cause, code, kind};
+use crate::connections::{EndedLaunch, dialogue_id};
 use crate::cores::CoreConnection;
-use crate::desk::{EndedLaunch, dialogue_id};
 use crate::{CloseMode, Net, SocketId};
 
 /// Connections kept open to a listed core server.
@@ -86,7 +86,7 @@
         let Some(launch) = core.open_launches.get(&tag).copied().filter(|_| !core.is_unsent(tag)) else {
             // A duplicate, or an answer with an unknown identifier, is ignored.
             if core.was_cancelled(tag) {
-                self.stood_after_give_up(socket, link, tag, net);
+                self.stood_after_cancel(socket, link, tag, net);
             }
             return Ok(());
         };
@@ -102,7 +102,7 @@
 
     /// An answer that arrives after its launch was cancelled is released, unless the call is at that server
     /// again: the server has only one call with this identifier.
-    fn stood_after_give_up(&mut self, socket: SocketId, link: LinkId, tag: Tag, net: &mut dyn Net) {
+    fn stood_after_cancel(&mut self, socket: SocketId, link: LinkId, tag: Tag, net: &mut dyn Net) {
         if self.server_of_call(tag) == Some(link) {
             return;
         }
@@ -148,7 +148,7 @@
             return Ok(());
         }
         if refusal_outcome(cause, note).is_none() && self.edge.has_previous_launch(&dialogue_id(tag)) {
-            self.end_former_launch(socket, link, tag, end_for_cause(cause), report, net);
+            self.end_previous_launch(socket, link, tag, end_for_cause(cause), report, net);
             return Ok(());
         }
         // A server that has answered a later launch has one call with this identifier and may report its end
@@ -172,7 +172,7 @@
 
     /// Handles the end of a call that stood through an earlier launch, while its caller still waits for an
     /// answer: the end has crossed the cancellation, or the answer was lost with its connection.
-    fn end_former_launch(
+    fn end_previous_launch(
         &mut self, socket: SocketId, link: LinkId, tag: Tag, end: DialogueEnd, report: LoadReport,
         net: &mut dyn Net,
     ) {
