--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -105,7 +105,7 @@
     }
 
     /// Another voter reports its state. Each committed table is on a majority of voters, so enough others have to be consistent that
-    /// one of that majority is among them. If all have reported and too few are consistent, nobody knows more, and the voter recovers
+    /// one of that majority is among them. If all have reported and too few are consistent, no voter knows more, and this one recovers
     /// after a waiting time; what was lost with that many is found through receivers, which refuse lower tokens.
     pub fn state_reported(&mut self, from: u16, term: Term, is_consistent: bool, table: Table) {
         self.state.term = self.state.term.max(term);
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -116,8 +116,8 @@
         for state in &other.owner_states {
             self.merge_state(state);
         }
-        for given in &other.answers {
-            self.record_answer(given.owner, &given.answer);
+        for recorded in &other.answers {
+            self.record_answer(recorded.owner, &recorded.answer);
         }
     }
 
@@ -144,11 +144,11 @@
     /// Records an owner's final answer. An owner writes only one; if there are two nevertheless, the one that compares lower wins at
     /// every member.
     pub fn record_answer(&mut self, owner: Owner, answer: &Answer) {
-        match self.answers.binary_search_by_key(&owner, |given| given.owner) {
+        match self.answers.binary_search_by_key(&owner, |recorded| recorded.owner) {
             Ok(index) => {
-                let given = &mut self.answers[index];
-                if *answer < given.answer {
-                    given.answer = answer.clone();
+                let recorded = &mut self.answers[index];
+                if *answer < recorded.answer {
+                    recorded.answer = answer.clone();
                 }
             }
             Err(index) => {
@@ -173,20 +173,20 @@
             state.owner = to;
             self.merge_state(&state);
         }
-        if let Some(index) = self.answers.iter().position(|given| given.owner == from) {
-            let given = self.answers.remove(index);
-            self.record_answer(to, &given.answer);
+        if let Some(index) = self.answers.iter().position(|recorded| recorded.owner == from) {
+            let recorded = self.answers.remove(index);
+            self.record_answer(to, &recorded.answer);
         }
     }
 
     /// Interprets the replica: that the dialogue has ended, is answered or stands takes precedence, then the latest blocking time. If
-    /// several owners wrote that it has ended or stands, the highest one wins: it knew whatever a lower owner had told a caller, and
+    /// several owners wrote that it has ended or stands, the highest one wins: it knew whatever a lower owner had sent to a caller, and
     /// what was refused to a lower owner was never sent to a caller.
     pub fn reading(&self) -> ReplicaReading<'_> {
         for state in self.owner_states.iter().rev() {
             match &state.progress {
                 Progress::Ended => {
-                    return match self.answers.last().map(|given| &given.answer) {
+                    return match self.answers.last().map(|recorded| &recorded.answer) {
                         None | Some(Answer::Stands { .. }) => ReplicaReading::Ended,
                         Some(answer) => ReplicaReading::Answered(answer),
                     };
@@ -248,7 +248,7 @@
     /// Converts the replica for sending: times become spans from `now`.
     pub fn to_update(&self, now: Duration, dialogue: &DialogueId) -> ReplicaUpdate {
         let span = |at: Duration| at.saturating_sub(now).min(MAX_SENT_SPAN);
-        let parts = self.owner_states.iter().map(|state| OwnerRecord {
+        let records = self.owner_states.iter().map(|state| OwnerRecord {
             owner: state.owner,
             version: state.version,
             progress: state.progress.clone(),
@@ -257,7 +257,7 @@
         });
         ReplicaUpdate {
             dialogue: dialogue.clone(),
-            owner_records: parts.collect(),
+            owner_records: records.collect(),
             answers: self.answers.clone(),
         }
     }
@@ -266,17 +266,18 @@
     /// lengthened so that a fast local clock does not shorten them.
     pub fn from_update(now: Duration, update: &ReplicaUpdate) -> Self {
         let mut replica = Self::default();
-        for part in &update.owner_records {
-            let blocked_until = if part.blocked_for.is_zero() {
+        for record in &update.owner_records {
+            let blocked_until = if record.blocked_for.is_zero() {
                 Duration::ZERO
             } else {
-                now + part.blocked_for + part.blocked_for / CLOCK_DRIFT_DIVISOR
+                now + record.blocked_for + record.blocked_for / CLOCK_DRIFT_DIVISOR
             };
-            let expires_at = if part.expires_in >= MAX_SENT_SPAN { NO_EXPIRY } else { now + part.expires_in };
-            let (owner, version, progress) = (part.owner, part.version, part.progress.clone());
+            let expires_at =
+                if record.expires_in >= MAX_SENT_SPAN { NO_EXPIRY } else { now + record.expires_in };
+            let (owner, version, progress) = (record.owner, record.version, record.progress.clone());
             replica.merge_state(&OwnerState { owner, version, progress, blocked_until, expires_at });
         }
-        update.answers.iter().for_each(|given| replica.record_answer(given.owner, &given.answer));
+        update.answers.iter().for_each(|recorded| replica.record_answer(recorded.owner, &recorded.answer));
         replica
     }
 }
--- a/crates/replica/src/table.rs
+++ b/crates/replica/src/table.rs
@@ -188,7 +188,7 @@
                 continue;
             };
             let mut replica = entry.replica.clone();
-            replica.change_owner(owner, Owner { incarnation: life: incarnation, ..owner });
+            replica.change_owner(owner, Owner { incarnation, ..owner });
             self.store(now, key, replica);
             self.queue_for_holders(&id, None);
         }
@@ -205,7 +205,7 @@
         let mut replica = self.entries.get(&key).map(|entry| entry.replica.clone()).unwrap_or_default();
         let owner = match replica.owner() {
             Some(owner) if self.is_self(owner) => owner,
-            // Owned by a previous incarnation, or by nobody: other members that could know the dialogue were asked before.
+            // Owned by a previous incarnation or by no member: other members that could know the dialogue were asked before.
             Some(owner) if owner.member == self.self_member && owner.incarnation < self.incarnation => {
                 Owner { incarnation: self.incarnation, ..owner }
             }
@@ -711,11 +711,11 @@
             Progress::Ended => raw.push(3),
         }
     }
-    for given in replica.answers() {
-        raw.extend(given.owner.round.to_le_bytes());
-        raw.extend(given.owner.member.to_le_bytes());
-        raw.extend(given.owner.incarnation.to_le_bytes());
-        match &given.answer {
+    for recorded in replica.answers() {
+        raw.extend(recorded.owner.round.to_le_bytes());
+        raw.extend(recorded.owner.member.to_le_bytes());
+        raw.extend(recorded.owner.incarnation.to_le_bytes());
+        match &recorded.answer {
             Answer::Stands { server } => {
                 raw.push(4);
                 raw.extend(server.0.as_bytes());
--- a/crates/replica/tests/copies.rs
+++ b/crates/replica/tests/copies.rs
@@ -21,8 +21,8 @@
     ServerId(Arc::from(name))
 }
 
-fn owner(round: u32, member: u16, life: u64) -> Owner {
-    Owner { round, member, incarnation: life }
+fn owner(round: u32, member: u16, incarnation: u64) -> Owner {
+    Owner { round, member, incarnation }
 }
 
 fn any_progress() -> impl Strategy<Value = Progress> {
@@ -45,25 +45,25 @@
 
 /// Few owners and versions, so that two replicas often contain the same ones.
 fn any_replica() -> impl Strategy<Value = Replica> {
-    let part = (0u32..4, 0u16..4, 1u64..3, 0u32..4, any_progress(), 0u64..500, 1u64..900);
-    let part = part.prop_map(|(round, member, life, version, reached, bar, lasts)| OwnerRecord {
-        owner: owner(round, member, life),
-        version,
-        progress: reached,
-        blocked_for: ms(bar),
-        expires_in: ms(lasts),
-    });
-    let given = (0u32..3, 0u16..4, 1u64..3, any_answer());
-    let given = given.prop_map(|(round, member, life, answer)| RecordedAnswer {
-        owner: owner(round, member, life),
+    let record = (0u32..4, 0u16..4, 1u64..3, 0u32..4, any_progress(), 0u64..500, 1u64..900);
+    let record =
+        record.prop_map(|(round, member, incarnation, version, progress, blocked_ms, expires_in_ms)| {
+            OwnerRecord {
+                owner: owner(round, member, incarnation),
+                version,
+                progress,
+                blocked_for: ms(blocked_ms),
+                expires_in: ms(expires_in_ms),
+            }
+        });
+    let recorded = (0u32..3, 0u16..4, 1u64..3, any_answer());
+    let recorded = recorded.prop_map(|(round, member, incarnation, answer)| RecordedAnswer {
+        owner: owner(round, member, incarnation),
         answer,
     });
-    (proptest::collection::vec(part, 0..24), proptest::collection::vec(given, 0..6)).prop_map(
-        |(parts, answers)| {
-            Replica::from_update(
-                ms(1000),
-                &ReplicaUpdate { dialogue: id("d"), owner_records: parts, answers },
-            )
+    (proptest::collection::vec(record, 0..24), proptest::collection::vec(recorded, 0..6)).prop_map(
+        |(owner_records, answers)| {
+            Replica::from_update(ms(1000), &ReplicaUpdate { dialogue: id("d"), owner_records, answers })
         },
     )
 }
@@ -91,7 +91,7 @@
         let rank = |replica: &Replica| u8::from(!matches!(replica.reading(), ReplicaReading::Open { .. }));
         let both = merged(&a, &b);
         // A higher version of one owner may withdraw that the dialogue stands; among different owners the most binding state wins.
-        let have_distinct_owners = a.owner_states().iter().all(|part| b.state_of(part.owner).is_none());
+        let have_distinct_owners = a.owner_states().iter().all(|state| b.state_of(state.owner).is_none());
         if have_distinct_owners && both.owner_states().len() == a.owner_states().len() + b.owner_states().len() {
             prop_assert_eq!(rank(&both), rank(&a).max(rank(&b)));
             if let (ReplicaReading::Open { blocked_until, .. }, ReplicaReading::Open { blocked_until: first, .. }, ReplicaReading::Open { blocked_until: second, .. }) =
@@ -106,10 +106,10 @@
     fn transmission_preserves_states_and_never_shortens_blocking_times(a in any_replica(), delay in 0u64..50) {
         let sent = a.to_update(ms(1000), &id("d"));
         let received_replica = Replica::from_update(ms(1000 + delay), &sent);
-        for part in a.owner_states() {
-            let received = received_replica.state_of(part.owner).unwrap();
-            prop_assert_eq!((&received.progress, received.version), (&part.progress, part.version));
-            prop_assert!(part.blocked_until <= ms(1000) || received.blocked_until >= part.blocked_until);
+        for state in a.owner_states() {
+            let received = received_replica.state_of(state.owner).unwrap();
+            prop_assert_eq!((&received.progress, received.version), (&state.progress, state.version));
+            prop_assert!(state.blocked_until <= ms(1000) || received.blocked_until >= state.blocked_until);
         }
         prop_assert_eq!(received_replica.answers(), a.answers());
     }
@@ -272,7 +272,7 @@
     let d = id("d");
     let holders: Vec<u16> = tables[0].group().holders(fingerprint(&d), 0).collect();
     let write =
-        |table: &mut ReplicaTable, reached, wait| table.write(ms(0), &d, reached, ms(0), None, ms(0), wait);
+        |table: &mut ReplicaTable, progress, wait| table.write(ms(0), &d, progress, ms(0), None, ms(0), wait);
     assert_eq!(write(&mut tables[0], Progress::Accepted, None), WriteResult::Immediate);
     assert_eq!(write(&mut tables[0], launched(0), Some((7, 2))), WriteResult::Pending);
     deliver(&mut tables, ms(1), 0, holders[0]);
