--- a/crates/trunk/src/frame.rs
+++ b/crates/trunk/src/frame.rs
@@ -14,8 +14,10 @@
 /// A frame with the optional fields that were received with it and that this version does not know.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
+    /// The frame with its known fields.
     #[serde(flatten)]
     pub frame: Frame,
+    /// The unknown optional fields, in the order received.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub extra: Vec<Extra>,
 }
@@ -23,7 +25,9 @@
 /// An optional field (tag 128 or higher) that this version does not know; it is forwarded unchanged.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Extra {
+    /// The field's tag.
     pub tag: u8,
+    /// The field's value as received.
     pub value: Vec<u8>,
 }
 
@@ -36,9 +40,13 @@
 /// The kind of peer at the other end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Role {
+    /// A caller.
     Caller,
+    /// An edge proxy.
     Edge,
+    /// A core server.
     Core,
+    /// A pool list.
     List,
 }
 
@@ -59,7 +67,7 @@
     Unsure,
 }
 
-/// How a core server turned a launch back.
+/// Why a core server turned a launch back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TurnBackCause {
     /// The wait for its processor is too long.
--- a/crates/trunk/src/member.rs
+++ b/crates/trunk/src/member.rs
@@ -14,8 +14,11 @@
 /// change of owner increases the round; of two owners of the same round the greater one takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Owner {
+    /// Increases with each change of owner.
     pub round: u32,
+    /// Index of the member in the group.
     pub member: u16,
+    /// Incarnation of that member.
     #[serde(rename = "life")]
     pub incarnation: u64,
 }
