--- a/crates/edge/src/decisions.rs
+++ b/crates/edge/src/decisions.rs
@@ -10,9 +10,9 @@
 pub trait Decisions {
     /// Forbids launches before `until`.
     fn hold_launches_until(&mut self, until: Duration);
-    /// The pool list has sent all entries (`whole`) or only the changed ones.
+    /// The pool list has sent all entries (`is_complete`) or only the changed ones.
     fn server_list_received(
-        &mut self, now: Duration, whole: bool, entries: &[ListEntry], out: &mut dyn Signalling,
+        &mut self, now: Duration, is_complete: bool, entries: &[ListEntry], out: &mut dyn Signalling,
     );
     /// A dialogue was dialled.
     fn dialogue_arrived(&mut self, now: Duration, arrival: Arrival, out: &mut dyn Signalling);
@@ -36,9 +36,9 @@
         Self::hold_launches_until(self, until);
     }
     fn server_list_received(
-        &mut self, now: Duration, whole: bool, entries: &[ListEntry], out: &mut dyn Signalling,
+        &mut self, now: Duration, is_complete: bool, entries: &[ListEntry], out: &mut dyn Signalling,
     ) {
-        Self::server_list_received(self, now, whole, entries, out);
+        Self::server_list_received(self, now, is_complete, entries, out);
     }
     fn dialogue_arrived(&mut self, now: Duration, arrival: Arrival, out: &mut dyn Signalling) {
         Self::dialogue_arrived(self, now, arrival, out);
--- a/crates/edge/src/edge/connections.rs
+++ b/crates/edge/src/edge/connections.rs
@@ -87,6 +87,7 @@
         self.finish_input(effects);
     }
 
+    /// The core server on this link, whether or not the link is open.
     pub(super) fn server_of_link(&self, link: LinkId) -> Option<ServerId> {
         match &self.state.links.get(&link)?.peer {
             Peer::Core(server) => Some(server.clone()),
@@ -113,6 +114,7 @@
         }
     }
 
+    /// Ends the launch of a dialogue because its core server cannot be reached.
     pub(super) fn end_launch_as_unreachable(
         &mut self, id: &DialogueId, server: &ServerId, effects: &mut dyn EdgeEffects,
     ) {
@@ -122,6 +124,7 @@
         }
     }
 
+    /// Pings idle links and closes those that are unresponsive or abandoned.
     pub(super) fn check_links(&mut self, effects: &mut dyn EdgeEffects) {
         let (now, limits) = (self.state.now, self.state.limits.clone());
         let mut closing: Vec<(LinkId, &str)> = Vec::new();
--- a/crates/edge/src/edge/core_frames.rs
+++ b/crates/edge/src/edge/core_frames.rs
@@ -68,6 +68,7 @@
         self.brain.dialogue_stands(signalling.state.now, &dialogue, launch, server, &mut signalling);
     }
 
+    /// Passes a load report to the decisions, unless it is empty.
     pub(super) fn load_reported(
         &mut self, server: &ServerId, report: &LoadReport, effects: &mut dyn EdgeEffects,
     ) {
@@ -77,6 +78,7 @@
         }
     }
 
+    /// Whether this launch is in progress on this link.
     pub(super) fn is_launched(&self, id: &DialogueId, launch: LaunchNumber, link: LinkId) -> bool {
         let stage = self.state.held.get(id).map(|held| &held.stage);
         matches!(stage, Some(Stage::Launched { launch: current, link: sent_on, .. }) if (*current, *sent_on) == (launch, Some(link)))
--- a/crates/edge/src/edge/dialling.rs
+++ b/crates/edge/src/edge/dialling.rs
@@ -26,6 +26,7 @@
 }
 
 impl<D: Decisions> Edge<D> {
+    /// A dial was received from a caller.
     pub(super) fn dial_received(
         &mut self, link: LinkId, dial: Dial, extra: Vec<Extra>, effects: &mut dyn EdgeEffects,
     ) {
--- a/crates/edge/src/edge/frames.rs
+++ b/crates/edge/src/edge/frames.rs
@@ -42,8 +42,8 @@
                     self.drop_link(link, "said what is not a core server's to say", effects);
                 }
             }
-            (Peer::List, true, Frame::List { is_complete: whole, entries }) => {
-                self.list_received(whole, entries, effects)
+            (Peer::List, true, Frame::List { is_complete, entries }) => {
+                self.list_received(is_complete, entries, effects)
             }
             (Peer::List, true, Frame::Tables { serial, order }) => {
                 self.tables_order_received(link, serial, order, effects)
@@ -53,6 +53,7 @@
         self.finish_input(effects);
     }
 
+    /// Identifies the peer of a link by its hello, or closes the link if the hello does not match.
     fn hello_received(&mut self, link: LinkId, hello: Hello, effects: &mut dyn EdgeEffects) {
         let known = self.state.links.get_mut(&link).expect("it was found above");
         let mismatch = match (&known.peer, hello.role) {
--- a/crates/edge/src/edge/number_analysis.rs
+++ b/crates/edge/src/edge/number_analysis.rs
@@ -73,6 +73,7 @@
         self.process_number_analysis(effects);
     }
 
+    /// Starts the analysis of a dialled number; the dialogue waits if a look-up is needed.
     pub(super) fn analyse(&mut self, dial: &Dial, arrival: Arrival, effects: &mut dyn EdgeEffects) {
         let Some(numbers) = &mut self.numbers else { return };
         self.state.counts.analysed += 1;
@@ -131,6 +132,7 @@
         }
     }
 
+    /// Passes an analysed dialogue to the decisions, or refuses it.
     fn number_analysed(&mut self, (mut arrival, found): AnalysisResult, effects: &mut dyn EdgeEffects) {
         let Some(held) = self.state.held.get_mut(&arrival.id) else { return };
         held.stage = Stage::Waiting;
--- a/crates/edge/src/edge/server_list.rs
+++ b/crates/edge/src/edge/server_list.rs
@@ -14,9 +14,11 @@
 const MAX_SERVERS: usize = 10_000;
 
 impl<D: Decisions> Edge<D> {
-    /// Handles a list, either whole or with the changed entries only.
-    pub(super) fn list_received(&mut self, whole: bool, entries: Vec<Entry>, effects: &mut dyn EdgeEffects) {
-        if whole {
+    /// Handles a list, either complete or with the changed entries only.
+    pub(super) fn list_received(
+        &mut self, is_complete: bool, entries: Vec<Entry>, effects: &mut dyn EdgeEffects,
+    ) {
+        if is_complete {
             self.state.servers.values_mut().for_each(|core| core.state = ServerState::Gone);
         }
         let (known, replaced_links) = self.apply_entries(entries, effects);
@@ -26,8 +28,8 @@
             }
         }
         let mut signalling = ModuleSignalling { state: &mut self.state, effects };
-        self.brain.server_list_received(signalling.state.now, whole, &known, &mut signalling);
-        self.return_queued_of_inactive(effects);
+        self.brain.server_list_received(signalling.state.now, is_complete, &known, &mut signalling);
+        self.end_queued_launches_of_inactive(effects);
         self.remove_gone_servers(replaced_links, effects);
     }
 
@@ -82,7 +84,7 @@
     }
 
     /// Ends launches that wait for the link of a server that no longer accepts launches.
-    fn return_queued_of_inactive(&mut self, effects: &mut dyn EdgeEffects) {
+    fn end_queued_launches_of_inactive(&mut self, effects: &mut dyn EdgeEffects) {
         let inactive = self.state.servers.iter_mut().filter(|(_, core)| core.state != ServerState::Active);
         let returned: Vec<_> = inactive
             .flat_map(|(id, core)| {
--- a/crates/edge/src/edge/timers.rs
+++ b/crates/edge/src/edge/timers.rs
@@ -70,6 +70,7 @@
         }
     }
 
+    /// Handles one deadline of a dialogue.
     fn deadline_passed(&mut self, id: &DialogueId, launch: LaunchNumber, effects: &mut dyn EdgeEffects) {
         let Some(held) = self.state.held.get(id) else { return };
         match held.stage.clone() {
--- a/crates/edge/src/held.rs
+++ b/crates/edge/src/held.rs
@@ -142,11 +142,15 @@
     pub caller_link: LinkId,
     /// Time at which the caller gives up this try.
     pub cut_off: Duration,
+    /// Stage of its set-up.
     pub stage: Stage,
     /// Number of launches so far.
     pub launches: u32,
+    /// Product as callers name it.
     pub product: u16,
+    /// Number of lines.
     pub width: f64,
+    /// Key of the dialled destination.
     pub key: Option<DialledKey>,
     /// The analysed number to dial, and its routing number if it was ported.
     pub number: Option<Box<AnalysedNumber>>,
@@ -177,6 +181,7 @@
 #[derive(Default)]
 pub struct ConcludedDialogues {
     concluded_at: HashMap<DialogueId, Duration>,
+    /// In order of their conclusion, for expiry.
     by_time: VecDeque<(Duration, DialogueId)>,
 }
 
@@ -209,7 +214,9 @@
 
 /// A send that waits for its record.
 pub enum Deferred {
+    /// A final answer to the caller on this link.
     Answer { link: LinkId, message: Message },
+    /// The launch with this number.
     Launch(LaunchNumber),
 }
 
--- a/crates/edge/src/links.rs
+++ b/crates/edge/src/links.rs
@@ -22,6 +22,7 @@
 
 /// A link and what is known of its other side.
 pub struct Link {
+    /// The other side.
     pub peer: Peer,
     /// The link is connected and the other side has sent a hello.
     pub handshake_done: bool,
@@ -66,6 +67,7 @@
     /// Maximum drift between two clocks, in parts per million.
     const MAX_DRIFT_PPM: u64 = 500;
 
+    /// Delay of a message sent at `sent_at` by the sender's clock; updates the minimum.
     pub fn measure(&mut self, now: Duration, sent_at: Duration) -> Duration {
         let offset = now.as_micros() as i64 - sent_at.as_micros() as i64;
         let minimum = self.minimum.map_or(offset, |(minimum, since)| {
@@ -80,11 +82,14 @@
 
 /// A core server as the pool list describes it.
 pub struct CoreServer {
+    /// Address to connect to.
     pub address: Arc<str>,
+    /// State in the pool list.
     pub state: ServerState,
     /// Known incarnation and its start on this clock. The list sends the start as an age, which varies with the list's
     /// delay; it is stored once per incarnation so that the variation does not look like another start.
     pub incarnation: u64,
+    /// Start of that incarnation.
     pub started: Duration,
     /// The link for new launches.
     pub link: Option<LinkId>,
--- a/crates/edge/src/signalling.rs
+++ b/crates/edge/src/signalling.rs
@@ -14,15 +14,25 @@
 
 /// State of an edge proxy except for its decisions.
 pub struct State {
+    /// Limits on what is held.
     pub limits: Limits,
+    /// Time of the current input, since the start.
     pub now: Duration,
+    /// Dialogues held.
     pub held: HashMap<DialogueId, HeldDialogue>,
+    /// Links in use.
     pub links: BTreeMap<LinkId, Link>,
+    /// Accepted links without a hello, oldest first.
     pub unidentified: VecDeque<LinkId>,
+    /// Number of accepted links.
     pub caller_links: usize,
+    /// Core servers of the pool list.
     pub servers: BTreeMap<ServerId, CoreServer>,
+    /// Deadlines of launches, look-ups and releases.
     pub deadlines: Deadlines,
+    /// Concluded dialogues that are remembered.
     pub concluded: ConcludedDialogues,
+    /// Counters since the start.
     pub counts: Counts,
     /// Time at which the decision module's timer expires.
     pub module_timer: Option<Duration>,
@@ -30,12 +40,15 @@
     pub launch_ends: VecDeque<LaunchEnd>,
     /// Links that failed while being written to, with the reason for closing them.
     pub failed_links: VecDeque<(LinkId, &'static str)>,
+    /// Sends that wait for their records.
     pub deferred: DeferredSends,
 }
 
 /// The state and the effects, lent to the decision module for one input.
 pub struct ModuleSignalling<'a> {
+    /// State of the edge proxy.
     pub state: &'a mut State,
+    /// Effects on the outside world.
     pub effects: &'a mut dyn EdgeEffects,
 }
 
@@ -303,14 +316,14 @@
         }
     }
 
-    fn refuse(&mut self, dialogue: &DialogueId, come_back: Option<Duration>) {
+    fn refuse(&mut self, dialogue: &DialogueId, retry_after: Option<Duration>) {
         if let Some(to) = self.conclude(dialogue) {
             self.state.counts.refused += 1;
             self.send_final_answer(
                 to,
                 dialogue,
                 LaunchNumber(0),
-                Frame::Refused { dialogue: dialogue.clone(), retry_after: come_back }.into(),
+                Frame::Refused { dialogue: dialogue.clone(), retry_after }.into(),
             );
         }
     }
--- a/crates/edge/tests/hard_cases.rs
+++ b/crates/edge/tests/hard_cases.rs
@@ -265,9 +265,9 @@
         self
     }
 
-    fn list_sends(&mut self, whole: bool, entries: Vec<Entry>) -> &mut Self {
+    fn list_sends(&mut self, is_complete: bool, entries: Vec<Entry>) -> &mut Self {
         let list = self.link_to("list");
-        self.receives(list, Frame::List { is_complete: whole, entries })
+        self.receives(list, Frame::List { is_complete, entries })
     }
 
     fn trace(&self) -> &str {
