--- a/crates/edge/src/held.rs
+++ b/crates/edge/src/held.rs
@@ -186,10 +186,12 @@
 }
 
 impl ConcludedDialogues {
+    /// Whether the dialogue is remembered.
     pub fn contains(&self, id: &DialogueId) -> bool {
         self.concluded_at.contains_key(id)
     }
 
+    /// Remembers a dialogue, and evicts those beyond the limits.
     pub fn add(&mut self, now: Duration, id: &DialogueId, limits: &Limits) {
         self.concluded_at.insert(id.clone(), now);
         self.by_time.push_back((now, id.clone()));
@@ -203,10 +205,12 @@
         }
     }
 
+    /// Removes a dialogue.
     pub fn remove(&mut self, id: &DialogueId) {
         self.concluded_at.remove(id);
     }
 
+    /// Number of dialogues remembered.
     pub fn len(&self) -> usize {
         self.concluded_at.len()
     }
@@ -229,12 +233,14 @@
 }
 
 impl DeferredSends {
+    /// Adds a send that waits for this record until `deadline`.
     pub fn add(&mut self, deadline: Duration, number: u64, dialogue: &DialogueId, deferred: Deferred) {
         self.by_dialogue.insert(dialogue.clone(), number);
         self.by_record.insert(number, (deadline, dialogue.clone(), deferred));
         self.deadlines.insert((deadline, number));
     }
 
+    /// Removes and returns the send that waits for this record.
     pub fn take(&mut self, number: u64) -> Option<(DialogueId, Deferred)> {
         let (deadline, dialogue, deferred) = self.by_record.remove(&number)?;
         self.deadlines.remove(&(deadline, number));
@@ -250,11 +256,13 @@
         }
     }
 
+    /// Removes and returns the send of this dialogue.
     pub fn remove_dialogue(&mut self, id: &DialogueId) -> Option<Deferred> {
         let number = self.by_dialogue.get(id).copied()?;
         self.take(number).map(|(_, deferred)| deferred)
     }
 
+    /// Number of deferred sends.
     pub fn len(&self) -> usize {
         self.by_record.len()
     }
@@ -276,18 +284,22 @@
 pub struct Deadlines(BTreeSet<(Duration, DialogueId, LaunchNumber)>);
 
 impl Deadlines {
+    /// Sets a deadline.
     pub fn set(&mut self, at: Duration, id: &DialogueId, launch: LaunchNumber) {
         self.0.insert((at, id.clone(), launch));
     }
 
+    /// Clears a deadline.
     pub fn clear(&mut self, at: Duration, id: &DialogueId, launch: LaunchNumber) {
         self.0.remove(&(at, id.clone(), launch));
     }
 
+    /// The earliest deadline.
     pub fn next(&self) -> Option<Duration> {
         self.0.first().map(|(at, ..)| *at)
     }
 
+    /// Removes and returns one deadline that has passed.
     pub fn take_due(&mut self, now: Duration) -> Option<(DialogueId, LaunchNumber)> {
         if self.next()? > now {
             return None;
--- a/crates/edge/src/links.rs
+++ b/crates/edge/src/links.rs
@@ -41,6 +41,7 @@
 }
 
 impl Link {
+    /// Creates a link that has just been accepted or begun.
     pub fn new(peer: Peer, now: Duration) -> Self {
         Self {
             peer,
--- a/crates/edge/src/numbers.rs
+++ b/crates/edge/src/numbers.rs
@@ -28,13 +28,17 @@
     pub generations: Generations,
     /// Client of the look-up servers; `None` if numbers are not looked up.
     pub client: Option<Client>,
+    /// Pending look-ups by their number as waiters of the client.
     pending: HashMap<u64, PendingLookUp>,
+    /// Look-ups by dialogue.
     by_dialogue: HashMap<DialogueId, u64>,
     deadlines: BTreeSet<(Duration, u64)>,
     last_waiter: u64,
     /// Orders in order of arrival; none is carried out while a generation is loaded.
     orders: VecDeque<(u64, QueuedOrder)>,
+    /// Order and name of the generation that is being loaded.
     loading: Option<(u64, Arc<str>)>,
+    /// Reports on orders, to be sent.
     reports: Vec<Frame>,
 }
 
@@ -46,8 +50,10 @@
 /// A dialogue that waits for its look-up.
 struct PendingLookUp {
     arrival: Arrival,
+    /// Product and width as dialled.
     dialled_as: (u16, f64),
     analysis: Analysis,
+    /// Time until which the answer is awaited.
     until: Duration,
 }
 
@@ -128,6 +134,7 @@
         self.wall_at_start = wall.checked_sub(now).unwrap_or(wall);
     }
 
+    /// Time of day at this time of the edge proxy's clock.
     fn wall_time(&self, now: Duration) -> Timestamp {
         self.wall_at_start.checked_add(now).unwrap_or(self.wall_at_start)
     }
@@ -192,6 +199,7 @@
         Some((arrival, self.result_of(dialled_as, step)))
     }
 
+    /// Result of an analysis step that needs no further look-up.
     fn result_of(&self, (product, width): (u16, f64), step: Step) -> Result<AnalysedRoute, Refusal> {
         match step {
             Step::Route(route) => {
@@ -305,6 +313,7 @@
         self.run_orders(now, effects);
     }
 
+    /// Carries out queued orders until one starts a load.
     fn run_orders(&mut self, now: Duration, effects: &mut dyn EdgeEffects) {
         while self.loading.is_none()
             && let Some((serial, queued)) = self.orders.pop_front()
@@ -364,6 +373,7 @@
         self.report_as_of(serial, self.generations.serial(), name, why);
     }
 
+    /// Queues a report; `in_force` is the serial of the swap that is in force with it. Texts are shortened for sending.
     fn report_as_of(&mut self, serial: u64, in_force: u64, name: Option<&str>, why: Option<String>) {
         let short = |why: String| -> Arc<str> {
             let plain = why.chars().map(|c| if c.is_control() { ' ' } else { c });
--- a/crates/edge/src/signalling.rs
+++ b/crates/edge/src/signalling.rs
@@ -268,6 +268,7 @@
         self.queue_launch_end(id, launch, server, Outcome::Unreachable);
     }
 
+    /// Queues the end of a launch for the decision module.
     pub fn queue_launch_end(
         &mut self, dialogue: &DialogueId, launch: LaunchNumber, server: &ServerId, outcome: Outcome,
     ) {
