--- a/crates/edge/src/held.rs
+++ b/crates/edge/src/held.rs
@@ -142,11 +142,15 @@
     pub caller_link: LinkId,
     /// Time at which the caller gives up this try.
     pub cut_off: Duration,
+    /// Stage of its set-up.
     pub stage: Stage,
     /// Number of launches so far.
     pub launches: u32,
+    /// Product as callers name it.
     pub product: u16,
+    /// Number of lines.
     pub width: f64,
+    /// Key of the dialled destination.
     pub key: Option<DialledKey>,
     /// The analysed number to dial, and its routing number if it was ported.
     pub number: Option<Box<AnalysedNumber>>,
@@ -177,14 +181,17 @@
 #[derive(Default)]
 pub struct ConcludedDialogues {
     concluded_at: HashMap<DialogueId, Duration>,
+    /// In order of their conclusion, for expiry.
     by_time: VecDeque<(Duration, DialogueId)>,
 }
 
 impl ConcludedDialogues {
+    /// Whether the dialogue is remembered.
     pub fn contains(&self, id: &DialogueId) -> bool {
         self.concluded_at.contains_key(id)
     }
 
+    /// Remembers a dialogue, and evicts those beyond the limits.
     pub fn add(&mut self, now: Duration, id: &DialogueId, limits: &Limits) {
         self.concluded_at.insert(id.clone(), now);
         self.by_time.push_back((now, id.clone()));
@@ -198,10 +205,12 @@
         }
     }
 
+    /// Removes a dialogue.
     pub fn remove(&mut self, id: &DialogueId) {
         self.concluded_at.remove(id);
     }
 
+    /// Number of dialogues remembered.
     pub fn len(&self) -> usize {
         self.concluded_at.len()
     }
@@ -209,7 +218,9 @@
 
 /// A send that waits for its record.
 pub enum Deferred {
+    /// A final answer to the caller on this link.
     Answer { link: LinkId, message: Message },
+    /// The launch with this number.
     Launch(LaunchNumber),
 }
 
@@ -222,12 +233,14 @@
 }
 
 impl DeferredSends {
+    /// Adds a send that waits for this record until `deadline`.
     pub fn add(&mut self, deadline: Duration, number: u64, dialogue: &DialogueId, deferred: Deferred) {
         self.by_dialogue.insert(dialogue.clone(), number);
         self.by_record.insert(number, (deadline, dialogue.clone(), deferred));
         self.deadlines.insert((deadline, number));
     }
 
+    /// Removes and returns the send that waits for this record.
     pub fn take(&mut self, number: u64) -> Option<(DialogueId, Deferred)> {
         let (deadline, dialogue, deferred) = self.by_record.remove(&number)?;
         self.deadlines.remove(&(deadline, number));
@@ -243,11 +256,13 @@
         }
     }
 
+    /// Removes and returns the send of this dialogue.
     pub fn remove_dialogue(&mut self, id: &DialogueId) -> Option<Deferred> {
         let number = self.by_dialogue.get(id).copied()?;
         self.take(number).map(|(_, deferred)| deferred)
     }
 
+    /// Number of deferred sends.
     pub fn len(&self) -> usize {
         self.by_record.len()
     }
@@ -269,18 +284,22 @@
 pub struct Deadlines(BTreeSet<(Duration, DialogueId, LaunchNumber)>);
 
 impl Deadlines {
+    /// Sets a deadline.
     pub fn set(&mut self, at: Duration, id: &DialogueId, launch: LaunchNumber) {
         self.0.insert((at, id.clone(), launch));
     }
 
+    /// Clears a deadline.
     pub fn clear(&mut self, at: Duration, id: &DialogueId, launch: LaunchNumber) {
         self.0.remove(&(at, id.clone(), launch));
     }
 
+    /// The earliest deadline.
     pub fn next(&self) -> Option<Duration> {
         self.0.first().map(|(at, ..)| *at)
     }
 
+    /// Removes and returns one deadline that has passed.
     pub fn take_due(&mut self, now: Duration) -> Option<(DialogueId, LaunchNumber)> {
         if self.next()? > now {
             return None;
