--- a/crates/cli/src/fleets.rs
+++ b/crates/cli/src/fleets.rs
@@ -205,7 +205,7 @@
             };
             serde_json::json!({
                 "store": folder.display().to_string(),
-                "start": found.member.life.map(lotussaddle_fleet::start_of),
+                "start": found.member.life.map(lotussaddle_fleet::start_count),
                 "life": found.member.life,
                 "writes": found.member.count,
                 "copies": copies.len(),
--- a/crates/fleet/benches/copies.rs
+++ b/crates/fleet/benches/copies.rs
@@ -1,5 +1,5 @@
-//! What copies cost: memory of each, catching up by a snapshot, and comparing many that differ in few. No socket in between; frames are
-//! encoded and read again. `cargo bench -p lotussaddle-fleet --bench copies`
+//! Cost of replicas: memory of each, catching up by a snapshot, and comparing large tables with few differences. Frames are encoded and
+//! decoded, without sockets. `cargo bench -p lotussaddle-fleet --bench copies`
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -8,13 +8,13 @@
 use lotussaddle_replica::{RangeDifference, ReplicaGroup, ReplicaLimits, ReplicaTable};
 use lotussaddle_trunk::{Answer, Decoder, Frame, Message, PeerMessage, Progress};
 
-const FORGET: Duration = Duration::from_secs(3600);
+const RETENTION: Duration = Duration::from_secs(3600);
 
-fn book(me: u16) -> ReplicaTable {
+fn empty_table(me: u16) -> ReplicaTable {
     let mut book = ReplicaTable::new(
         me,
         ReplicaGroup::new(["edge-0", "edge-1", "edge-2"], 2),
-        ReplicaLimits { max_replicas: 4_000_000, retention: FORGET },
+        ReplicaLimits { max_replicas: 4_000_000, retention: RETENTION },
     );
     book.begin_incarnation(Duration::ZERO, 1 << 24 | u64::from(me));
     book
@@ -24,9 +24,9 @@
     DialogueId(Arc::from(format!("gateway-17-{n}")))
 }
 
-/// Dialogues that stand, as their owner wrote them.
-fn filled(count: usize) -> ReplicaTable {
-    let mut book = book(0);
+/// A table of standing dialogues, as written by their owner.
+fn filled_table(count: usize) -> ReplicaTable {
+    let mut book = empty_table(0);
     let server = ServerId(Arc::from("core-0"));
     for n in 0..count {
         let reached = Progress::Stands { server: server.clone(), launch: LaunchNumber(0) };
@@ -36,14 +36,14 @@
     book
 }
 
-/// Bytes that this process has in memory.
-fn memory() -> u64 {
+/// Resident memory of this process in bytes.
+fn resident_memory() -> u64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     statm.split_whitespace().nth(1).and_then(|n| n.parse::<u64>().ok()).unwrap_or(0) * 4096
 }
 
-/// Over the wire and back: the frame, and its bytes.
-fn over_the_wire(frame: Frame) -> (Frame, usize) {
+/// Encodes and decodes a frame; returns it and its length in bytes.
+fn round_trip(frame: Frame) -> (Frame, usize) {
     let mut bytes = Vec::new();
     Message::from(frame).encode(&mut bytes);
     let mut decoder = Decoder::default();
@@ -55,14 +55,14 @@
     let (mut cursor, mut bytes, mut pieces) = (0, 0, 0);
     loop {
         let (copies, next) = from.snapshot_chunk(Duration::ZERO, 1, cursor);
-        // In frames of the usual length.
+        // Frames of the usual size.
         for part in copies.chunks(256) {
             let frame = Frame::PeerMessage(PeerMessage::Replicas {
                 incarnation: 1,
                 first: 0,
                 replicas: part.to_vec(),
             });
-            let (frame, length) = over_the_wire(frame);
+            let (frame, length) = round_trip(frame);
             let Frame::PeerMessage(PeerMessage::Replicas { replicas: copies, .. }) = frame else {
                 unreachable!("as it was sent")
             };
@@ -77,26 +77,26 @@
     }
 }
 
-/// Bytes said until both know what differs and have it, and rounds.
+/// Compares and repairs two tables; returns the bytes sent, the rounds and the replicas exchanged.
 fn compare(a: &mut ReplicaTable, b: &mut ReplicaTable) -> (usize, usize, usize) {
     let now = Duration::ZERO;
     let (mut bytes, mut rounds, mut mended) = (0, 0, 0);
     let (level, from, sums) = a.top_digests(1);
-    let mut said = vec![(true, RangeDifference::Subranges(level, from, sums))];
-    while !said.is_empty() {
+    let mut pending = vec![(true, RangeDifference::Subranges(level, from, sums))];
+    while !pending.is_empty() {
         rounds += 1;
         let mut next = Vec::new();
-        for (by_a, differing) in said {
-            let (listener, speaker) = if by_a { (&mut *b, 0) } else { (&mut *a, 1) };
+        for (by_a, differing) in pending {
+            let (receiver, sender) = if by_a { (&mut *b, 0) } else { (&mut *a, 1) };
             match differing {
                 RangeDifference::Subranges(level, from, sums) => {
-                    bytes += over_the_wire(Frame::PeerMessage(PeerMessage::RangeDigests {
+                    bytes += round_trip(Frame::PeerMessage(PeerMessage::RangeDigests {
                         level,
                         from,
                         digests: sums.clone(),
                     }))
                     .1;
-                    let found = listener.compare_ranges(speaker, level, from, &sums);
+                    let found = receiver.compare_ranges(sender, level, from, &sums);
                     next.extend(found.into_iter().map(|differing| (!by_a, differing)));
                 }
                 RangeDifference::Leaf(range, prints) => {
@@ -104,16 +104,11 @@
                         range,
                         fingerprints: prints.clone(),
                     });
-                    bytes += over_the_wire(frame).1;
-                    let repair = listener.compare_dialogues(
-                        now,
-                        speaker,
-                        1 << 24 | u64::from(speaker),
-                        range,
-                        &prints,
-                    );
+                    bytes += round_trip(frame).1;
+                    let repair =
+                        receiver.compare_dialogues(now, sender, 1 << 24 | u64::from(sender), range, &prints);
                     let wanted = {
-                        bytes += over_the_wire(Frame::PeerMessage(PeerMessage::RequestReplicas {
+                        bytes += round_trip(Frame::PeerMessage(PeerMessage::RequestReplicas {
                             id_hashes: repair.to_request.clone(),
                         }))
                         .1;
@@ -134,14 +129,14 @@
                         first: 0,
                         replicas: repair.to_send.clone(),
                     });
-                    bytes += over_the_wire(to_listener).1 + over_the_wire(back).1;
-                    let (listener, speaker) = if by_a { (&mut *b, &mut *a) } else { (&mut *a, &mut *b) };
-                    listener.merge_received(now, &wanted);
-                    speaker.merge_received(now, &repair.to_send);
+                    bytes += round_trip(to_listener).1 + round_trip(back).1;
+                    let (receiver, sender) = if by_a { (&mut *b, &mut *a) } else { (&mut *a, &mut *b) };
+                    receiver.merge_received(now, &wanted);
+                    sender.merge_received(now, &repair.to_send);
                 }
             }
         }
-        said = next;
+        pending = next;
     }
     (bytes, rounds, mended)
 }
@@ -150,21 +145,21 @@
     println!("{:>9} {:>12} {:>10} {:>9} {:>12}", "copies", "catch-up ms", "bytes", "pieces", "memory/copy");
     for count in [1_000, 10_000, 100_000, 1_000_000] {
         for _ in 0..3 {
-            let from = filled(count);
-            let mut to = book(1);
-            let before = memory();
+            let from = filled_table(count);
+            let mut to = empty_table(1);
+            let before = resident_memory();
             let begun = Instant::now();
             let (bytes, pieces) = catch_up(&from, &mut to);
             let took = begun.elapsed().as_secs_f64() * 1000.0;
             assert_eq!(to.len(), count);
-            let each = memory().saturating_sub(before) as f64 / count as f64;
+            let each = resident_memory().saturating_sub(before) as f64 / count as f64;
             println!("{count:>9} {took:>12.1} {bytes:>10} {pieces:>9} {each:>12.0}");
         }
     }
     println!("{:>9} {:>9} {:>10} {:>8} {:>8} {:>9}", "copies", "differ", "bytes", "rounds", "mended", "ms");
     for differ in [0, 10, 1000] {
-        let mut a = filled(1_000_000);
-        let mut b = book(1);
+        let mut a = filled_table(1_000_000);
+        let mut b = empty_table(1);
         catch_up(&a, &mut b);
         for n in 0..differ {
             a.write(
--- /dev/null
+++ b/crates/fleet/src/incarnations.rs
@@ -0,0 +1,225 @@
+//! The incarnation of a member: a number that a majority agrees no other process of the same name has had.
+//!
+//! A starting member learns from its peers the highest incarnation of its name that they know, and proposes a higher one. The high
+//! bits count starts and the low bits are random: two processes with one name that propose at the same time propose different
+//! numbers, and the higher one wins. A process that starts from a copy of an old disk learns from its peers that the disk is stale
+//! before it writes.
+
+use std::time::Duration;
+
+use crate::membership_view::MemberSet;
+
+/// A proposal that has no majority yet is sent again after this.
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// Own proposals that are remembered. An older one that is reported again counts as another process's, which only makes the stored
+/// replicas stale.
+const MAX_OWN_PROPOSALS: usize = 16;
+/// Low bits of an incarnation that are random.
+const RANDOM_BITS: u32 = 24;
+
+/// The number of the start that an incarnation counts.
+pub fn start_count(life: u64) -> u64 {
+    life >> RANDOM_BITS
+}
+
+struct Proposal {
+    life: u64,
+    given: MemberSet,
+    at: Duration,
+}
+
+/// The own incarnation of this member, and those granted to its peers.
+pub struct IncarnationTracker {
+    self_member: u16,
+    majority: usize,
+    /// The incarnation of this process; zero: none yet, or another process has a later one.
+    current: u64,
+    /// The highest known incarnation of this member's name.
+    highest: u64,
+    /// What the disk held at the start: the incarnation and its count of writes.
+    stored: Option<(u64, u64)>,
+    /// The highest count of writes of this member's disk that is known here or at a peer.
+    saved: u64,
+    /// Incarnations proposed by this process and by the disk's last process: one that was granted and never used is not a later
+    /// incarnation.
+    own_proposals: Vec<u64>,
+    /// The highest known incarnation that this member did not propose.
+    highest_foreign: u64,
+    /// Peers that have reported what they know.
+    reported_by: MemberSet,
+    proposal: Option<Proposal>,
+    /// The incarnation granted last to each member.
+    given: Vec<u64>,
+    random_state: u64,
+}
+
+/// The result of an answer to a proposal.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ProposalOutcome {
+    /// No majority has agreed yet.
+    Pending,
+    /// A majority agrees that this incarnation is new. `fresh`: the disk's content is of the previous incarnation and complete.
+    New { life: u64, fresh: bool },
+}
+
+impl IncarnationTracker {
+    /// A member without an incarnation. `stored`: incarnation and count of writes on disk; `asked`: the incarnation that the disk's
+    /// last process proposed.
+    pub fn new(
+        self_member: u16, members: usize, stored: Option<(u64, u64)>, asked: u64, random_state: u64,
+    ) -> Self {
+        let (highest, saved) = stored.unwrap_or_default();
+        let (reported_by, given) = (MemberSet::default(), vec![0; members]);
+        let majority = members / 2 + 1;
+        let (own_proposals, highest_foreign) = (vec![asked], highest);
+        Self {
+            self_member,
+            majority,
+            current: 0,
+            highest,
+            stored,
+            saved,
+            own_proposals,
+            highest_foreign,
+            reported_by,
+            proposal: None,
+            given,
+            random_state,
+        }
+    }
+
+    /// The highest count of writes of this member's disk that is known here or at a peer.
+    pub fn known_write_count(&self) -> u64 {
+        self.saved
+    }
+
+    /// Why the disk counts as older than what this member had stored, as text for the log.
+    pub fn describe_stale_disk(&self) -> String {
+        let (life, saved) = self.stored.unwrap_or_default();
+        format!(
+            "the disk has life {life} and {saved} writes, others know of life {} and {} writes",
+            self.highest_foreign, self.saved
+        )
+    }
+
+    /// The incarnation of this process; zero: none.
+    pub fn current(&self) -> u64 {
+        self.current
+    }
+
+    /// A peer reports the highest incarnation of this member and the count of disk writes that it knows. True: the incarnation is
+    /// another process's and replaces this one.
+    pub fn peer_reported(&mut self, peer: u16, highest: u64, saved: u64) -> bool {
+        self.reported_by.set(peer);
+        self.saved = self.saved.max(saved);
+        // This process proposed it, and the peer granted it.
+        if self.proposal.as_ref().is_some_and(|asked| asked.life == highest) {
+            return false;
+        }
+        self.incarnation_seen(highest)
+    }
+
+    /// Whether a peer has reported what it knows of this member's incarnations.
+    pub fn has_reported(&self, peer: u16) -> bool {
+        self.reported_by.has(peer)
+    }
+
+    /// An incarnation of this member is known elsewhere. True: it is later than this process's, which loses its own.
+    pub fn incarnation_seen(&mut self, life: u64) -> bool {
+        self.learn_highest(life);
+        let overtaken = self.current > 0 && life > self.current;
+        if overtaken {
+            self.abandon();
+        }
+        overtaken
+    }
+
+    fn learn_highest(&mut self, life: u64) {
+        self.highest = self.highest.max(life);
+        if !self.own_proposals.contains(&life) {
+            self.highest_foreign = self.highest_foreign.max(life);
+        }
+    }
+
+    /// The incarnation to propose to all peers now, if any.
+    pub fn due_proposal(&mut self, now: Duration) -> Option<u64> {
+        if self.current > 0 || self.reported_by.len() + 1 < self.majority {
+            return None;
+        }
+        if let Some(asked) = self.proposal.as_mut().filter(|asked| asked.life > self.highest) {
+            if now < asked.at + RETRY_INTERVAL {
+                return None;
+            }
+            asked.at = now;
+            return Some(asked.life);
+        }
+        self.random_state =
+            self.random_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        let life = (start_count(self.highest) + 1) << RANDOM_BITS | self.random_state >> (64 - RANDOM_BITS);
+        let mut given = MemberSet::default();
+        given.set(self.self_member);
+        self.proposal = Some(Proposal { life, given, at: now });
+        if self.own_proposals.len() >= MAX_OWN_PROPOSALS {
+            self.own_proposals.remove(0);
+        }
+        self.own_proposals.push(life);
+        Some(life)
+    }
+
+    /// When [`IncarnationTracker::due_proposal`] may return a proposal again.
+    pub fn next_due(&self) -> Option<Duration> {
+        self.proposal.as_ref().filter(|_| self.current == 0).map(|asked| asked.at + RETRY_INTERVAL)
+    }
+
+    /// A peer whose highest known incarnation is `known` proposes `life`. Returns whether it is granted, and the highest one known.
+    pub fn proposal_received(&mut self, peer: u16, known: u64, life: u64) -> (bool, u64) {
+        let Some(given) = self.given.get_mut(usize::from(peer)) else { return (false, 0) };
+        if *given != life && (life < *given || life <= known) {
+            return (false, known.max(*given));
+        }
+        *given = life;
+        (true, life)
+    }
+
+    /// The incarnation granted last to a peer, to be stored on disk; zero: none.
+    pub fn granted_to(&self, peer: u16) -> u64 {
+        self.given.get(usize::from(peer)).copied().unwrap_or_default()
+    }
+
+    /// Restores from disk what was granted to a peer.
+    pub fn restore_granted(&mut self, peer: u16, life: u64) {
+        if let Some(given) = self.given.get_mut(usize::from(peer)) {
+            *given = life.max(*given);
+        }
+    }
+
+    /// A peer has answered a proposal.
+    pub fn proposal_answered(&mut self, peer: u16, life: u64, given: bool, highest: u64) -> ProposalOutcome {
+        self.reported_by.set(peer);
+        if !given {
+            self.learn_highest(highest);
+            return ProposalOutcome::Pending;
+        }
+        let Some(asked) = self.proposal.as_mut().filter(|asked| asked.life == life) else {
+            return ProposalOutcome::Pending;
+        };
+        asked.given.set(peer);
+        if self.current > 0 || asked.given.len() < self.majority {
+            return ProposalOutcome::Pending;
+        }
+        (self.current, self.proposal) = (life, None);
+        let fresh =
+            self.stored.is_some_and(|(stored, saved)| self.highest_foreign <= stored && saved >= self.saved);
+        ProposalOutcome::New { life, fresh }
+    }
+
+    /// Gives up this incarnation for a newer one. The disk's content no longer counts as that of the previous incarnation.
+    pub fn abandon(&mut self) {
+        self.highest = self.highest.max(self.current);
+        (self.current, self.proposal, self.stored) = (0, None, None);
+    }
+}
+
+#[cfg(test)]
+#[path = "../tests/unit/incarnations.rs"]
+mod tests;
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,13 +1,13 @@
-//! One member of a fleet: the group it is in, its lives, the links to its peers, copies of dialogues, what was dialled before, and
-//! what members that are gone leave behind.
+//! One member of a fleet of edge proxies: its group, its incarnations, the links to its peers, the replicas of dialogues, redialled
+//! dialogues, and the takeover of dialogues whose owner is gone.
 //!
-//! No socket, clock, thread or file: inputs are calls on [`Member`] with the time since the start, outputs are calls on [`Effects`],
-//! and what its edge proxy is to be told are [`Finding`]s. It knows no route, limit or load of a core server. Start reading at
-//! [`Plan`], then at [`Member`].
+//! The package uses no socket, clock, thread or file. Inputs are calls on [`Member`] with the time since the start, outputs are calls
+//! on [`Effects`], and results for the member's edge proxy are [`Finding`]s. It does not know any route, limit or load of a core
+//! server. Start reading at [`Plan`], then at [`Member`].
 
 mod duties;
+mod incarnations;
 mod link_liveness;
-mod lives;
 mod member;
 mod membership_view;
 mod peers;
@@ -18,11 +18,11 @@
 mod takeovers;
 
 pub use duties::{CIRCUITS, Duty, DutyPlan, NAMES, PUBLISH, SWEEP};
-pub use lives::{Agreed, Lives, start_of};
+pub use incarnations::{IncarnationTracker, ProposalOutcome, start_count};
 pub use member::{Counts, Effects, Finding, Member, Save, Stored};
 pub use membership_view::{MemberSet, MembershipMessage, MembershipView};
 pub use peers::{PeerLink, Peers};
 pub use plan::Plan;
-pub use redial::{Begin, RedialAction, Redials, Verdict};
+pub use redial::{RedialAction, RedialSearch, Redials, Verdict};
 pub use status::{copy_text, differ, show};
 pub use takeovers::{TakeoverAction, Takeovers};
--- a/crates/fleet/src/link_liveness.rs
+++ b/crates/fleet/src/link_liveness.rs
@@ -1,32 +1,32 @@
-//! Whether a link to a member still carries frames. Neighbours in the overlay send heartbeats; over other links nothing is sent
-//! regularly, so that silence there says nothing. There a link is suspected once something was sent and nothing came back: a ping
-//! asks, and without any frame in time the link is taken as dead.
+//! Detects links to members that no longer carry frames. Neighbours in the overlay send heartbeats; over other links nothing is sent
+//! regularly, so an idle link is not a sign of failure. Such a link is suspected once a frame was sent and none came back: a ping is
+//! sent, and if no frame arrives in time the link counts as dead.
 
 use std::time::Duration;
 
 use lotussaddle_trunk::{Frame, PeerMessage};
 
-/// What is to be done about a link.
+/// The action that a link needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkCheck {
-    /// Nothing: nothing was sent since the last frame, or not for long.
+    /// None: nothing was sent since the last received frame, or only recently.
     Idle,
-    /// Its other side is to be asked.
+    /// A ping is to be sent.
     Ping,
-    /// It is to be closed.
+    /// The link is to be closed.
     Dead,
 }
 
-/// What went over a link since the last frame came.
+/// What was sent over a link since the last frame was received.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LinkLiveness {
-    /// When the first frame was sent that nothing has followed.
+    /// When the first frame was sent after the last received one.
     unanswered_since: Option<Duration>,
     is_pinged: bool,
 }
 
 impl LinkLiveness {
-    /// A frame is sent. One that answers another wants no answer itself: whoever asked finds out that it does not come.
+    /// A frame is sent. An answer expects no answer itself: the side that asked detects that it does not arrive.
     pub fn sent(&mut self, now: Duration, frame: &Frame) {
         if is_answer(frame) {
             return;
@@ -35,12 +35,12 @@
         self.unanswered_since.get_or_insert(now);
     }
 
-    /// A frame came.
+    /// A frame was received.
     pub fn received(&mut self) {
         *self = Self::default();
     }
 
-    /// What is to be done where an answer is awaited for so long before a ping, and before the link is given up.
+    /// The action due now: a ping after `ping_after` without an answer, closing after `dead_after`.
     pub fn check(&self, now: Duration, ping_after: Duration, dead_after: Duration) -> LinkCheck {
         let Some(since) = self.unanswered_since else { return LinkCheck::Idle };
         let unanswered = now.saturating_sub(since);
--- a/crates/fleet/src/member/background.rs
+++ b/crates/fleet/src/member/background.rs
@@ -64,11 +64,11 @@
     }
 
     fn look_for_orphans(&mut self) {
-        let Some(from) = self.look_from.take().filter(|_| self.lives.mine() > 0) else { return };
+        let Some(from) = self.look_from.take().filter(|_| self.lives.current() > 0) else { return };
         let now = self.now;
         let mut actions = Vec::new();
         let mut next = None;
-        let life = self.lives.mine();
+        let life = self.lives.current();
         for (looks, (id, copy)) in self.book.iter_from(from).enumerate() {
             if looks >= SLICE {
                 next = Some(fingerprint(id));
@@ -77,9 +77,9 @@
             if !copy.owner().is_some_and(|owner| self.takeovers.is_ended(owner)) {
                 continue;
             }
-            let live = |member: u16| !self.view.gone(member);
+            let live = |member: u16| !self.view.is_gone(member);
             let first = self.book.group().candidates(fingerprint(id)).iter().find(|member| live(*member));
-            actions.extend(self.takeovers.look(now, id, copy, first, life));
+            actions.extend(self.takeovers.consider_replica(now, id, copy, first, life));
         }
         self.look_from = next;
         self.do_takeover_actions(actions);
--- a/crates/fleet/src/member/confirmations.rs
+++ b/crates/fleet/src/member/confirmations.rs
@@ -101,7 +101,7 @@
             if let (Verdict::Stands { server, launch }, true) = (verdict, self.book.owns_dialogue(&id))
                 && let Some(owner) = self.book.get(&id).and_then(Replica::owner)
             {
-                self.takeovers.keep(self.now, &id, server, owner, launch);
+                self.takeovers.hold_for_caller(self.now, &id, server, owner, launch);
             }
             let come_back = self.plan.silence;
             self.findings.push(Finding::Found(id, Verdict::Unsure { come_back }));
--- a/crates/fleet/src/member/core_servers.rs
+++ b/crates/fleet/src/member/core_servers.rs
@@ -10,7 +10,7 @@
 use super::Member;
 use super::interface::{Effects, Finding};
 use crate::duties::SWEEP;
-use crate::takeovers::{LineOf, TakeoverAction};
+use crate::takeovers::{LineOwnership, TakeoverAction};
 
 /// Core servers whose lines are looked after, at most.
 pub(super) const MOST_CORES: usize = 10_000;
@@ -19,8 +19,8 @@
     /// A link to a core server is up. What stands there of this member and is not held here is nobody's.
     pub fn core_up(&mut self, now: Duration, server: &ServerId) {
         self.now = now;
-        if self.cores.len() < MOST_CORES && self.cores.insert(server.clone()) && self.lives.mine() > 0 {
-            let action = self.takeovers.ask_of_mine(now, server);
+        if self.cores.len() < MOST_CORES && self.cores.insert(server.clone()) && self.lives.current() > 0 {
+            let action = self.takeovers.query_own_lines(now, server);
             self.do_takeover_actions(vec![action]);
         }
     }
@@ -28,7 +28,7 @@
     /// The link to a core server has gone.
     pub fn core_down(&mut self, server: &ServerId) {
         if self.cores.remove(server) {
-            self.takeovers.forget_server(server);
+            self.takeovers.server_lost(server);
         }
     }
 
@@ -42,7 +42,8 @@
             AuditMessage::Lines { serial, more, lines } => {
                 // Where all peers have forgotten a life, core servers still know of it.
                 let ours = lines.iter().map(|line| line.owner).filter(|owner| owner.member == self.plan.me);
-                if self.lives.witnessed(ours.map(|owner| owner.incarnation).max().unwrap_or_default()) {
+                if self.lives.incarnation_seen(ours.map(|owner| owner.incarnation).max().unwrap_or_default())
+                {
                     return self.overtaken(effects);
                 }
                 let (me, book) = (self.plan.me, &self.book);
@@ -53,17 +54,17 @@
                         && line.owner.incarnation == book.incarnation()
                         && held(&line.dialogue)
                     {
-                        return LineOf::Held;
+                        return LineOwnership::Held;
                     }
                     let owner = book.get(&line.dialogue).and_then(Replica::owner);
                     match kept.contains(&line.dialogue) || owner.is_some_and(|owner| owner > line.owner) {
-                        true => LineOf::Claimed,
-                        false => LineOf::Nobody,
+                        true => LineOwnership::Claimed,
+                        false => LineOwnership::Unowned,
                     }
                 };
-                let life = self.lives.mine();
+                let life = self.lives.current();
                 if life > 0 {
-                    let actions = self.takeovers.holds(now, server, serial, &lines, more, life, whose);
+                    let actions = self.takeovers.lines_listed(now, server, serial, &lines, more, life, whose);
                     self.do_takeover_actions(actions);
                 }
             }
@@ -76,12 +77,12 @@
             }
             AuditMessage::Moved { dialogue, by, .. } => {
                 self.book.write_refused(now, &dialogue, by);
-                self.takeovers.drop_of(&dialogue);
+                self.takeovers.remove(&dialogue);
                 self.findings.push(Finding::Replaced(dialogue));
             }
             AuditMessage::Fenced { dialogue, duty, highest } => {
-                self.takeovers.drop_of(&dialogue);
-                self.duties.iter_mut().for_each(|duties| duties.refused(now, duty, highest));
+                self.takeovers.remove(&dialogue);
+                self.duties.iter_mut().for_each(|duties| duties.token_refused(now, duty, highest));
             }
             AuditMessage::ListLines { .. } | AuditMessage::Adopt { .. } => {}
         }
@@ -90,7 +91,7 @@
     /// A standing dialogue has ended at a core server; true: it was one that this member had taken over.
     pub fn core_ended(&mut self, now: Duration, id: &DialogueId) -> bool {
         self.now = now;
-        let actions = self.takeovers.over(id);
+        let actions = self.takeovers.concluded(id);
         let mine = !actions.is_empty();
         self.do_takeover_actions(actions);
         mine
@@ -101,10 +102,12 @@
         self.now = now;
         match frame {
             Frame::AuditMessage(AuditMessage::Adopt { dialogue, .. }) => {
-                let actions = self.redials.unreached(dialogue);
+                let actions = self.redials.server_unreachable(dialogue);
                 self.do_redial_actions(actions); // A successor asks again by itself.
             }
-            Frame::AuditMessage(AuditMessage::ListLines { serial, .. }) => self.takeovers.unasked(*serial),
+            Frame::AuditMessage(AuditMessage::ListLines { serial, .. }) => {
+                self.takeovers.line_query_failed(*serial)
+            }
             _ => {}
         }
     }
@@ -114,13 +117,13 @@
             match action {
                 TakeoverAction::Adopt { server, dialogue, owner, swept } => {
                     let duties = self.duties.as_ref().filter(|_| swept);
-                    let act = duties.and_then(|duties| duties.act(self.now, SWEEP));
+                    let act = duties.and_then(|duties| duties.current_action(self.now, SWEEP));
                     if duties.is_some() && act.is_none() {
                         // The duty is another's by now.
-                        self.takeovers.drop_of(&dialogue);
+                        self.takeovers.remove(&dialogue);
                         continue;
                     }
-                    self.takeovers.let_go(self.now, &server);
+                    self.takeovers.claim_yielded(self.now, &server);
                     self.findings.push(Finding::ToCore(
                         server,
                         Frame::AuditMessage(AuditMessage::Adopt { dialogue, owner, action: act }),
@@ -136,11 +139,11 @@
                     self.counts.released += 1;
                     self.findings.push(Finding::ToCore(server, Frame::Release { dialogue, launch }));
                 }
-                TakeoverAction::Over { dialogue, owner } => {
+                TakeoverAction::Conclude { dialogue, owner } => {
                     self.book.claim(self.now, &dialogue, owner, &Replica::default());
                     self.write(&dialogue, Progress::Ended, Duration::ZERO, None, self.now, 0);
                 }
-                TakeoverAction::What { server, serial, member, life, after } => {
+                TakeoverAction::ListLines { server, serial, member, life, after } => {
                     let what = AuditMessage::ListLines { serial, member, incarnation: life, after };
                     self.findings.push(Finding::ToCore(server, Frame::AuditMessage(what)));
                 }
--- a/crates/fleet/src/member/dispatch.rs
+++ b/crates/fleet/src/member/dispatch.rs
@@ -7,8 +7,8 @@
 use super::Member;
 use super::interface::{Effects, Finding};
 use super::repair::RepairStep;
-use crate::lives::Agreed;
-use crate::peers::{Known, PeerLink, Way};
+use crate::incarnations::ProposalOutcome;
+use crate::peers::{LinkInfo, LinkState, PeerLink};
 
 impl Member {
     /// A frame came on a peer link.
@@ -27,9 +27,9 @@
         }
     }
 
-    fn peer_said(&mut self, link: PeerLink, known: &Known, peer: PeerMessage, effects: &mut dyn Effects) {
-        if let (Way::Operator, PeerMessage::Inquire { query: what }) = (known.way, &peer) {
-            return self.inquired(link, what, effects);
+    fn peer_said(&mut self, link: PeerLink, known: &LinkInfo, peer: PeerMessage, effects: &mut dyn Effects) {
+        if let (LinkState::Operator, PeerMessage::Inquire { query: what }) = (known.state, &peer) {
+            return self.answer_inquiry(link, what, effects);
         }
         let Some(member) = known.member else {
             return self.close(link, "is no member", effects);
@@ -45,10 +45,10 @@
         {
             return self.is_here(link, member, group, place, life, (yours, saved), away, effects);
         }
-        if known.way != Way::Here {
+        if known.state != LinkState::Identified {
             return self.close(link, "spoke before it said who it is", effects);
         }
-        self.view.heard(self.now, member);
+        self.view.frame_received(self.now, member);
         let place = usize::from(member);
         match peer {
             PeerMessage::Greeting { .. } => {}
@@ -56,24 +56,26 @@
                 self.life_asked(link, member, life, effects)
             }
             PeerMessage::IncarnationReply { incarnation: life, granted: given, highest } => {
-                if let Agreed::New { life, fresh } = self.lives.answered(member, life, given, highest) {
+                if let ProposalOutcome::New { life, fresh } =
+                    self.lives.proposal_answered(member, life, given, highest)
+                {
                     self.begin_life(life, fresh && self.has_neighbour_told(), effects);
                 }
             }
             PeerMessage::Membership { message } => self.membership_came(link, member, &message, effects),
-            PeerMessage::DiskCount { saved } => self.view.saved(member, saved),
+            PeerMessage::DiskCount { saved } => self.view.write_count_reported(member, saved),
             PeerMessage::Replicas { incarnation: life, first, replicas: copies } => {
                 self.copies_came(member, life, first, &copies, effects)
             }
             PeerMessage::Acknowledge { incarnation: life, up_to, saved, replaced }
-                if life == self.lives.mine() =>
+                if life == self.lives.current() =>
             {
-                self.view.saved(member, saved);
+                self.view.write_count_reported(member, saved);
                 for Replaced { dialogue, by } in replaced {
                     self.goes(&dialogue);
                     if self.book.write_refused(self.now, &dialogue, by) {
                         self.counts.replaced += 1;
-                        self.takeovers.drop_of(&dialogue);
+                        self.takeovers.remove(&dialogue);
                         self.changed.insert(dialogue.clone());
                         self.findings.push(Finding::Replaced(dialogue));
                     }
@@ -82,12 +84,12 @@
                 self.are_kept();
             }
             PeerMessage::Resume { incarnation: life, received_up_to: have, snapshot }
-                if life == self.lives.mine() =>
+                if life == self.lives.current() =>
             {
                 self.resume_asked(member, have, snapshot);
             }
             PeerMessage::SnapshotChunk { incarnation: life, cursor, next, replicas: copies }
-                if life == self.view.life(member) =>
+                if life == self.view.incarnation(member) =>
             {
                 self.piece_came(member, cursor, next, &copies, effects);
             }
@@ -110,7 +112,7 @@
             | PeerMessage::SnapshotChunk { .. } => {}
             PeerMessage::Duties { message: word } => {
                 let now = self.now;
-                if self.duties.as_mut().is_some_and(|duties| !duties.heard(now, member, &word)) {
+                if self.duties.as_mut().is_some_and(|duties| !duties.message_received(now, member, &word)) {
                     self.close(link, "said what cannot be read about duties", effects);
                 }
             }
@@ -119,20 +121,20 @@
                 self.ordered(member, &act, serial, order, effects)
             }
             PeerMessage::Published { serial, why } => {
-                let (now, life) = (self.now, self.view.life(member));
+                let (now, life) = (self.now, self.view.incarnation(member));
                 if let Some(duties) = &mut self.duties {
-                    duties.published(now, member, life, serial, why.as_deref());
+                    duties.member_published(now, member, life, serial, why.as_deref());
                 }
             }
             PeerMessage::PublishRequest { name } => {
                 let now = self.now;
                 self.duties.iter_mut().for_each(|duties| {
-                    let _ = duties.want(now, &name); // Who asked sees by `fleet duties` what came of it.
+                    let _ = duties.request_publish(now, &name); // Who asked sees by `fleet duties` what came of it.
                 });
             }
             PeerMessage::Fenced { duty, highest } => {
                 let now = self.now;
-                self.duties.iter_mut().for_each(|duties| duties.refused(now, duty, highest));
+                self.duties.iter_mut().for_each(|duties| duties.token_refused(now, duty, highest));
             }
             PeerMessage::Inquire { .. } | PeerMessage::InquireReply { .. } => {
                 self.close(link, "is no operator", effects)
--- a/crates/fleet/src/member/duty_acts.rs
+++ b/crates/fleet/src/member/duty_acts.rs
@@ -20,8 +20,8 @@
         if !self.may(member, act, again, effects) {
             return;
         }
-        if self.lives.mine() > 0 && self.cores.contains(server) {
-            let action = self.takeovers.check_mine(self.now, server);
+        if self.lives.current() > 0 && self.cores.contains(server) {
+            let action = self.takeovers.check_own_lines(self.now, server);
             self.do_takeover_actions(action.into_iter().collect());
         }
     }
@@ -32,7 +32,7 @@
         &mut self, from: u16, act: &DutyAction, again: impl Fn() -> AfterWrite, effects: &mut dyn Effects,
     ) -> bool {
         let Some(duties) = self.duties.as_mut().filter(|_| act.member == from) else { return false };
-        match duties.admits(act) {
+        match duties.admit(act) {
             Err(highest) => {
                 self.to_say.push((from, PeerMessage::Fenced { duty: act.duty, highest }));
                 false
@@ -58,20 +58,20 @@
         let Some(mut duties) = self.duties.take() else { return };
         // A disk that fails leaves none, and what was on it is older than what is said from then on.
         self.has_disk |= effects.has_disk();
-        let swept = duties.act(now, SWEEP).is_some();
+        let swept = duties.current_action(now, SWEEP).is_some();
         if swept != self.sweeps {
             self.sweeps = swept;
-            self.takeovers.sweeps_no_more();
+            self.takeovers.stop_sweeping();
         }
         loop {
-            let actions = duties.outs(now);
+            let actions = duties.take_effects(now);
             if actions.is_empty() {
                 break;
             }
             for action in actions {
                 match action {
-                    DutyEffect::Say(to, word) => {
-                        if let Some(link) = self.peers.to(to) {
+                    DutyEffect::Send(to, word) => {
+                        if let Some(link) = self.peers.link_to(to) {
                             self.tell(
                                 link,
                                 Frame::PeerMessage(PeerMessage::Duties { message: word }),
@@ -79,19 +79,21 @@
                             );
                         }
                     }
-                    DutyEffect::Keep(number, kept) => match self.order(vec![Save::Duties(kept)], effects) {
-                        Some(order) => duties.ordered(order, number),
-                        // Where there is no disk, memory is all that is promised; one that is too far behind promises nothing.
-                        None => duties.kept(now, number, !self.has_disk),
-                    },
+                    DutyEffect::Persist(number, kept) => {
+                        match self.order(vec![Save::Duties(kept)], effects) {
+                            Some(order) => duties.disk_order_issued(order, number),
+                            // Where there is no disk, memory is all that is promised; one that is too far behind promises nothing.
+                            None => duties.state_persisted(now, number, !self.has_disk),
+                        }
+                    }
                     DutyEffect::Check(act, server) => {
                         for member in (0..self.plan.members.len() as u16).filter(|member| *member != me) {
-                            if let Some(link) = self.peers.to(member) {
+                            if let Some(link) = self.peers.link_to(member) {
                                 let check = PeerMessage::CheckLines { action: act, server: server.clone() };
                                 self.tell(link, Frame::PeerMessage(check), effects);
                             }
                         }
-                        let action = self.takeovers.check_mine(now, &server);
+                        let action = self.takeovers.check_own_lines(now, &server);
                         self.do_takeover_actions(action.into_iter().collect());
                     }
                     DutyEffect::Log(line) => effects.log(&line),
@@ -101,15 +103,16 @@
         let heard = || -> Vec<(u16, u64)> {
             let all =
                 (0..self.plan.members.len() as u16).filter(|member| *member == me || self.reaches(*member));
-            let life = |member: u16| if member == me { self.lives.mine() } else { self.view.life(member) };
+            let life =
+                |member: u16| if member == me { self.lives.current() } else { self.view.incarnation(member) };
             all.map(|member| (member, life(member))).filter(|(_, life)| *life > 0).collect()
         };
-        let orders = duties.publishes(now, heard);
+        let orders = duties.due_publish_orders(now, heard);
         self.duties = Some(duties);
         // Others first, so that what this member does itself was seen to be ordered.
         let (own, others): (Vec<_>, Vec<_>) = orders.into_iter().partition(|(member, ..)| *member == me);
         for (member, act, serial, order) in others {
-            if let Some(link) = self.peers.to(member) {
+            if let Some(link) = self.peers.link_to(member) {
                 self.tell(
                     link,
                     Frame::PeerMessage(PeerMessage::Publish { action: act, serial, order }),
@@ -141,11 +144,11 @@
     /// This process is to end: duties that it holds go to others.
     pub fn ends(&mut self, now: Duration) {
         self.now = now;
-        self.duties.iter_mut().for_each(|duties| duties.end(now));
+        self.duties.iter_mut().for_each(|duties| duties.shut_down(now));
     }
 
     /// Nothing of it is left that others would wait for.
     pub fn is_done(&self) -> bool {
-        self.duties.as_ref().is_none_or(Duties::is_done)
+        self.duties.as_ref().is_none_or(Duties::is_shut_down)
     }
 }
--- a/crates/fleet/src/member/incarnations.rs
+++ b/crates/fleet/src/member/incarnations.rs
@@ -10,7 +10,7 @@
 use super::interface::{Effects, Finding, Save};
 use super::saves::AfterWrite;
 use super::streams::Incoming;
-use crate::lives::start_of;
+use crate::incarnations::start_count;
 use crate::peers::PeerLink;
 
 /// An overtaken process asks for a life again after so long: two under one name are a mistake that only an operator mends.
@@ -35,16 +35,16 @@
         if self.now < self.retired_until {
             return;
         }
-        if self.plan.members.len() == 1 && self.lives.mine() == 0 {
+        if self.plan.members.len() == 1 && self.lives.current() == 0 {
             return; // Nobody is there to agree, nor to keep copies.
         }
         if !self.has_neighbour_majority_told() && self.now < self.neighbours_tell_by {
             return;
         }
-        if let Some(life) = self.lives.ask(self.now) {
+        if let Some(life) = self.lives.due_proposal(self.now) {
             self.order(vec![Save::Asked(life)], effects);
             for member in 0..self.plan.members.len() as u16 {
-                if let Some(link) = self.peers.to(member) {
+                if let Some(link) = self.peers.link_to(member) {
                     self.tell(
                         link,
                         Frame::PeerMessage(PeerMessage::ProposeIncarnation { incarnation: life }),
@@ -56,7 +56,7 @@
     }
 
     fn neighbours_that_told(&self) -> usize {
-        self.view.neighbours().iter().filter(|neighbour| self.lives.has_told(**neighbour)).count()
+        self.view.neighbours().iter().filter(|neighbour| self.lives.has_reported(**neighbour)).count()
     }
 
     /// Of this member and its neighbours more than half have said what they know of its former life. Neighbours alone hear regularly
@@ -72,7 +72,7 @@
     }
 
     pub(super) fn life_asked(&mut self, link: PeerLink, member: u16, life: u64, effects: &mut dyn Effects) {
-        let (given, highest) = self.lives.asked(member, self.view.life(member), life);
+        let (given, highest) = self.lives.proposal_received(member, self.view.incarnation(member), life);
         if !given {
             self.tell(
                 link,
@@ -107,21 +107,21 @@
         if !fresh && first && !self.book.is_empty() {
             // What the disk had is older than what was written in the life before.
             let dropped = self.book.drop_not_owned();
-            let why = self.lives.why_older();
+            let why = self.lives.describe_stale_disk();
             effects.log(&format!("{why}: its {dropped} copies are not all that was kept, and are let go"));
         }
         let now = self.now;
         if let Some(duties) = &mut self.duties {
             if !fresh && first {
-                duties.is_older(now);
+                duties.mark_state_stale(now);
             }
-            duties.lives(now, life);
+            duties.set_incarnation(now, life);
         }
         // By their own clocks, peers know how long this member was away: the clock on the wall may have been set in between.
         if let Some(away) = self.away.take().filter(|_| first) {
             self.book.age_restored(self.now, away);
         }
-        effects.log(&format!("life {} begins", start_of(life)));
+        effects.log(&format!("life {} begins", start_count(life)));
         self.book.begin_incarnation(self.now, life);
         // What stands goes on under this life: its core servers are told, or it would pass for what the former one left, or, where
         // it was launched before this process had a life, end with its link.
@@ -141,30 +141,30 @@
         });
         self.findings.extend(adopts);
         // An older copy has had fewer writes: from here on they are counted above all that were told.
-        self.writes.count_from(self.lives.saved());
+        self.writes.count_from(self.lives.known_write_count());
         self.order(vec![Save::Life(life)], effects);
         for member in 0..self.plan.members.len() as u16 {
-            if let Some(link) = self.peers.to(member) {
+            if let Some(link) = self.peers.link_to(member) {
                 self.say_here(link, member, effects);
             }
             self.resume(member, effects);
         }
         // A former life of this member left something behind, perhaps.
-        self.takeovers.ended(self.now, self.plan.me, life - 1);
+        self.takeovers.incarnation_ended(self.now, self.plan.me, life - 1);
         self.view.set_self(self.now, life, self.caught_up());
     }
 
     /// This process has no life until it gets a new one: nothing is copied under the old one.
     pub(super) fn end_life(&mut self, effects: &mut dyn Effects) {
         let now = self.now;
-        self.duties.iter_mut().for_each(|duties| duties.lives(now, 0));
+        self.duties.iter_mut().for_each(|duties| duties.set_incarnation(now, 0));
         self.fresh = false;
         self.wise_at = self.now + self.plan.forget + self.plan.forget / 8;
         for member in 0..self.plan.members.len() as u16 {
             self.book.stream(member).halt();
             self.resumed[usize::from(member)] = false;
             self.incoming[usize::from(member)] = Incoming::default();
-            if let Some(link) = self.peers.to(member) {
+            if let Some(link) = self.peers.link_to(member) {
                 self.say_here(link, member, effects);
             }
         }
@@ -172,18 +172,18 @@
 
     /// A member's register may tell a later life of it than was known.
     pub(super) fn register_tells_life(&mut self, member: u16, effects: &mut dyn Effects) {
-        let life = self.view.registered_life(member);
-        if life > self.view.life(member) {
+        let life = self.view.registered_incarnation(member);
+        if life > self.view.incarnation(member) {
             self.peer_lives(member, life, effects);
         }
     }
 
     /// A peer is in this life.
     pub(super) fn peer_lives(&mut self, member: u16, life: u64, effects: &mut dyn Effects) {
-        let before = self.view.life(member);
-        if self.view.lives(member, life) {
+        let before = self.view.incarnation(member);
+        if self.view.incarnation_learned(member, life) {
             if before > 0 {
-                self.takeovers.ended(self.now, member, before);
+                self.takeovers.incarnation_ended(self.now, member, before);
             }
             self.resume(member, effects);
         } else if self.incoming[usize::from(member)].life != life {
@@ -191,13 +191,13 @@
         }
         // One that is held gone stays so until the view has it back.
         if !self.was_gone.has(member) {
-            self.takeovers.returned(member, life);
+            self.takeovers.member_returned(member, life);
         }
         if life > 0 {
             // What it left in lives before this one is nobody's.
             let ended = life - 1;
             if !self.takeovers.is_ended(Owner { round: 0, member, incarnation: ended }) {
-                self.takeovers.ended(self.now, member, ended);
+                self.takeovers.incarnation_ended(self.now, member, ended);
             }
         }
     }
--- a/crates/fleet/src/member/links.rs
+++ b/crates/fleet/src/member/links.rs
@@ -8,9 +8,9 @@
 use super::Member;
 use super::interface::Effects;
 use super::search::is_reached;
+use crate::incarnations::start_count;
 use crate::link_liveness::LinkCheck;
-use crate::lives::start_of;
-use crate::peers::{Known, PeerLink, Way};
+use crate::peers::{LinkInfo, LinkState, PeerLink};
 
 /// Clocks may differ by so much over an absence before one is taken to have stood still, in parts of it, and in itself.
 pub(super) const STOOD_STILL: Duration = Duration::from_secs(5);
@@ -28,14 +28,14 @@
     /// A link has come in where peers come in.
     pub fn linked(&mut self, now: Duration, link: PeerLink) {
         self.now = now;
-        self.peers.came(now, link);
+        self.peers.accepted(now, link);
     }
 
     /// A link begun from here is up.
     pub fn connected(&mut self, now: Duration, link: PeerLink, effects: &mut dyn Effects) {
         self.now = now;
         if let Some(known) = self.peers.links.get_mut(&link) {
-            (known.way, known.since) = (Way::Fresh, now);
+            (known.state, known.since) = (LinkState::Unidentified, now);
             self.greet(link, effects);
         }
     }
@@ -49,14 +49,14 @@
     }
 
     pub(super) fn say_here(&mut self, link: PeerLink, member: u16, effects: &mut dyn Effects) {
-        let yours = self.view.life(member).max(self.lives.given_to(member));
+        let yours = self.view.incarnation(member).max(self.lives.granted_to(member));
         // Only neighbours send regularly, so that only what they tell is how long it was away.
-        let was_heard = self.view.life(member) > 0 && self.view.is_neighbour(member);
-        let away = was_heard.then(|| self.view.away(self.now, member));
-        let saved = self.view.most_saved(member);
-        let (group, me, life) = (self.group, self.plan.me, self.lives.mine());
+        let was_heard = self.view.incarnation(member) > 0 && self.view.is_neighbour(member);
+        let away = was_heard.then(|| self.view.time_since_frame(self.now, member));
+        let saved = self.view.max_write_count(member);
+        let (group, me, life) = (self.group, self.plan.me, self.lives.current());
         if let Some(known) = self.peers.links.get_mut(&link) {
-            known.told_life = Some(life);
+            known.sent_incarnation = Some(life);
         }
         let here = PeerMessage::Greeting {
             group,
@@ -93,7 +93,7 @@
         if self.view.is_neighbour(member) {
             return; // Heartbeats tell.
         }
-        if let Some(link) = self.peers.to(member) {
+        if let Some(link) = self.peers.link_to(member) {
             self.tell(link, Frame::Ping { nonce: PROBE }, effects);
         }
     }
@@ -101,14 +101,14 @@
     /// Closes links that are dead, and asks over those that may be.
     pub(super) fn review_links(&mut self, effects: &mut dyn Effects) {
         for member in 0..self.plan.members.len() as u16 {
-            let Some(link) = self.peers.to(member) else { continue };
+            let Some(link) = self.peers.link_to(member) else { continue };
             match self.check_link(link, member) {
                 LinkCheck::Idle => {}
                 LinkCheck::Ping => drop(self.tell(link, Frame::Ping { nonce: PROBE }, effects)),
                 LinkCheck::Dead => {
                     self.close(link, "silent, taken as dead", effects);
                     // The other side may hold it for alive, and would not begin another.
-                    self.peers.knock_again(member);
+                    self.peers.allow_connection_attempt(member);
                 }
             }
         }
@@ -117,7 +117,7 @@
     fn check_link(&self, link: PeerLink, member: u16) -> LinkCheck {
         let silence = self.plan.silence;
         if self.view.is_neighbour(member) {
-            let is_dead = self.view.away(self.now, member) >= silence * 2;
+            let is_dead = self.view.time_since_frame(self.now, member) >= silence * 2;
             return if is_dead { LinkCheck::Dead } else { LinkCheck::Idle };
         }
         let Some(known) = self.peers.links.get(&link) else { return LinkCheck::Idle };
@@ -136,8 +136,8 @@
     }
 
     fn forget_link(&mut self, link: PeerLink, why: &str, effects: &mut dyn Effects) {
-        let up = self.peers.links.get(&link).is_some_and(|known| known.way == Way::Here);
-        let Some(member) = self.peers.lost(self.now, link) else { return };
+        let up = self.peers.links.get(&link).is_some_and(|known| known.state == LinkState::Identified);
+        let Some(member) = self.peers.closed(self.now, link) else { return };
         let place = usize::from(member);
         self.resumed[place] = false;
         self.book.stream(member).halt();
@@ -151,7 +151,7 @@
     }
 
     pub(super) fn greeted(
-        &mut self, link: PeerLink, known: &Known, hello: &Hello, effects: &mut dyn Effects,
+        &mut self, link: PeerLink, known: &LinkInfo, hello: &Hello, effects: &mut dyn Effects,
     ) {
         let place = self.plan.members.iter().position(|name| **name == *hello.name);
         let member = place.map(|place| place as u16);
@@ -174,7 +174,7 @@
             known.greeted = true;
             known.member = member;
             if member.is_none() {
-                known.way = Way::Operator;
+                known.state = LinkState::Operator;
             }
         }
         if came_in {
@@ -197,47 +197,48 @@
         }
         // A clock here that stood still while the other's went on: what is kept here may be forgotten elsewhere, and would be
         // brought back to life.
-        let mine = self.view.away(self.now, member);
-        let still = away.filter(|away| *away > mine + mine / 8 + STOOD_STILL && yours == self.lives.mine());
-        if self.lives.mine() == 0
+        let mine = self.view.time_since_frame(self.now, member);
+        let still =
+            away.filter(|away| *away > mine + mine / 8 + STOOD_STILL && yours == self.lives.current());
+        if self.lives.current() == 0
             && let Some(away) = away
         {
             self.away = Some(self.away.map_or(away, |known| known.min(away)));
         }
-        if self.lives.told(member, yours, saved) {
+        if self.lives.peer_reported(member, yours, saved) {
             self.overtaken(effects);
-        } else if still.is_some() && self.lives.mine() > 0 {
+        } else if still.is_some() && self.lives.current() > 0 {
             let dropped = self.book.drop_not_owned();
             effects.log(&format!("this clock stood still: {dropped} copies let go, a new life begins"));
-            self.lives.renew();
+            self.lives.abandon();
             self.end_life(effects);
         }
         if let Some(known) = self.peers.links.get_mut(&link) {
-            known.way = Way::Here;
+            known.state = LinkState::Identified;
         }
-        match self.peers.seated(link, member) {
+        match self.peers.identified(link, member) {
             Some(closed) if closed == link => {
                 self.probe_link_to(member, effects);
                 return self.close(link, "there is a link already", effects);
             }
             Some(before) => {
                 effects.close(before, "another link of the same member");
-                self.peers.lost(self.now, before);
+                self.peers.closed(self.now, before);
             }
             None => {}
         }
-        let new = self.peers.links.contains_key(&link) && !self.view.hears(self.now, member);
+        let new = self.peers.links.contains_key(&link) && !self.view.is_reachable(self.now, member);
         if new {
-            effects.log(&format!("member {} here, in life {}", self.name(member), start_of(life)));
+            effects.log(&format!("member {} here, in life {}", self.name(member), start_count(life)));
         }
-        self.view.heard(self.now, member);
+        self.view.frame_received(self.now, member);
         self.resumed[usize::from(member)] = false;
-        if life >= self.view.life(member) && life > 0 {
+        if life >= self.view.incarnation(member) && life > 0 {
             self.peer_lives(member, life, effects);
         }
         // A life that began between the greeting and now was told only on links that were up.
-        let told_life = self.peers.links.get(&link).map(|known| known.told_life);
-        if told_life.is_some_and(|told| told != Some(self.lives.mine())) {
+        let sent_incarnation = self.peers.links.get(&link).map(|known| known.sent_incarnation);
+        if sent_incarnation.is_some_and(|told| told != Some(self.lives.current())) {
             self.say_here(link, member, effects);
         }
         self.ask_for_life(effects);
--- a/crates/fleet/src/member/mod.rs
+++ b/crates/fleet/src/member/mod.rs
@@ -28,7 +28,7 @@
 use lotussaddle_trunk::{Cursor, Owner, PeerMessage};
 
 use crate::duties::Duties;
-use crate::lives::Lives;
+use crate::incarnations::IncarnationTracker;
 use crate::membership_view::{MemberSet, MembershipView};
 use crate::peers::Peers;
 use crate::plan::Plan;
@@ -50,7 +50,7 @@
     group: u64,
     now: Duration,
     view: MembershipView,
-    lives: Lives,
+    lives: IncarnationTracker,
     peers: Peers,
     book: ReplicaTable,
     redials: Redials,
@@ -113,8 +113,8 @@
             chores.add(chore, priority);
         }
         let known = stored.life.map(|life| (life, stored.count));
-        let mut lives = Lives::new(me, members, known, stored.asked, chance);
-        stored.given.iter().for_each(|(peer, life)| lives.recall_given(*peer, *life));
+        let mut lives = IncarnationTracker::new(me, members, known, stored.asked, chance);
+        stored.given.iter().for_each(|(peer, life)| lives.restore_granted(*peer, *life));
         let duties = plan.duties.as_ref().map(|duties| {
             let kept = (stored.duties.as_deref(), stored.fence.as_deref());
             Duties::new(now, me, &book.group().clone(), duties, plan.unclaimed, kept, chance ^ 0x5bd1_e995)
@@ -192,7 +192,7 @@
 
     /// The incarnation that this process has; zero: none yet.
     pub fn life(&self) -> u64 {
-        self.lives.mine()
+        self.lives.current()
     }
 
     /// Which peers are heard, and what they have said of themselves.
@@ -216,7 +216,7 @@
         let others = (0..self.incoming.len()).filter(|place| *place != usize::from(self.plan.me));
         let missing = others.filter(|place| !self.incoming[*place].synced).count();
         let may_miss = self.plan.awaited().max(1) - 1;
-        self.lives.mine() > 0 && (self.fresh || missing <= may_miss || self.now >= self.wise_at)
+        self.lives.current() > 0 && (self.fresh || missing <= may_miss || self.now >= self.wise_at)
     }
 
     fn name(&self, member: u16) -> &str {
--- a/crates/fleet/src/member/own_dialogues.rs
+++ b/crates/fleet/src/member/own_dialogues.rs
@@ -24,7 +24,7 @@
             WriteResult::Pending => Some(ticket),
             // While it has no life nobody can acknowledge anything.
             WriteResult::Immediate => {
-                (acks > 0 && self.plan.strictly && self.lives.mine() == 0).then_some(ticket)
+                (acks > 0 && self.plan.strictly && self.lives.current() == 0).then_some(ticket)
             }
             WriteResult::Replaced(_) => {
                 self.counts.replaced += 1;
@@ -86,7 +86,7 @@
     /// What launches of this dialogue bear, so that its core server knows whose it is; none where nobody is to take it over.
     pub fn owner_of(&self, id: &DialogueId) -> Option<Owner> {
         let owner = self.book.get(id)?.owner()?;
-        (self.lives.mine() > 0 && self.book.owns_dialogue(id)).then_some(owner)
+        (self.lives.current() > 0 && self.book.owns_dialogue(id)).then_some(owner)
     }
 
     /// A dialogue of this member is another's now, who may never come for what stands.
@@ -96,13 +96,13 @@
             Progress::Stands { server, .. } if part.owner.member == self.plan.me => Some(server),
             _ => None,
         });
-        servers.for_each(|server| self.takeovers.let_go(self.now, server));
+        servers.for_each(|server| self.takeovers.claim_yielded(self.now, server));
     }
 
     /// Its edge proxy has let a dialogue go, as [`Finding::LetGo`] asked.
     pub fn let_go(&mut self, now: Duration, id: &DialogueId) {
         self.now = now;
-        self.takeovers.drop_of(id);
+        self.takeovers.remove(id);
         for (member, serial, owner) in self.lets.remove(id).unwrap_or_default() {
             self.counts.replaced += 1;
             self.answer_asked(member, serial, id, owner);
--- a/crates/fleet/src/member/repair.rs
+++ b/crates/fleet/src/member/repair.rs
@@ -50,7 +50,7 @@
 impl Member {
     pub(super) fn compare(&mut self) {
         for member in self.plan.me + 1..self.plan.members.len() as u16 {
-            if self.peers.to(member).is_some() && self.incoming[usize::from(member)].synced {
+            if self.peers.link_to(member).is_some() && self.incoming[usize::from(member)].synced {
                 let (level, from, sums) = self.book.top_digests(member);
                 self.to_say.push((member, PeerMessage::RangeDigests { level, from, digests: sums }));
             }
@@ -58,7 +58,7 @@
     }
 
     pub(super) fn send_repair(&mut self, member: u16, step: RepairStep, effects: &mut dyn Effects) {
-        let Some(link) = self.peers.to(member) else { return };
+        let Some(link) = self.peers.link_to(member) else { return };
         let mut copies = Vec::new();
         match step {
             RepairStep::Sums(level, from, sums) => {
@@ -75,7 +75,7 @@
                 }
             }
             RepairStep::Prints(range, prints) => {
-                let life = self.view.life(member);
+                let life = self.view.incarnation(member);
                 let repair = self.book.compare_dialogues(self.now, member, life, range, &prints);
                 self.counts.repaired +=
                     (repair.to_send.len() + repair.to_request.len() + repair.dropped_count) as u64;
@@ -92,7 +92,7 @@
         }
         for copies in in_frames(copies).into_iter().filter(|copies| !copies.is_empty()) {
             self.counts.copies_sent += copies.len() as u64;
-            let life = self.lives.mine();
+            let life = self.lives.current();
             self.tell(
                 link,
                 Frame::PeerMessage(PeerMessage::Replicas { incarnation: life, first: 0, replicas: copies }),
--- a/crates/fleet/src/member/saves.rs
+++ b/crates/fleet/src/member/saves.rs
@@ -106,7 +106,7 @@
         after.extend(known.map(|(to, message)| AfterWrite::Say { to, message }));
         self.do_after_last_write(after, effects);
         for (member, peer) in std::mem::take(&mut self.to_say) {
-            if let Some(link) = self.peers.to(member) {
+            if let Some(link) = self.peers.link_to(member) {
                 self.tell(link, Frame::PeerMessage(peer), effects);
             }
         }
@@ -161,7 +161,7 @@
     pub fn saved(&mut self, now: Duration, number: u64, well: bool, effects: &mut dyn Effects) {
         self.now = now;
         let waited = self.writes.report(number, well);
-        self.duties.iter_mut().for_each(|duties| duties.saved(now, number, well));
+        self.duties.iter_mut().for_each(|duties| duties.disk_order_completed(now, number, well));
         // Not kept: not acknowledged. The owner goes by whoever else has it.
         for after in waited.into_iter().filter(|_| well) {
             self.is_saved(after, effects);
@@ -171,12 +171,12 @@
     fn is_saved(&mut self, after: AfterWrite, effects: &mut dyn Effects) {
         match after {
             AfterWrite::Say { to, message } => {
-                if let Some(link) = self.peers.to(to) {
+                if let Some(link) = self.peers.link_to(to) {
                     self.tell(link, Frame::PeerMessage(message), effects);
                 }
             }
             AfterWrite::Acknowledge { to, life, up_to, replaced } => {
-                if let Some(link) = self.peers.to(to) {
+                if let Some(link) = self.peers.link_to(to) {
                     let saved = self.writes.saved();
                     self.tell(
                         link,
--- a/crates/fleet/src/member/search.rs
+++ b/crates/fleet/src/member/search.rs
@@ -11,14 +11,14 @@
 use super::interface::Finding;
 use crate::membership_view::MembershipView;
 use crate::peers::Peers;
-use crate::redial::{Begin, RedialAction, Verdict};
+use crate::redial::{RedialAction, RedialSearch, Verdict};
 
 /// Questions answered in one turn, at most; whoever gets no answer is not sure.
 pub(super) const MOST_KNOWN: usize = 30_000;
 
 /// Whether what is said to a member now reaches it, as far as is known: there is a link, and it is heard.
 pub(super) fn is_reached(peers: &Peers, view: &MembershipView, now: Duration, member: u16) -> bool {
-    peers.to(member).is_some() && view.hears(now, member)
+    peers.link_to(member).is_some() && view.is_reachable(now, member)
 }
 
 impl Member {
@@ -27,12 +27,12 @@
         self.now = now;
         self.counts.asks += 1;
         let come_back = self.plan.silence;
-        if self.lives.mine() == 0 || self.redials.len() + self.confirmations.len() >= self.plan.asks {
+        if self.lives.current() == 0 || self.redials.len() + self.confirmations.len() >= self.plan.asks {
             self.counts.asks_refused += 1;
             return self.findings.push(Finding::Found(id.clone(), Verdict::Unsure { come_back }));
         }
         self.confirmations.remove(id);
-        if let Some((server, launch)) = self.takeovers.claim(id) {
+        if let Some((server, launch)) = self.takeovers.claim_held(id) {
             return self.confirm(id.clone(), Verdict::Stands { server, launch });
         }
         // What this member owns nobody else has gone on with, or its writes will be refused. What stood is asked for all the same:
@@ -54,12 +54,12 @@
         if let Some(verdict) = verdict {
             return self.confirm(id.clone(), verdict);
         }
-        self.takeovers.drop_of(id);
+        self.takeovers.remove(id);
         let print = fingerprint(id);
         let candidates: Vec<u16> = self.book.group().candidates(print).iter().collect();
         let known = self.book.get(id).cloned().unwrap_or_default();
         let round = known.owner().map_or(0, |owner| owner.round) + 1;
-        let owner = Owner { round, member: self.plan.me, incarnation: self.lives.mine() };
+        let owner = Owner { round, member: self.plan.me, incarnation: self.lives.current() };
         let mut knows = candidates.contains(&self.plan.me) && self.caught_up();
         if candidates.contains(&self.plan.me) {
             self.book.claim_requested(now, id, owner);
@@ -67,14 +67,14 @@
         }
         let (peers, view) = (&self.peers, &self.view);
         let reached = |member: u16| is_reached(peers, view, now, member);
-        let begin = Begin { reached: &reached, knows, known, owner, cut_off };
+        let begin = RedialSearch { reached: &reached, knows, known, owner, cut_off };
         let actions = self.redials.begin(now, id, begin);
         self.do_redial_actions(actions);
     }
 
     /// Its caller wants no more of what is sought.
     pub fn sought_no_more(&mut self, id: &DialogueId) {
-        self.redials.drop_of(id);
+        self.redials.cancel(id);
     }
 
     pub(super) fn do_redial_actions(&mut self, actions: Vec<RedialAction>) {
@@ -88,20 +88,20 @@
                     self.write(&dialogue, Progress::Accepted, Duration::ZERO, None, self.now, 0);
                 }
                 RedialAction::Adopt { server, dialogue, owner } => {
-                    self.takeovers.let_go(self.now, &server); // The answer may be lost.
+                    self.takeovers.claim_yielded(self.now, &server); // The answer may be lost.
                     let frame = Frame::AuditMessage(AuditMessage::Adopt { dialogue, owner, action: None });
                     self.findings.push(Finding::ToCore(server, frame));
                 }
-                RedialAction::Say(id, verdict) => self.confirm(id, verdict),
+                RedialAction::Report(id, verdict) => self.confirm(id, verdict),
             }
         }
     }
 
     pub(super) fn asked(&mut self, member: u16, serial: u64, id: DialogueId, owner: Owner) {
-        if owner.member != member || owner.incarnation != self.view.life(member) {
+        if owner.member != member || owner.incarnation != self.view.incarnation(member) {
             return; // Of another life, or in another's name.
         }
-        let actions = self.redials.beaten(&id, owner);
+        let actions = self.redials.competing_claim(&id, owner);
         self.do_redial_actions(actions);
         if self.book.owns_dialogue(&id) && self.book.get(&id).and_then(Replica::owner) < Some(owner) {
             // What is out is called off first, so that the answer says how long it is in doubt.
@@ -130,7 +130,7 @@
     pub(super) fn told(
         &mut self, from: u16, serial: u64, sure: bool, higher: Option<Owner>, copy: Option<&ReplicaUpdate>,
     ) {
-        let Some((id, owner)) = self.redials.of(serial) else { return };
+        let Some((id, owner)) = self.redials.search_of(serial) else { return };
         let id = id.clone();
         let copy = copy.filter(|copy| copy.dialogue == id).map(|copy| Replica::from_update(self.now, copy));
         let candidate = self.book.group().candidates(fingerprint(&id)).contains(self.plan.me);
--- a/crates/fleet/src/member/streams.rs
+++ b/crates/fleet/src/member/streams.rs
@@ -28,8 +28,10 @@
 impl Member {
     /// Says what is had of a peer's stream, and asks for a snapshot where all before it is not had.
     pub(super) fn resume(&mut self, member: u16, effects: &mut dyn Effects) {
-        let life = self.view.life(member);
-        let Some(link) = self.peers.to(member).filter(|_| life > 0 && self.lives.mine() > 0) else { return };
+        let life = self.view.incarnation(member);
+        let Some(link) = self.peers.link_to(member).filter(|_| life > 0 && self.lives.current() > 0) else {
+            return;
+        };
         let incoming = &mut self.incoming[usize::from(member)];
         if incoming.life != life {
             (incoming.life, incoming.have, incoming.snapshot, incoming.owed) = (life, 0, None, false);
@@ -114,24 +116,24 @@
         for (id, _) in news.ownership_lost {
             self.counts.replaced += 1;
             self.goes(&id);
-            self.takeovers.drop_of(&id);
+            self.takeovers.remove(&id);
             self.findings.push(Finding::Replaced(id));
         }
-        if self.takeovers.any_ended() {
+        if self.takeovers.has_ended_incarnations() {
             let left = |id: &DialogueId| {
                 self.book.get(id).and_then(Replica::owner).is_some_and(|o| self.takeovers.is_ended(o))
             };
             let look = news.changed.iter().any(left);
-            self.takeovers.look_again |= look;
+            self.takeovers.rescan_needed |= look;
         }
         self.changed.extend(news.changed);
         news.replaced
     }
 
     pub(super) fn send_piece(&mut self, member: u16, cursor: Cursor, effects: &mut dyn Effects) {
-        let Some(link) = self.peers.to(member) else { return };
+        let Some(link) = self.peers.link_to(member) else { return };
         let (copies, next) = self.book.snapshot_chunk(self.now, member, cursor.from);
-        let life = self.lives.mine();
+        let life = self.lives.current();
         let mut frames = in_frames(copies);
         let last = frames.pop().unwrap_or_default();
         for copies in frames {
@@ -157,7 +159,7 @@
 
     /// Sends what the streams to all peers have, as much as one turn takes.
     pub(super) fn send_streams(&mut self, effects: &mut dyn Effects) {
-        if self.lives.mine() == 0 {
+        if self.lives.current() == 0 {
             return;
         }
         for member in 0..self.plan.members.len() as u16 {
@@ -168,12 +170,12 @@
     }
 
     fn send_stream(&mut self, member: u16, effects: &mut dyn Effects) {
-        let Some(link) = self.peers.to(member) else { return };
+        let Some(link) = self.peers.link_to(member) else { return };
         if self.book.stream(member).is_overrun() {
             return self.close(link, "too far behind: it begins anew with a snapshot", effects);
         }
         let Some((mut first, copies)) = self.book.next_updates(self.now, member, A_TURN) else { return };
-        let life = self.lives.mine();
+        let life = self.lives.current();
         for copies in in_frames(copies) {
             let count = copies.len() as u64;
             self.counts.copies_sent += count;
@@ -192,7 +194,7 @@
     pub fn is_behind(&mut self) -> bool {
         (0..self.plan.members.len() as u16).any(|member| {
             self.resumed[usize::from(member)]
-                && self.peers.to(member).is_some()
+                && self.peers.link_to(member).is_some()
                 && self.book.stream(member).has_unsent()
         })
     }
--- a/crates/fleet/src/member/table_orders.rs
+++ b/crates/fleet/src/member/table_orders.rs
@@ -83,11 +83,11 @@
     }
 
     fn answer_order(&mut self, to: u16, serial: u64, why: Option<Arc<str>>) {
-        let (now, life) = (self.now, self.lives.mine());
+        let (now, life) = (self.now, self.lives.current());
         if to != self.plan.me {
             self.to_say.push((to, PeerMessage::Published { serial, why }));
         } else if let Some(duties) = &mut self.duties {
-            duties.published(now, to, life, serial, why.as_deref());
+            duties.member_published(now, to, life, serial, why.as_deref());
         }
     }
 
@@ -105,9 +105,9 @@
         self.now = now;
         let Some(duties) = &mut self.duties else { return false };
         match duties.holder(PUBLISH) {
-            Some(holder) if holder == self.plan.me => duties.want(now, name),
+            Some(holder) if holder == self.plan.me => duties.request_publish(now, name),
             Some(holder) => {
-                let there = self.peers.to(holder).is_some();
+                let there = self.peers.link_to(holder).is_some();
                 self.to_say.push((holder, PeerMessage::PublishRequest { name: name.into() }));
                 there
             }
--- a/crates/fleet/src/member/timers.rs
+++ b/crates/fleet/src/member/timers.rs
@@ -9,7 +9,7 @@
 use super::interface::Effects;
 use crate::duties::{Duties, SWEEP};
 use crate::membership_view::MembershipMessage;
-use crate::peers::{PeerLink, Way};
+use crate::peers::{LinkState, PeerLink};
 use crate::takeovers::TakeoverAction;
 
 /// A link that says nothing of use for so long is closed.
@@ -38,18 +38,18 @@
     /// The time given by `next_due` has come.
     pub fn alarm(&mut self, now: Duration, effects: &mut dyn Effects) {
         self.now = now;
-        for member in self.peers.to_begin(now) {
+        for member in self.peers.due_connections(now) {
             let link = effects.connect(member);
-            self.peers.begun(now, member, link);
+            self.peers.connection_started(now, member, link);
         }
         self.ask_for_life(effects);
         if let Some(duties) = self.duties.as_mut().filter(|duties| duties.next_due() <= now) {
-            duties.alarm(now, &self.cores);
+            duties.timer_fired(now, &self.cores);
         }
-        let actions = self.redials.alarm(now);
+        let actions = self.redials.timer_fired(now);
         self.do_redial_actions(actions);
         self.unconfirmed();
-        let actions = self.takeovers.alarm(now);
+        let actions = self.takeovers.timer_fired(now);
         self.do_takeover_actions(actions);
         if self.view.next_due() <= now {
             self.send_membership(effects);
@@ -66,9 +66,9 @@
     }
 
     fn send_membership(&mut self, effects: &mut dyn Effects) {
-        self.view.set_self(self.now, self.lives.mine(), self.caught_up());
+        self.view.set_self(self.now, self.lives.current(), self.caught_up());
         for MembershipMessage { to, is_heartbeat, bytes } in self.view.tick(self.now) {
-            let Some(link) = self.peers.to(to) else { continue };
+            let Some(link) = self.peers.link_to(to) else { continue };
             self.tell(link, Frame::PeerMessage(PeerMessage::Membership { message: bytes }), effects);
             if is_heartbeat {
                 self.tell_disk_count(link, effects);
@@ -80,7 +80,7 @@
     fn tell_disk_count(&mut self, link: PeerLink, effects: &mut dyn Effects) {
         let saved = self.writes.saved();
         let Some(known) = self.peers.links.get_mut(&link) else { return };
-        if known.told_saved.replace(saved) != Some(saved) {
+        if known.sent_write_count.replace(saved) != Some(saved) {
             self.tell(link, Frame::PeerMessage(PeerMessage::DiskCount { saved }), effects);
         }
     }
@@ -89,53 +89,55 @@
     fn look_round(&mut self, effects: &mut dyn Effects) {
         let now = self.now;
         for member in 0..self.plan.members.len() as u16 {
-            let gone = self.view.gone(member);
+            let gone = self.view.is_gone(member);
             if gone && !self.was_gone.has(member) {
                 self.was_gone.set(member);
                 effects.log(&format!("member {} is not heard by a majority", self.name(member)));
-                self.takeovers.ended(now, member, self.view.life(member));
+                self.takeovers.incarnation_ended(now, member, self.view.incarnation(member));
             } else if !gone && self.was_gone.has(member) {
                 self.was_gone.unset(member);
                 effects.log(&format!("member {} is heard again", self.name(member)));
-                let life = self.view.life(member);
-                self.takeovers.returned(member, life);
-                self.takeovers.ended(now, member, life.saturating_sub(1));
+                let life = self.view.incarnation(member);
+                self.takeovers.member_returned(member, life);
+                self.takeovers.incarnation_ended(now, member, life.saturating_sub(1));
             }
         }
         self.review_links(effects);
         let slow = self.peers.links.iter().filter(|(_, known)| {
-            let wait = if known.way == Way::Operator { GREET_WITHIN * 15 } else { GREET_WITHIN };
-            known.way != Way::Here && now >= known.since + wait
+            let wait = if known.state == LinkState::Operator { GREET_WITHIN * 15 } else { GREET_WITHIN };
+            known.state != LinkState::Identified && now >= known.since + wait
         });
         for link in slow.map(|(link, _)| *link).collect::<Vec<_>>() {
             self.close(link, "no greeting in time", effects);
         }
-        if self.lives.mine() > 0 {
-            let live = |member: u16| !self.view.gone(member);
+        if self.lives.current() > 0 {
+            let live = |member: u16| !self.view.is_gone(member);
             let (group, plan, me) = (self.book.group(), &self.plan, self.plan.me);
             let is_successor_of = |member: u16| {
                 let print = digest(&[SUCCESSOR_SEED, plan.members[usize::from(member)].as_bytes()]);
                 group.ranked_members(print).into_iter().find(|member| live(*member)) == Some(me)
             };
             // One that hears no majority cannot tell who is gone.
-            if self.view.with_majority() {
+            if self.view.has_majority() {
                 // Where there are duties one member sweeps for all; else each ended incarnation has its own successor.
-                let sweeps = self.duties.as_ref().map(|duties| duties.act(now, SWEEP).is_some());
+                let sweeps = self.duties.as_ref().map(|duties| duties.current_action(now, SWEEP).is_some());
                 let is_successor_of = |member: u16| sweeps.unwrap_or_else(|| is_successor_of(member));
                 let actions = self.takeovers.sweep(now, is_successor_of, &self.cores);
                 let asked = actions.iter().rev().find_map(|action| match action {
-                    TakeoverAction::What { server, member, .. } if *member != self.plan.me => {
+                    TakeoverAction::ListLines { server, member, .. } if *member != self.plan.me => {
                         Some((server, *member))
                     }
                     _ => None,
                 });
                 if let (Some((server, member)), Some(true)) = (asked, sweeps) {
                     let mark = format!("{} at {}", self.name(member), server.0);
-                    self.duties.iter_mut().for_each(|duties| duties.mark(now, SWEEP, mark.clone()));
+                    self.duties
+                        .iter_mut()
+                        .for_each(|duties| duties.report_checkpoint(now, SWEEP, mark.clone()));
                 }
                 self.do_takeover_actions(actions);
             }
-            if std::mem::take(&mut self.takeovers.look_again) && self.look_from.is_none() {
+            if std::mem::take(&mut self.takeovers.rescan_needed) && self.look_from.is_none() {
                 self.look_from = Some(0);
             }
         }
--- a/crates/fleet/src/membership_view.rs
+++ b/crates/fleet/src/membership_view.rs
@@ -1,6 +1,6 @@
-//! The membership view: which members are gone, and whether this one has a majority, as the membership protocol tells; and what is
-//! known of each member's incarnation and disk. A member that is gone is not known to be dead: the verdict decides only when something
-//! is done about it; that it does no harm rests on numbers that receivers check.
+//! The membership view: which members are gone and whether this one has a majority, by the membership protocol, and the known
+//! incarnation and count of disk writes of each member. A gone member may still run: the view decides only when a takeover starts;
+//! its safety rests on the numbers that receivers check.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -47,55 +47,56 @@
 /// What is known of one member.
 #[derive(Clone, Copy)]
 struct KnownMember {
-    /// When a frame came straight from it last; at first, when this began.
-    heard: Duration,
-    /// The highest life of it that is known.
-    life: u64,
-    /// Writes that its disk has had, as it said.
-    saved: u64,
+    /// When a frame came directly from it last; initially the start of this view.
+    last_frame: Duration,
+    /// Its highest known incarnation.
+    incarnation: u64,
+    /// The count of writes of its disk that it reported.
+    write_count: u64,
 }
 
 /// A message of the membership protocol that is to be sent to a neighbour.
 pub struct MembershipMessage {
     /// The neighbour.
     pub to: u16,
-    /// It is the regular one, which is sent once in each heartbeat interval.
+    /// It is the periodic heartbeat, sent once in each heartbeat interval.
     pub is_heartbeat: bool,
     /// Its bytes.
     pub bytes: Vec<u8>,
 }
 
-/// Who is gone, and what is known of each member.
+/// Which members are gone, and what is known of each.
 pub struct MembershipView {
-    me: u16,
+    self_member: u16,
     silence: Duration,
     membership: Membership,
     members: Vec<KnownMember>,
 }
 
 impl MembershipView {
-    /// A view in which all members count as heard `now`; a neighbour in the overlay is silent after `silence`.
-    pub fn new(now: Duration, me: u16, overlay: Arc<Overlay>, silence: Duration) -> Self {
-        let members = vec![KnownMember { heard: now, life: 0, saved: 0 }; overlay.members()];
-        let membership = Membership::new(now, me, overlay, Timing { silence });
-        Self { me, silence, membership, members }
+    /// A view in which all members count as reachable at `now`; a neighbour in the overlay is unresponsive after `silence`.
+    pub fn new(now: Duration, self_member: u16, overlay: Arc<Overlay>, silence: Duration) -> Self {
+        let members =
+            vec![KnownMember { last_frame: now, incarnation: 0, write_count: 0 }; overlay.members()];
+        let membership = Membership::new(now, self_member, overlay, Timing { silence });
+        Self { self_member, silence, membership, members }
     }
 
-    /// A frame came straight from a member.
-    pub fn heard(&mut self, now: Duration, member: u16) {
+    /// A frame came directly from a member.
+    pub fn frame_received(&mut self, now: Duration, member: u16) {
         if let Some(known) = self.members.get_mut(usize::from(member)) {
-            known.heard = now;
+            known.last_frame = now;
         }
         self.membership.heard(now, member);
     }
 
-    /// A message of the membership protocol came from a member. Gives the members of which something is new.
+    /// A message of the membership protocol came from a member. Returns the members whose state changed.
     pub fn received(&mut self, now: Duration, from: u16, bytes: &[u8]) -> Result<Vec<u16>, MessageError> {
         let message = Message::decode(bytes)?;
         self.membership.received(now, from, &message)
     }
 
-    /// This member is in this life, none: zero, and has caught up or not: its neighbours are told.
+    /// Sets this member's incarnation (zero: none) and whether it has caught up, and notifies its neighbours.
     pub fn set_self(&mut self, now: Duration, life: u64, caught_up: bool) {
         self.membership.set_self(now, life, caught_up);
     }
@@ -116,44 +117,44 @@
         self.membership.next_due()
     }
 
-    /// How many writes a member's disk has had, by its own word.
-    pub fn saved(&mut self, member: u16, saved: u64) {
+    /// A member has reported the count of writes of its disk.
+    pub fn write_count_reported(&mut self, member: u16, saved: u64) {
         if let Some(known) = self.members.get_mut(usize::from(member)) {
-            known.saved = known.saved.max(saved);
+            known.write_count = known.write_count.max(saved);
         }
     }
 
-    /// The most writes that a member's disk is known to have had.
-    pub fn most_saved(&self, member: u16) -> u64 {
-        self.members.get(usize::from(member)).map_or(0, |known| known.saved)
+    /// The highest known count of writes of a member's disk.
+    pub fn max_write_count(&self, member: u16) -> u64 {
+        self.members.get(usize::from(member)).map_or(0, |known| known.write_count)
     }
 
-    /// A life of a member is known; true: it is a new one.
-    pub fn lives(&mut self, member: u16, life: u64) -> bool {
+    /// An incarnation of a member has become known; true: it is a new one.
+    pub fn incarnation_learned(&mut self, member: u16, life: u64) -> bool {
         let Some(known) = self.members.get_mut(usize::from(member)) else { return false };
-        let new = life > known.life;
-        known.life = known.life.max(life);
+        let new = life > known.incarnation;
+        known.incarnation = known.incarnation.max(life);
         new
     }
 
-    /// The highest life of a member that is known; zero: none.
-    pub fn life(&self, member: u16) -> u64 {
-        self.members.get(usize::from(member)).map_or(0, |known| known.life)
+    /// The highest known incarnation of a member; zero: none.
+    pub fn incarnation(&self, member: u16) -> u64 {
+        self.members.get(usize::from(member)).map_or(0, |known| known.incarnation)
     }
 
-    /// The life that a member's register tells; zero: there is none.
-    pub fn registered_life(&self, member: u16) -> u64 {
+    /// The incarnation in a member's register; zero: there is none.
+    pub fn registered_incarnation(&self, member: u16) -> u64 {
         self.membership.register(member).map_or(0, |register| register.incarnation)
     }
 
-    /// Whether a member has said that it has caught up.
-    pub fn caught_up(&self, member: u16) -> bool {
+    /// Whether a member has reported that it has caught up.
+    pub fn has_caught_up(&self, member: u16) -> bool {
         self.membership.register(member).is_some_and(|register| register.caught_up)
     }
 
     /// This member's neighbours in the overlay: those that send it heartbeats.
     pub fn neighbours(&self) -> &[u16] {
-        self.membership.overlay().neighbours(self.me)
+        self.membership.overlay().neighbours(self.self_member)
     }
 
     /// Whether a member is a neighbour of this one in the overlay.
@@ -161,26 +162,32 @@
         self.neighbours().contains(&member)
     }
 
-    /// How long ago a frame came straight from it. Only neighbours send regularly.
-    pub fn away(&self, now: Duration, member: u16) -> Duration {
-        self.members.get(usize::from(member)).map_or(Duration::MAX, |known| now.saturating_sub(known.heard))
+    /// Time since a frame came directly from a member. Only neighbours send regularly.
+    pub fn time_since_frame(&self, now: Duration, member: u16) -> Duration {
+        self.members
+            .get(usize::from(member))
+            .map_or(Duration::MAX, |known| now.saturating_sub(known.last_frame))
     }
 
-    /// This member hears it: a neighbour by its frames, another by not being held gone.
-    pub fn hears(&self, now: Duration, member: u16) -> bool {
-        if member == self.me {
+    /// Whether a member is reachable: a neighbour by its recent frames, any other by not being gone.
+    pub fn is_reachable(&self, now: Duration, member: u16) -> bool {
+        if member == self.self_member {
             return true;
         }
-        if self.is_neighbour(member) { self.away(now, member) < self.silence } else { !self.gone(member) }
+        if self.is_neighbour(member) {
+            self.time_since_frame(now, member) < self.silence
+        } else {
+            !self.is_gone(member)
+        }
     }
 
-    /// Whether a member is held gone: no path of neighbours that hear each other leads there from the majority that this one is in.
-    pub fn gone(&self, member: u16) -> bool {
+    /// Whether a member is gone: no path of neighbours that receive each other's frames joins it to this member's majority.
+    pub fn is_gone(&self, member: u16) -> bool {
         self.membership.is_gone(member)
     }
 
-    /// A majority of all is joined to this member by paths of neighbours that hear each other.
-    pub fn with_majority(&self) -> bool {
+    /// Whether paths of neighbours that receive each other's frames join this member to a majority of all.
+    pub fn has_majority(&self) -> bool {
         self.membership.has_majority()
     }
 }
--- a/crates/fleet/src/peers.rs
+++ b/crates/fleet/src/peers.rs
@@ -1,150 +1,171 @@
-//! Links between members: one for each pair, begun by the one that comes first in the group. Connects pause with growing, scattered
-//! gaps, so that a member that comes back is not met by all at once; one that starts knocks once at those that come before it, who
-//! may be pausing.
+//! Links between members: one for each pair, opened by the member that comes first in the group. Connection attempts back off with
+//! random jitter, so that a returning member is not contacted by all at once. A starting member makes one connection attempt to each
+//! member before it in the group, because those may be backing off.
 
 use std::time::Duration;
 
 use crate::link_liveness::LinkLiveness;
 
-/// A link, named by the shell and never named again.
+/// The id of a link, assigned by the I/O driver and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PeerLink(pub u64);
 
-const FIRST_GAP: Duration = Duration::from_millis(50);
-const LONGEST_GAP: Duration = Duration::from_millis(2000);
+const INITIAL_RECONNECT_DELAY: Duration = Duration::from_millis(50);
+const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(2000);
 
+/// State of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// Begun from here, and not up.
-    Begun,
-    /// Up, and the other side has not said who it is.
-    Fresh,
-    /// The other side has said that it is this member, and the group is the same.
-    Here,
-    /// An operator's, who may ask.
+pub enum LinkState {
+    /// Being opened by this member.
+    Connecting,
+    /// Open; the other side has not identified itself.
+    Unidentified,
+    /// The other side has identified itself as a member of the same group.
+    Identified,
+    /// An operator's link, which may send inquiries.
     Operator,
 }
 
+/// What is known of a link.
 #[derive(Clone, Debug)]
-pub struct Known {
-    pub way: Way,
+pub struct LinkInfo {
+    pub state: LinkState,
     pub member: Option<u16>,
     pub since: Duration,
-    /// It has said hello.
+    /// The other side has sent its greeting.
     pub greeted: bool,
-    pub begun_here: bool,
+    pub locally_initiated: bool,
     pub liveness: LinkLiveness,
-    /// The life that this member has told there last.
-    pub told_life: Option<u64>,
-    /// The count of writes on disk that it has told there last.
-    pub told_saved: Option<u64>,
+    /// The incarnation that this member sent last over the link.
+    pub sent_incarnation: Option<u64>,
+    /// The count of disk writes that this member sent last over the link.
+    pub sent_write_count: Option<u64>,
 }
 
-impl Known {
-    fn new(now: Duration, way: Way, member: Option<u16>) -> Self {
+impl LinkInfo {
+    fn new(now: Duration, state: LinkState, member: Option<u16>) -> Self {
         Self {
-            way,
+            state,
             member,
             since: now,
             greeted: false,
-            begun_here: way == Way::Begun,
+            locally_initiated: state == LinkState::Connecting,
             liveness: LinkLiveness::default(),
-            told_life: None,
-            told_saved: None,
+            sent_incarnation: None,
+            sent_write_count: None,
         }
     }
 }
 
-struct Seat {
+struct PeerSlot {
     link: Option<PeerLink>,
-    again_at: Duration,
-    gap: Duration,
-    /// One that comes before this member, and has not been knocked at.
-    knock: bool,
+    reconnect_at: Duration,
+    reconnect_delay: Duration,
+    /// The member comes before this one in the group, and the single connection attempt to it is still due.
+    connection_attempt_due: bool,
 }
 
+/// The links to all members.
 pub struct Peers {
-    me: u16,
-    seats: Vec<Seat>,
-    pub links: std::collections::BTreeMap<PeerLink, Known>,
-    chance: u64,
+    self_member: u16,
+    slots: Vec<PeerSlot>,
+    pub links: std::collections::BTreeMap<PeerLink, LinkInfo>,
+    random_state: u64,
 }
 
 impl Peers {
-    pub fn new(now: Duration, me: u16, members: usize, chance: u64) -> Self {
-        let seat = |place| Seat { link: None, again_at: now, gap: FIRST_GAP, knock: place < me };
-        Self { me, seats: (0..members as u16).map(seat).collect(), links: Default::default(), chance }
+    /// Peers without links, to which connections are due at once.
+    pub fn new(now: Duration, self_member: u16, members: usize, random_state: u64) -> Self {
+        let slot = |place| PeerSlot {
+            link: None,
+            reconnect_at: now,
+            reconnect_delay: INITIAL_RECONNECT_DELAY,
+            connection_attempt_due: place < self_member,
+        };
+        Self {
+            self_member,
+            slots: (0..members as u16).map(slot).collect(),
+            links: Default::default(),
+            random_state,
+        }
     }
 
-    /// The link to a member that is up and said to be it.
-    pub fn to(&self, member: u16) -> Option<PeerLink> {
-        let link = self.seats.get(usize::from(member))?.link?;
-        self.links.get(&link).filter(|known| known.way == Way::Here).map(|_| link)
+    /// The identified link to a member.
+    pub fn link_to(&self, member: u16) -> Option<PeerLink> {
+        let link = self.slots.get(usize::from(member))?.link?;
+        self.links.get(&link).filter(|known| known.state == LinkState::Identified).map(|_| link)
     }
 
-    fn waits(&self) -> impl Iterator<Item = (u16, &Seat)> {
-        let seats = self.seats.iter().enumerate().map(|(place, seat)| (place as u16, seat));
-        seats.filter(|(place, seat)| seat.link.is_none() && (*place > self.me || seat.knock))
+    fn unlinked(&self) -> impl Iterator<Item = (u16, &PeerSlot)> {
+        let slots = self.slots.iter().enumerate().map(|(place, slot)| (place as u16, slot));
+        slots.filter(|(place, slot)| {
+            slot.link.is_none() && (*place > self.self_member || slot.connection_attempt_due)
+        })
     }
 
-    /// Members to which a link is to be begun now.
-    pub fn to_begin(&self, now: Duration) -> Vec<u16> {
-        self.waits().filter(|(_, seat)| seat.again_at <= now).map(|(place, _)| place).collect()
+    /// Members to which a connection is to be started now.
+    pub fn due_connections(&self, now: Duration) -> Vec<u16> {
+        self.unlinked().filter(|(_, slot)| slot.reconnect_at <= now).map(|(place, _)| place).collect()
     }
 
+    /// When a connection is due next.
     pub fn next_due(&self) -> Option<Duration> {
-        self.waits().map(|(_, seat)| seat.again_at).min()
+        self.unlinked().map(|(_, slot)| slot.reconnect_at).min()
     }
 
-    pub fn begun(&mut self, now: Duration, member: u16, link: PeerLink) {
-        let seat = &mut self.seats[usize::from(member)];
-        (seat.link, seat.knock) = (Some(link), false);
-        self.links.insert(link, Known::new(now, Way::Begun, Some(member)));
+    /// A connection to a member has been started.
+    pub fn connection_started(&mut self, now: Duration, member: u16, link: PeerLink) {
+        let slot = &mut self.slots[usize::from(member)];
+        (slot.link, slot.connection_attempt_due) = (Some(link), false);
+        self.links.insert(link, LinkInfo::new(now, LinkState::Connecting, Some(member)));
     }
 
-    /// A link has come in.
-    pub fn came(&mut self, now: Duration, link: PeerLink) {
-        self.links.insert(link, Known::new(now, Way::Fresh, None));
+    /// An incoming link has been accepted.
+    pub fn accepted(&mut self, now: Duration, link: PeerLink) {
+        self.links.insert(link, LinkInfo::new(now, LinkState::Unidentified, None));
     }
 
-    /// The other side of a link is this member. Of two links the one that was begun by the first of the pair stays, else the newer:
-    /// both sides choose alike. Gives the one that is to be closed: this one, or the one before.
-    pub fn seated(&mut self, link: PeerLink, member: u16) -> Option<PeerLink> {
-        let me = self.me;
-        let by_first = |known: &Known| known.begun_here == (me < member);
-        let before = self.seats[usize::from(member)].link.filter(|before| *before != link);
+    /// The other side of a link has been identified as a member. Of two links the one opened by the first of the pair stays, else the
+    /// newer one, so that both sides choose the same. Returns the link to be closed: this one or the earlier one.
+    pub fn identified(&mut self, link: PeerLink, member: u16) -> Option<PeerLink> {
+        let self_member = self.self_member;
+        let by_first = |known: &LinkInfo| known.locally_initiated == (self_member < member);
+        let before = self.slots[usize::from(member)].link.filter(|before| *before != link);
         let stays = before.and_then(|before| self.links.get(&before)).is_some_and(|before| {
-            before.way == Way::Here && by_first(before) && !self.links.get(&link).is_some_and(by_first)
+            before.state == LinkState::Identified
+                && by_first(before)
+                && !self.links.get(&link).is_some_and(by_first)
         });
         if stays {
             return Some(link);
         }
-        let seat = &mut self.seats[usize::from(member)];
-        (seat.gap, seat.again_at, seat.link) = (FIRST_GAP, Duration::ZERO, Some(link));
+        let slot = &mut self.slots[usize::from(member)];
+        (slot.reconnect_delay, slot.reconnect_at, slot.link) =
+            (INITIAL_RECONNECT_DELAY, Duration::ZERO, Some(link));
         before
     }
 
-    /// A link to a member is begun from here once, where the other side begins them otherwise.
-    pub fn knock_again(&mut self, member: u16) {
-        if let Some(seat) = self.seats.get_mut(usize::from(member)) {
-            seat.knock = member < self.me;
+    /// Allows one connection attempt to a member that normally opens the link itself.
+    pub fn allow_connection_attempt(&mut self, member: u16) {
+        if let Some(slot) = self.slots.get_mut(usize::from(member)) {
+            slot.connection_attempt_due = member < self.self_member;
         }
     }
 
-    /// A link has gone; the member at its other end, if that was its link.
-    pub fn lost(&mut self, now: Duration, link: PeerLink) -> Option<u16> {
+    /// A link has been closed. Returns the member at its other end, if that was its current link.
+    pub fn closed(&mut self, now: Duration, link: PeerLink) -> Option<u16> {
         let known = self.links.remove(&link)?;
         let member = known.member?;
-        let seat = &mut self.seats[usize::from(member)];
-        if seat.link != Some(link) {
+        let slot = &mut self.slots[usize::from(member)];
+        if slot.link != Some(link) {
             return None;
         }
-        seat.link = None;
-        self.chance =
-            self.chance.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        let share = 0.5 + (self.chance >> 40) as f64 / (1u64 << 24) as f64;
-        seat.again_at = now + seat.gap.mul_f64(share);
-        seat.gap = (seat.gap * 2).min(LONGEST_GAP);
+        slot.link = None;
+        self.random_state =
+            self.random_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        let share = 0.5 + (self.random_state >> 40) as f64 / (1u64 << 24) as f64;
+        slot.reconnect_at = now + slot.reconnect_delay.mul_f64(share);
+        slot.reconnect_delay = (slot.reconnect_delay * 2).min(MAX_RECONNECT_DELAY);
         Some(member)
     }
 }
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a member is told at its start, and what follows from it.
+//! Configuration of a member, and the values derived from it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,42 +8,44 @@
 
 use crate::duties::DutyPlan;
 
-/// Of the overlay and the messages over it: members that know others are refused.
+/// Version of the overlay and of the membership messages: members with another version are refused.
 const MEMBERSHIP_VERSION: &[u8] = b"overlay-1";
 
 const MS: Duration = Duration::from_millis(1);
 
-/// Figures of a group. All members must have the same ones; [`Plan::digest`] tells.
+/// Configuration of a group. It must be the same on all members, which [`Plan::digest`] checks.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Names of all members, in order; a member is its place here.
+    /// Names of all members, in order; a member's number is its place here.
     pub members: Vec<String>,
+    /// The place of this member.
     pub me: u16,
-    /// Members beside the owner that keep a copy.
+    /// Members beside the owner that hold a replica.
     pub copies: usize,
-    /// Acknowledgements awaited before a launch is sent, and before a final answer is given.
+    /// Acknowledgements awaited before a launch is sent.
     pub before_launch: usize,
+    /// Acknowledgements awaited before a final answer is given.
     pub before_answer: usize,
-    /// A launch that cannot be acknowledged is not sent.
+    /// Whether a launch without its acknowledgements is withheld.
     pub strictly: bool,
-    /// The rest after a launch in doubt, as all members have it.
+    /// Release time after a launch with unknown outcome, the same on all members.
     pub release: Duration,
-    /// How long is asked for what is known of a dialogue that was dialled before.
+    /// Time limit of the search for the records of a redialled dialogue.
     pub ask_within: Duration,
-    /// A neighbour in the overlay not heard for so long is reported; a member that no path joins to a majority has its dialogues taken
-    /// over.
+    /// Response time-out of a neighbour in the overlay, after which it is reported. The dialogues of a member that no path joins to a
+    /// majority are taken over.
     pub silence: Duration,
-    /// What was taken over and is claimed by no caller for so long is released.
+    /// A dialogue that was taken over is released when no caller claims it for this time.
     pub unclaimed: Duration,
-    /// What is over is known for so long.
+    /// Retention time of concluded dialogues.
     pub forget: Duration,
-    /// Copies kept, own dialogues included.
+    /// Max replicas held, own dialogues included.
     pub most: usize,
-    /// Dialogues asked for at once.
+    /// Max concurrent searches for redialled dialogues.
     pub asks: usize,
-    /// Who votes about duties, and for how long one is held; none: nobody has duties, and successors go by their order.
+    /// Voters and lease time of the duties; none: the fleet has no duties, and successors act by their rank.
     pub duties: Option<DutyPlan>,
-    /// Two members compare what they hold so often.
+    /// Interval at which two members compare their replicas.
     pub compare_every: Duration,
 }
 
@@ -70,14 +72,15 @@
 }
 
 impl Plan {
-    /// The most copies that may be asked for.
-    pub const MOST_COPIES: usize = RankedMembers::MAX - 1;
+    /// Max value of [`Plan::copies`].
+    pub const MAX_REPLICAS: usize = RankedMembers::MAX - 1;
 
+    /// The replica group.
     pub fn group(&self) -> ReplicaGroup {
         ReplicaGroup::new(self.members.iter().map(String::as_str), self.copies)
     }
 
-    /// Of all that must agree.
+    /// Digest of all values that must be the same on all members.
     pub fn digest(&self) -> u64 {
         let names = self.members.join("\n");
         let figures = [
@@ -99,8 +102,8 @@
         digest(&[names.as_bytes(), &figures, MEMBERSHIP_VERSION])
     }
 
-    /// How many holders have a write that anyone was told of, at the fewest: launches and answers may wait for different numbers, and
-    /// whoever asks has to meet both.
+    /// Min number of holders that have a write whose effect was sent: launches and answers may await different numbers of
+    /// acknowledgements, and a search must find both.
     pub fn awaited(&self) -> usize {
         [self.before_launch, self.before_answer]
             .into_iter()
@@ -109,19 +112,19 @@
             .unwrap_or_default()
     }
 
-    /// More than half of all members.
+    /// Size of the smallest majority of all members.
     pub fn majority(&self) -> usize {
         self.members.len() / 2 + 1
     }
 
-    /// Which members are neighbours: the same for all that have the same list.
+    /// The overlay of neighbours, the same for all members with the same list.
     ///
     /// # Panics
     /// If there are no members, or more than [`lotussaddle_membership::MOST_MEMBERS`].
     pub fn overlay(&self) -> Arc<Overlay> {
         let seed = digest(&[self.members.join("\n").as_bytes()]);
         let overlay = Overlay::new(self.members.len(), seed);
-        Arc::new(overlay.expect("a fleet of a size that the overlay has room for"))
+        Arc::new(overlay.expect("the overlay supports a fleet of this size"))
     }
 }
 
--- a/crates/fleet/src/publish.rs
+++ b/crates/fleet/src/publish.rs
@@ -1,9 +1,9 @@
-//! The duty `publish`: one generation of number tables after the other goes into force on all members. It is read and checked by all
-//! that are heard before any goes by it; where one cannot take it, none does. Who comes back later is brought up by whoever holds the
-//! duty then.
+//! The duty `publish` puts generations of number tables into force on all members, one after the other. All reachable members load
+//! and check a generation before any of them uses it; if one member cannot load it, none uses it. A member that returns later is
+//! brought up to date by the holder of the duty at that time.
 //!
-//! Each stage is agreed on, as the duty's mark, before anything of it is sent: whoever follows in the middle goes on from there, and
-//! sends again what may have been sent. Members carry an order out once.
+//! Each stage is committed as the duty's checkpoint before any of its orders is sent. A new holder continues from the checkpoint and
+//! sends again what may have been sent already; members carry an order out only once.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -12,117 +12,126 @@
 use lotussaddle_trunk::TablesOrder;
 use serde::{Deserialize, Serialize};
 
-/// Generations that wait for the one before; beyond it an order is refused.
-const MOST_WANTED: usize = 16;
-/// Signs of a name, and of why it was not taken, that fit into a mark.
-pub(crate) const MOST_NAME: usize = 100;
-const MOST_WHY: usize = 80;
-/// What is not answered is sent again after this.
-const AGAIN: Duration = Duration::from_millis(500);
-/// A generation that could not be gone by somewhere is published once more so often.
-const MOST_AGAIN: u32 = 3;
-/// Editions of one holder: their serials follow each other below its number.
-const SERIALS: u32 = 16;
+/// Generations that may wait for the current one; further requests are refused.
+const MAX_QUEUED: usize = 16;
+/// Longest name of a generation, and longest reason of a refusal, that fit into a checkpoint.
+pub(crate) const MAX_NAME_BYTES: usize = 100;
+const MAX_REASON_BYTES: usize = 80;
+/// An order without an answer is sent again after this.
+const RESEND_INTERVAL: Duration = Duration::from_millis(500);
+/// How often a generation is published again after a member could not put it into force.
+const MAX_REPUBLISH_ATTEMPTS: u32 = 3;
+/// Low bits of a serial that count the orders of one holder; its fencing token stands above them.
+const SERIAL_BITS: u32 = 16;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Stage {
-    /// All that are heard read and check it.
+    /// All reachable members load and check it.
     Reads,
-    /// All have, and go by it as they are told.
+    /// All have loaded it, and are ordered to use it.
     Swaps,
-    /// All that were heard go by it.
+    /// All reachable members use it.
     Done,
-    /// A member could not take it: nobody goes by it.
+    /// A member could not load or use it, for this reason.
     Refused(String),
 }
 
-/// A generation on its way, or the last one.
+/// The generation that is being published, or the last one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Edition {
+pub(crate) struct Publication {
     pub name: String,
-    /// Of the order to read it; the swap's is one more.
+    /// Serial of the order to load it; that of the swap is one higher.
     pub serial: u64,
     pub stage: Stage,
 }
 
 #[derive(Debug, PartialEq)]
-pub(crate) enum Next {
-    Mark(Vec<u8>),
+pub(crate) enum PublishStep {
+    Checkpoint(Vec<u8>),
     Send(u16, u64, TablesOrder),
 }
 
-/// How far a member has come with this edition, in one of its lives.
+/// Progress of one incarnation of a member with this publication.
 #[derive(Clone, Copy)]
-struct Reached {
-    life: u64,
+struct MemberProgress {
+    incarnation: u64,
     swapped: bool,
     read: bool,
     sent_at: Option<Duration>,
 }
 
 pub(crate) struct Publish {
-    me: u16,
-    /// The number under which the duty is held; none: it is another's.
+    self_member: u16,
+    /// The fencing token under which the duty is held; none: it is not held here.
     held: Option<u64>,
-    edition: Option<Edition>,
-    /// The stage is agreed on.
-    agreed: bool,
-    wanted: VecDeque<String>,
-    again: u32,
-    members: BTreeMap<u16, Reached>,
+    publication: Option<Publication>,
+    /// The stage is committed as the duty's checkpoint.
+    is_committed: bool,
+    queued: VecDeque<String>,
+    republish_attempts: u32,
+    members: BTreeMap<u16, MemberProgress>,
     due: Option<Duration>,
 }
 
-fn cut(text: &str, most: usize) -> String {
+fn truncate_text(text: &str, most: usize) -> String {
     let mut text = text.to_string();
     text.truncate(text.floor_char_boundary(most));
     text
 }
 
 impl Publish {
-    pub fn new(me: u16) -> Self {
-        let (wanted, members) = (VecDeque::new(), BTreeMap::new());
-        Self { me, held: None, edition: None, agreed: false, wanted, again: 0, members, due: None }
+    pub fn new(self_member: u16) -> Self {
+        let (queued, members) = (VecDeque::new(), BTreeMap::new());
+        Self {
+            self_member,
+            held: None,
+            publication: None,
+            is_committed: false,
+            queued,
+            republish_attempts: 0,
+            members,
+            due: None,
+        }
     }
 
-    pub fn begins(&mut self, now: Duration, number: u64, mark: &[u8]) {
-        (self.held, self.due, self.agreed) = (Some(number), Some(now), true);
+    pub fn acquired(&mut self, now: Duration, number: u64, mark: &[u8]) {
+        (self.held, self.due, self.is_committed) = (Some(number), Some(now), true);
         self.members.clear();
-        self.edition = postcard::from_bytes(mark).ok();
+        self.publication = postcard::from_bytes(mark).ok();
     }
 
-    pub fn ends(&mut self) {
+    pub fn lost(&mut self) {
         (self.held, self.due) = (None, None);
-        self.wanted.clear();
+        self.queued.clear();
     }
 
-    /// Words for operators.
-    pub fn told(mark: &[u8]) -> String {
-        match postcard::from_bytes::<Edition>(mark) {
+    /// A checkpoint as text for operators.
+    pub fn describe(mark: &[u8]) -> String {
+        match postcard::from_bytes::<Publication>(mark) {
             Err(_) => String::new(),
-            Ok(edition) => match edition.stage {
-                Stage::Reads => format!("{} is read by all", edition.name),
-                Stage::Swaps => format!("{} goes into force", edition.name),
-                Stage::Done => format!("{} is in force", edition.name),
-                Stage::Refused(why) => format!("{} was refused: {why}", edition.name),
+            Ok(publication) => match publication.stage {
+                Stage::Reads => format!("{} is read by all", publication.name),
+                Stage::Swaps => format!("{} goes into force", publication.name),
+                Stage::Done => format!("{} is in force", publication.name),
+                Stage::Refused(why) => format!("{} was refused: {why}", publication.name),
             },
         }
     }
 
-    /// A generation is to go into force; false: it is not held here, or too many wait.
-    pub fn want(&mut self, now: Duration, name: &str) -> bool {
-        let may = self.held.is_some() && self.wanted.len() < MOST_WANTED && name.len() <= MOST_NAME;
-        if may {
-            self.again = 0;
-            self.wanted.push_back(name.into());
+    /// Requests that a generation goes into force; false: the duty is not held here, or too many generations wait.
+    pub fn request(&mut self, now: Duration, name: &str) -> bool {
+        let accepted = self.held.is_some() && self.queued.len() < MAX_QUEUED && name.len() <= MAX_NAME_BYTES;
+        if accepted {
+            self.republish_attempts = 0;
+            self.queued.push_back(name.into());
             self.due = Some(now);
         }
-        may
+        accepted
     }
 
-    /// The mark is agreed on.
-    pub fn marked(&mut self, now: Duration) {
-        self.agreed = true;
+    /// The checkpoint is committed.
+    pub fn checkpoint_committed(&mut self, now: Duration) {
+        self.is_committed = true;
         self.due = self.held.map(|_| now);
         self.members.values_mut().for_each(|member| member.sent_at = None);
     }
@@ -131,96 +140,108 @@
         self.due
     }
 
-    /// A member has carried an order out, or could not.
-    pub fn answered(&mut self, now: Duration, member: u16, life: u64, serial: u64, why: Option<&str>) {
-        let Some(edition) = self.edition.as_mut().filter(|_| self.held.is_some()) else { return };
-        let Some(reached) = self.members.get_mut(&member).filter(|reached| reached.life == life) else {
+    /// A member has carried an order out, or reports why it could not.
+    pub fn member_answered(
+        &mut self, now: Duration, member: u16, incarnation: u64, serial: u64, why: Option<&str>,
+    ) {
+        let Some(publication) = self.publication.as_mut().filter(|_| self.held.is_some()) else { return };
+        let Some(progress) =
+            self.members.get_mut(&member).filter(|progress| progress.incarnation == incarnation)
+        else {
             return;
         };
         self.due = Some(now);
         match why {
-            None if serial == edition.serial => (reached.read, reached.sent_at) = (true, None),
-            None if serial == edition.serial + 1 => (reached.read, reached.swapped) = (true, true),
-            Some(why) if serial == edition.serial && edition.stage == Stage::Reads && self.agreed => {
-                edition.stage = Stage::Refused(cut(why, MOST_WHY));
-                self.agreed = false;
+            None if serial == publication.serial => (progress.read, progress.sent_at) = (true, None),
+            None if serial == publication.serial + 1 => (progress.read, progress.swapped) = (true, true),
+            Some(why)
+                if serial == publication.serial && publication.stage == Stage::Reads && self.is_committed =>
+            {
+                publication.stage = Stage::Refused(truncate_text(why, MAX_REASON_BYTES));
+                self.is_committed = false;
             }
-            // Its serial is used up there: it is published once more, under others.
-            Some(why) if serial == edition.serial + 1 && self.agreed => {
-                edition.stage = Stage::Refused(cut(why, MOST_WHY));
-                self.agreed = false;
-                if self.again < MOST_AGAIN {
-                    self.again += 1;
-                    self.wanted.push_front(edition.name.clone());
+            // The member does not accept this serial again: the generation is published again under new ones.
+            Some(why) if serial == publication.serial + 1 && self.is_committed => {
+                publication.stage = Stage::Refused(truncate_text(why, MAX_REASON_BYTES));
+                self.is_committed = false;
+                if self.republish_attempts < MAX_REPUBLISH_ATTEMPTS {
+                    self.republish_attempts += 1;
+                    self.queued.push_front(publication.name.clone());
                 }
             }
             _ => {}
         }
     }
 
-    /// What is to be done now; `heard` are the members that are heard, with their lives.
-    pub fn next(&mut self, now: Duration, heard: &[(u16, u64)]) -> Vec<Next> {
+    /// The steps that are due; `reachable` are the reachable members with their incarnations.
+    pub fn due_steps(&mut self, now: Duration, reachable: &[(u16, u64)]) -> Vec<PublishStep> {
         let Some(number) = self.held else { return Vec::new() };
-        self.due = Some(now + AGAIN);
-        let over = |edition: &Edition| matches!(edition.stage, Stage::Done | Stage::Refused(_));
-        if self.agreed
-            && self.edition.as_ref().is_none_or(over)
-            && let Some(name) = self.wanted.pop_front()
+        self.due = Some(now + RESEND_INTERVAL);
+        let is_finished =
+            |publication: &Publication| matches!(publication.stage, Stage::Done | Stage::Refused(_));
+        if self.is_committed
+            && self.publication.as_ref().is_none_or(is_finished)
+            && let Some(name) = self.queued.pop_front()
         {
-            let last = self.edition.as_ref().map_or(0, |edition| edition.serial + 2);
-            let serial = last.max(number << SERIALS);
-            self.edition = Some(Edition { name, serial, stage: Stage::Reads });
-            self.agreed = false;
+            let last = self.publication.as_ref().map_or(0, |publication| publication.serial + 2);
+            let serial = last.max(number << SERIAL_BITS);
+            self.publication = Some(Publication { name, serial, stage: Stage::Reads });
+            self.is_committed = false;
             self.members.clear();
         }
-        let Some(edition) = self.edition.as_mut() else { return Vec::new() };
-        self.members.retain(|member, _| heard.iter().any(|(known, _)| known == member));
-        for (member, life) in heard {
-            let anew = Reached { life: *life, swapped: false, read: false, sent_at: None };
-            let reached = self.members.entry(*member).or_insert(anew);
-            if reached.life != *life {
-                *reached = anew;
+        let Some(publication) = self.publication.as_mut() else { return Vec::new() };
+        self.members.retain(|member, _| reachable.iter().any(|(known, _)| known == member));
+        for (member, incarnation) in reachable {
+            let initial =
+                MemberProgress { incarnation: *incarnation, swapped: false, read: false, sent_at: None };
+            let progress = self.members.entry(*member).or_insert(initial);
+            if progress.incarnation != *incarnation {
+                *progress = initial;
             }
         }
-        if self.agreed {
-            let all = |has: fn(&Reached) -> bool| !self.members.is_empty() && self.members.values().all(has);
-            let stage = match edition.stage {
+        if self.is_committed {
+            let all =
+                |has: fn(&MemberProgress) -> bool| !self.members.is_empty() && self.members.values().all(has);
+            let stage = match publication.stage {
                 Stage::Reads if all(|member| member.read) => Some(Stage::Swaps),
                 Stage::Swaps if all(|member| member.swapped) => Some(Stage::Done),
                 _ => None,
             };
             if let Some(stage) = stage {
-                edition.stage = stage;
-                self.agreed = false;
+                publication.stage = stage;
+                self.is_committed = false;
             }
         }
-        if !self.agreed {
-            // Said again until it is agreed on; the lease keeps the last one.
-            return vec![Next::Mark(postcard::to_allocvec(edition).expect("an edition is plain"))];
+        if !self.is_committed {
+            // Reported again until it is committed; the lease retains only the last one.
+            return vec![PublishStep::Checkpoint(
+                postcard::to_allocvec(publication).expect("the checkpoint encodes without errors"),
+            )];
         }
-        if matches!(edition.stage, Stage::Refused(_)) {
+        if matches!(publication.stage, Stage::Refused(_)) {
             return Vec::new();
         }
-        let name: Arc<str> = edition.name.as_str().into();
-        let swaps = edition.stage != Stage::Reads;
-        let done = |reached: &Reached| if swaps { reached.swapped } else { reached.read };
-        // Whoever holds the duty goes last: what ends the process that reads it ends another's, and the rest is not asked by it.
-        let me = self.me;
-        let last = self.members.iter().all(|(member, reached)| *member == me || done(reached));
+        let name: Arc<str> = publication.name.as_str().into();
+        let swaps = publication.stage != Stage::Reads;
+        let done = |progress: &MemberProgress| if swaps { progress.swapped } else { progress.read };
+        // The holder goes last: a generation that crashes the loading process then crashes another member's, and the holder does not
+        // load it or send it to the rest.
+        let self_member = self.self_member;
+        let last = self.members.iter().all(|(member, progress)| *member == self_member || done(progress));
         let mut all = Vec::new();
-        for (member, reached) in &mut self.members {
-            let waits = *member == me && !last;
-            if waits || done(reached) || reached.sent_at.is_some_and(|at| now < at + AGAIN) {
+        for (member, progress) in &mut self.members {
+            let waits = *member == self_member && !last;
+            if waits || done(progress) || progress.sent_at.is_some_and(|at| now < at + RESEND_INTERVAL) {
                 continue;
             }
-            reached.sent_at = Some(now);
+            progress.sent_at = Some(now);
             let read = TablesOrder::Load { name: name.clone() };
-            // One that came late reads it first: a swap that fails uses its serial up.
-            if reached.read {
+            // A member that came late loads it first: a failed swap uses up its serial.
+            if progress.read {
                 let swap = TablesOrder::Swap { name: name.clone(), after: Duration::ZERO };
-                all.push(Next::Send(*member, edition.serial + 1, swap));
+                all.push(PublishStep::Send(*member, publication.serial + 1, swap));
             } else {
-                all.push(Next::Send(*member, edition.serial, read));
+                all.push(PublishStep::Send(*member, publication.serial, read));
             }
         }
         all
--- a/crates/fleet/src/redial.rs
+++ b/crates/fleet/src/redial.rs
@@ -1,14 +1,16 @@
-//! A dialogue that was dialled before, at this member or another: what is known of it, and what follows.
+//! Search for a redialled dialogue: what members know of a dialogue that was dialled before, here or at another member.
 //!
-//! Asking is claiming: whoever answers keeps that the asker owns the dialogue from now on, and refuses what a former owner writes
-//! after that. So many must answer that one of them has every write that was awaited; where they do not in time, nothing is done on
-//! a guess. How many that is, with K copies of which W are awaited, among the K + 1 candidates of a dialogue:
+//! A question is also a claim: a member that answers records the asker as the owner of the dialogue and refuses later writes of a
+//! previous owner. Enough members must answer that one of them has every write whose acknowledgement was awaited; if too few answer
+//! in time, the outcome is unresolved. With K replicas, W awaited acknowledgements and the K + 1 candidates of a dialogue, the
+//! quorum is:
 //!
-//! - K + 2 - W of the candidates, whoever owned it: all but one of them hold copies, W of those acknowledged.
-//! - Where a copy is found and so who wrote last is known, of that owner's K holders K - W + 1, and no fewer than W: the first meets
-//!   every write of that owner, and two such sets meet each other, so that no later claim is missed. What that owner had found of
-//!   former ones goes with each of its copies. One that only claimed the dialogue may have found nothing, and counts for no writer;
-//!   or it went on, and its own holders know: as many of those have to answer too.
+//! - K + 2 - W of the candidates, whoever the owner was: all candidates but one hold replicas, and W of those acknowledged.
+//! - Where a replica is found, so that the last writer is known, K - W + 1 of that owner's K holders, and at least W. The first
+//!   number intersects every write of that owner. With the second, two such sets intersect, so that no later claim is missed. Each
+//!   replica of that owner includes what it had found of previous owners. An owner that only claimed the dialogue may have found
+//!   nothing and does not count as a writer. It may also have continued, which only its own holders know: the same number of those
+//!   must answer too.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -19,78 +21,64 @@
 
 use crate::membership_view::MemberSet;
 
-/// A claim that meets a higher one is made anew above it, so often.
-const TRIES: u32 = 3;
+/// Attempts at a claim: one that meets a higher claim is repeated above that one.
+const MAX_CLAIM_ATTEMPTS: u32 = 3;
 
-/// What came of a dialogue.
+/// The result of a search.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// It is this member's; nothing of it may be launched before.
-    Free {
-        not_before: Duration,
-    },
-    /// The same answer again.
+    /// It has no outcome and is owned by this member; no launch before `not_before`.
+    Free { not_before: Duration },
+    /// It was answered; the same answer is given again.
     Answered(Answer),
-    Stands {
-        server: ServerId,
-        launch: LaunchNumber,
-    },
-    /// It stood, and is over.
+    /// It stands at this core server.
+    Stands { server: ServerId, launch: LaunchNumber },
+    /// It stood and has ended.
     Concluded,
-    Unsure {
-        come_back: Duration,
-    },
+    /// The outcome is unresolved; the caller may retry after `come_back`.
+    Unsure { come_back: Duration },
 }
 
-/// What a search for a dialogue that was dialled before asks to be done.
+/// An action that a search requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RedialAction {
-    Ask {
-        to: u16,
-        serial: u64,
-        dialogue: DialogueId,
-        owner: Owner,
-    },
-    /// The claim holds: what was found is this member's.
-    Claim {
-        dialogue: DialogueId,
-        owner: Owner,
-        found: Replica,
-    },
-    /// Whether it still stands there only its core server knows.
-    Adopt {
-        server: ServerId,
-        dialogue: DialogueId,
-        owner: Owner,
-    },
-    Say(DialogueId, Verdict),
+    /// Ask a member for its replica, as a claim of `owner`.
+    Ask { to: u16, serial: u64, dialogue: DialogueId, owner: Owner },
+    /// The claim succeeded: this member owns what was found.
+    Claim { dialogue: DialogueId, owner: Owner, found: Replica },
+    /// Ask the core server whether the dialogue still stands there, and adopt it.
+    Adopt { server: ServerId, dialogue: DialogueId, owner: Owner },
+    /// Report the result.
+    Report(DialogueId, Verdict),
 }
 
-/// Who is asked, and what is known at the start.
-pub struct Begin<'a> {
-    /// Those that a question reaches now, this member left out.
+/// Input of a search: reachable members, and what is known at the start.
+pub struct RedialSearch<'a> {
+    /// Whether a question reaches a member now; not called for this member.
     pub reached: &'a dyn Fn(u16) -> bool,
-    /// This member is a candidate, and would know.
+    /// This member is a candidate and has caught up, so that its own record counts.
     pub knows: bool,
     pub known: Replica,
     pub owner: Owner,
     pub cut_off: Duration,
 }
 
+/// Phase of a search.
 enum Phase {
     Asking,
     Adopting,
 }
 
-struct Ask {
+/// A running search.
+struct Search {
     serial: u64,
     owner: Owner,
     cut_off: Duration,
     by: Duration,
-    /// Asked, and no answer yet.
+    /// Members asked that have not answered yet.
     open: MemberSet,
     asked: MemberSet,
-    /// Candidates that would know, and have promised.
+    /// Candidates that have caught up and have recorded the claim.
     sure: MemberSet,
     candidates: Vec<u16>,
     found: Replica,
@@ -98,28 +86,29 @@
     phase: Phase,
 }
 
+/// The running searches of this member.
 pub struct Redials {
-    me: u16,
+    self_member: u16,
     group: ReplicaGroup,
     /// Acknowledgements that a launch waits for.
     awaited: usize,
     within: Duration,
     come_back: Duration,
     release: Duration,
-    asks: HashMap<DialogueId, Ask>,
+    asks: HashMap<DialogueId, Search>,
     serials: BTreeMap<u64, DialogueId>,
-    dues: BTreeSet<(Duration, DialogueId)>,
+    deadlines: BTreeSet<(Duration, DialogueId)>,
     serial: u64,
 }
 
 impl Redials {
-    /// `come_back`: when one that is not sure may be asked again; `release`: less time than that is of no use for a launch.
+    /// `come_back`: the retry delay of an unresolved dialogue; `release`: the time that a launch needs at least.
     pub fn new(
-        me: u16, group: ReplicaGroup, awaited: usize, within: Duration, come_back: Duration,
+        self_member: u16, group: ReplicaGroup, awaited: usize, within: Duration, come_back: Duration,
         release: Duration,
     ) -> Self {
         Self {
-            me,
+            self_member,
             awaited: awaited.min(group.replica_count()),
             group,
             within,
@@ -127,60 +116,64 @@
             release,
             asks: HashMap::new(),
             serials: BTreeMap::new(),
-            dues: BTreeSet::new(),
+            deadlines: BTreeSet::new(),
             serial: 0,
         }
     }
 
+    /// Number of running searches.
     pub fn len(&self) -> usize {
         self.asks.len()
     }
 
+    /// Whether a search for this dialogue runs.
     pub fn has(&self, id: &DialogueId) -> bool {
         self.asks.contains_key(id)
     }
 
-    /// Of the candidates so many must answer, whoever owned it.
-    fn of_candidates(&self) -> usize {
+    /// Number of candidates that must answer, whoever the owner was.
+    fn candidate_quorum(&self) -> usize {
         (self.group.replica_count() + 2 - self.awaited).min(self.group.replica_count() + 1)
     }
 
-    /// Of the holders of a known owner so many.
-    fn of_holders(&self) -> usize {
+    /// Number of a known owner's holders that must answer.
+    fn holder_quorum(&self) -> usize {
         (self.group.replica_count() + 1 - self.awaited).max(self.awaited)
     }
 
-    fn is_enough(&self, id: &DialogueId, ask: &Ask) -> bool {
+    fn has_quorum(&self, id: &DialogueId, ask: &Search) -> bool {
         let sure =
             |members: &mut dyn Iterator<Item = u16>| members.filter(|member| ask.sure.has(*member)).count();
         let print = fingerprint(id);
-        sure(&mut self.group.candidates(print).into_iter()) >= self.of_candidates()
+        sure(&mut self.group.candidates(print).into_iter()) >= self.candidate_quorum()
             || ask.found.last_writer().is_some_and(|writer| {
-                // Whoever claimed it after that may have written where its own copies lie, which none of the others know.
-                let mine = |owner: Owner| {
+                // A later claimant may have written to its own holders, of which the other members know nothing.
+                let is_own = |owner: Owner| {
                     (owner.member, owner.incarnation) == (ask.owner.member, ask.owner.incarnation)
                 };
                 let later =
                     ask.found.owner_states().iter().map(|part| part.owner).filter(|owner| *owner > writer);
                 later
-                    .filter(|owner| !mine(*owner))
+                    .filter(|owner| !is_own(*owner))
                     .chain([writer])
-                    .all(|owner| sure(&mut self.group.holders(print, owner.member)) >= self.of_holders())
+                    .all(|owner| sure(&mut self.group.holders(print, owner.member)) >= self.holder_quorum())
             })
     }
 
+    /// Whether no search runs.
     pub fn is_empty(&self) -> bool {
         self.asks.is_empty()
     }
 
+    /// When [`Redials::timer_fired`] is due.
     pub fn next_due(&self) -> Option<Duration> {
-        self.dues.first().map(|(by, _)| *by)
+        self.deadlines.first().map(|(by, _)| *by)
     }
 
-    /// Begins to ask. Where it is known at once that too few can answer, it says so at once.
-    pub fn begin(&mut self, now: Duration, id: &DialogueId, begin: Begin) -> Vec<RedialAction> {
-        self.drop_of(id);
-        let mut ask = Ask {
+    /// Starts a search. Where too few members are reachable for a quorum, the result is unresolved at once.
+    pub fn begin(&mut self, now: Duration, id: &DialogueId, begin: RedialSearch) -> Vec<RedialAction> {
+        self.cancel(id);
+        let mut ask = Search {
             serial: 0,
             owner: begin.owner,
             cut_off: begin.cut_off,
@@ -193,25 +186,25 @@
             tries: 0,
             phase: Phase::Asking,
         };
-        let others = ask.candidates.iter().filter(|member| **member != self.me);
+        let others = ask.candidates.iter().filter(|member| **member != self.self_member);
         let reached = others.filter(|member| (begin.reached)(**member)).count();
-        if reached + usize::from(begin.knows) < self.of_holders().min(self.of_candidates()) {
-            return vec![self.unsure(id)];
+        if reached + usize::from(begin.knows) < self.holder_quorum().min(self.candidate_quorum()) {
+            return vec![self.unresolved(id)];
         }
         let actions = self.send(id, &mut ask, begin.reached, begin.knows);
-        self.dues.insert((ask.by, id.clone()));
+        self.deadlines.insert((ask.by, id.clone()));
         self.asks.insert(id.clone(), ask);
-        // Alone it may be enough by itself.
+        // This member alone may be a quorum.
         if actions.is_empty() { self.decide_if_known(now, id) } else { actions }
     }
 
-    fn unsure(&self, id: &DialogueId) -> RedialAction {
-        RedialAction::Say(id.clone(), Verdict::Unsure { come_back: self.come_back })
+    fn unresolved(&self, id: &DialogueId) -> RedialAction {
+        RedialAction::Report(id.clone(), Verdict::Unsure { come_back: self.come_back })
     }
 
-    /// Asks all that can be asked, under the ask's owner.
+    /// Asks all reachable members on behalf of the claiming owner.
     fn send(
-        &mut self, id: &DialogueId, ask: &mut Ask, reached: &dyn Fn(u16) -> bool, knows: bool,
+        &mut self, id: &DialogueId, ask: &mut Search, reached: &dyn Fn(u16) -> bool, knows: bool,
     ) -> Vec<RedialAction> {
         self.serials.remove(&ask.serial);
         self.serial += 1;
@@ -219,13 +212,15 @@
         self.serials.insert(self.serial, id.clone());
         (ask.open, ask.asked, ask.sure) = Default::default();
         if knows {
-            ask.sure.set(self.me);
+            ask.sure.set(self.self_member);
         }
         let mut actions = Vec::new();
-        // Its owner is asked too, candidate or not: it has a launch out, perhaps, and calls it off.
+        // The previous owner is asked too, even if it is no candidate: it may have a pending launch, which it then cancels.
         let former = ask.found.owner().map(|owner| owner.member);
         let also = former.filter(|member| !ask.candidates.contains(member));
-        for to in ask.candidates.iter().copied().chain(also).filter(|to| *to != self.me && reached(*to)) {
+        for to in
+            ask.candidates.iter().copied().chain(also).filter(|to| *to != self.self_member && reached(*to))
+        {
             ask.open.set(to);
             ask.asked.set(to);
             actions.push(RedialAction::Ask {
@@ -238,13 +233,13 @@
         actions
     }
 
-    /// Who answers a question: the dialogue, and the owner it was asked for.
-    pub fn of(&self, serial: u64) -> Option<(&DialogueId, Owner)> {
+    /// The dialogue of a question, and the owner on whose behalf it was asked.
+    pub fn search_of(&self, serial: u64) -> Option<(&DialogueId, Owner)> {
         let id = self.serials.get(&serial)?;
         Some((id, self.asks.get(id)?.owner))
     }
 
-    /// A member has answered: what it knows, whether it would know all, who is higher if anyone.
+    /// A member has answered: its replica, whether it has caught up (`sure`), and a higher owner if it knows one.
     #[expect(clippy::too_many_arguments)]
     pub fn answered(
         &mut self, now: Duration, serial: u64, from: u16, sure: bool, higher: Option<Owner>,
@@ -260,10 +255,10 @@
             }
             if let Some(higher) = higher {
                 ask.tries += 1;
-                if ask.tries >= TRIES {
+                if ask.tries >= MAX_CLAIM_ATTEMPTS {
                     self.serials.remove(&ask.serial);
-                    self.dues.remove(&(ask.by, id.clone()));
-                    return vec![self.unsure(&id)];
+                    self.deadlines.remove(&(ask.by, id.clone()));
+                    return vec![self.unresolved(&id)];
                 }
                 ask.owner.round = ask.owner.round.max(higher.round + 1);
                 actions = self.send(&id, &mut ask, reached, knows);
@@ -271,9 +266,9 @@
                 if sure {
                     ask.sure.set(from);
                 }
-                // Another owner than was known: it is asked too.
+                // The answer shows another owner, which is asked too.
                 if let Some(owner) = ask.found.owner()
-                    && owner.member != self.me
+                    && owner.member != self.self_member
                     && !ask.asked.has(owner.member)
                     && reached(owner.member)
                 {
@@ -289,7 +284,7 @@
         actions
     }
 
-    /// Enough is known, or all have answered.
+    /// Decides once all members asked have answered.
     fn decide_if_known(&mut self, now: Duration, id: &DialogueId) -> Vec<RedialAction> {
         let Some(ask) = self.asks.get(id) else { return Vec::new() };
         if matches!(ask.phase, Phase::Adopting) || !ask.open.is_empty() {
@@ -300,13 +295,13 @@
 
     fn decide(&mut self, now: Duration, id: &DialogueId) -> Vec<RedialAction> {
         let Some(mut ask) = self.take(id) else { return Vec::new() };
-        if !self.is_enough(id, &ask) {
-            return vec![self.unsure(id)];
+        if !self.has_quorum(id, &ask) {
+            return vec![self.unresolved(id)];
         }
         let claim = RedialAction::Claim { dialogue: id.clone(), owner: ask.owner, found: ask.found.clone() };
-        let since = ask.found.newer_launch_until().filter(|bar| *bar > now);
+        let since = ask.found.newer_launch_until().filter(|blocked_until| *blocked_until > now);
         let verdict = match ask.found.reading() {
-            // What a later owner did not go by counts only once nothing may come of its launch any more.
+            // A record that a later owner did not use counts only once that owner's launch can have no effect any more.
             _ if since.is_some() => Verdict::Unsure { come_back: since.unwrap_or(now) - now },
             ReplicaReading::Answered(answer) => Verdict::Answered(answer.clone()),
             ReplicaReading::Ended => Verdict::Concluded,
@@ -315,79 +310,81 @@
                     RedialAction::Adopt { server: server.clone(), dialogue: id.clone(), owner: ask.owner };
                 ask.phase = Phase::Adopting;
                 ask.by = now + self.within * 2;
-                self.dues.insert((ask.by, id.clone()));
+                self.deadlines.insert((ask.by, id.clone()));
                 self.serials.insert(ask.serial, id.clone());
                 self.asks.insert(id.clone(), ask);
                 return vec![claim, adopt];
             }
-            // Whose bar leaves it no time is told so at once.
-            ReplicaReading::Open { blocked_until: bar, .. }
-                if bar > now && bar + self.release >= ask.cut_off =>
+            // Where the block leaves no time for a launch, the caller is informed at once.
+            ReplicaReading::Open { blocked_until, .. }
+                if blocked_until > now && blocked_until + self.release >= ask.cut_off =>
             {
-                Verdict::Unsure { come_back: bar - now }
+                Verdict::Unsure { come_back: blocked_until - now }
+            }
+            ReplicaReading::Open { blocked_until, .. } => {
+                Verdict::Free { not_before: blocked_until.max(now) }
             }
-            ReplicaReading::Open { blocked_until: bar, .. } => Verdict::Free { not_before: bar.max(now) },
         };
-        vec![claim, RedialAction::Say(id.clone(), verdict)]
+        vec![claim, RedialAction::Report(id.clone(), verdict)]
     }
 
-    fn take(&mut self, id: &DialogueId) -> Option<Ask> {
+    fn take(&mut self, id: &DialogueId) -> Option<Search> {
         let ask = self.asks.remove(id)?;
         self.serials.remove(&ask.serial);
-        self.dues.remove(&(ask.by, id.clone()));
+        self.deadlines.remove(&(ask.by, id.clone()));
         Some(ask)
     }
 
-    /// Its caller wants no more of it, or another has it.
-    pub fn drop_of(&mut self, id: &DialogueId) -> bool {
+    /// Cancels a search: its caller gave up, or another member owns the dialogue.
+    pub fn cancel(&mut self, id: &DialogueId) -> bool {
         self.take(id).is_some()
     }
 
-    /// Another claims it: if higher, this claim has lost. Gives what is to be said.
-    pub fn beaten(&mut self, id: &DialogueId, by: Owner) -> Vec<RedialAction> {
+    /// Another member claims the dialogue: a higher claim ends this search as unresolved.
+    pub fn competing_claim(&mut self, id: &DialogueId, by: Owner) -> Vec<RedialAction> {
         match self.asks.get(id) {
             Some(ask) if ask.owner < by => {
-                self.drop_of(id);
-                vec![self.unsure(id)]
+                self.cancel(id);
+                vec![self.unresolved(id)]
             }
             _ => Vec::new(),
         }
     }
 
-    /// A core server has answered whether a dialogue stands there: the launch that does, or whose it is now.
+    /// A core server has answered whether a dialogue stands there: the launch that does, or its owner.
     pub fn adopted(
         &mut self, id: &DialogueId, server: &ServerId, owner: Owner, launch: Option<LaunchNumber>, by: Owner,
     ) -> Vec<RedialAction> {
-        let adopting = |ask: &&Ask| matches!(ask.phase, Phase::Adopting) && ask.owner == owner;
+        let adopting = |ask: &&Search| matches!(ask.phase, Phase::Adopting) && ask.owner == owner;
         if self.asks.get(id).filter(adopting).is_none() {
             return Vec::new();
         }
-        self.drop_of(id);
+        self.cancel(id);
         let verdict = match launch {
             Some(launch) => Verdict::Stands { server: server.clone(), launch },
-            None if by > owner => return vec![self.unsure(id)],
+            None if by > owner => return vec![self.unresolved(id)],
             None => Verdict::Concluded,
         };
-        vec![RedialAction::Say(id.clone(), verdict)]
+        vec![RedialAction::Report(id.clone(), verdict)]
     }
 
-    /// The core server is not reached.
-    pub fn unreached(&mut self, id: &DialogueId) -> Vec<RedialAction> {
-        if self.drop_of(id) { vec![self.unsure(id)] } else { Vec::new() }
+    /// The core server is unreachable.
+    pub fn server_unreachable(&mut self, id: &DialogueId) -> Vec<RedialAction> {
+        if self.cancel(id) { vec![self.unresolved(id)] } else { Vec::new() }
     }
 
-    /// The time given by `next_due` has come: what is known by now must do.
-    pub fn alarm(&mut self, now: Duration) -> Vec<RedialAction> {
+    /// The deadline given by `next_due` has passed: decides with the answers received so far.
+    pub fn timer_fired(&mut self, now: Duration) -> Vec<RedialAction> {
         let mut actions = Vec::new();
-        while let Some((by, id)) = self.dues.first().cloned()
+        while let Some((by, id)) = self.deadlines.first().cloned()
             && by <= now
         {
             match self.asks.get(&id).map(|ask| &ask.phase) {
                 Some(Phase::Asking) => actions.extend(self.decide(now, &id)),
                 _ => {
-                    self.drop_of(&id);
-                    self.dues.remove(&(by, id.clone()));
-                    actions.push(self.unsure(&id));
+                    self.cancel(&id);
+                    self.deadlines.remove(&(by, id.clone()));
+                    actions.push(self.unresolved(&id));
                 }
             }
         }
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -1,4 +1,4 @@
-//! What operators are told of a member, as JSON: over a peer link, or from what a store holds.
+//! Status of a member for operators, as JSON: over a peer link, or from a store.
 
 use std::time::Duration;
 
@@ -8,20 +8,21 @@
 use serde_json::{Value, json};
 
 use crate::duties::{Duty, NAMES};
-use crate::lives::start_of;
+use crate::incarnations::start_count;
 use crate::member::{Effects, Member};
 use crate::peers::PeerLink;
 
-/// Bytes of text in one frame, and dialogues listed, at most.
-const PIECE: usize = 32 * 1024;
-const MOST_LISTED: usize = 1000;
+/// Max bytes of text in one frame.
+const CHUNK_BYTES: usize = 32 * 1024;
+/// Max dialogues in one listing.
+const MAX_LISTED: usize = 1000;
 
-fn owner(owner: Owner, names: &[String]) -> Value {
+fn owner_json(owner: Owner, names: &[String]) -> Value {
     let name = names.get(usize::from(owner.member)).cloned().unwrap_or_else(|| owner.member.to_string());
-    json!({ "member": name, "start": start_of(owner.incarnation), "life": owner.incarnation, "round": owner.round })
+    json!({ "member": name, "start": start_count(owner.incarnation), "life": owner.incarnation, "round": owner.round })
 }
 
-/// One copy in words.
+/// One replica as JSON.
 pub fn copy_text(now: Duration, id: &DialogueId, copy: &Replica, names: &[String]) -> Value {
     let parts: Vec<Value> = copy
         .owner_states()
@@ -34,7 +35,7 @@
                 Progress::Ended => ("over", None, None),
             };
             json!({
-                "owner": owner(part.owner, names),
+                "owner": owner_json(part.owner, names),
                 "version": part.version,
                 "reached": reached,
                 "server": server.map(|server| server.0.to_string()),
@@ -51,8 +52,9 @@
         ReplicaReading::Open { .. } => "open",
     };
     let given = copy.answers().iter();
-    let answers: Vec<Value> =
-        given.map(|given| json!({ "owner": owner(given.owner, names), "answer": given.answer })).collect();
+    let answers: Vec<Value> = given
+        .map(|given| json!({ "owner": owner_json(given.owner, names), "answer": given.answer }))
+        .collect();
     json!({ "dialogue": &*id.0, "reads": reading, "answers": answers, "parts": parts })
 }
 
@@ -60,33 +62,33 @@
 pub fn differ<'a>(
     now: Duration, copies: impl Iterator<Item = (&'a DialogueId, &'a Replica)>, names: &[String],
 ) -> Value {
-    let differing = copies.filter(|(_, copy)| copy.has_conflicting_answers()).take(MOST_LISTED);
+    let differing = copies.filter(|(_, copy)| copy.has_conflicting_answers()).take(MAX_LISTED);
     json!(differing.map(|(id, copy)| copy_text(now, id, copy, names)).collect::<Vec<_>>())
 }
 
-/// One dialogue, or null where nothing is known of it.
+/// One dialogue as JSON, or null where it is unknown.
 pub fn show(now: Duration, id: &DialogueId, copy: Option<&Replica>, names: &[String]) -> Value {
     copy.map_or(Value::Null, |copy| copy_text(now, id, copy, names))
 }
 
 impl Member {
-    /// How things stand, for an operator.
+    /// The status of this member.
     pub fn status(&self, now: Duration) -> Value {
         let plan = self.plan();
         let members: Vec<Value> = (plan.members.iter().enumerate())
             .map(|(place, name)| {
                 let member = place as u16;
                 let me = member == plan.me;
-                let (life, view) = (if me { self.life() } else { self.view().life(member) }, self.view());
+                let (life, view) = (if me { self.life() } else { self.view().incarnation(member) }, self.view());
                 json!({
                     "name": name,
                     "this": me,
-                    "start": start_of(life),
-                    "heard": view.hears(now, member),
-                    "away_ms": if me { 0 } else { view.away(now, member).as_millis().min(1 << 40) as u64 },
-                    "gone": view.gone(member),
+                    "start": start_count(life),
+                    "heard": view.is_reachable(now, member),
+                    "away_ms": if me { 0 } else { view.time_since_frame(now, member).as_millis().min(1 << 40) as u64 },
+                    "gone": view.is_gone(member),
                     "neighbour": view.is_neighbour(member),
-                    "caught_up": if me { self.caught_up() } else { view.caught_up(member) },
+                    "caught_up": if me { self.caught_up() } else { view.has_caught_up(member) },
                 })
             })
             .collect();
@@ -108,8 +110,8 @@
         })
     }
 
-    /// `DUTY`, or `DUTY MEMBER`: what becomes of it is seen in what is told of duties.
-    fn ordered_over(&mut self, rest: &str) -> Value {
+    /// Orders a duty to be handed over: `DUTY`, or `DUTY MEMBER`. The result appears in the status of the duties.
+    fn order_hand_over(&mut self, rest: &str) -> Value {
         let (duty, to) = rest.split_once(' ').map_or((rest, None), |(duty, to)| (duty, Some(to)));
         let Some(place) = NAMES.iter().position(|name| *name == duty).filter(|_| self.duties().is_some())
         else {
@@ -126,8 +128,8 @@
         json!({ "ordered": duty })
     }
 
-    /// Names of 3, 5 or 7 members: they are changed one at a time.
-    fn ordered_voters(&mut self, rest: &str) -> Value {
+    /// Orders a change of voters to the 3, 5 or 7 named members; voters are changed one at a time.
+    fn order_voters(&mut self, rest: &str) -> Value {
         let members = &self.plan().members;
         let place_of = |name: &str| members.iter().position(|known| known == name).map(|place| place as u16);
         let mut voters = Vec::new();
@@ -147,11 +149,11 @@
         json!({ "ordered": rest })
     }
 
-    /// An operator asks: status, differ, show DIALOGUE, or orders something.
-    pub(crate) fn inquired(&mut self, link: PeerLink, what: &str, effects: &mut dyn Effects) {
+    /// Answers an operator's inquiry (`status`, `duties`, `differ`, `show DIALOGUE`) or order.
+    pub(crate) fn answer_inquiry(&mut self, link: PeerLink, what: &str, effects: &mut dyn Effects) {
         let now = self.now();
         let names = &self.plan().members;
-        let told = match what.split_once(' ') {
+        let reply = match what.split_once(' ') {
             None if what == "status" => self.status(now),
             None if what == "duties" => match self.duties() {
                 Some(duties) => duties.status(now, names),
@@ -164,8 +166,8 @@
                     false => json!({ "error": "nobody holds the duty publish, or too many wait there" }),
                 }
             }
-            Some(("voters", rest)) => self.ordered_voters(rest),
-            Some(("hand-over", rest)) => self.ordered_over(rest),
+            Some(("voters", rest)) => self.order_voters(rest),
+            Some(("hand-over", rest)) => self.order_hand_over(rest),
             None if what == "differ" => differ(now, self.book().iter(), names),
             Some(("show", id)) => {
                 let id = DialogueId(id.into());
@@ -173,10 +175,10 @@
             }
             _ => json!({ "error": format!("{what:?} is not known here") }),
         };
-        let text = told.to_string();
+        let text = reply.to_string();
         let mut rest = text.as_str();
         loop {
-            let mut cut = rest.len().min(PIECE);
+            let mut cut = rest.len().min(CHUNK_BYTES);
             while !rest.is_char_boundary(cut) {
                 cut -= 1;
             }
--- a/crates/fleet/src/takeovers.rs
+++ b/crates/fleet/src/takeovers.rs
@@ -1,8 +1,8 @@
-//! What a member leaves behind when it is gone: its standing dialogues are taken over, each by the next of those who hold copies, and
-//! kept for a while for their callers; what nobody owns any more is released at the core servers.
+//! Takeover of the dialogues of gone members. Each standing dialogue is taken over by the first available holder of its replicas and
+//! held for a while for its caller; lines without an owner are released at the core servers.
 //!
-//! Two successors may think that it is their turn, where what they hear differs. That does no harm: a core server takes the word of
-//! the higher owner, and whoever had it lets go.
+//! Two successors with different membership views may both take over a dialogue. That does no harm: a core server accepts the higher
+//! owner, and the other one gives the dialogue up.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -11,73 +11,49 @@
 use lotussaddle_replica::{Replica, ReplicaReading};
 use lotussaddle_trunk::{HeldLine, Owner};
 
-/// Dialogues being taken over at once; those beyond it wait for the next look.
-const MOST_ADOPTING: usize = 512;
-/// A core server that was not reached, or did not answer, is asked again after this.
-const AGAIN: Duration = Duration::from_millis(500);
-/// So often; then its lines are left to the sweep that comes when it is reached.
-const TRIES: u32 = 20;
-/// A member asks for its own lines whatever their life: a later one than its own is news to it.
-const ANY_LIFE: u64 = u64::MAX;
-/// Lines that were left to whoever claimed them, at most; those beyond it are seen when there is room.
-const MOST_LEFT: usize = 65_536;
-
-/// What a takeover asks to be done.
+/// Max concurrent adoptions; further dialogues wait for the next scan.
+const MAX_ADOPTING: usize = 512;
+/// An unreachable or unresponsive core server is asked again after this.
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// Max attempts to adopt a dialogue; afterwards its line is left to the sweep that follows when the server is reachable.
+const MAX_ADOPT_ATTEMPTS: u32 = 20;
+/// A member asks for its own lines of any incarnation: it learns of a later incarnation this way.
+const ANY_INCARNATION: u64 = u64::MAX;
+/// Max tracked lines that were left to a claimant; further ones are tracked in a later sweep when there is space.
+const MAX_CLAIMED_LINES: usize = 65_536;
+
+/// An action that a takeover requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TakeoverAction {
-    /// The core server is asked whether it stands there, for this owner.
+    /// Ask the core server whether the dialogue stands there, and adopt it for this owner.
     Adopt {
         server: ServerId,
         dialogue: DialogueId,
         owner: Owner,
-        /// It is to be freed as what another member left: the duty `sweep` does that, where there are duties.
+        /// It is adopted to release another member's line; with duties, only the holder of `sweep` does that.
         swept: bool,
     },
-    /// It is this member's now, and stands there.
-    Own {
-        dialogue: DialogueId,
-        owner: Owner,
-        server: ServerId,
-        launch: LaunchNumber,
-    },
-    Release {
-        server: ServerId,
-        dialogue: DialogueId,
-        launch: LaunchNumber,
-    },
-    /// It is over, by this owner's word.
-    Over {
-        dialogue: DialogueId,
-        owner: Owner,
-    },
-    /// What stands at this core server of that member's lives up to this one?
-    What {
-        server: ServerId,
-        serial: u64,
-        member: u16,
-        life: u64,
-        after: Option<DialogueId>,
-    },
+    /// This member owns the dialogue, which stands there.
+    Own { dialogue: DialogueId, owner: Owner, server: ServerId, launch: LaunchNumber },
+    /// Release the line at the core server.
+    Release { server: ServerId, dialogue: DialogueId, launch: LaunchNumber },
+    /// Record on behalf of this owner that the dialogue has ended.
+    Conclude { dialogue: DialogueId, owner: Owner },
+    /// Ask a core server for the lines of a member's incarnations up to this one.
+    ListLines { server: ServerId, serial: u64, member: u16, life: u64, after: Option<DialogueId> },
 }
 
+/// Stage of a takeover.
 enum Stage {
-    Adopting {
-        at: Duration,
-        tries: u32,
-    },
-    /// It stands, and waits for its caller until then.
-    Kept {
-        until: Duration,
-        launch: LaunchNumber,
-    },
-    /// Nobody owns it: it is adopted to be released.
-    Freeing {
-        at: Duration,
-        tries: u32,
-        swept: bool,
-    },
+    /// The core server was asked.
+    Adopting { at: Duration, tries: u32 },
+    /// It stands, and is held for its caller until `until`.
+    AwaitingCaller { until: Duration, launch: LaunchNumber },
+    /// It has no owner, and is adopted to be released.
+    Releasing { at: Duration, tries: u32, swept: bool },
 }
 
+/// A dialogue whose owner is gone, or that has no owner.
 struct Orphan {
     server: ServerId,
     owner: Owner,
@@ -87,97 +63,102 @@
 impl Orphan {
     fn due(&self) -> Duration {
         match self.stage {
-            Stage::Adopting { at, .. } | Stage::Freeing { at, .. } => at + AGAIN,
-            Stage::Kept { until, .. } => until,
+            Stage::Adopting { at, .. } | Stage::Releasing { at, .. } => at + RETRY_INTERVAL,
+            Stage::AwaitingCaller { until, .. } => until,
         }
     }
 }
 
-/// A member's life that has ended.
+/// An incarnation of a member that has ended.
 struct EndedIncarnation {
     life: u64,
     since: Duration,
-    swept: BTreeMap<ServerId, Swept>,
+    swept: BTreeMap<ServerId, SweepRecord>,
 }
 
-/// A core server was asked for lines of one member.
+/// The last query of one core server for the lines of one member.
 #[derive(Clone, Copy)]
-struct Swept {
+struct SweepRecord {
     at: Duration,
-    /// Some lines were left, or may have been: it is asked again.
+    /// Some lines were left to a claimant, or may have been: the server is asked again.
     left: bool,
 }
 
-/// What a core server tells of a line, as this member sees it.
+/// Ownership of a listed line, as far as this member knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LineOf {
-    /// Its owner holds it.
+pub enum LineOwnership {
+    /// Its owner holds the dialogue.
     Held,
-    /// Someone has claimed it, and is about to come for it.
+    /// Another member has claimed it and is expected to adopt it.
     Claimed,
-    Nobody,
+    /// No member holds or claims it.
+    Unowned,
 }
 
-struct Question {
+/// A query for lines that has not been answered completely.
+struct LineQuery {
     server: ServerId,
     member: u16,
     life: u64,
     at: Duration,
-    /// In the midst of service: a line that is not held is looked at twice before it is freed.
-    gently: bool,
+    /// Asked during normal service: an unowned line is released only when a second check finds it again.
+    is_recheck_required: bool,
 }
 
 /// Dialogues of ended incarnations that this member takes over or releases.
 pub struct Takeovers {
-    me: u16,
+    self_member: u16,
     unclaimed: Duration,
     orphans: HashMap<DialogueId, Orphan>,
-    dues: BTreeSet<(Duration, DialogueId)>,
+    deadlines: BTreeSet<(Duration, DialogueId)>,
     ended_incarnations: BTreeMap<u16, EndedIncarnation>,
-    /// Core servers that were asked for this member's own lines.
-    mine: BTreeMap<ServerId, Swept>,
-    /// Lines that were claimed when they were told, whose they were and since when: a claim that nothing came of binds nobody.
-    left: BTreeMap<(ServerId, DialogueId), (Owner, Duration)>,
-    questions: BTreeMap<u64, Question>,
+    /// Last queries for this member's own lines, by core server.
+    own_sweeps: BTreeMap<ServerId, SweepRecord>,
+    /// Lines that were claimed when they were listed, with their owner and the time: a claim without an adoption expires.
+    claimed_lines: BTreeMap<(ServerId, DialogueId), (Owner, Duration)>,
+    line_queries: BTreeMap<u64, LineQuery>,
     serial: u64,
-    /// Standing dialogues of members gone were seen that are another successor's, or too many at once: look again.
-    pub look_again: bool,
+    /// The last scan found standing dialogues of gone members that belong to another successor or exceed the limit.
+    pub rescan_needed: bool,
 }
 
 impl Takeovers {
-    pub fn new(me: u16, unclaimed: Duration) -> Self {
+    /// Takeovers that release a dialogue which no caller claims for `unclaimed`.
+    pub fn new(self_member: u16, unclaimed: Duration) -> Self {
         Self {
-            me,
+            self_member,
             unclaimed,
             orphans: HashMap::new(),
-            dues: BTreeSet::new(),
+            deadlines: BTreeSet::new(),
             ended_incarnations: BTreeMap::new(),
-            mine: BTreeMap::new(),
-            left: BTreeMap::new(),
-            questions: BTreeMap::new(),
+            own_sweeps: BTreeMap::new(),
+            claimed_lines: BTreeMap::new(),
+            line_queries: BTreeMap::new(),
             serial: 0,
-            look_again: false,
+            rescan_needed: false,
         }
     }
 
-    /// Dialogues that are kept for their callers, or being taken over.
+    /// Number of dialogues held for their callers or being taken over.
     pub fn len(&self) -> usize {
         self.orphans.len()
     }
 
+    /// Whether no dialogue is held or being taken over.
     pub fn is_empty(&self) -> bool {
         self.orphans.is_empty()
     }
 
+    /// When [`Takeovers::timer_fired`] is due.
     pub fn next_due(&self) -> Option<Duration> {
-        let questions = self.questions.values().map(|question| question.at + AGAIN * 4).min();
-        self.dues.first().map(|(at, _)| *at).into_iter().chain(questions).min()
+        let query_deadline = self.line_queries.values().map(|query| query.at + RETRY_INTERVAL * 4).min();
+        self.deadlines.first().map(|(at, _)| *at).into_iter().chain(query_deadline).min()
     }
 
     // Members that are gone
 
-    /// This life of a member, and what came before it, has ended.
-    pub fn ended(&mut self, now: Duration, member: u16, life: u64) {
+    /// This incarnation of a member and all earlier ones have ended.
+    pub fn incarnation_ended(&mut self, now: Duration, member: u16, life: u64) {
         let ended = self.ended_incarnations.entry(member).or_insert(EndedIncarnation {
             life,
             since: now,
@@ -186,45 +167,46 @@
         if life > ended.life {
             *ended = EndedIncarnation { life, since: now, swept: BTreeMap::new() };
         }
-        self.look_again = true;
+        self.rescan_needed = true;
     }
 
-    /// A member that was taken as gone is heard in the same life: it was only slow, or cut off.
-    pub fn returned(&mut self, member: u16, life: u64) {
+    /// A member that counted as gone is reachable in the same incarnation: it was only slow, or partitioned.
+    pub fn member_returned(&mut self, member: u16, life: u64) {
         if self.ended_incarnations.get(&member).is_some_and(|ended| ended.life >= life) {
             self.ended_incarnations.remove(&member);
-            self.questions.retain(|_, question| question.member != member);
+            self.line_queries.retain(|_, query| query.member != member);
         }
     }
 
-    /// Whether this owner's life has ended.
+    /// Whether this owner's incarnation has ended.
     pub fn is_ended(&self, owner: Owner) -> bool {
         self.ended_incarnations.get(&owner.member).is_some_and(|ended| owner.incarnation <= ended.life)
     }
 
-    pub fn any_ended(&self) -> bool {
+    /// Whether any incarnation of a member has ended.
+    pub fn has_ended_incarnations(&self) -> bool {
         !self.ended_incarnations.is_empty()
     }
 
     // Dialogues
 
-    /// Looks at a copy: is it this member's to take over? `first`: the first of those who may hold copies that is there.
-    pub fn look(
+    /// Takes a replica's dialogue over if that is this member's task. `first`: the first available candidate holder.
+    pub fn consider_replica(
         &mut self, now: Duration, id: &DialogueId, copy: &Replica, first: Option<u16>, life: u64,
     ) -> Option<TakeoverAction> {
         let ReplicaReading::Stands { server, .. } = copy.reading() else { return None };
         let top = copy.owner().filter(|owner| self.is_ended(*owner))?;
-        if first != Some(self.me)
-            || self.orphans.len() >= MOST_ADOPTING * 2
-            || self.adopting() >= MOST_ADOPTING
+        if first != Some(self.self_member)
+            || self.orphans.len() >= MAX_ADOPTING * 2
+            || self.pending_count() >= MAX_ADOPTING
         {
-            self.look_again = true;
+            self.rescan_needed = true;
             return None;
         }
         if self.orphans.contains_key(id) {
             return None;
         }
-        let owner = Owner { round: top.round + 1, member: self.me, incarnation: life };
+        let owner = Owner { round: top.round + 1, member: self.self_member, incarnation: life };
         let server = server.clone();
         let adopt =
             TakeoverAction::Adopt { server: server.clone(), dialogue: id.clone(), owner, swept: false };
@@ -232,83 +214,83 @@
         Some(adopt)
     }
 
-    fn adopting(&self) -> usize {
-        self.orphans.values().filter(|orphan| !matches!(orphan.stage, Stage::Kept { .. })).count()
+    fn pending_count(&self) -> usize {
+        self.orphans.values().filter(|orphan| !matches!(orphan.stage, Stage::AwaitingCaller { .. })).count()
     }
 
     fn put(&mut self, id: &DialogueId, orphan: Orphan) {
-        self.drop_of(id);
-        self.dues.insert((orphan.due(), id.clone()));
+        self.remove(id);
+        self.deadlines.insert((orphan.due(), id.clone()));
         self.orphans.insert(id.clone(), orphan);
     }
 
-    /// Whether it is kept here, or being taken over.
+    /// Whether a dialogue is held here or being taken over.
     pub fn has(&self, id: &DialogueId) -> bool {
         self.orphans.contains_key(id)
     }
 
-    /// Its caller has come for what is kept here: where it stands.
-    pub fn claim(&mut self, id: &DialogueId) -> Option<(ServerId, LaunchNumber)> {
-        let Stage::Kept { launch, .. } = self.orphans.get(id)?.stage else { return None };
+    /// The caller of a held dialogue has redialled. Returns where the dialogue stands.
+    pub fn claim_held(&mut self, id: &DialogueId) -> Option<(ServerId, LaunchNumber)> {
+        let Stage::AwaitingCaller { launch, .. } = self.orphans.get(id)?.stage else { return None };
         let server = self.orphans[id].server.clone();
-        self.drop_of(id);
+        self.remove(id);
         Some((server, launch))
     }
 
-    /// What this member has taken over for a caller that could not be told waits for that caller as if it had been left behind.
-    pub fn keep(
+    /// Holds a dialogue that this member adopted for a caller that could not be notified, as if its owner were gone.
+    pub fn hold_for_caller(
         &mut self, now: Duration, id: &DialogueId, server: ServerId, owner: Owner, launch: LaunchNumber,
     ) {
-        let stage = Stage::Kept { until: now + self.unclaimed, launch };
+        let stage = Stage::AwaitingCaller { until: now + self.unclaimed, launch };
         self.put(id, Orphan { server, owner, stage });
     }
 
-    /// It is another's now, or this member's caller has come for it.
-    pub fn drop_of(&mut self, id: &DialogueId) -> bool {
+    /// Drops a dialogue: another member owns it, or its caller has redialled here.
+    pub fn remove(&mut self, id: &DialogueId) -> bool {
         let Some(orphan) = self.orphans.remove(id) else { return false };
-        self.dues.remove(&(orphan.due(), id.clone()));
+        self.deadlines.remove(&(orphan.due(), id.clone()));
         true
     }
 
-    /// A core server has answered.
+    /// A core server has answered an adoption.
     pub fn adopted(
         &mut self, now: Duration, id: &DialogueId, server: &ServerId, owner: Owner,
         launch: Option<LaunchNumber>, by: Owner,
     ) -> Vec<TakeoverAction> {
         let known = self.orphans.get(id).filter(|orphan| orphan.owner == owner && orphan.server == *server);
         let Some(orphan) = known else { return Vec::new() };
-        let freeing = match orphan.stage {
+        let is_releasing = match orphan.stage {
             Stage::Adopting { .. } => false,
-            Stage::Freeing { .. } => true,
-            Stage::Kept { .. } => return Vec::new(),
+            Stage::Releasing { .. } => true,
+            Stage::AwaitingCaller { .. } => return Vec::new(),
         };
-        self.drop_of(id);
+        self.remove(id);
         let (dialogue, server) = (id.clone(), server.clone());
         match launch {
-            Some(launch) if freeing => {
+            Some(launch) if is_releasing => {
                 vec![
                     TakeoverAction::Release { server, dialogue: dialogue.clone(), launch },
-                    TakeoverAction::Over { dialogue, owner },
+                    TakeoverAction::Conclude { dialogue, owner },
                 ]
             }
             Some(launch) => {
                 let until = now + self.unclaimed;
-                let stage = Stage::Kept { until, launch };
+                let stage = Stage::AwaitingCaller { until, launch };
                 self.put(id, Orphan { server: server.clone(), owner, stage });
                 vec![TakeoverAction::Own { dialogue, owner, server, launch }]
             }
             None if by > owner => Vec::new(),
-            None => vec![TakeoverAction::Over { dialogue, owner }],
+            None => vec![TakeoverAction::Conclude { dialogue, owner }],
         }
     }
 
-    /// What this member took over is over at its core server.
-    pub fn over(&mut self, id: &DialogueId) -> Vec<TakeoverAction> {
+    /// A dialogue that this member took over has ended at its core server.
+    pub fn concluded(&mut self, id: &DialogueId) -> Vec<TakeoverAction> {
         match self.orphans.get(id) {
-            Some(Orphan { owner, stage: Stage::Kept { .. }, .. }) => {
+            Some(Orphan { owner, stage: Stage::AwaitingCaller { .. }, .. }) => {
                 let owner = *owner;
-                self.drop_of(id);
-                vec![TakeoverAction::Over { dialogue: id.clone(), owner }]
+                self.remove(id);
+                vec![TakeoverAction::Conclude { dialogue: id.clone(), owner }]
             }
             _ => Vec::new(),
         }
@@ -316,14 +298,14 @@
 
     // Lines
 
-    /// Asks core servers for lines of members that have been gone for long enough, where this member is the one to ask: what is
-    /// there then was claimed by nobody. Those of this member are asked for too. Where lines were left to a claim they are asked for
-    /// again.
+    /// Asks core servers for the lines of members that have been gone for the claim time, where this member is the successor, and
+    /// for this member's own lines. Lines found then were not claimed. Servers where lines were left to a claim are asked again.
     pub fn sweep(
         &mut self, now: Duration, is_successor_of: impl Fn(u16) -> bool, cores: &BTreeSet<ServerId>,
     ) -> Vec<TakeoverAction> {
         let unclaimed = self.unclaimed;
-        let due = |swept: Option<&Swept>| swept.is_none_or(|swept| swept.left && now >= swept.at + unclaimed);
+        let due =
+            |swept: Option<&SweepRecord>| swept.is_none_or(|swept| swept.left && now >= swept.at + unclaimed);
         let mut asked = Vec::new();
         for (member, ended) in &mut self.ended_incarnations {
             if now < ended.since + unclaimed || !is_successor_of(*member) {
@@ -334,176 +316,177 @@
             }
         }
         asked.extend(
-            cores.iter().filter(|server| due(self.mine.get(*server))).map(|s| (s.clone(), self.me, ANY_LIFE)),
+            cores
+                .iter()
+                .filter(|server| due(self.own_sweeps.get(*server)))
+                .map(|s| (s.clone(), self.self_member, ANY_INCARNATION)),
         );
-        asked.into_iter().map(|(server, member, life)| self.ask(now, server, member, life)).collect()
+        asked.into_iter().map(|(server, member, life)| self.query_lines(now, server, member, life)).collect()
     }
 
-    fn ask(&mut self, now: Duration, server: ServerId, member: u16, life: u64) -> TakeoverAction {
+    fn query_lines(&mut self, now: Duration, server: ServerId, member: u16, life: u64) -> TakeoverAction {
         self.serial += 1;
-        let swept = Swept { at: now, left: false };
-        // Its own life has not ended: what it does not hold of it is nobody's all the same.
+        let swept = SweepRecord { at: now, left: false };
+        // This member's own incarnation has not ended, but lines of it that it does not hold are unowned too.
         match self.ended_incarnations.get_mut(&member).filter(|ended| ended.life == life) {
             Some(ended) => ended.swept.insert(server.clone(), swept),
-            None => self.mine.insert(server.clone(), swept),
+            None => self.own_sweeps.insert(server.clone(), swept),
         };
-        let question = Question { server: server.clone(), member, life, at: now, gently: false };
-        self.questions.insert(self.serial, question);
-        TakeoverAction::What { server, serial: self.serial, member, life, after: None }
+        let query = LineQuery { server: server.clone(), member, life, at: now, is_recheck_required: false };
+        self.line_queries.insert(self.serial, query);
+        TakeoverAction::ListLines { server, serial: self.serial, member, life, after: None }
     }
 
-    /// Asks for lines of this member's own that it does not hold itself.
-    pub fn ask_of_mine(&mut self, now: Duration, server: &ServerId) -> TakeoverAction {
-        self.ask(now, server.clone(), self.me, ANY_LIFE)
+    /// Asks a core server for this member's lines, to find those that it does not hold.
+    pub fn query_own_lines(&mut self, now: Duration, server: &ServerId) -> TakeoverAction {
+        self.query_lines(now, server.clone(), self.self_member, ANY_INCARNATION)
     }
 
-    /// The duty `circuits` has this member look after its own lines at a core server; none: it is doing so already.
-    pub fn check_mine(&mut self, now: Duration, server: &ServerId) -> Option<TakeoverAction> {
-        let asked = |question: &Question| question.server == *server && question.member == self.me;
-        if self.questions.values().any(asked) {
+    /// Checks this member's own lines at a core server for the duty `circuits`; none: a check is already running.
+    pub fn check_own_lines(&mut self, now: Duration, server: &ServerId) -> Option<TakeoverAction> {
+        let asked = |query: &LineQuery| query.server == *server && query.member == self.self_member;
+        if self.line_queries.values().any(asked) {
             return None;
         }
-        let action = self.ask(now, server.clone(), self.me, ANY_LIFE);
-        self.questions.get_mut(&self.serial)?.gently = true;
+        let action = self.query_lines(now, server.clone(), self.self_member, ANY_INCARNATION);
+        self.line_queries.get_mut(&self.serial)?.is_recheck_required = true;
         Some(action)
     }
 
-    /// What was swept is another holder's now: nothing more of it is done here.
-    pub fn sweeps_no_more(&mut self) {
-        let swept = |orphan: &Orphan| matches!(orphan.stage, Stage::Freeing { swept: true, .. });
+    /// The duty `sweep` is held elsewhere: abandons running sweeps of other members' lines.
+    pub fn stop_sweeping(&mut self) {
+        let swept = |orphan: &Orphan| matches!(orphan.stage, Stage::Releasing { swept: true, .. });
         let ids: Vec<DialogueId> =
             self.orphans.iter().filter(|(_, orphan)| swept(orphan)).map(|(id, _)| id.clone()).collect();
         for id in ids {
-            self.drop_of(&id);
+            self.remove(&id);
         }
-        self.questions.retain(|_, question| question.member == self.me);
-        // Whoever holds it next, this one again perhaps, asks anew.
+        self.line_queries.retain(|_, query| query.member == self.self_member);
+        // The next holder, which may be this member, starts again.
         self.ended_incarnations.values_mut().for_each(|ended| ended.swept.clear());
     }
 
-    /// This member has let a standing dialogue go to whoever claimed it: where nothing comes of that its line is nobody's.
-    pub fn let_go(&mut self, now: Duration, server: &ServerId) {
-        let swept = self.mine.entry(server.clone()).or_insert(Swept { at: now, left: false });
-        // Not later than for the first that was let go, or where much is, its time would never come.
+    /// This member has yielded a standing dialogue to a claimant. If the claimant does not adopt it, its line has no owner.
+    pub fn claim_yielded(&mut self, now: Duration, server: &ServerId) {
+        let swept = self.own_sweeps.entry(server.clone()).or_insert(SweepRecord { at: now, left: false });
+        // The time of the first yielded dialogue counts: under a steady flow of them, a later time would defer the query forever.
         if !swept.left {
-            *swept = Swept { at: now, left: true };
+            *swept = SweepRecord { at: now, left: true };
         }
     }
 
-    fn is_left(&mut self, server: &ServerId, member: u16, life: u64) {
+    fn mark_line_left(&mut self, server: &ServerId, member: u16, life: u64) {
         let ended = self.ended_incarnations.get_mut(&member).filter(|ended| ended.life == life);
-        let swept = ended.map_or(&mut self.mine, |ended| &mut ended.swept).get_mut(server);
+        let swept = ended.map_or(&mut self.own_sweeps, |ended| &mut ended.swept).get_mut(server);
         swept.into_iter().for_each(|swept| swept.left = true);
     }
 
-    /// A core server tells what stands there; `whose` tells whose a line is, as far as is known here. One that was claimed is left,
-    /// and freed where it is still the former owner's when it is told again.
+    /// A core server lists its lines; `whose` gives the ownership of a line as known here. A claimed line is left, and released if
+    /// it still has the previous owner when it is listed again after the claim time.
     #[expect(clippy::too_many_arguments)]
-    pub fn holds(
+    pub fn lines_listed(
         &mut self, now: Duration, server: &ServerId, serial: u64, lines: &[HeldLine], more: bool, life: u64,
-        whose: impl Fn(&HeldLine) -> LineOf,
+        whose: impl Fn(&HeldLine) -> LineOwnership,
     ) -> Vec<TakeoverAction> {
-        let Some(question) = self.questions.get_mut(&serial).filter(|question| question.server == *server)
-        else {
+        let Some(query) = self.line_queries.get_mut(&serial).filter(|query| query.server == *server) else {
             return Vec::new();
         };
-        let (member, up_to, gently) = (question.member, question.life, question.gently);
-        question.at = now;
+        let (member, up_to, is_recheck_required) = (query.member, query.life, query.is_recheck_required);
+        query.at = now;
         let mut actions = Vec::new();
         match lines.last().filter(|_| more) {
-            Some(last) => actions.push(TakeoverAction::What {
+            Some(last) => actions.push(TakeoverAction::ListLines {
                 server: server.clone(),
                 serial,
                 member,
                 life: up_to,
                 after: Some(last.dialogue.clone()),
             }),
-            None => drop(self.questions.remove(&serial)),
+            None => drop(self.line_queries.remove(&serial)),
         }
         for line in lines.iter().filter(|line| line.owner.member == member && line.owner.incarnation <= up_to)
         {
             let key = (server.clone(), line.dialogue.clone());
             let whose = match whose(line) {
-                LineOf::Nobody if gently => LineOf::Claimed,
+                LineOwnership::Unowned if is_recheck_required => LineOwnership::Claimed,
                 whose => whose,
             };
             match whose {
-                LineOf::Held => {
-                    self.left.remove(&key);
+                LineOwnership::Held => {
+                    self.claimed_lines.remove(&key);
                     continue;
                 }
-                LineOf::Claimed => {
-                    let since = self.left.get(&key).filter(|(owner, _)| *owner == line.owner);
+                LineOwnership::Claimed => {
+                    let since = self.claimed_lines.get(&key).filter(|(owner, _)| *owner == line.owner);
                     let since = since.map(|(_, since)| *since);
                     if since.is_none_or(|since| now < since + self.unclaimed) {
-                        self.is_left(server, member, up_to);
-                        if since.is_none() && self.left.len() < MOST_LEFT {
-                            self.left.insert(key, (line.owner, now));
+                        self.mark_line_left(server, member, up_to);
+                        if since.is_none() && self.claimed_lines.len() < MAX_CLAIMED_LINES {
+                            self.claimed_lines.insert(key, (line.owner, now));
                         }
                         continue;
                     }
                 }
-                LineOf::Nobody => {}
+                LineOwnership::Unowned => {}
             }
-            self.left.remove(&key);
-            let owner = Owner { round: line.owner.round + 1, member: self.me, incarnation: life };
+            self.claimed_lines.remove(&key);
+            let owner = Owner { round: line.owner.round + 1, member: self.self_member, incarnation: life };
             let dialogue = line.dialogue.clone();
-            let swept = member != self.me;
+            let swept = member != self.self_member;
             actions.push(TakeoverAction::Adopt { server: server.clone(), dialogue, owner, swept });
-            let stage = Stage::Freeing { at: now, tries: 0, swept };
+            let stage = Stage::Releasing { at: now, tries: 0, swept };
             self.put(&line.dialogue, Orphan { server: server.clone(), owner, stage });
         }
         actions
     }
 
-    /// A core server was not reached for a question.
-    pub fn unasked(&mut self, serial: u64) {
-        let Some(question) = self.questions.remove(&serial) else { return };
-        let ended =
-            self.ended_incarnations.get_mut(&question.member).filter(|ended| ended.life == question.life);
-        ended.map_or(&mut self.mine, |ended| &mut ended.swept).remove(&question.server);
+    /// A core server could not be asked, or did not answer in time.
+    pub fn line_query_failed(&mut self, serial: u64) {
+        let Some(query) = self.line_queries.remove(&serial) else { return };
+        let ended = self.ended_incarnations.get_mut(&query.member).filter(|ended| ended.life == query.life);
+        ended.map_or(&mut self.own_sweeps, |ended| &mut ended.swept).remove(&query.server);
     }
 
-    /// A core server is not reached any more, or its process is another one: it is asked anew.
-    pub fn forget_server(&mut self, server: &ServerId) {
+    /// A core server is unreachable or was restarted: it is asked again later.
+    pub fn server_lost(&mut self, server: &ServerId) {
         for ended in self.ended_incarnations.values_mut() {
             ended.swept.remove(server);
         }
-        self.mine.remove(server);
-        self.questions.retain(|_, question| question.server != *server);
-        self.left.retain(|(at, _), _| at != server);
+        self.own_sweeps.remove(server);
+        self.line_queries.retain(|_, query| query.server != *server);
+        self.claimed_lines.retain(|(at, _), _| at != server);
     }
 
-    /// The time given by `next_due` has come.
-    pub fn alarm(&mut self, now: Duration) -> Vec<TakeoverAction> {
-        let late = self.questions.iter().filter(|(_, question)| question.at + AGAIN * 4 <= now);
+    /// The deadline given by `next_due` has passed: expires queries, and retries or releases dialogues.
+    pub fn timer_fired(&mut self, now: Duration) -> Vec<TakeoverAction> {
+        let late = self.line_queries.iter().filter(|(_, query)| query.at + RETRY_INTERVAL * 4 <= now);
         for serial in late.map(|(serial, _)| *serial).collect::<Vec<_>>() {
-            self.unasked(serial);
+            self.line_query_failed(serial);
         }
         let mut actions = Vec::new();
-        while let Some((at, id)) = self.dues.first().cloned()
+        while let Some((at, id)) = self.deadlines.first().cloned()
             && at <= now
         {
             let Some(mut orphan) = self.orphans.remove(&id) else {
-                self.dues.pop_first();
+                self.deadlines.pop_first();
                 continue;
             };
-            self.dues.pop_first();
-            let swept = matches!(orphan.stage, Stage::Freeing { swept: true, .. });
+            self.deadlines.pop_first();
+            let swept = matches!(orphan.stage, Stage::Releasing { swept: true, .. });
             match &mut orphan.stage {
-                Stage::Kept { launch, .. } => {
+                Stage::AwaitingCaller { launch, .. } => {
                     let (server, owner, launch) = (orphan.server, orphan.owner, *launch);
                     actions.push(TakeoverAction::Release { server, dialogue: id.clone(), launch });
-                    actions.push(TakeoverAction::Over { dialogue: id, owner });
+                    actions.push(TakeoverAction::Conclude { dialogue: id, owner });
                 }
-                Stage::Adopting { at, tries } | Stage::Freeing { at, tries, .. } => {
+                Stage::Adopting { at, tries } | Stage::Releasing { at, tries, .. } => {
                     (*at, *tries) = (now, *tries + 1);
-                    if *tries < TRIES {
+                    if *tries < MAX_ADOPT_ATTEMPTS {
                         let (server, owner) = (orphan.server.clone(), orphan.owner);
                         actions.push(TakeoverAction::Adopt { server, dialogue: id.clone(), owner, swept });
                         self.put(&id, orphan);
                     } else {
-                        self.look_again = true;
+                        self.rescan_needed = true;
                     }
                 }
             }
