--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -1,4 +1,4 @@
-//! Members side by side without anything real between them: what they find, what waits for what, and what they refuse.
+//! Tests of several members over a simulated network and simulated disks.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -23,28 +23,28 @@
     ServerId(Arc::from("core"))
 }
 
-/// What a member did, and its disk.
+/// Recorded effects of a member, and its disk.
 #[derive(Default)]
-struct Ends {
-    acts: VecDeque<Done>,
+struct RecordingEffects {
+    acts: VecDeque<RecordedEffect>,
     next: u64,
     open: BTreeSet<u64>,
     disk: Option<Vec<Save>>,
     logs: Vec<String>,
 }
 
-enum Done {
-    Say(u64, Frame),
+enum RecordedEffect {
+    Send(u64, Frame),
     Connect(u16, u64),
     Close(u64),
     Save(Vec<Save>, u64),
 }
 
-impl Effects for Ends {
+impl Effects for RecordingEffects {
     fn send(&mut self, link: PeerLink, frame: Frame) -> bool {
         let there = self.open.contains(&link.0);
         if there {
-            self.acts.push_back(Done::Say(link.0, frame));
+            self.acts.push_back(RecordedEffect::Send(link.0, frame));
         }
         there
     }
@@ -52,13 +52,13 @@
     fn connect(&mut self, member: u16) -> PeerLink {
         self.next += 1;
         self.open.insert(self.next);
-        self.acts.push_back(Done::Connect(member, self.next));
+        self.acts.push_back(RecordedEffect::Connect(member, self.next));
         PeerLink(self.next)
     }
 
     fn close(&mut self, link: PeerLink, _why: &str) {
         if self.open.remove(&link.0) {
-            self.acts.push_back(Done::Close(link.0));
+            self.acts.push_back(RecordedEffect::Close(link.0));
         }
     }
 
@@ -72,40 +72,40 @@
 
     fn save(&mut self, what: Vec<Save>, number: u64) -> bool {
         if self.disk.is_some() {
-            self.acts.push_back(Done::Save(what, number));
+            self.acts.push_back(RecordedEffect::Save(what, number));
         }
         self.disk.is_some()
     }
 }
 
-struct Net {
+struct TestNetwork {
     now: Duration,
     plan: Plan,
     members: Vec<Option<Member>>,
-    ends: Vec<Ends>,
-    /// The other end of a link: whose, and its number there.
+    ends: Vec<RecordingEffects>,
+    /// The other end of a link: its member, and its number there.
     pairs: BTreeMap<(usize, u64), (usize, u64)>,
-    /// From one to the other nothing passes; it waits.
-    cut: BTreeSet<(usize, usize)>,
+    /// Pairs of sender and receiver whose frames are held back.
+    blocked_pairs: BTreeSet<(usize, usize)>,
     held: VecDeque<(usize, u64, Frame)>,
-    /// These disks have nothing for now.
+    /// Members whose disk writes are delayed.
     slow: BTreeSet<usize>,
     unsaved: Vec<(usize, Vec<Save>, u64)>,
     found: Vec<(usize, Finding)>,
     starts: u64,
-    /// The link from member 0 to member 1 breaks behind each piece of a snapshot; so often it did.
+    /// If set, the link from member 0 to member 1 breaks after each snapshot chunk; the number of breaks so far.
     breaks: Option<usize>,
 }
 
-impl Net {
+impl TestNetwork {
     fn new(members: usize, disks: bool, change: impl FnOnce(&mut Plan)) -> Self {
         let names = (0..members).map(|n| format!("edge-{n:02}")).collect();
         let mut plan = Plan { members: names, release: ms(300), strictly: true, ..Plan::default() };
         change(&mut plan);
-        let ends = (0..members).map(|place| Ends {
+        let ends = (0..members).map(|place| RecordingEffects {
             next: (place as u64 + 1) << 32,
             disk: disks.then(Vec::new),
-            ..Ends::default()
+            ..RecordingEffects::default()
         });
         let mut net = Self {
             now: Duration::ZERO,
@@ -113,7 +113,7 @@
             members: (0..members).map(|_| None).collect(),
             ends: ends.collect(),
             pairs: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            blocked_pairs: BTreeSet::new(),
             held: VecDeque::new(),
             slow: BTreeSet::new(),
             unsaved: Vec::new(),
@@ -123,7 +123,7 @@
         };
         (0..members).for_each(|place| net.start(place));
         net.run(ms(1000));
-        assert!((0..members).all(|place| net.member(place).caught_up()), "all are up");
+        assert!((0..members).all(|place| net.member(place).caught_up()), "all have caught up");
         net
     }
 
@@ -161,12 +161,12 @@
         self.ends[place].acts.clear();
         self.unsaved.retain(|(of, ..)| *of != place);
         for link in std::mem::take(&mut self.ends[place].open) {
-            self.shut(place, link);
+            self.close_link(place, link);
         }
     }
 
     /// A link is closed from one end.
-    fn shut(&mut self, place: usize, link: u64) {
+    fn close_link(&mut self, place: usize, link: u64) {
         let Some((other, far)) = self.pairs.remove(&(place, link)) else { return };
         self.pairs.remove(&(other, far));
         if self.ends[other].open.remove(&far)
@@ -177,8 +177,8 @@
     }
 
     /// A link breaks at both ends.
-    fn break_off(&mut self, place: usize, link: u64) {
-        self.shut(place, link);
+    fn break_link(&mut self, place: usize, link: u64) {
+        self.close_link(place, link);
         if self.ends[place].open.remove(&link)
             && let Some(member) = &mut self.members[place]
         {
@@ -186,7 +186,7 @@
         }
     }
 
-    /// All that was done is carried out, until nothing is left.
+    /// Carries out all recorded effects until none is left.
     fn settle(&mut self) {
         loop {
             let now = self.now;
@@ -215,26 +215,26 @@
         }
     }
 
-    fn act(&mut self, place: usize, act: Done) {
+    fn act(&mut self, place: usize, act: RecordedEffect) {
         let now = self.now;
         match act {
-            Done::Say(link, frame) => {
+            RecordedEffect::Send(link, frame) => {
                 let Some((other, far)) = self.pairs.get(&(place, link)).copied() else { return };
-                if self.cut.contains(&(place, other)) {
+                if self.blocked_pairs.contains(&(place, other)) {
                     return self.held.push_back((other, far, frame));
                 }
                 let piece = matches!(frame, Frame::PeerMessage(PeerMessage::SnapshotChunk { .. }))
                     && (place, other) == (0, 1);
-                self.hear(other, far, frame);
+                self.deliver(other, far, frame);
                 if let Some(breaks) = self.breaks.as_mut().filter(|_| piece) {
                     *breaks += 1;
-                    self.break_off(place, link);
+                    self.break_link(place, link);
                 }
             }
-            Done::Connect(member, link) => {
+            RecordedEffect::Connect(member, link) => {
                 let other = usize::from(member);
-                if self.members[other].is_none() || self.cut.contains(&(place, other)) {
-                    return self.break_off(place, link);
+                if self.members[other].is_none() || self.blocked_pairs.contains(&(place, other)) {
+                    return self.break_link(place, link);
                 }
                 self.ends[other].next += 1;
                 let far = self.ends[other].next;
@@ -246,15 +246,15 @@
                     member.connected(now, PeerLink(link), &mut self.ends[place]);
                 }
             }
-            Done::Close(link) => self.shut(place, link),
-            Done::Save(saves, number) if self.slow.contains(&place) => {
+            RecordedEffect::Close(link) => self.close_link(place, link),
+            RecordedEffect::Save(saves, number) if self.slow.contains(&place) => {
                 self.unsaved.push((place, saves, number));
             }
-            Done::Save(saves, number) => self.had(place, saves, number),
+            RecordedEffect::Save(saves, number) => self.complete_save(place, saves, number),
         }
     }
 
-    fn hear(&mut self, place: usize, link: u64, frame: Frame) {
+    fn deliver(&mut self, place: usize, link: u64, frame: Frame) {
         if let Some(member) = &mut self.members[place]
             && self.ends[place].open.contains(&link)
         {
@@ -262,29 +262,29 @@
         }
     }
 
-    /// A disk has had an order.
-    fn had(&mut self, place: usize, saves: Vec<Save>, number: u64) {
+    /// Completes a disk order.
+    fn complete_save(&mut self, place: usize, saves: Vec<Save>, number: u64) {
         self.ends[place].disk.as_mut().expect("there is one").extend(saves);
         if let Some(member) = &mut self.members[place] {
             member.saved(self.now, number, true, &mut self.ends[place]);
         }
     }
 
-    fn quicken(&mut self, place: usize) {
+    fn finish_disk_writes(&mut self, place: usize) {
         self.slow.remove(&place);
         let all = std::mem::take(&mut self.unsaved);
         let (of_it, others): (Vec<_>, Vec<_>) = all.into_iter().partition(|(of, ..)| *of == place);
         self.unsaved = others;
         for (_, saves, number) in of_it {
-            self.had(place, saves, number);
+            self.complete_save(place, saves, number);
         }
         self.settle();
     }
 
     fn heal(&mut self) {
-        self.cut.clear();
+        self.blocked_pairs.clear();
         for (to, link, frame) in std::mem::take(&mut self.held) {
-            self.hear(to, link, frame);
+            self.deliver(to, link, frame);
         }
         self.settle();
     }
@@ -335,7 +335,7 @@
         self.settle();
     }
 
-    /// Under which owner a member has asked a core server for a dialogue last.
+    /// The owner for which a member asked a core server last to adopt a dialogue.
     fn adopting(&self, place: usize, id: &DialogueId) -> Option<Owner> {
         self.found.iter().rev().find_map(|(of, finding)| match finding {
             Finding::ToCore(_, Frame::AuditMessage(AuditMessage::Adopt { dialogue, owner, .. })) => {
@@ -345,7 +345,7 @@
         })
     }
 
-    /// The core server says that it stands there, under whoever asked.
+    /// The core server answers that the dialogue stands there and is adopted.
     fn adopts(&mut self, place: usize, id: &DialogueId) {
         let owner = self.adopting(place, id).expect("its core server is asked");
         self.core_says(
@@ -361,7 +361,7 @@
         self.settle();
     }
 
-    /// What was found of a dialogue at a member, last.
+    /// The latest result of a search at a member.
     fn verdict(&self, place: usize, id: &DialogueId) -> Option<Verdict> {
         self.found.iter().rev().find_map(|(of, finding)| match finding {
             Finding::Found(found, verdict) if *of == place && found == id => Some(verdict.clone()),
@@ -369,7 +369,7 @@
         })
     }
 
-    /// A dialogue of which member 0 is a candidate, the members that keep copies of it, and one that does not.
+    /// A dialogue of which member 0 is a candidate, the holders of its replicas, and a member that is no candidate.
     fn dialogue(&self) -> (DialogueId, Vec<usize>, usize) {
         let group = self.plan.group();
         let candidates = |id: &DialogueId| group.candidates(lotussaddle_replica::fingerprint(id));
@@ -389,63 +389,64 @@
 }
 
 #[test]
-fn what_stood_at_one_that_died_is_said_again_once_it_is_acknowledged() {
-    let mut net = Net::new(5, false, |_| ());
+fn a_standing_dialogue_of_a_dead_member_is_answered_again_after_acknowledgement() {
+    let mut net = TestNetwork::new(5, false, |_| ());
     let (d, holders, other) = net.dialogue();
     net.stands(0, &d);
     net.kill(0);
     net.seek(other, &d);
     assert_eq!(net.verdict(other, &d), None, "its core server is asked first");
-    // Nobody hears the asker from here on: what it writes is not acknowledged.
-    net.cut = holders.iter().map(|holder| (other, *holder)).collect();
+    // From here on no holder receives the asker's frames, so its writes are not acknowledged.
+    net.blocked_pairs = holders.iter().map(|holder| (other, *holder)).collect();
     net.adopts(other, &d);
-    assert_eq!(net.verdict(other, &d), None, "this member alone knows that it goes on here");
+    assert_eq!(net.verdict(other, &d), None, "only this member knows of the takeover");
     net.heal();
     assert_eq!(net.verdict(other, &d), stands());
 }
 
 #[test]
-fn what_is_not_acknowledged_in_time_is_not_said_and_its_line_waits() {
-    let mut net = Net::new(5, false, |_| ());
+fn an_unacknowledged_takeover_is_not_reported_and_its_line_is_held() {
+    let mut net = TestNetwork::new(5, false, |_| ());
     let (d, holders, other) = net.dialogue();
     net.stands(0, &d);
     net.kill(0);
     net.seek(other, &d);
-    net.cut = holders.iter().map(|holder| (other, *holder)).collect();
+    net.blocked_pairs = holders.iter().map(|holder| (other, *holder)).collect();
     net.adopts(other, &d);
     net.run(ms(60));
-    assert!(is_unsure(&net.verdict(other, &d)) && net.member(other).sizes().0 == 1, "kept for its caller");
+    assert!(is_unsure(&net.verdict(other, &d)) && net.member(other).sizes().0 == 1, "held for its caller");
     net.heal();
     net.seek(other, &d);
     assert_eq!((net.verdict(other, &d), net.member(other).sizes().0), (stands(), 0));
 }
 
 #[test]
-fn a_promise_is_kept_before_it_is_told() {
-    let mut net = Net::new(5, true, |_| ());
+fn a_promise_is_stored_before_it_is_sent() {
+    let mut net = TestNetwork::new(5, true, |_| ());
     let (d, holders, other) = net.dialogue();
     net.stands(0, &d);
     net.kill(0);
     net.slow.extend(&holders);
     net.seek(other, &d);
     net.run(ms(59));
-    let told = |net: &Net| net.adopting(other, &d).is_some() || net.verdict(other, &d).is_some();
-    assert!(!told(&net), "no holder's disk has had its promise");
+    let has_result =
+        |net: &TestNetwork| net.adopting(other, &d).is_some() || net.verdict(other, &d).is_some();
+    assert!(!has_result(&net), "no holder has its promise on disk");
     net.run(ms(1));
     assert!(is_unsure(&net.verdict(other, &d)));
-    holders.iter().for_each(|holder| net.quicken(*holder));
+    holders.iter().for_each(|holder| net.finish_disk_writes(*holder));
     net.seek(other, &d);
     net.adopts(other, &d);
     assert_eq!(net.verdict(other, &d), stands());
 }
 
 #[test]
-fn what_a_later_owner_did_not_go_by_counts_only_after_its_launch() {
-    let mut net = Net::new(5, false, |_| ());
+fn a_record_unused_by_a_later_owner_counts_only_after_that_owner_s_launch() {
+    let mut net = TestNetwork::new(5, false, |_| ());
     let (d, holders, other) = net.dialogue();
     net.launches(0, &d, ms(100));
-    // Its answer is on its way for long; meanwhile a holder finds its launch, and launches after that.
-    net.cut = holders.iter().map(|holder| (0, *holder)).collect();
+    // The owner's answer is delayed; meanwhile a holder finds the launch and sends its own after it.
+    net.blocked_pairs = holders.iter().map(|holder| (0, *holder)).collect();
     net.answers(0, &d, Answer::Stands { server: server() });
     net.seek(holders[0], &d);
     net.run(ms(60));
@@ -456,25 +457,25 @@
     net.run(wait);
     net.launches(holders[0], &d, ms(1000));
     net.heal();
-    // Both are known at the other holder: that it stood by one's word, and that another has launched it since.
+    // The other holder knows both: the first owner's record that it stood, and the later owner's launch.
     let copy = net.member(holders[1]).book().get(&d).unwrap().clone();
     assert!(copy.newer_launch_until().is_some(), "{copy:?}");
     net.kill(holders[0]);
     net.seek(other, &d);
     net.run(ms(60));
     assert!(is_unsure(&net.verdict(other, &d)), "{:?}", net.verdict(other, &d));
-    assert_eq!(net.adopting(other, &d), None, "its line is not taken from under that launch");
+    assert_eq!(net.adopting(other, &d), None, "the line of that launch is not adopted");
 }
 
 #[test]
-fn of_two_redials_at_once_one_at_most_goes_on() {
-    for turn in 0..2 {
-        let mut net = Net::new(5, false, |_| ());
+fn of_two_concurrent_redials_at_most_one_continues() {
+    for rotation in 0..2 {
+        let mut net = TestNetwork::new(5, false, |_| ());
         let (d, holders, other) = net.dialogue();
         net.launches(0, &d, ms(100));
         net.kill(0);
         let mut places = [other, holders[0]];
-        places.rotate_left(turn);
+        places.rotate_left(rotation);
         let (now, cut_off) = (net.now, net.now + ms(3000));
         for place in places {
             net.member(place).seek(now, &d, cut_off);
@@ -494,12 +495,12 @@
 }
 
 #[test]
-fn both_halves_of_a_split_that_heals_tell_one_answer_and_count_two() {
-    let mut net = Net::new(5, false, |plan| (plan.before_launch, plan.before_answer) = (0, 0));
+fn after_a_healed_partition_both_halves_give_one_answer_and_count_the_conflict() {
+    let mut net = TestNetwork::new(5, false, |plan| (plan.before_launch, plan.before_answer) = (0, 0));
     let (d, holders, _) = net.dialogue();
-    net.cut = (1..5).flat_map(|place| [(0, place), (place, 0)]).collect();
+    net.blocked_pairs = (1..5).flat_map(|place| [(0, place), (place, 0)]).collect();
     net.stands(0, &d);
-    // A first dial there asks nobody.
+    // A first dial there starts no search.
     net.launches(holders[0], &d, ms(100));
     net.answers(holders[0], &d, Answer::Refused { come_back: None });
     net.heal();
@@ -507,7 +508,7 @@
     let differ: u64 = (0..5).map(|place| net.member(place).counts().differ).sum();
     assert!(differ >= 1, "it is counted");
     let now = net.now;
-    let told: BTreeSet<String> = [holders[0], holders[1]]
+    let readings: BTreeSet<String> = [holders[0], holders[1]]
         .into_iter()
         .map(|place| {
             let copy = net.member(place).book().get(&d).expect("it is known").clone();
@@ -515,12 +516,12 @@
             lotussaddle_fleet::show(now, &d, Some(&copy), &[])["reads"].to_string()
         })
         .collect();
-    assert_eq!(told.len(), 1, "{told:?}");
+    assert_eq!(readings.len(), 1, "{readings:?}");
 }
 
 #[test]
-fn a_whole_fleet_that_is_killed_knows_by_its_disks_what_it_answered() {
-    let mut net = Net::new(5, true, |_| ());
+fn a_fleet_killed_as_a_whole_restores_its_answers_from_disk() {
+    let mut net = TestNetwork::new(5, true, |_| ());
     let (d, _, other) = net.dialogue();
     net.stands(0, &d);
     (0..5).for_each(|place| net.kill(place));
@@ -536,9 +537,9 @@
 }
 
 #[test]
-fn a_flood_of_ids_that_nobody_knows_is_bounded_and_answered() {
-    let mut net = Net::new(5, false, |plan| plan.asks = 100);
-    net.cut = (0..5).filter(|place| *place != 1).map(|place| (place, 1)).collect();
+fn a_flood_of_unknown_ids_is_bounded_and_answered() {
+    let mut net = TestNetwork::new(5, false, |plan| plan.asks = 100);
+    net.blocked_pairs = (0..5).filter(|place| *place != 1).map(|place| (place, 1)).collect();
     let (now, cut_off) = (net.now, net.now + ms(3000));
     for n in 0..10_000 {
         net.member(1).seek(now, &id(&format!("nobody-{n}")), cut_off);
@@ -551,9 +552,9 @@
 }
 
 #[test]
-fn a_peer_of_another_version_name_or_group_has_no_copies() {
-    let mut net = Net::new(3, false, |plan| plan.copies = 1);
-    net.kill(1); // So that no link to it stands in the way.
+fn a_peer_of_another_version_name_or_group_gets_no_replicas() {
+    let mut net = TestNetwork::new(3, false, |plan| plan.copies = 1);
+    net.kill(1); // Otherwise the link to it would interfere.
     let hello =
         |name: &str, version: u16| Frame::Hello(Hello { version, ..Hello::new(Role::Edge, Arc::from(name)) });
     let here = Frame::PeerMessage(PeerMessage::Greeting {
@@ -570,21 +571,21 @@
         (vec![hello("edge-00", VERSION)], "the member's own name"),
         (vec![hello("edge-01", VERSION), here], "another group"),
         (vec![hello("nobody", VERSION), wants.clone()], "no member"),
-        (vec![wants], "it has not said who it is"),
+        (vec![wants], "not identified"),
     ] {
         let link = 77;
         net.ends[0].open.insert(link);
         let now = net.now;
         net.member(0).linked(now, PeerLink(link));
-        says.into_iter().for_each(|frame| net.hear(0, link, frame));
+        says.into_iter().for_each(|frame| net.deliver(0, link, frame));
         net.settle();
         assert!(!net.ends[0].open.contains(&link), "{what}");
     }
 }
 
 #[test]
-fn who_has_come_back_and_not_caught_up_is_not_sure_of_what_was_dialled_before() {
-    let mut net = Net::new(5, false, |_| ());
+fn a_returned_member_that_has_not_caught_up_is_not_trusted_for_redials() {
+    let mut net = TestNetwork::new(5, false, |_| ());
     let (d, holders, other) = net.dialogue();
     net.stands(0, &d);
     net.kill(0);
@@ -592,11 +593,11 @@
     net.run(ms(500));
     net.start(holders[0]);
     net.run(ms(3000));
-    assert!(!net.member(holders[0]).caught_up(), "what member 0 knew it has not heard");
+    assert!(!net.member(holders[0]).caught_up(), "it has not received what member 0 knew");
     net.seek(other, &d);
     net.run(ms(60));
     assert!(is_unsure(&net.verdict(other, &d)) && net.adopting(other, &d).is_none());
-    // What it may lack all have forgotten by then.
+    // By then the retention time has passed for all that it may lack.
     net.run(ms(70_000));
     assert!(net.member(holders[0]).caught_up());
     net.seek(other, &d);
@@ -604,8 +605,8 @@
 }
 
 #[test]
-fn a_line_that_is_being_taken_over_is_not_freed_as_nobody_s() {
-    let mut net = Net::new(5, false, |_| ());
+fn a_line_that_is_being_taken_over_is_not_released_as_unowned() {
+    let mut net = TestNetwork::new(5, false, |_| ());
     let (d, holders, other) = net.dialogue();
     net.stands(0, &d);
     let now = net.now;
@@ -619,12 +620,12 @@
     });
     net.kill(0);
     net.seek(other, &d);
-    net.cut = holders.iter().map(|holder| (other, *holder)).collect();
+    net.blocked_pairs = holders.iter().map(|holder| (other, *holder)).collect();
     net.adopts(other, &d);
-    // It is under this member's name there, and its edge proxy does not hold it yet.
+    // The line is owned by this member there, but its edge proxy does not hold it yet.
     let owner = net.adopting(other, &d).unwrap();
     let lines = vec![lotussaddle_trunk::HeldLine { dialogue: d.clone(), launch: LaunchNumber(0), owner }];
-    let serial = asked.expect("its own lines are asked for");
+    let serial = asked.expect("its own lines are queried");
     net.core_says(other, AuditMessage::Lines { serial, more: false, lines });
     net.heal();
     assert_eq!((net.verdict(other, &d), net.adopting(other, &d)), (stands(), Some(owner)));
@@ -634,9 +635,9 @@
 }
 
 #[test]
-fn a_later_life_is_followed_by_a_higher_one_and_the_second_time_it_gives_way() {
-    let mut net = Net::new(5, false, |_| ());
-    let tells = |net: &mut Net, life: u64| {
+fn a_later_incarnation_is_followed_by_a_higher_one_and_the_second_time_the_member_yields() {
+    let mut net = TestNetwork::new(5, false, |_| ());
+    let tells = |net: &mut TestNetwork, life: u64| {
         let owner = Owner { round: 0, member: 0, incarnation: life };
         let lines = vec![lotussaddle_trunk::HeldLine { dialogue: id("x"), launch: LaunchNumber(0), owner }];
         net.core_says(0, AuditMessage::Lines { serial: 1, more: false, lines });
@@ -645,16 +646,16 @@
     };
     let before = net.member(0).life();
     let higher = tells(&mut net, before + (7 << 24));
-    assert!(higher > before + (7 << 24), "a former life, or another process");
-    assert_eq!(tells(&mut net, before + (7 << 24)), higher, "that is over");
+    assert!(higher > before + (7 << 24), "a previous incarnation, or another process");
+    assert_eq!(tells(&mut net, before + (7 << 24)), higher, "that incarnation has ended");
     assert_eq!(tells(&mut net, higher + (7 << 24)), 0, "another process: it keeps on taking later ones");
     net.run(ms(62_000));
     assert!(net.member(0).life() > higher + (7 << 24));
 }
 
 #[test]
-fn a_snapshot_whose_link_breaks_at_every_piece_goes_on_there() {
-    let mut net = Net::new(3, false, |plan| plan.forget = ms(600_000));
+fn a_snapshot_resumes_when_its_link_breaks_at_every_chunk() {
+    let mut net = TestNetwork::new(3, false, |plan| plan.forget = ms(600_000));
     let now = net.now;
     for n in 0..3000 {
         let d = id(&format!("d{n}"));
@@ -665,7 +666,7 @@
     net.kill(1);
     net.run(ms(1500));
     net.start(1);
-    // As many pieces as there are come one a link.
+    // Each link carries a single chunk.
     net.breaks = Some(0);
     net.run(ms(60_000));
     let breaks = net.breaks.take().unwrap_or_default();
@@ -677,8 +678,8 @@
 }
 
 #[test]
-fn what_a_disk_has_not_had_is_not_acknowledged_by_a_link_that_comes_back() {
-    let mut net = Net::new(3, true, |plan| plan.copies = 1);
+fn unstored_writes_are_not_acknowledged_over_a_restored_link() {
+    let mut net = TestNetwork::new(3, true, |plan| plan.copies = 1);
     let group = net.plan.group();
     let d = (0..)
         .map(|n| id(&format!("d{n}")))
@@ -686,29 +687,29 @@
     let d = d.unwrap();
     net.slow.insert(1);
     net.launches(0, &d, ms(1000));
-    let kept =
-        |net: &Net| net.found.iter().filter(|(of, f)| *of == 0 && matches!(f, Finding::Kept(_))).count();
+    let kept = |net: &TestNetwork| {
+        net.found.iter().filter(|(of, f)| *of == 0 && matches!(f, Finding::Kept(_))).count()
+    };
     let link = net.pairs.iter().find(|((a, _), (b, _))| (*a, *b) == (0, 1)).map(|((_, link), _)| *link);
-    net.break_off(0, link.expect("there is one"));
+    net.break_link(0, link.expect("there is one"));
     net.run(ms(900));
     assert!(net.pairs.iter().any(|((a, _), (b, _))| (*a, *b) == (0, 1)), "it is back");
     assert_eq!(kept(&net), 0);
-    net.quicken(1);
+    net.finish_disk_writes(1);
     assert_eq!(kept(&net), 1);
 }
 
-/// Each member in turn is asked to look after its own lines; one that it does not hold is looked at twice, and one that it holds is
-/// left alone.
+/// Each member in turn checks its own lines: a line that it does not hold is released after a second check, one that it holds is left.
 #[test]
-fn circuits_free_a_line_that_its_member_does_not_hold_and_no_other() {
+fn circuits_release_only_lines_that_their_member_does_not_hold() {
     let duties = DutyPlan { voters: vec![0, 1, 2], lease: ms(400) };
-    let mut net = Net::new(5, true, |plan| {
+    let mut net = TestNetwork::new(5, true, |plan| {
         (plan.duties, plan.unclaimed) = (Some(duties), ms(500));
     });
     let now = net.now;
     (0..5).for_each(|place| net.member(place).core_up(now, &server()));
     net.settle();
-    let (mut asked, mut freed) = (0, Vec::new());
+    let (mut asked, mut released_lines) = (0, Vec::new());
     for _ in 0..120 {
         net.run(ms(50));
         let now = net.now;
@@ -730,7 +731,7 @@
                     let lines = vec![owner("busy"), owner("held")];
                     let holds = AuditMessage::Lines { serial, more: false, lines };
                     let held = |known: &DialogueId| *known == id("held");
-                    // The first look is that of a link that has just come up: there nothing is in the midst of anything.
+                    // The first check follows the opening of the link, when no dialogue is in progress.
                     let holds = if asked <= 5 {
                         AuditMessage::Lines { serial, more: false, lines: Vec::new() }
                     } else {
@@ -746,47 +747,48 @@
                     assert_eq!(
                         (usize::from(owner.member), act),
                         (place, None),
-                        "its own, under no duty's number"
+                        "its own, without a duty's action"
                     );
-                    freed.push((now, place, dialogue, asked));
+                    released_lines.push((now, place, dialogue, asked));
                 }
                 _ => {}
             }
         }
     }
     assert!(asked > 20, "{asked}");
-    assert!(freed.iter().all(|(_, _, dialogue, _)| *dialogue == id("busy")), "{freed:?}");
-    let by: BTreeSet<usize> = freed.iter().map(|(_, place, ..)| *place).collect();
-    assert_eq!(by.len(), 5, "each its own: {freed:?}");
-    assert!(freed[0].3 > 10, "not at the first look: {freed:?}");
+    assert!(released_lines.iter().all(|(_, _, dialogue, _)| *dialogue == id("busy")), "{released_lines:?}");
+    let by: BTreeSet<usize> = released_lines.iter().map(|(_, place, ..)| *place).collect();
+    assert_eq!(by.len(), 5, "each its own: {released_lines:?}");
+    assert!(released_lines[0].3 > 10, "not at the first check: {released_lines:?}");
 }
 
-/// A member keeps the number of an act on disk before it does it, and refuses lower ones past its own restart; without a disk it
-/// knows them while it runs.
+/// A member stores the fencing token of an action on disk before it carries the action out, and refuses lower tokens even after its
+/// own restart. Without a disk it refuses them while it runs.
 #[test]
-fn numbers_of_duties_are_refused_past_a_member_s_restart() {
+fn stale_fencing_tokens_are_refused_after_a_restart() {
     let duties = DutyPlan { voters: vec![2, 3, 4], lease: ms(400) };
-    let mut net = Net::new(5, true, |plan| plan.duties = Some(duties));
+    let mut net = TestNetwork::new(5, true, |plan| plan.duties = Some(duties));
     let now = net.now;
     net.member(0).core_up(now, &server());
     net.run(ms(100));
     net.found.clear();
-    let orders =
-        |net: &Net| net.found.iter().filter(|(_, found)| matches!(found, Finding::Tables(..))).count();
-    // Member 4 says to member 0, on its link, that it holds the duty.
-    let says = |net: &mut Net, number: u64, serial: u64| {
+    let orders = |net: &TestNetwork| {
+        net.found.iter().filter(|(_, found)| matches!(found, Finding::Tables(..))).count()
+    };
+    // Member 4 sends member 0 an order, as the holder of the duty.
+    let says = |net: &mut TestNetwork, number: u64, serial: u64| {
         let (link, _) =
             net.pairs.iter().find(|((at, _), (other, _))| (*at, *other) == (0, 4)).expect("linked");
         let link = link.1;
         let act = DutyAction { duty: 2, fencing_token: number, member: 4, incarnation: 7 };
         let order = TablesOrder::Load { name: Arc::from("new") };
-        net.hear(0, link, Frame::PeerMessage(PeerMessage::Publish { action: act, serial, order }));
+        net.deliver(0, link, Frame::PeerMessage(PeerMessage::Publish { action: act, serial, order }));
         net.settle();
     };
     net.slow.insert(0);
     says(&mut net, 1_000_000, 1 << 40);
     assert_eq!(orders(&net), 0, "not before the number is on disk");
-    net.quicken(0);
+    net.finish_disk_writes(0);
     assert_eq!(orders(&net), 1);
     says(&mut net, 999_999, 1 << 41);
     assert_eq!(orders(&net), 1, "a lower number");
@@ -796,21 +798,21 @@
     net.run(ms(2000));
     net.found.clear();
     says(&mut net, 999_999, 1 << 42);
-    assert_eq!(orders(&net), 0, "past its restart");
+    assert_eq!(orders(&net), 0, "after its restart");
     says(&mut net, 1_000_001, 1 << 43);
     assert_eq!(orders(&net), 1);
 }
 
-/// Fleets so large that not all members are neighbours of each other.
+/// Size of a fleet in which not all members are neighbours of each other.
 const LARGE: usize = 24;
 
-impl Net {
+impl TestNetwork {
     fn neighbours(&self, place: usize) -> Vec<usize> {
         let overlay = self.plan.overlay();
         overlay.neighbours(place as u16).iter().copied().map(usize::from).collect()
     }
 
-    /// The first that is no neighbour of this member, from that one on.
+    /// The first member from `from` on that is no neighbour of this one.
     fn stranger(&self, place: usize, from: usize) -> usize {
         let neighbours = self.neighbours(place);
         (from..self.members.len()).find(|other| *other != place && !neighbours.contains(other)).expect("one")
@@ -821,7 +823,7 @@
         found.map(|((_, link), _)| *link)
     }
 
-    /// A dialogue whose copies lie with that member, where this one owns it.
+    /// A dialogue of which `holder` holds a replica when `owner` owns it.
     fn held_by(&self, owner: usize, holder: usize) -> DialogueId {
         let group = self.plan.group();
         let holds = |id: &DialogueId| {
@@ -834,34 +836,34 @@
 }
 
 #[test]
-fn a_dead_link_over_which_nothing_comes_regularly_is_found_out_when_it_is_used() {
-    let mut net = Net::new(LARGE, false, |plan| plan.compare_every = ms(1_000_000));
+fn a_dead_link_without_heartbeats_is_detected_when_it_is_used() {
+    let mut net = TestNetwork::new(LARGE, false, |plan| plan.compare_every = ms(1_000_000));
     net.run(ms(5000));
     let used = net.stranger(0, 1);
     let idle = net.stranger(0, used + 1);
     let links = [net.link(0, used), net.link(0, idle)];
-    net.cut = [used, idle].into_iter().flat_map(|other| [(0, other), (other, 0)]).collect();
+    net.blocked_pairs = [used, idle].into_iter().flat_map(|other| [(0, other), (other, 0)]).collect();
     net.run(ms(8000));
-    assert_eq!([net.link(0, used), net.link(0, idle)], links, "nothing is said over an idle link");
+    assert_eq!([net.link(0, used), net.link(0, idle)], links, "nothing is sent over an idle link");
     assert!(net.held.is_empty(), "{}", net.held.len());
     let d = net.held_by(0, used);
     net.launches(0, &d, ms(1000));
     net.run(ms(3500));
-    assert_eq!(net.link(0, used), None, "nobody has answered");
+    assert_eq!(net.link(0, used), None, "no answer came");
     assert_eq!(net.link(0, idle), links[1]);
-    assert!(!net.member(0).view().gone(used as u16), "others hear it");
+    assert!(!net.member(0).view().is_gone(used as u16), "others receive its frames");
     net.heal();
     net.run(ms(4000));
-    assert!(net.link(0, used).is_some(), "it is begun anew");
-    assert!(net.member(used).book().get(&d).is_some(), "and what was to be said comes over it");
+    assert!(net.link(0, used).is_some(), "a new link was opened");
+    assert!(net.member(used).book().get(&d).is_some(), "the pending write arrives over the new link");
 }
 
 #[test]
-fn a_new_link_of_one_whose_old_one_is_dead_is_taken_in_the_end() {
-    let mut net = Net::new(LARGE, false, |plan| plan.compare_every = ms(1_000_000));
+fn a_new_link_replaces_a_dead_one_eventually() {
+    let mut net = TestNetwork::new(LARGE, false, |plan| plan.compare_every = ms(1_000_000));
     net.run(ms(3000));
     let other = net.stranger(0, 1);
-    // Member 0, who begins the links to all others, is not told that this one has ended.
+    // Member 0, which opens the links to all others, does not notice the loss of this one.
     let old = net.link(0, other).expect("linked");
     let (_, far) = net.pairs.remove(&(0, old)).expect("linked");
     net.pairs.remove(&(other, far));
@@ -874,14 +876,14 @@
 }
 
 #[test]
-fn a_disk_that_is_older_than_neighbours_know_is_let_go_in_a_large_fleet() {
-    let mut net = Net::new(LARGE, true, |_| ());
+fn a_disk_older_than_neighbours_know_is_discarded_in_a_large_fleet() {
+    let mut net = TestNetwork::new(LARGE, true, |_| ());
     let member = 7;
     net.run(ms(1000));
     let d = net.held_by(0, member);
     net.stands(0, &d);
     let older = net.ends[member].disk.as_ref().expect("it has one").len();
-    // Nobody is acknowledged anything by it after that: its neighbours hear of these writes with its heartbeats.
+    // It acknowledges nothing after that: its neighbours learn of these writes from its heartbeats.
     (0..5).for_each(|n| net.stands(member, &id(&format!("own-{n}"))));
     net.run(ms(1000));
     net.kill(member);
@@ -893,13 +895,13 @@
     assert!(logs.iter().any(|line| line.contains("are not all that was kept, and are let go")), "{logs:#?}");
     assert!(
         net.member(member).caught_up() && net.member(member).book().get(&d).is_some(),
-        "it has them anew"
+        "it received the replicas again"
     );
 }
 
 #[test]
-fn a_disk_of_which_no_neighbour_tells_does_not_pass_for_whole() {
-    let mut net = Net::new(LARGE, true, |_| ());
+fn a_disk_that_no_neighbour_reports_does_not_count_as_complete() {
+    let mut net = TestNetwork::new(LARGE, true, |_| ());
     let member = 7;
     net.run(ms(1000));
     let d = net.held_by(0, member);
@@ -907,20 +909,20 @@
     net.run(ms(500));
     net.kill(member);
     let neighbours = net.neighbours(member);
-    net.cut = neighbours.iter().flat_map(|other| [(member, *other), (*other, member)]).collect();
+    net.blocked_pairs = neighbours.iter().flat_map(|other| [(member, *other), (*other, member)]).collect();
     net.run(ms(200));
     net.start(member);
     net.run(ms(900));
-    assert_eq!(net.member(member).life(), 0, "it waits for its neighbours, although most have told");
+    assert_eq!(net.member(member).life(), 0, "it waits for its neighbours, although a majority has reported");
     net.run(ms(1200));
-    assert!(net.member(member).life() > 0, "but not for ever");
+    assert!(net.member(member).life() > 0, "but only for a limited time");
     let logs = &net.ends[member].logs;
     assert!(logs.iter().any(|line| line.contains("are not all that was kept, and are let go")), "{logs:#?}");
 }
 
 #[test]
-fn what_is_no_message_of_a_neighbour_about_membership_ends_its_link() {
-    let mut net = Net::new(LARGE, false, |_| ());
+fn an_invalid_membership_message_closes_its_link() {
+    let mut net = TestNetwork::new(LARGE, false, |_| ());
     let heartbeat = vec![1, 0, 0, 0, 0, 0, 0, 0, 0];
     let neighbour = net.neighbours(0)[0];
     let stranger = net.stranger(0, 1);
@@ -932,7 +934,7 @@
         (neighbour, vec![2, 255, 255, 255, 255, 255, 255, 255, 255, 255, 1], true),
     ] {
         let link = net.link(0, from).expect("linked");
-        net.hear(0, link, Frame::PeerMessage(PeerMessage::Membership { message }));
+        net.deliver(0, link, Frame::PeerMessage(PeerMessage::Membership { message }));
         net.settle();
         assert_eq!(!net.ends[0].open.contains(&link), ends, "from {from}");
         net.run(ms(3000));
--- a/crates/fleet/tests/unit/duties.rs
+++ b/crates/fleet/tests/unit/duties.rs
@@ -8,8 +8,8 @@
     Duration::from_millis(time)
 }
 
-/// Words of all kinds, with what a peer may put into them.
-fn words() -> Vec<LeaseMessage> {
+/// One lease message of each kind, as a peer may send it.
+fn lease_messages() -> Vec<LeaseMessage> {
     let (term, number) = (Term(7 << 32 | 1 << 16), FencingToken(9));
     let table = TableId { term, version: 3 };
     let seat = DutyAssignment {
@@ -32,7 +32,7 @@
         checkpoints: vec![Checkpoint { duty: CIRCUITS, token: number, data: vec![1, 2, 3] }],
         refused_tokens: vec![(SWEEP, FencingToken(u64::MAX))],
     };
-    let (give, whole_of) = (vec![(SWEEP, number)], Some(whole.clone()));
+    let (duties_to_release, full_table) = (vec![(SWEEP, number)], Some(whole.clone()));
     vec![
         LeaseMessage::PreVoteRequest { above_term: term, table },
         LeaseMessage::PreVoteReply { above_term: term, granted: true, highest_term: Term(u64::MAX) },
@@ -44,8 +44,8 @@
             table,
             is_committed: true,
             lease_from_reply: 1,
-            duties_to_release: give,
-            full_table: whole_of,
+            duties_to_release,
+            full_table,
         }),
         LeaseMessage::HeartbeatReply(back),
         LeaseMessage::LeaderResigned { term },
@@ -56,18 +56,19 @@
     ]
 }
 
-/// Each byte of each word changed in three ways, each length of it: read or refused, and it goes on with time.
+/// Corrupts each byte of each message in three ways and truncates it to each length: it is decoded or refused, and the member keeps
+/// running.
 #[test]
-fn words_that_are_cut_or_changed_end_nothing() {
+fn truncated_or_corrupted_messages_do_not_stop_a_member() {
     let names: Vec<String> = (0..5).map(|n| format!("edge-{n}")).collect();
     let group = ReplicaGroup::new(names.iter().map(String::as_str), 2);
     let plan = DutyPlan { voters: vec![0, 1, 2], lease: ms(400) };
     let (mut read, mut refused) = (0, 0);
     let mut duties = Duties::new(ms(0), 0, &group, &plan, ms(500), (None, None), 1);
-    duties.lives(ms(0), 3);
+    duties.set_incarnation(ms(0), 3);
     let cores = BTreeSet::from([ServerId("core".into())]);
     let mut now = ms(0);
-    for word in words() {
+    for word in lease_messages() {
         let bytes = postcard::to_allocvec(&word).unwrap();
         let cut = (0..bytes.len()).map(|length| bytes[..length].to_vec());
         let changed = (0..bytes.len()).flat_map(|place| {
@@ -80,17 +81,17 @@
         for bytes in cut.chain(changed) {
             now += ms(3);
             for from in [0, 1, 2] {
-                match duties.heard(now, from, &bytes) {
+                match duties.message_received(now, from, &bytes) {
                     true => read += 1,
                     false => refused += 1,
                 }
             }
             if duties.next_due() <= now {
-                duties.alarm(now, &cores);
+                duties.timer_fired(now, &cores);
             }
-            for action in duties.outs(now) {
-                if let DutyEffect::Keep(number, _) = action {
-                    duties.kept(now, number, true);
+            for action in duties.take_effects(now) {
+                if let DutyEffect::Persist(number, _) = action {
+                    duties.state_persisted(now, number, true);
                 }
             }
         }
@@ -100,11 +101,11 @@
 }
 
 #[test]
-fn circuits_go_round_from_behind_the_last_mark() {
+fn circuits_continue_after_the_last_checkpoint() {
     let cores: BTreeSet<ServerId> = ["a", "b", "c"].map(|name| ServerId(name.into())).into();
     let mut circuits = Circuits::new(ms(3000));
     assert!(circuits.step(ms(0), &cores).is_none() && circuits.next_due().is_none());
-    circuits.begins(ms(0), b"b");
+    circuits.acquired(ms(0), b"b");
     let mut seen = Vec::new();
     for at in 0..5 {
         let (Step::Check(server), mark) = circuits.step(ms(at * 1000), &cores).unwrap();
@@ -112,9 +113,9 @@
         seen.push(server.0.to_string());
     }
     assert_eq!(seen, ["c", "a", "b", "c", "a"]);
-    circuits.ends();
+    circuits.lost();
     assert!(circuits.step(ms(9000), &cores).is_none());
-    // Nothing to go round is no step.
-    circuits.begins(ms(0), &[0xff]);
+    // Without core servers there is no step.
+    circuits.acquired(ms(0), &[0xff]);
     assert!(circuits.step(ms(0), &BTreeSet::new()).is_none());
 }
--- a/crates/fleet/tests/unit/link_liveness.rs
+++ b/crates/fleet/tests/unit/link_liveness.rs
@@ -14,7 +14,7 @@
 const PONG: Frame = Frame::Pong { nonce: 1 };
 
 #[test]
-fn a_link_over_which_nothing_is_sent_is_left_alone() {
+fn an_idle_link_is_not_pinged() {
     let mut liveness = LinkLiveness::default();
     assert_eq!(check(&liveness, 1_000_000), LinkCheck::Idle);
     let kept = PeerMessage::Acknowledge { incarnation: 1, up_to: 1, saved: 1, replaced: Vec::new() };
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn what_is_not_answered_is_followed_by_one_ping_and_then_the_link_is_dead() {
+fn an_unanswered_frame_is_followed_by_one_ping_and_then_the_link_is_dead() {
     let mut liveness = LinkLiveness::default();
     let frame = Frame::Bye { why: "x".into() };
     liveness.sent(ms(100), &frame);
--- a/crates/fleet/tests/unit/membership_view.rs
+++ b/crates/fleet/tests/unit/membership_view.rs
@@ -11,12 +11,12 @@
     Duration::from_millis(time)
 }
 
-/// Views of one fleet, whose messages arrive at once.
+/// Views of one fleet, with messages delivered immediately.
 struct Fleet {
     now: u64,
     views: Vec<MembershipView>,
     dead: BTreeSet<u16>,
-    /// From the first to the second nothing passes.
+    /// Pairs of sender and receiver whose messages are dropped.
     cut: BTreeSet<(u16, u16)>,
 }
 
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Nothing passes between these and the others.
+    /// Partitions these members from the others.
     fn cut_off(&mut self, part: &[u16]) {
         let all = 0..self.views.len() as u16;
         for (from, to) in all.clone().flat_map(|from| all.clone().map(move |to| (from, to))) {
@@ -63,7 +63,7 @@
     }
 
     fn gone_for(&self, me: u16) -> Vec<u16> {
-        (0..self.views.len() as u16).filter(|member| self.views[usize::from(me)].gone(*member)).collect()
+        (0..self.views.len() as u16).filter(|member| self.views[usize::from(me)].is_gone(*member)).collect()
     }
 
     fn alive(&self) -> impl Iterator<Item = u16> + '_ {
@@ -72,13 +72,13 @@
 }
 
 #[test]
-fn a_member_that_dies_is_gone_for_all_after_the_silence_and_within_two() {
+fn a_dead_member_is_gone_for_all_within_one_to_two_time_outs() {
     for members in [3, 5, 11, 12, 24, 48] {
         let mut fleet = Fleet::new(members);
         fleet.run(3000);
         assert!(fleet.alive().all(|me| fleet.gone_for(me).is_empty()), "{members}: nobody is");
         fleet.dead.insert(1);
-        // What was heard last came up to a heartbeat before.
+        // The last frame may have come one heartbeat interval earlier.
         fleet.run(SILENCE - SILENCE / 5);
         assert!(fleet.alive().all(|me| fleet.gone_for(me).is_empty()), "{members}: not before the silence");
         fleet.run(SILENCE + SILENCE / 5);
@@ -90,71 +90,71 @@
         fleet.views[1].set_self(now, 2, false);
         fleet.run(2 * SILENCE);
         assert!(fleet.alive().all(|me| fleet.gone_for(me).is_empty()), "{members}: it is back");
-        let told = |me: u16| fleet.views[usize::from(me)].registered_life(1);
-        assert!(fleet.alive().all(|me| told(me) == 2), "{members}: in its second life");
-        assert!(!fleet.views[0].caught_up(1) && fleet.views[0].caught_up(2));
+        let incarnation_seen_by = |me: u16| fleet.views[usize::from(me)].registered_incarnation(1);
+        assert!(fleet.alive().all(|me| incarnation_seen_by(me) == 2), "{members}: in its second incarnation");
+        assert!(!fleet.views[0].has_caught_up(1) && fleet.views[0].has_caught_up(2));
     }
 }
 
 #[test]
-fn one_that_a_single_neighbour_hears_is_not_gone_and_one_that_none_hears_is() {
+fn a_member_reachable_by_one_neighbour_is_not_gone_and_one_reachable_by_none_is() {
     for members in [5, 12, 24] {
         let mut fleet = Fleet::new(members);
         fleet.run(2000);
         let neighbours = fleet.views[2].neighbours().to_vec();
         let (kept, others) = neighbours.split_first().unwrap();
-        // One way is enough: an edge is whole when both hear each other.
+        // Cutting one direction is enough: an edge counts when both receive each other's frames.
         fleet.cut = others.iter().map(|other| (2, *other)).collect();
         fleet.run(3 * SILENCE);
         assert!(fleet.alive().all(|me| fleet.gone_for(me).is_empty()), "{members}: a path is left");
-        assert!(others.iter().all(|other| !fleet.views[usize::from(*other)].hears(ms(fleet.now), 2)));
+        assert!(others.iter().all(|other| !fleet.views[usize::from(*other)].is_reachable(ms(fleet.now), 2)));
         fleet.cut.insert((2, *kept));
         fleet.run(2 * SILENCE);
         assert!(fleet.alive().filter(|me| *me != 2).all(|me| fleet.gone_for(me) == [2]), "{members}");
         assert!(fleet.gone_for(2).is_empty(), "nobody is gone for one without a majority");
-        assert!(!fleet.views[2].with_majority(), "it is told by those that do not hear it");
+        assert!(!fleet.views[2].has_majority(), "it is notified by those that do not receive its frames");
     }
 }
 
 #[test]
-fn a_part_without_a_majority_knows_it_and_holds_nobody_gone() {
+fn a_partition_without_a_majority_detects_it_and_considers_no_member_gone() {
     let mut fleet = Fleet::new(24);
     fleet.run(2000);
     let part: Vec<u16> = (0..8).collect();
     fleet.cut_off(&part);
     fleet.run(3 * SILENCE);
     for me in 0..8 {
-        assert!(!fleet.views[me].with_majority() && fleet.gone_for(me as u16).is_empty(), "{me}");
+        assert!(!fleet.views[me].has_majority() && fleet.gone_for(me as u16).is_empty(), "{me}");
     }
     for me in 8..24 {
-        assert!(fleet.views[me].with_majority() && fleet.gone_for(me as u16) == part, "{me}");
+        assert!(fleet.views[me].has_majority() && fleet.gone_for(me as u16) == part, "{me}");
     }
     fleet.cut.clear();
     fleet.run(3 * SILENCE);
     assert!(
-        fleet.alive().all(|me| fleet.gone_for(me).is_empty() && fleet.views[usize::from(me)].with_majority())
+        fleet.alive().all(|me| fleet.gone_for(me).is_empty() && fleet.views[usize::from(me)].has_majority())
     );
 }
 
 #[test]
-fn of_two_and_of_an_even_split_nobody_is_gone() {
+fn with_two_members_or_an_even_split_no_member_is_gone() {
     let mut two = Fleet::new(2);
     two.run(1000);
     two.dead.insert(1);
     two.run(5000);
-    assert!(two.gone_for(0).is_empty() && !two.views[0].with_majority());
+    assert!(two.gone_for(0).is_empty() && !two.views[0].has_majority());
     let mut even = Fleet::new(12);
     even.run(1000);
     even.cut_off(&[0, 1, 2, 3, 4, 5]);
     even.run(5000);
-    assert!((0..12).all(|me| even.gone_for(me).is_empty() && !even.views[usize::from(me)].with_majority()));
+    assert!((0..12).all(|me| even.gone_for(me).is_empty() && !even.views[usize::from(me)].has_majority()));
     let mut one = Fleet::new(1);
     one.run(5000);
-    assert!(one.views[0].with_majority());
+    assert!(one.views[0].has_majority());
 }
 
 #[test]
-fn whoever_stood_still_holds_nobody_gone_for_it() {
+fn a_member_that_was_suspended_considers_no_member_gone() {
     let mut fleet = Fleet::new(12);
     fleet.run(2000);
     fleet.dead.insert(3);
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn what_is_no_message_of_a_neighbour_is_refused_and_changes_nothing() {
+fn messages_that_no_neighbour_sent_are_refused_without_effect() {
     let mut fleet = Fleet::new(24);
     fleet.run(2000);
     let now = ms(fleet.now);
@@ -188,9 +188,14 @@
 }
 
 #[test]
-fn lives_only_go_up() {
+fn known_incarnations_only_increase() {
     let overlay = Arc::new(Overlay::new(3, 7).unwrap());
     let mut view = MembershipView::new(ms(0), 0, overlay, ms(1000));
-    assert!(view.lives(1, 4) && !view.lives(1, 4) && !view.lives(1, 3) && view.lives(1, 5));
-    assert_eq!((view.life(1), view.life(2), view.life(9)), (5, 0, 0));
+    assert!(
+        view.incarnation_learned(1, 4)
+            && !view.incarnation_learned(1, 4)
+            && !view.incarnation_learned(1, 3)
+            && view.incarnation_learned(1, 5)
+    );
+    assert_eq!((view.incarnation(1), view.incarnation(2), view.incarnation(9)), (5, 0, 0));
 }
--- a/crates/fleet/tests/unit/plan.rs
+++ b/crates/fleet/tests/unit/plan.rs
@@ -3,10 +3,10 @@
 use super::*;
 
 #[test]
-fn whoever_asks_has_to_meet_what_fewest_have_acknowledged() {
+fn awaited_acknowledgements_are_the_minimum_of_both_settings() {
     let awaited =
         |before_launch, before_answer| Plan { before_launch, before_answer, ..Plan::default() }.awaited();
     assert_eq!([awaited(3, 1), awaited(1, 3), awaited(2, 2)], [1, 1, 2]);
-    // What nothing waits for promises nothing, and costs those who ask nothing.
+    // A setting of zero awaits nothing and does not count.
     assert_eq!([awaited(0, 2), awaited(2, 0), awaited(0, 0)], [2, 2, 0]);
 }
--- a/crates/serve/src/sheet.rs
+++ b/crates/serve/src/sheet.rs
@@ -333,7 +333,7 @@
     /// Of a group of so many members.
     pub fn read(block: &Block, members: &[String]) -> Self {
         let usual = Self::default();
-        let most = (members.len().max(2) - 1).min(Plan::MOST_COPIES) as u64;
+        let most = (members.len().max(2) - 1).min(Plan::MAX_REPLICAS) as u64;
         let copies = block.whole("copies", 1..=most, Some(2.min(most)));
         let count = |name, usual: u64| block.whole(name, 0..=copies, Some(usual.min(copies))) as usize;
         let strictly = match block.text("without", Some("launch")).as_str() {
