--- a/crates/cli/src/fleets.rs
+++ b/crates/cli/src/fleets.rs
@@ -200,7 +200,7 @@
     Ok(match what {
         FleetCommand::Status { .. } => {
             let count = |reads: &str| {
-                let texts = each().map(|(id, copy)| lotussaddle_fleet::copy_text(now, id, copy, &[]));
+                let texts = each().map(|(id, copy)| lotussaddle_fleet::replica_json(now, id, copy, &[]));
                 texts.filter(|text| text["reads"] == reads).count()
             };
             serde_json::json!({
@@ -219,11 +219,11 @@
         | FleetCommand::HandOver { .. } => {
             bail!("asked of a member that runs")
         }
-        FleetCommand::Differ { .. } => lotussaddle_fleet::differ(now, each(), &[]),
+        FleetCommand::Differ { .. } => lotussaddle_fleet::conflicting_dialogues(now, each(), &[]),
         FleetCommand::Show { dialogue, .. } => {
             let id = DialogueId(dialogue.as_str().into());
             let copy = each().find(|(known, _)| **known == id).map(|(_, copy)| copy);
-            lotussaddle_fleet::show(now, &id, copy, &[])
+            lotussaddle_fleet::dialogue_json(now, &id, copy, &[])
         }
     })
 }
--- a/crates/fleet/src/duties.rs
+++ b/crates/fleet/src/duties.rs
@@ -40,7 +40,7 @@
     /// Voting members: 3, 5 or 7 places in the group, until a change of voters is committed.
     pub voters: Vec<u16>,
     /// A holder that has been unresponsive for a little more than this time loses its duties.
-    pub lease: Duration,
+    pub lease_duration: Duration,
 }
 
 /// One step of a duty.
@@ -144,7 +144,7 @@
             member_count: members,
             voters: plan.voters.clone(),
             preferred_holders: ranks,
-            lease_duration: plan.lease,
+            lease_duration: plan.lease_duration,
         };
         Self {
             self_member,
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -24,5 +24,5 @@
 pub use peers::{PeerLink, Peers};
 pub use plan::Plan;
 pub use redial::{RedialAction, RedialSearch, Redials, Verdict};
-pub use status::{copy_text, differ, show};
+pub use status::{conflicting_dialogues, dialogue_json, replica_json};
 pub use takeovers::{TakeoverAction, Takeovers};
--- a/crates/fleet/src/member/confirmations.rs
+++ b/crates/fleet/src/member/confirmations.rs
@@ -79,11 +79,11 @@
                 return self.findings.push(Finding::Found(id, verdict));
             }
         };
-        let acks = self.plan.before_answer;
+        let acks = self.plan.acks_before_answer;
         match self.write(&id, reached, Duration::ZERO, answer.as_ref(), self.now, acks) {
             None => self.findings.push(Finding::Found(id, verdict)),
             Some(ticket) => {
-                let by = self.now + self.plan.ask_within;
+                let by = self.now + self.plan.search_timeout;
                 self.confirmations.insert(id, ticket, by, verdict);
             }
         }
@@ -94,7 +94,7 @@
     pub(super) fn unconfirmed(&mut self) {
         while let Some(id) = self.confirmations.overdue(self.now) {
             let Some(verdict) = self.confirmations.remove(&id) else { break };
-            if !self.plan.strictly && self.book.owns_dialogue(&id) {
+            if !self.plan.withholds_unacknowledged_launches && self.book.owns_dialogue(&id) {
                 self.findings.push(Finding::Found(id, verdict));
                 continue;
             }
@@ -103,8 +103,8 @@
             {
                 self.takeovers.hold_for_caller(self.now, &id, server, owner, launch);
             }
-            let come_back = self.plan.silence;
-            self.findings.push(Finding::Found(id, Verdict::Unsure { come_back }));
+            let come_back = self.plan.response_timeout;
+            self.findings.push(Finding::Found(id, Verdict::Unsure { retry_after: come_back }));
         }
     }
 
--- a/crates/fleet/src/member/core_servers.rs
+++ b/crates/fleet/src/member/core_servers.rs
@@ -41,12 +41,13 @@
         match audit {
             AuditMessage::Lines { serial, more, lines } => {
                 // Where all peers have forgotten a life, core servers still know of it.
-                let ours = lines.iter().map(|line| line.owner).filter(|owner| owner.member == self.plan.me);
+                let ours =
+                    lines.iter().map(|line| line.owner).filter(|owner| owner.member == self.plan.self_member);
                 if self.lives.incarnation_seen(ours.map(|owner| owner.incarnation).max().unwrap_or_default())
                 {
                     return self.overtaken(effects);
                 }
-                let (me, book) = (self.plan.me, &self.book);
+                let (me, book) = (self.plan.self_member, &self.book);
                 let kept: BTreeSet<DialogueId> =
                     lines.iter().map(|line| line.dialogue.clone()).filter(|id| self.is_coming(id)).collect();
                 let whose = |line: &HeldLine| {
--- a/crates/fleet/src/member/dispatch.rs
+++ b/crates/fleet/src/member/dispatch.rs
@@ -146,7 +146,7 @@
     fn membership_came(&mut self, link: PeerLink, from: u16, message: &[u8], effects: &mut dyn Effects) {
         match self.view.received(self.now, from, message) {
             Ok(changed) => {
-                let me = self.plan.me;
+                let me = self.plan.self_member;
                 for member in changed.into_iter().filter(|member| *member != me) {
                     self.register_tells_life(member, effects);
                 }
--- a/crates/fleet/src/member/duty_acts.rs
+++ b/crates/fleet/src/member/duty_acts.rs
@@ -54,7 +54,7 @@
 
     /// What has come of it for duties: said, kept, done.
     pub(super) fn settle_duties(&mut self, effects: &mut dyn Effects) {
-        let (now, me) = (self.now, self.plan.me);
+        let (now, me) = (self.now, self.plan.self_member);
         let Some(mut duties) = self.duties.take() else { return };
         // A disk that fails leaves none, and what was on it is older than what is said from then on.
         self.has_disk |= effects.has_disk();
--- a/crates/fleet/src/member/incarnations.rs
+++ b/crates/fleet/src/member/incarnations.rs
@@ -126,8 +126,9 @@
         // What stands goes on under this life: its core servers are told, or it would pass for what the former one left, or, where
         // it was launched before this process had a life, end with its link.
         let standing = self.book.iter().filter_map(|(id, copy)| {
-            let owner =
-                copy.owner().filter(|owner| (owner.member, owner.incarnation) == (self.plan.me, life))?;
+            let owner = copy
+                .owner()
+                .filter(|owner| (owner.member, owner.incarnation) == (self.plan.self_member, life))?;
             match copy.reading() {
                 ReplicaReading::Stands { server, .. } => Some((server.clone(), id.clone(), owner)),
                 _ => None,
@@ -150,7 +151,7 @@
             self.resume(member, effects);
         }
         // A former life of this member left something behind, perhaps.
-        self.takeovers.incarnation_ended(self.now, self.plan.me, life - 1);
+        self.takeovers.incarnation_ended(self.now, self.plan.self_member, life - 1);
         self.view.set_self(self.now, life, self.caught_up());
     }
 
@@ -159,7 +160,7 @@
         let now = self.now;
         self.duties.iter_mut().for_each(|duties| duties.set_incarnation(now, 0));
         self.fresh = false;
-        self.wise_at = self.now + self.plan.forget + self.plan.forget / 8;
+        self.wise_at = self.now + self.plan.retention + self.plan.retention / 8;
         for member in 0..self.plan.members.len() as u16 {
             self.book.stream(member).halt();
             self.resumed[usize::from(member)] = false;
--- a/crates/fleet/src/member/links.rs
+++ b/crates/fleet/src/member/links.rs
@@ -41,7 +41,7 @@
     }
 
     fn greet(&mut self, link: PeerLink, effects: &mut dyn Effects) {
-        let name: Arc<str> = Arc::from(&*self.plan.members[usize::from(self.plan.me)]);
+        let name: Arc<str> = Arc::from(&*self.plan.members[usize::from(self.plan.self_member)]);
         self.tell(link, Frame::Hello(Hello::new(Role::Edge, name)), effects);
         if let Some(member) = self.peers.links.get(&link).and_then(|known| known.member) {
             self.say_here(link, member, effects);
@@ -54,7 +54,7 @@
         let was_heard = self.view.incarnation(member) > 0 && self.view.is_neighbour(member);
         let away = was_heard.then(|| self.view.time_since_frame(self.now, member));
         let saved = self.view.max_write_count(member);
-        let (group, me, life) = (self.group, self.plan.me, self.lives.current());
+        let (group, me, life) = (self.group, self.plan.self_member, self.lives.current());
         if let Some(known) = self.peers.links.get_mut(&link) {
             known.sent_incarnation = Some(life);
         }
@@ -115,7 +115,7 @@
     }
 
     fn check_link(&self, link: PeerLink, member: u16) -> LinkCheck {
-        let silence = self.plan.silence;
+        let silence = self.plan.response_timeout;
         if self.view.is_neighbour(member) {
             let is_dead = self.view.time_since_frame(self.now, member) >= silence * 2;
             return if is_dead { LinkCheck::Dead } else { LinkCheck::Idle };
@@ -156,7 +156,7 @@
         let place = self.plan.members.iter().position(|name| **name == *hello.name);
         let member = place.map(|place| place as u16);
         let wrong = match (hello.role, hello.version, member, known.member) {
-            (Role::Edge, VERSION, Some(member), _) if member == self.plan.me => {
+            (Role::Edge, VERSION, Some(member), _) if member == self.plan.self_member => {
                 Some("has this member's name".into())
             }
             (Role::Edge, VERSION, Some(member), Some(meant)) if member != meant => {
--- a/crates/fleet/src/member/mod.rs
+++ b/crates/fleet/src/member/mod.rs
@@ -102,11 +102,11 @@
 impl Member {
     /// A member that starts at `now` with what its disk had stored; `chance` is drawn from the system.
     pub fn new(now: Duration, plan: Plan, stored: Stored, chance: u64) -> Self {
-        let (me, members) = (plan.me, plan.members.len());
+        let (me, members) = (plan.self_member, plan.members.len());
         let book = ReplicaTable::new(
             me,
             plan.group(),
-            ReplicaLimits { max_replicas: plan.most, retention: plan.forget },
+            ReplicaLimits { max_replicas: plan.max_replicas, retention: plan.retention },
         );
         let mut chores = Chores::new(Budget::default());
         for (chore, priority) in [(FORGET, 1), (LOOK, 2), (PIECES, 3), (REPAIR, 1)] {
@@ -117,7 +117,15 @@
         stored.given.iter().for_each(|(peer, life)| lives.restore_granted(*peer, *life));
         let duties = plan.duties.as_ref().map(|duties| {
             let kept = (stored.duties.as_deref(), stored.fence.as_deref());
-            Duties::new(now, me, &book.group().clone(), duties, plan.unclaimed, kept, chance ^ 0x5bd1_e995)
+            Duties::new(
+                now,
+                me,
+                &book.group().clone(),
+                duties,
+                plan.claim_timeout,
+                kept,
+                chance ^ 0x5bd1_e995,
+            )
         });
         let mut member = Self {
             duties,
@@ -127,7 +135,7 @@
             has_disk: false,
             group: plan.digest(),
             now,
-            view: MembershipView::new(now, me, plan.overlay(), plan.silence),
+            view: MembershipView::new(now, me, plan.overlay(), plan.response_timeout),
             lives,
             peers: Peers::new(now, me, members, chance ^ 0x9e37_79b9_7f4a_7c15),
             book,
@@ -135,15 +143,15 @@
                 me,
                 plan.group(),
                 plan.awaited(),
-                plan.ask_within,
-                plan.silence,
-                plan.release,
+                plan.search_timeout,
+                plan.response_timeout,
+                plan.release_time,
             ),
-            takeovers: Takeovers::new(me, plan.unclaimed),
+            takeovers: Takeovers::new(me, plan.claim_timeout),
             incoming: (0..members).map(|_| Incoming::default()).collect(),
             resumed: vec![false; members],
             fresh: false,
-            wise_at: now + plan.forget + plan.forget / 8,
+            wise_at: now + plan.retention + plan.retention / 8,
             retired_until: Duration::ZERO,
             overtaken_at: None,
             confirmations: Confirmations::default(),
@@ -160,9 +168,9 @@
             look_from: None,
             wants_pieces: VecDeque::new(),
             repairs: RepairQueue::default(),
-            neighbours_tell_by: now + plan.silence,
+            neighbours_tell_by: now + plan.response_timeout,
             look_at: now,
-            compare_at: now + plan.compare_every,
+            compare_at: now + plan.compare_interval,
             was_gone: MemberSet::default(),
             counts: Counts::default(),
             plan,
@@ -213,7 +221,7 @@
     /// All that this member must know of what was dialled before, it knows: it has compared with all but so few that whoever
     /// acknowledged a write is not among those only, or so much time has passed that whatever it lacks is forgotten.
     pub fn caught_up(&self) -> bool {
-        let others = (0..self.incoming.len()).filter(|place| *place != usize::from(self.plan.me));
+        let others = (0..self.incoming.len()).filter(|place| *place != usize::from(self.plan.self_member));
         let missing = others.filter(|place| !self.incoming[*place].synced).count();
         let may_miss = self.plan.awaited().max(1) - 1;
         self.lives.current() > 0 && (self.fresh || missing <= may_miss || self.now >= self.wise_at)
--- a/crates/fleet/src/member/own_dialogues.rs
+++ b/crates/fleet/src/member/own_dialogues.rs
@@ -24,7 +24,8 @@
             WriteResult::Pending => Some(ticket),
             // While it has no life nobody can acknowledge anything.
             WriteResult::Immediate => {
-                (acks > 0 && self.plan.strictly && self.lives.current() == 0).then_some(ticket)
+                (acks > 0 && self.plan.withholds_unacknowledged_launches && self.lives.current() == 0)
+                    .then_some(ticket)
             }
             WriteResult::Replaced(_) => {
                 self.counts.replaced += 1;
@@ -49,15 +50,15 @@
     ) -> Option<u64> {
         self.now = now;
         let reached = Progress::Launched { server: server.clone(), launch };
-        let acks = self.plan.before_launch;
-        self.write(id, reached, until + self.plan.release, None, until, acks)
+        let acks = self.plan.acks_before_launch;
+        self.write(id, reached, until + self.plan.release_time, None, until, acks)
     }
 
     /// A launch came back without a result; `doubt`: its core server may have it all the same.
     pub fn back(&mut self, now: Duration, id: &DialogueId, doubt: bool) {
         self.now = now;
         if self.book.owns_dialogue(id) {
-            let bar = if doubt { now + self.plan.release } else { Duration::ZERO };
+            let bar = if doubt { now + self.plan.release_time } else { Duration::ZERO };
             self.write(id, Progress::Accepted, bar, None, now, 0);
         }
     }
@@ -71,7 +72,7 @@
             Answer::Stands { server } => Progress::Stands { server: server.clone(), launch },
             _ => Progress::Ended,
         };
-        let acks = self.plan.before_answer;
+        let acks = self.plan.acks_before_answer;
         self.write(id, reached, Duration::ZERO, Some(answer), now, acks)
     }
 
@@ -93,7 +94,7 @@
     pub(super) fn goes(&mut self, id: &DialogueId) {
         let Some(copy) = self.book.get(id) else { return };
         let servers = copy.owner_states().iter().filter_map(|part| match &part.progress {
-            Progress::Stands { server, .. } if part.owner.member == self.plan.me => Some(server),
+            Progress::Stands { server, .. } if part.owner.member == self.plan.self_member => Some(server),
             _ => None,
         });
         servers.for_each(|server| self.takeovers.claim_yielded(self.now, server));
--- a/crates/fleet/src/member/repair.rs
+++ b/crates/fleet/src/member/repair.rs
@@ -49,7 +49,7 @@
 
 impl Member {
     pub(super) fn compare(&mut self) {
-        for member in self.plan.me + 1..self.plan.members.len() as u16 {
+        for member in self.plan.self_member + 1..self.plan.members.len() as u16 {
             if self.peers.link_to(member).is_some() && self.incoming[usize::from(member)].synced {
                 let (level, from, sums) = self.book.top_digests(member);
                 self.to_say.push((member, PeerMessage::RangeDigests { level, from, digests: sums }));
--- a/crates/fleet/src/member/search.rs
+++ b/crates/fleet/src/member/search.rs
@@ -26,10 +26,14 @@
     pub fn seek(&mut self, now: Duration, id: &DialogueId, cut_off: Duration) {
         self.now = now;
         self.counts.asks += 1;
-        let come_back = self.plan.silence;
-        if self.lives.current() == 0 || self.redials.len() + self.confirmations.len() >= self.plan.asks {
+        let come_back = self.plan.response_timeout;
+        if self.lives.current() == 0
+            || self.redials.len() + self.confirmations.len() >= self.plan.max_searches
+        {
             self.counts.asks_refused += 1;
-            return self.findings.push(Finding::Found(id.clone(), Verdict::Unsure { come_back }));
+            return self
+                .findings
+                .push(Finding::Found(id.clone(), Verdict::Unsure { retry_after: come_back }));
         }
         self.confirmations.remove(id);
         if let Some((server, launch)) = self.takeovers.claim_held(id) {
@@ -42,9 +46,9 @@
             Some(ReplicaReading::Answered(answer)) => Some(Verdict::Answered(answer.clone())),
             Some(ReplicaReading::Ended) => Some(Verdict::Concluded),
             Some(ReplicaReading::Open { blocked_until: bar, .. })
-                if bar > now && bar + self.plan.release >= cut_off =>
+                if bar > now && bar + self.plan.release_time >= cut_off =>
             {
-                Some(Verdict::Unsure { come_back: bar - now })
+                Some(Verdict::Unsure { retry_after: bar - now })
             }
             Some(ReplicaReading::Open { blocked_until: bar, .. }) => {
                 Some(Verdict::Free { not_before: bar.max(now) })
@@ -59,9 +63,9 @@
         let candidates: Vec<u16> = self.book.group().candidates(print).iter().collect();
         let known = self.book.get(id).cloned().unwrap_or_default();
         let round = known.owner().map_or(0, |owner| owner.round) + 1;
-        let owner = Owner { round, member: self.plan.me, incarnation: self.lives.current() };
-        let mut knows = candidates.contains(&self.plan.me) && self.caught_up();
-        if candidates.contains(&self.plan.me) {
+        let owner = Owner { round, member: self.plan.self_member, incarnation: self.lives.current() };
+        let mut knows = candidates.contains(&self.plan.self_member) && self.caught_up();
+        if candidates.contains(&self.plan.self_member) {
             self.book.claim_requested(now, id, owner);
             knows &= self.book.has_claim(id, owner);
         }
@@ -133,7 +137,7 @@
         let Some((id, owner)) = self.redials.search_of(serial) else { return };
         let id = id.clone();
         let copy = copy.filter(|copy| copy.dialogue == id).map(|copy| Replica::from_update(self.now, copy));
-        let candidate = self.book.group().candidates(fingerprint(&id)).contains(self.plan.me);
+        let candidate = self.book.group().candidates(fingerprint(&id)).contains(self.plan.self_member);
         let knows = candidate && self.caught_up();
         if let (true, Some(higher)) = (candidate, higher) {
             // This member promises itself the higher claim that it is about to make.
--- a/crates/fleet/src/member/table_orders.rs
+++ b/crates/fleet/src/member/table_orders.rs
@@ -84,7 +84,7 @@
 
     fn answer_order(&mut self, to: u16, serial: u64, why: Option<Arc<str>>) {
         let (now, life) = (self.now, self.lives.current());
-        if to != self.plan.me {
+        if to != self.plan.self_member {
             self.to_say.push((to, PeerMessage::Published { serial, why }));
         } else if let Some(duties) = &mut self.duties {
             duties.member_published(now, to, life, serial, why.as_deref());
@@ -105,7 +105,7 @@
         self.now = now;
         let Some(duties) = &mut self.duties else { return false };
         match duties.holder(PUBLISH) {
-            Some(holder) if holder == self.plan.me => duties.request_publish(now, name),
+            Some(holder) if holder == self.plan.self_member => duties.request_publish(now, name),
             Some(holder) => {
                 let there = self.peers.link_to(holder).is_some();
                 self.to_say.push((holder, PeerMessage::PublishRequest { name: name.into() }));
--- a/crates/fleet/src/member/timers.rs
+++ b/crates/fleet/src/member/timers.rs
@@ -55,11 +55,11 @@
             self.send_membership(effects);
         }
         if self.look_at <= now {
-            self.look_at = now + self.plan.silence / 2;
+            self.look_at = now + self.plan.response_timeout / 2;
             self.look_round(effects);
         }
         if self.compare_at <= now {
-            self.compare_at = now + self.plan.compare_every;
+            self.compare_at = now + self.plan.compare_interval;
             self.compare();
         }
         self.want_chores();
@@ -112,7 +112,7 @@
         }
         if self.lives.current() > 0 {
             let live = |member: u16| !self.view.is_gone(member);
-            let (group, plan, me) = (self.book.group(), &self.plan, self.plan.me);
+            let (group, plan, me) = (self.book.group(), &self.plan, self.plan.self_member);
             let is_successor_of = |member: u16| {
                 let print = digest(&[SUCCESSOR_SEED, plan.members[usize::from(member)].as_bytes()]);
                 group.ranked_members(print).into_iter().find(|member| live(*member)) == Some(me)
@@ -124,7 +124,7 @@
                 let is_successor_of = |member: u16| sweeps.unwrap_or_else(|| is_successor_of(member));
                 let actions = self.takeovers.sweep(now, is_successor_of, &self.cores);
                 let asked = actions.iter().rev().find_map(|action| match action {
-                    TakeoverAction::ListLines { server, member, .. } if *member != self.plan.me => {
+                    TakeoverAction::ListLines { server, member, .. } if *member != self.plan.self_member => {
                         Some((server, *member))
                     }
                     _ => None,
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -19,83 +19,83 @@
     /// Names of all members, in order; a member's number is its place here.
     pub members: Vec<String>,
     /// The place of this member.
-    pub me: u16,
+    pub self_member: u16,
     /// Members beside the owner that hold a replica.
-    pub copies: usize,
+    pub replica_count: usize,
     /// Acknowledgements awaited before a launch is sent.
-    pub before_launch: usize,
+    pub acks_before_launch: usize,
     /// Acknowledgements awaited before a final answer is given.
-    pub before_answer: usize,
+    pub acks_before_answer: usize,
     /// Whether a launch without its acknowledgements is withheld.
-    pub strictly: bool,
+    pub withholds_unacknowledged_launches: bool,
     /// Release time after a launch with unknown outcome, the same on all members.
-    pub release: Duration,
+    pub release_time: Duration,
     /// Time limit of the search for the records of a redialled dialogue.
-    pub ask_within: Duration,
+    pub search_timeout: Duration,
     /// Response time-out of a neighbour in the overlay, after which it is reported. The dialogues of a member that no path joins to a
     /// majority are taken over.
-    pub silence: Duration,
+    pub response_timeout: Duration,
     /// A dialogue that was taken over is released when no caller claims it for this time.
-    pub unclaimed: Duration,
+    pub claim_timeout: Duration,
     /// Retention time of concluded dialogues.
-    pub forget: Duration,
+    pub retention: Duration,
     /// Max replicas held, own dialogues included.
-    pub most: usize,
+    pub max_replicas: usize,
     /// Max concurrent searches for redialled dialogues.
-    pub asks: usize,
+    pub max_searches: usize,
     /// Voters and lease time of the duties; none: the fleet has no duties, and successors act by their rank.
     pub duties: Option<DutyPlan>,
     /// Interval at which two members compare their replicas.
-    pub compare_every: Duration,
+    pub compare_interval: Duration,
 }
 
 impl Default for Plan {
     fn default() -> Self {
         Self {
             members: Vec::new(),
-            me: 0,
-            copies: 2,
-            before_launch: 1,
-            before_answer: 1,
-            strictly: false,
-            release: Duration::ZERO,
-            ask_within: MS * 60,
-            silence: MS * 1000,
-            unclaimed: MS * 5000,
-            forget: MS * 60_000,
-            most: 1_000_000,
-            asks: 4096,
+            self_member: 0,
+            replica_count: 2,
+            acks_before_launch: 1,
+            acks_before_answer: 1,
+            withholds_unacknowledged_launches: false,
+            release_time: Duration::ZERO,
+            search_timeout: MS * 60,
+            response_timeout: MS * 1000,
+            claim_timeout: MS * 5000,
+            retention: MS * 60_000,
+            max_replicas: 1_000_000,
+            max_searches: 4096,
             duties: None,
-            compare_every: MS * 10_000,
+            compare_interval: MS * 10_000,
         }
     }
 }
 
 impl Plan {
-    /// Max value of [`Plan::copies`].
+    /// Max value of [`Plan::replica_count`].
     pub const MAX_REPLICAS: usize = RankedMembers::MAX - 1;
 
     /// The replica group.
     pub fn group(&self) -> ReplicaGroup {
-        ReplicaGroup::new(self.members.iter().map(String::as_str), self.copies)
+        ReplicaGroup::new(self.members.iter().map(String::as_str), self.replica_count)
     }
 
     /// Digest of all values that must be the same on all members.
     pub fn digest(&self) -> u64 {
         let names = self.members.join("\n");
         let figures = [
-            self.copies as u64,
-            self.before_launch as u64,
-            self.before_answer as u64,
-            u64::from(self.strictly),
-            self.release.as_micros() as u64,
-            self.silence.as_micros() as u64,
-            self.unclaimed.as_micros() as u64,
-            self.forget.as_micros() as u64,
+            self.replica_count as u64,
+            self.acks_before_launch as u64,
+            self.acks_before_answer as u64,
+            u64::from(self.withholds_unacknowledged_launches),
+            self.release_time.as_micros() as u64,
+            self.response_timeout.as_micros() as u64,
+            self.claim_timeout.as_micros() as u64,
+            self.retention.as_micros() as u64,
         ];
         let duties = self.duties.iter().flat_map(|duties| {
             let voters = duties.voters.iter().map(|voter| u64::from(*voter));
-            voters.chain([duties.lease.as_micros() as u64])
+            voters.chain([duties.lease_duration.as_micros() as u64])
         });
         let figures: Vec<u64> = figures.into_iter().chain(duties).collect();
         let figures: Vec<u8> = figures.iter().flat_map(|figure| figure.to_le_bytes()).collect();
@@ -105,7 +105,7 @@
     /// Min number of holders that have a write whose effect was sent: launches and answers may await different numbers of
     /// acknowledgements, and a search must find both.
     pub fn awaited(&self) -> usize {
-        [self.before_launch, self.before_answer]
+        [self.acks_before_launch, self.acks_before_answer]
             .into_iter()
             .filter(|acks| *acks > 0)
             .min()
--- a/crates/fleet/src/redial.rs
+++ b/crates/fleet/src/redial.rs
@@ -35,8 +35,8 @@
     Stands { server: ServerId, launch: LaunchNumber },
     /// It stood and has ended.
     Concluded,
-    /// The outcome is unresolved; the caller may retry after `come_back`.
-    Unsure { come_back: Duration },
+    /// The outcome is unresolved; the caller may retry after `retry_after`.
+    Unsure { retry_after: Duration },
 }
 
 /// An action that a search requests.
@@ -93,7 +93,7 @@
     /// Acknowledgements that a launch waits for.
     awaited: usize,
     within: Duration,
-    come_back: Duration,
+    retry_after: Duration,
     release: Duration,
     asks: HashMap<DialogueId, Search>,
     serials: BTreeMap<u64, DialogueId>,
@@ -102,9 +102,9 @@
 }
 
 impl Redials {
-    /// `come_back`: the retry delay of an unresolved dialogue; `release`: the time that a launch needs at least.
+    /// `retry_after`: the retry delay of an unresolved dialogue; `release`: the time that a launch needs at least.
     pub fn new(
-        self_member: u16, group: ReplicaGroup, awaited: usize, within: Duration, come_back: Duration,
+        self_member: u16, group: ReplicaGroup, awaited: usize, within: Duration, retry_after: Duration,
         release: Duration,
     ) -> Self {
         Self {
@@ -112,7 +112,7 @@
             awaited: awaited.min(group.replica_count()),
             group,
             within,
-            come_back,
+            retry_after,
             release,
             asks: HashMap::new(),
             serials: BTreeMap::new(),
@@ -199,7 +199,7 @@
     }
 
     fn unresolved(&self, id: &DialogueId) -> RedialAction {
-        RedialAction::Report(id.clone(), Verdict::Unsure { come_back: self.come_back })
+        RedialAction::Report(id.clone(), Verdict::Unsure { retry_after: self.retry_after })
     }
 
     /// Asks all reachable members on behalf of the claiming owner.
@@ -302,7 +302,7 @@
         let since = ask.found.newer_launch_until().filter(|blocked_until| *blocked_until > now);
         let verdict = match ask.found.reading() {
             // A record that a later owner did not use counts only once that owner's launch can have no effect any more.
-            _ if since.is_some() => Verdict::Unsure { come_back: since.unwrap_or(now) - now },
+            _ if since.is_some() => Verdict::Unsure { retry_after: since.unwrap_or(now) - now },
             ReplicaReading::Answered(answer) => Verdict::Answered(answer.clone()),
             ReplicaReading::Ended => Verdict::Concluded,
             ReplicaReading::Stands { server, .. } => {
@@ -319,7 +319,7 @@
             ReplicaReading::Open { blocked_until, .. }
                 if blocked_until > now && blocked_until + self.release >= ask.cut_off =>
             {
-                Verdict::Unsure { come_back: blocked_until - now }
+                Verdict::Unsure { retry_after: blocked_until - now }
             }
             ReplicaReading::Open { blocked_until, .. } => {
                 Verdict::Free { not_before: blocked_until.max(now) }
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -23,7 +23,7 @@
 }
 
 /// One replica as JSON.
-pub fn copy_text(now: Duration, id: &DialogueId, copy: &Replica, names: &[String]) -> Value {
+pub fn replica_json(now: Duration, id: &DialogueId, copy: &Replica, names: &[String]) -> Value {
     let parts: Vec<Value> = copy
         .owner_states()
         .iter()
@@ -59,16 +59,16 @@
 }
 
 /// Dialogues with two different final answers.
-pub fn differ<'a>(
+pub fn conflicting_dialogues<'a>(
     now: Duration, copies: impl Iterator<Item = (&'a DialogueId, &'a Replica)>, names: &[String],
 ) -> Value {
     let differing = copies.filter(|(_, copy)| copy.has_conflicting_answers()).take(MAX_LISTED);
-    json!(differing.map(|(id, copy)| copy_text(now, id, copy, names)).collect::<Vec<_>>())
+    json!(differing.map(|(id, copy)| replica_json(now, id, copy, names)).collect::<Vec<_>>())
 }
 
 /// One dialogue as JSON, or null where it is unknown.
-pub fn show(now: Duration, id: &DialogueId, copy: Option<&Replica>, names: &[String]) -> Value {
-    copy.map_or(Value::Null, |copy| copy_text(now, id, copy, names))
+pub fn dialogue_json(now: Duration, id: &DialogueId, copy: Option<&Replica>, names: &[String]) -> Value {
+    copy.map_or(Value::Null, |copy| replica_json(now, id, copy, names))
 }
 
 impl Member {
@@ -78,7 +78,7 @@
         let members: Vec<Value> = (plan.members.iter().enumerate())
             .map(|(place, name)| {
                 let member = place as u16;
-                let me = member == plan.me;
+                let me = member == plan.self_member;
                 let (life, view) = (if me { self.life() } else { self.view().incarnation(member) }, self.view());
                 json!({
                     "name": name,
@@ -95,7 +95,7 @@
         let counts = self.counts();
         let (kept, asked) = self.sizes();
         json!({
-            "member": plan.members.get(usize::from(plan.me)),
+            "member": plan.members.get(usize::from(plan.self_member)),
             "members": members,
             "copies": self.book().len(),
             "lag": self.book().max_lag(),
@@ -168,10 +168,10 @@
             }
             Some(("voters", rest)) => self.order_voters(rest),
             Some(("hand-over", rest)) => self.order_hand_over(rest),
-            None if what == "differ" => differ(now, self.book().iter(), names),
+            None if what == "differ" => conflicting_dialogues(now, self.book().iter(), names),
             Some(("show", id)) => {
                 let id = DialogueId(id.into());
-                show(now, &id, self.book().get(&id), names)
+                dialogue_json(now, &id, self.book().get(&id), names)
             }
             _ => json!({ "error": format!("{what:?} is not known here") }),
         };
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -100,7 +100,12 @@
 impl TestNetwork {
     fn new(members: usize, disks: bool, change: impl FnOnce(&mut Plan)) -> Self {
         let names = (0..members).map(|n| format!("edge-{n:02}")).collect();
-        let mut plan = Plan { members: names, release: ms(300), strictly: true, ..Plan::default() };
+        let mut plan = Plan {
+            members: names,
+            release_time: ms(300),
+            withholds_unacknowledged_launches: true,
+            ..Plan::default()
+        };
         change(&mut plan);
         let ends = (0..members).map(|place| RecordingEffects {
             next: (place as u64 + 1) << 32,
@@ -151,7 +156,7 @@
             }
         }
         (stored.copies, stored.given) = (copies.into_values().collect(), given.into_iter().collect());
-        let plan = Plan { me: place as u16, ..self.plan.clone() };
+        let plan = Plan { self_member: place as u16, ..self.plan.clone() };
         let chance = self.starts.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         self.members[place] = Some(Member::new(self.now, plan, stored, chance));
     }
@@ -496,7 +501,8 @@
 
 #[test]
 fn after_a_healed_partition_both_halves_give_one_answer_and_count_the_conflict() {
-    let mut net = TestNetwork::new(5, false, |plan| (plan.before_launch, plan.before_answer) = (0, 0));
+    let mut net =
+        TestNetwork::new(5, false, |plan| (plan.acks_before_launch, plan.acks_before_answer) = (0, 0));
     let (d, holders, _) = net.dialogue();
     net.blocked_pairs = (1..5).flat_map(|place| [(0, place), (place, 0)]).collect();
     net.stands(0, &d);
@@ -513,7 +519,7 @@
         .map(|place| {
             let copy = net.member(place).book().get(&d).expect("it is known").clone();
             assert!(copy.has_conflicting_answers() && copy.answers().len() == 2, "{copy:?}");
-            lotussaddle_fleet::show(now, &d, Some(&copy), &[])["reads"].to_string()
+            lotussaddle_fleet::dialogue_json(now, &d, Some(&copy), &[])["reads"].to_string()
         })
         .collect();
     assert_eq!(readings.len(), 1, "{readings:?}");
@@ -538,7 +544,7 @@
 
 #[test]
 fn a_flood_of_unknown_ids_is_bounded_and_answered() {
-    let mut net = TestNetwork::new(5, false, |plan| plan.asks = 100);
+    let mut net = TestNetwork::new(5, false, |plan| plan.max_searches = 100);
     net.blocked_pairs = (0..5).filter(|place| *place != 1).map(|place| (place, 1)).collect();
     let (now, cut_off) = (net.now, net.now + ms(3000));
     for n in 0..10_000 {
@@ -553,7 +559,7 @@
 
 #[test]
 fn a_peer_of_another_version_name_or_group_gets_no_replicas() {
-    let mut net = TestNetwork::new(3, false, |plan| plan.copies = 1);
+    let mut net = TestNetwork::new(3, false, |plan| plan.replica_count = 1);
     net.kill(1); // Otherwise the link to it would interfere.
     let hello =
         |name: &str, version: u16| Frame::Hello(Hello { version, ..Hello::new(Role::Edge, Arc::from(name)) });
@@ -655,7 +661,7 @@
 
 #[test]
 fn a_snapshot_resumes_when_its_link_breaks_at_every_chunk() {
-    let mut net = TestNetwork::new(3, false, |plan| plan.forget = ms(600_000));
+    let mut net = TestNetwork::new(3, false, |plan| plan.retention = ms(600_000));
     let now = net.now;
     for n in 0..3000 {
         let d = id(&format!("d{n}"));
@@ -679,7 +685,7 @@
 
 #[test]
 fn unstored_writes_are_not_acknowledged_over_a_restored_link() {
-    let mut net = TestNetwork::new(3, true, |plan| plan.copies = 1);
+    let mut net = TestNetwork::new(3, true, |plan| plan.replica_count = 1);
     let group = net.plan.group();
     let d = (0..)
         .map(|n| id(&format!("d{n}")))
@@ -702,9 +708,9 @@
 /// Each member in turn checks its own lines: a line that it does not hold is released after a second check, one that it holds is left.
 #[test]
 fn circuits_release_only_lines_that_their_member_does_not_hold() {
-    let duties = DutyPlan { voters: vec![0, 1, 2], lease: ms(400) };
+    let duties = DutyPlan { voters: vec![0, 1, 2], lease_duration: ms(400) };
     let mut net = TestNetwork::new(5, true, |plan| {
-        (plan.duties, plan.unclaimed) = (Some(duties), ms(500));
+        (plan.duties, plan.claim_timeout) = (Some(duties), ms(500));
     });
     let now = net.now;
     (0..5).for_each(|place| net.member(place).core_up(now, &server()));
@@ -766,7 +772,7 @@
 /// own restart. Without a disk it refuses them while it runs.
 #[test]
 fn stale_fencing_tokens_are_refused_after_a_restart() {
-    let duties = DutyPlan { voters: vec![2, 3, 4], lease: ms(400) };
+    let duties = DutyPlan { voters: vec![2, 3, 4], lease_duration: ms(400) };
     let mut net = TestNetwork::new(5, true, |plan| plan.duties = Some(duties));
     let now = net.now;
     net.member(0).core_up(now, &server());
@@ -837,7 +843,7 @@
 
 #[test]
 fn a_dead_link_without_heartbeats_is_detected_when_it_is_used() {
-    let mut net = TestNetwork::new(LARGE, false, |plan| plan.compare_every = ms(1_000_000));
+    let mut net = TestNetwork::new(LARGE, false, |plan| plan.compare_interval = ms(1_000_000));
     net.run(ms(5000));
     let used = net.stranger(0, 1);
     let idle = net.stranger(0, used + 1);
@@ -860,7 +866,7 @@
 
 #[test]
 fn a_new_link_replaces_a_dead_one_eventually() {
-    let mut net = TestNetwork::new(LARGE, false, |plan| plan.compare_every = ms(1_000_000));
+    let mut net = TestNetwork::new(LARGE, false, |plan| plan.compare_interval = ms(1_000_000));
     net.run(ms(3000));
     let other = net.stranger(0, 1);
     // Member 0, which opens the links to all others, does not notice the loss of this one.
--- a/crates/fleet/tests/unit/duties.rs
+++ b/crates/fleet/tests/unit/duties.rs
@@ -62,7 +62,7 @@
 fn truncated_or_corrupted_messages_do_not_stop_a_member() {
     let names: Vec<String> = (0..5).map(|n| format!("edge-{n}")).collect();
     let group = ReplicaGroup::new(names.iter().map(String::as_str), 2);
-    let plan = DutyPlan { voters: vec![0, 1, 2], lease: ms(400) };
+    let plan = DutyPlan { voters: vec![0, 1, 2], lease_duration: ms(400) };
     let (mut read, mut refused) = (0, 0);
     let mut duties = Duties::new(ms(0), 0, &group, &plan, ms(500), (None, None), 1);
     duties.set_incarnation(ms(0), 3);
--- a/crates/fleet/tests/unit/redial.rs
+++ b/crates/fleet/tests/unit/redial.rs
@@ -75,7 +75,7 @@
     })
 }
 
-const UNSURE: Verdict = Verdict::Unsure { come_back: Duration::from_secs(1) };
+const UNSURE: Verdict = Verdict::Unsure { retry_after: Duration::from_secs(1) };
 
 #[test]
 fn a_dialogue_unknown_to_all_is_free_at_once() {
@@ -166,7 +166,7 @@
         Some(Verdict::Free { not_before: ms(800) })
     );
     // A block that leaves no time for a launch is reported at once, not at the cut-off.
-    let late = Verdict::Unsure { come_back: ms(2799) };
+    let late = Verdict::Unsure { retry_after: ms(2799) };
     assert_eq!(reported(&found(replica_of(owner(0, 9), out, 2800))), Some(late));
 }
 
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -56,8 +56,8 @@
 /// The figures of a fleet of hollow members: those of the product's defaults, with duties.
 pub fn fleet_plan(size: usize) -> Plan {
     let members = (0..size).map(member_name).collect();
-    let duties = DutyPlan { voters: voters(size), lease: LEASE };
-    Plan { members, duties: Some(duties), release: Duration::from_millis(300), ..Plan::default() }
+    let duties = DutyPlan { voters: voters(size), lease_duration: LEASE };
+    Plan { members, duties: Some(duties), release_time: Duration::from_millis(300), ..Plan::default() }
 }
 
 /// The members that vote about duties: spread over the whole fleet, and so over its regions.
@@ -169,7 +169,7 @@
     pub fn start(
         now: Duration, plan: Plan, chance: u64, links_begun: u64, calls: Option<DrawnCalls>,
     ) -> Self {
-        let outbox = Outbox { effects: Vec::new(), open: HashSet::new(), me: plan.me, links_begun };
+        let outbox = Outbox { effects: Vec::new(), open: HashSet::new(), me: plan.self_member, links_begun };
         let member = Member::new(now, plan, Stored::default(), chance);
         Self { member, outbox, calls, spent: Duration::ZERO }
     }
--- a/crates/scale/src/socket_host.rs
+++ b/crates/scale/src/socket_host.rs
@@ -306,7 +306,7 @@
         let member = &mut self.members[local];
         member.starts += 1;
         let chance = mix(seed ^ (member.place as u64) << 20 ^ member.starts << 40);
-        let plan = Plan { me: member.place as u16, ..self.figures.clone() };
+        let plan = Plan { self_member: member.place as u16, ..self.figures.clone() };
         let calls =
             (rate > 0.0).then(|| DrawnCalls::new(now, member.place as u16, member.starts, rate, mix(chance)));
         member.process = Some(HollowMember::start(now, plan, chance, member.links_begun, calls));
--- a/crates/scale/src/virtual_run.rs
+++ b/crates/scale/src/virtual_run.rs
@@ -295,7 +295,7 @@
         let machine = &mut self.machines[member];
         machine.starts += 1;
         let chance = mix(self.context.seed ^ (member as u64) << 20 ^ machine.starts << 40);
-        let plan = Plan { me: member as u16, ..self.figures.clone() };
+        let plan = Plan { self_member: member as u16, ..self.figures.clone() };
         let rate = self.runner.call_rate;
         let calls =
             (rate > 0.0).then(|| DrawnCalls::new(self.now, member as u16, machine.starts, rate, mix(chance)));
@@ -439,7 +439,7 @@
 
     fn held_dead(&mut self, observer: usize, dead: usize) {
         // It was to be heard for as long as it takes to be missed, and as its word takes to get round.
-        let grace = self.figures.silence * 2;
+        let grace = self.figures.response_timeout * 2;
         let since = self.now.saturating_sub(grace);
         let machine = &self.machines[dead];
         let was_up =
--- a/crates/serve/src/proxy.rs
+++ b/crates/serve/src/proxy.rs
@@ -430,7 +430,7 @@
                 PriorOutcome::Stands { server, launch }
             }
             Verdict::Concluded => PriorOutcome::Concluded,
-            Verdict::Unsure { come_back } => PriorOutcome::Unresolved { retry_after: Some(come_back) },
+            Verdict::Unsure { retry_after } => PriorOutcome::Unresolved { retry_after: Some(retry_after) },
         };
         self.with_edge(now, wires, |edge, wires| edge.prior_outcome_found(now, id, found, wires));
         // Its caller left meanwhile: what stands there is released.
--- a/crates/serve/src/sheet.rs
+++ b/crates/serve/src/sheet.rs
@@ -292,16 +292,16 @@
     fn default() -> Self {
         let usual = Plan::default();
         Self {
-            copies: usual.copies,
-            before_launch: usual.before_launch,
-            before_answer: usual.before_answer,
+            copies: usual.replica_count,
+            before_launch: usual.acks_before_launch,
+            before_answer: usual.acks_before_answer,
             within: MS * 20,
             strictly: false,
-            ask_within: usual.ask_within,
-            silence: usual.silence,
-            unclaimed: usual.unclaimed,
-            forget: usual.forget,
-            most: usual.most,
+            ask_within: usual.search_timeout,
+            silence: usual.response_timeout,
+            unclaimed: usual.claim_timeout,
+            forget: usual.retention,
+            most: usual.max_replicas,
             duties: None,
         }
     }
@@ -374,22 +374,22 @@
         let place = |voter: &String| members.iter().position(|name| name == voter).map(|place| place as u16);
         let duties = self.duties.as_ref().map(|duties| DutyPlan {
             voters: duties.voters.iter().filter_map(place).collect(),
-            lease: duties.lease,
+            lease_duration: duties.lease,
         });
         Plan {
             duties,
             members,
-            me,
-            copies: self.copies,
-            before_launch: self.before_launch,
-            before_answer: self.before_answer,
-            strictly: self.strictly,
-            release,
-            ask_within: self.ask_within,
-            silence: self.silence,
-            unclaimed: self.unclaimed,
-            forget: self.forget,
-            most: self.most,
+            self_member: me,
+            replica_count: self.copies,
+            acks_before_launch: self.before_launch,
+            acks_before_answer: self.before_answer,
+            withholds_unacknowledged_launches: self.strictly,
+            release_time: release,
+            search_timeout: self.ask_within,
+            response_timeout: self.silence,
+            claim_timeout: self.unclaimed,
+            retention: self.forget,
+            max_replicas: self.most,
             ..Plan::default()
         }
     }
