--- a/crates/fleet/src/duties.rs
+++ b/crates/fleet/src/duties.rs
@@ -51,8 +51,8 @@
 
 /// The work of a duty, in steps that may be repeated: a new holder continues after the last committed checkpoint.
 pub(crate) trait Steps {
-    /// The duty is held from now on; `mark` is the last checkpoint of the previous holder.
-    fn acquired(&mut self, now: Duration, mark: &[u8]);
+    /// The duty is held from now on; `checkpoint` is the last checkpoint of the previous holder.
+    fn acquired(&mut self, now: Duration, checkpoint: &[u8]);
     fn next_due(&self) -> Option<Duration>;
     /// The next step, and its checkpoint.
     fn step(&mut self, now: Duration, cores: &BTreeSet<ServerId>) -> Option<(Step, Vec<u8>)>;
@@ -74,10 +74,10 @@
 }
 
 impl Steps for Circuits {
-    fn acquired(&mut self, now: Duration, mark: &[u8]) {
+    fn acquired(&mut self, now: Duration, checkpoint: &[u8]) {
         (self.held, self.at) = (true, now);
-        let mark = std::str::from_utf8(mark).ok().filter(|name| !name.is_empty());
-        self.last = mark.map(|name| ServerId(name.into()));
+        let checkpoint = std::str::from_utf8(checkpoint).ok().filter(|name| !name.is_empty());
+        self.last = checkpoint.map(|name| ServerId(name.into()));
     }
 
     fn next_due(&self) -> Option<Duration> {
@@ -258,10 +258,10 @@
             self.lease.timer_fired(now);
         }
         if let Some(act) = self.current_action(now, CIRCUITS)
-            && let Some((Step::Check(server), mark)) = self.circuits.step(now, cores)
+            && let Some((Step::Check(server), checkpoint)) = self.circuits.step(now, cores)
         {
             self.checks.push(DutyEffect::Check(act, server));
-            self.lease.report_checkpoint(now, CIRCUITS, mark);
+            self.lease.report_checkpoint(now, CIRCUITS, checkpoint);
         }
     }
 
@@ -295,7 +295,7 @@
         let mut orders = Vec::new();
         for next in self.publish.due_steps(now, &reachable()) {
             match next {
-                PublishStep::Checkpoint(mark) => drop(self.lease.report_checkpoint(now, PUBLISH, mark)),
+                PublishStep::Checkpoint(data) => drop(self.lease.report_checkpoint(now, PUBLISH, data)),
                 PublishStep::Send(member, serial, order) => orders.push((member, act, serial, order)),
             }
         }
@@ -303,8 +303,8 @@
     }
 
     /// Reports a duty's checkpoint, for its next holder and for operators.
-    pub fn report_checkpoint(&mut self, now: Duration, duty: Duty, mark: String) {
-        self.lease.report_checkpoint(now, duty, mark.into_bytes());
+    pub fn report_checkpoint(&mut self, now: Duration, duty: Duty, checkpoint: String) {
+        self.lease.report_checkpoint(now, duty, checkpoint.into_bytes());
     }
 
     /// Takes the effects of all inputs since the last call.
@@ -321,12 +321,12 @@
                         postcard::to_allocvec(&kept).expect("the lease's state encodes without errors");
                     actions.push(DutyEffect::Persist(number, kept));
                 }
-                Effect::DutyAcquired(duty, number, mark) => {
+                Effect::DutyAcquired(duty, number, checkpoint) => {
                     self.since.insert(duty, now);
                     if duty == CIRCUITS {
-                        self.circuits.acquired(now, &mark);
+                        self.circuits.acquired(now, &checkpoint);
                     } else if duty == PUBLISH {
-                        self.publish.acquired(now, number.0, &mark);
+                        self.publish.acquired(now, number.0, &checkpoint);
                     }
                     let line = format!("duty {} is held here, number {}", duty_name(duty), number.0);
                     self.note(now, line.clone());
--- a/crates/fleet/src/incarnations.rs
+++ b/crates/fleet/src/incarnations.rs
@@ -24,7 +24,7 @@
 
 struct Proposal {
     life: u64,
-    given: MemberSet,
+    granted: MemberSet,
     at: Duration,
 }
 
@@ -39,7 +39,7 @@
     /// What the disk held at the start: the incarnation and its count of writes.
     stored: Option<(u64, u64)>,
     /// The highest count of writes of this member's disk that is known here or at a peer.
-    saved: u64,
+    write_count: u64,
     /// Incarnations proposed by this process and by the disk's last process: one that was granted and never used is not a later
     /// incarnation.
     own_proposals: Vec<u64>,
@@ -49,7 +49,7 @@
     reported_by: MemberSet,
     proposal: Option<Proposal>,
     /// The incarnation granted last to each member.
-    given: Vec<u64>,
+    granted: Vec<u64>,
     random_state: u64,
 }
 
@@ -63,42 +63,42 @@
 }
 
 impl IncarnationTracker {
-    /// A member without an incarnation. `stored`: incarnation and count of writes on disk; `asked`: the incarnation that the disk's
+    /// A member without an incarnation. `stored`: incarnation and count of writes on disk; `proposed`: the incarnation that the disk's
     /// last process proposed.
     pub fn new(
-        self_member: u16, members: usize, stored: Option<(u64, u64)>, asked: u64, random_state: u64,
+        self_member: u16, members: usize, stored: Option<(u64, u64)>, proposed: u64, random_state: u64,
     ) -> Self {
-        let (highest, saved) = stored.unwrap_or_default();
-        let (reported_by, given) = (MemberSet::default(), vec![0; members]);
+        let (highest, write_count) = stored.unwrap_or_default();
+        let (reported_by, granted) = (MemberSet::default(), vec![0; members]);
         let majority = members / 2 + 1;
-        let (own_proposals, highest_foreign) = (vec![asked], highest);
+        let (own_proposals, highest_foreign) = (vec![proposed], highest);
         Self {
             self_member,
             majority,
             current: 0,
             highest,
             stored,
-            saved,
+            write_count,
             own_proposals,
             highest_foreign,
             reported_by,
             proposal: None,
-            given,
+            granted,
             random_state,
         }
     }
 
     /// The highest count of writes of this member's disk that is known here or at a peer.
     pub fn known_write_count(&self) -> u64 {
-        self.saved
+        self.write_count
     }
 
     /// Why the disk counts as older than what this member had stored, as text for the log.
     pub fn describe_stale_disk(&self) -> String {
-        let (life, saved) = self.stored.unwrap_or_default();
+        let (life, write_count) = self.stored.unwrap_or_default();
         format!(
-            "the disk has life {life} and {saved} writes, others know of life {} and {} writes",
-            self.highest_foreign, self.saved
+            "the disk has life {life} and {write_count} writes, others know of life {} and {} writes",
+            self.highest_foreign, self.write_count
         )
     }
 
@@ -109,11 +109,11 @@
 
     /// A peer reports the highest incarnation of this member and the count of disk writes that it knows. True: the incarnation is
     /// another process's and replaces this one.
-    pub fn peer_reported(&mut self, peer: u16, highest: u64, saved: u64) -> bool {
+    pub fn peer_reported(&mut self, peer: u16, highest: u64, write_count: u64) -> bool {
         self.reported_by.set(peer);
-        self.saved = self.saved.max(saved);
+        self.write_count = self.write_count.max(write_count);
         // This process proposed it, and the peer granted it.
-        if self.proposal.as_ref().is_some_and(|asked| asked.life == highest) {
+        if self.proposal.as_ref().is_some_and(|proposed| proposed.life == highest) {
             return false;
         }
         self.incarnation_seen(highest)
@@ -146,19 +146,19 @@
         if self.current > 0 || self.reported_by.len() + 1 < self.majority {
             return None;
         }
-        if let Some(asked) = self.proposal.as_mut().filter(|asked| asked.life > self.highest) {
-            if now < asked.at + RETRY_INTERVAL {
+        if let Some(proposed) = self.proposal.as_mut().filter(|proposed| proposed.life > self.highest) {
+            if now < proposed.at + RETRY_INTERVAL {
                 return None;
             }
-            asked.at = now;
-            return Some(asked.life);
+            proposed.at = now;
+            return Some(proposed.life);
         }
         self.random_state =
             self.random_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         let life = (start_count(self.highest) + 1) << RANDOM_BITS | self.random_state >> (64 - RANDOM_BITS);
-        let mut given = MemberSet::default();
-        given.set(self.self_member);
-        self.proposal = Some(Proposal { life, given, at: now });
+        let mut granted = MemberSet::default();
+        granted.set(self.self_member);
+        self.proposal = Some(Proposal { life, granted, at: now });
         if self.own_proposals.len() >= MAX_OWN_PROPOSALS {
             self.own_proposals.remove(0);
         }
@@ -168,48 +168,51 @@
 
     /// When [`IncarnationTracker::due_proposal`] may return a proposal again.
     pub fn next_due(&self) -> Option<Duration> {
-        self.proposal.as_ref().filter(|_| self.current == 0).map(|asked| asked.at + RETRY_INTERVAL)
+        self.proposal.as_ref().filter(|_| self.current == 0).map(|proposed| proposed.at + RETRY_INTERVAL)
     }
 
     /// A peer whose highest known incarnation is `known` proposes `life`. Returns whether it is granted, and the highest one known.
     pub fn proposal_received(&mut self, peer: u16, known: u64, life: u64) -> (bool, u64) {
-        let Some(given) = self.given.get_mut(usize::from(peer)) else { return (false, 0) };
-        if *given != life && (life < *given || life <= known) {
-            return (false, known.max(*given));
+        let Some(granted) = self.granted.get_mut(usize::from(peer)) else { return (false, 0) };
+        if *granted != life && (life < *granted || life <= known) {
+            return (false, known.max(*granted));
         }
-        *given = life;
+        *granted = life;
         (true, life)
     }
 
     /// The incarnation granted last to a peer, to be stored on disk; zero: none.
     pub fn granted_to(&self, peer: u16) -> u64 {
-        self.given.get(usize::from(peer)).copied().unwrap_or_default()
+        self.granted.get(usize::from(peer)).copied().unwrap_or_default()
     }
 
     /// Restores from disk what was granted to a peer.
     pub fn restore_granted(&mut self, peer: u16, life: u64) {
-        if let Some(given) = self.given.get_mut(usize::from(peer)) {
-            *given = life.max(*given);
+        if let Some(granted) = self.granted.get_mut(usize::from(peer)) {
+            *granted = life.max(*granted);
         }
     }
 
     /// A peer has answered a proposal.
-    pub fn proposal_answered(&mut self, peer: u16, life: u64, given: bool, highest: u64) -> ProposalOutcome {
+    pub fn proposal_answered(
+        &mut self, peer: u16, life: u64, granted: bool, highest: u64,
+    ) -> ProposalOutcome {
         self.reported_by.set(peer);
-        if !given {
+        if !granted {
             self.learn_highest(highest);
             return ProposalOutcome::Pending;
         }
-        let Some(asked) = self.proposal.as_mut().filter(|asked| asked.life == life) else {
+        let Some(proposed) = self.proposal.as_mut().filter(|proposed| proposed.life == life) else {
             return ProposalOutcome::Pending;
         };
-        asked.given.set(peer);
-        if self.current > 0 || asked.given.len() < self.majority {
+        proposed.granted.set(peer);
+        if self.current > 0 || proposed.granted.len() < self.majority {
             return ProposalOutcome::Pending;
         }
         (self.current, self.proposal) = (life, None);
-        let fresh =
-            self.stored.is_some_and(|(stored, saved)| self.highest_foreign <= stored && saved >= self.saved);
+        let fresh = self.stored.is_some_and(|(stored, write_count)| {
+            self.highest_foreign <= stored && write_count >= self.write_count
+        });
         ProposalOutcome::New { life, fresh }
     }
 
--- a/crates/fleet/src/publish.rs
+++ b/crates/fleet/src/publish.rs
@@ -94,10 +94,10 @@
         }
     }
 
-    pub fn acquired(&mut self, now: Duration, number: u64, mark: &[u8]) {
+    pub fn acquired(&mut self, now: Duration, number: u64, checkpoint: &[u8]) {
         (self.held, self.due, self.is_committed) = (Some(number), Some(now), true);
         self.members.clear();
-        self.publication = postcard::from_bytes(mark).ok();
+        self.publication = postcard::from_bytes(checkpoint).ok();
     }
 
     pub fn lost(&mut self) {
@@ -106,8 +106,8 @@
     }
 
     /// A checkpoint as text for operators.
-    pub fn describe(mark: &[u8]) -> String {
-        match postcard::from_bytes::<Publication>(mark) {
+    pub fn describe(checkpoint: &[u8]) -> String {
+        match postcard::from_bytes::<Publication>(checkpoint) {
             Err(_) => String::new(),
             Ok(publication) => match publication.stage {
                 Stage::Reads => format!("{} is read by all", publication.name),
--- a/crates/fleet/src/redial.rs
+++ b/crates/fleet/src/redial.rs
@@ -79,10 +79,10 @@
     open: MemberSet,
     asked: MemberSet,
     /// Candidates that have caught up and have recorded the claim.
-    sure: MemberSet,
+    confirmed: MemberSet,
     candidates: Vec<u16>,
     found: Replica,
-    tries: u32,
+    attempts: u32,
     phase: Phase,
 }
 
@@ -142,10 +142,11 @@
     }
 
     fn has_quorum(&self, id: &DialogueId, ask: &Search) -> bool {
-        let sure =
-            |members: &mut dyn Iterator<Item = u16>| members.filter(|member| ask.sure.has(*member)).count();
+        let confirmed = |members: &mut dyn Iterator<Item = u16>| {
+            members.filter(|member| ask.confirmed.has(*member)).count()
+        };
         let print = fingerprint(id);
-        sure(&mut self.group.candidates(print).into_iter()) >= self.candidate_quorum()
+        confirmed(&mut self.group.candidates(print).into_iter()) >= self.candidate_quorum()
             || ask.found.last_writer().is_some_and(|writer| {
                 // A later claimant may have written to its own holders, of which the other members know nothing.
                 let is_own = |owner: Owner| {
@@ -153,10 +154,9 @@
                 };
                 let later =
                     ask.found.owner_states().iter().map(|part| part.owner).filter(|owner| *owner > writer);
-                later
-                    .filter(|owner| !is_own(*owner))
-                    .chain([writer])
-                    .all(|owner| sure(&mut self.group.holders(print, owner.member)) >= self.holder_quorum())
+                later.filter(|owner| !is_own(*owner)).chain([writer]).all(|owner| {
+                    confirmed(&mut self.group.holders(print, owner.member)) >= self.holder_quorum()
+                })
             })
     }
 
@@ -180,10 +180,10 @@
             by: now + self.within,
             open: MemberSet::default(),
             asked: MemberSet::default(),
-            sure: MemberSet::default(),
+            confirmed: MemberSet::default(),
             candidates: self.group.candidates(fingerprint(id)).iter().collect(),
             found: begin.known,
-            tries: 0,
+            attempts: 0,
             phase: Phase::Asking,
         };
         let others = ask.candidates.iter().filter(|member| **member != self.self_member);
@@ -210,9 +210,9 @@
         self.serial += 1;
         ask.serial = self.serial;
         self.serials.insert(self.serial, id.clone());
-        (ask.open, ask.asked, ask.sure) = Default::default();
+        (ask.open, ask.asked, ask.confirmed) = Default::default();
         if knows {
-            ask.sure.set(self.self_member);
+            ask.confirmed.set(self.self_member);
         }
         let mut actions = Vec::new();
         // The previous owner is asked too, even if it is no candidate: it may have a pending launch, which it then cancels.
@@ -239,10 +239,10 @@
         Some((id, self.asks.get(id)?.owner))
     }
 
-    /// A member has answered: its replica, whether it has caught up (`sure`), and a higher owner if it knows one.
+    /// A member has answered: its replica, whether it has caught up (`confirmed`), and a higher owner if it knows one.
     #[expect(clippy::too_many_arguments)]
     pub fn answered(
-        &mut self, now: Duration, serial: u64, from: u16, sure: bool, higher: Option<Owner>,
+        &mut self, now: Duration, serial: u64, from: u16, confirmed: bool, higher: Option<Owner>,
         copy: Option<&Replica>, reached: &dyn Fn(u16) -> bool, knows: bool,
     ) -> Vec<RedialAction> {
         let Some(id) = self.serials.get(&serial).cloned() else { return Vec::new() };
@@ -254,8 +254,8 @@
                 ask.found.merge(copy);
             }
             if let Some(higher) = higher {
-                ask.tries += 1;
-                if ask.tries >= MAX_CLAIM_ATTEMPTS {
+                ask.attempts += 1;
+                if ask.attempts >= MAX_CLAIM_ATTEMPTS {
                     self.serials.remove(&ask.serial);
                     self.deadlines.remove(&(ask.by, id.clone()));
                     return vec![self.unresolved(&id)];
@@ -263,8 +263,8 @@
                 ask.owner.round = ask.owner.round.max(higher.round + 1);
                 actions = self.send(&id, &mut ask, reached, knows);
             } else {
-                if sure {
-                    ask.sure.set(from);
+                if confirmed {
+                    ask.confirmed.set(from);
                 }
                 // The answer shows another owner, which is asked too.
                 if let Some(owner) = ask.found.owner()
--- a/crates/fleet/src/takeovers.rs
+++ b/crates/fleet/src/takeovers.rs
@@ -46,11 +46,11 @@
 /// Stage of a takeover.
 enum Stage {
     /// The core server was asked.
-    Adopting { at: Duration, tries: u32 },
+    Adopting { at: Duration, attempts: u32 },
     /// It stands, and is held for its caller until `until`.
     AwaitingCaller { until: Duration, launch: LaunchNumber },
     /// It has no owner, and is adopted to be released.
-    Releasing { at: Duration, tries: u32, swept: bool },
+    Releasing { at: Duration, attempts: u32, swept: bool },
 }
 
 /// A dialogue whose owner is gone, or that has no owner.
@@ -210,7 +210,7 @@
         let server = server.clone();
         let adopt =
             TakeoverAction::Adopt { server: server.clone(), dialogue: id.clone(), owner, swept: false };
-        self.put(id, Orphan { server, owner, stage: Stage::Adopting { at: now, tries: 0 } });
+        self.put(id, Orphan { server, owner, stage: Stage::Adopting { at: now, attempts: 0 } });
         Some(adopt)
     }
 
@@ -434,7 +434,7 @@
             let dialogue = line.dialogue.clone();
             let swept = member != self.self_member;
             actions.push(TakeoverAction::Adopt { server: server.clone(), dialogue, owner, swept });
-            let stage = Stage::Releasing { at: now, tries: 0, swept };
+            let stage = Stage::Releasing { at: now, attempts: 0, swept };
             self.put(&line.dialogue, Orphan { server: server.clone(), owner, stage });
         }
         actions
@@ -479,9 +479,9 @@
                     actions.push(TakeoverAction::Release { server, dialogue: id.clone(), launch });
                     actions.push(TakeoverAction::Conclude { dialogue: id, owner });
                 }
-                Stage::Adopting { at, tries } | Stage::Releasing { at, tries, .. } => {
-                    (*at, *tries) = (now, *tries + 1);
-                    if *tries < MAX_ADOPT_ATTEMPTS {
+                Stage::Adopting { at, attempts } | Stage::Releasing { at, attempts, .. } => {
+                    (*at, *attempts) = (now, *attempts + 1);
+                    if *attempts < MAX_ADOPT_ATTEMPTS {
                         let (server, owner) = (orphan.server.clone(), orphan.owner);
                         actions.push(TakeoverAction::Adopt { server, dialogue: id.clone(), owner, swept });
                         self.put(&id, orphan);
