--- a/crates/cli/src/fleets.rs
+++ b/crates/cli/src/fleets.rs
@@ -193,7 +193,7 @@
     })?;
     found.refused.iter().for_each(|why| eprintln!("refused: {why}"));
     let now = Duration::ZERO;
-    let copies = found.member.copies.iter().map(|sent| (&sent.dialogue, Replica::from_update(now, sent)));
+    let copies = found.member.replicas.iter().map(|sent| (&sent.dialogue, Replica::from_update(now, sent)));
     let copies: Vec<(&DialogueId, Replica)> = copies.collect();
     let each = || copies.iter().map(|(id, copy)| (*id, copy));
     // The store knows places in the group, not names.
@@ -205,9 +205,9 @@
             };
             serde_json::json!({
                 "store": folder.display().to_string(),
-                "start": found.member.life.map(lotussaddle_fleet::start_of),
-                "life": found.member.life,
-                "writes": found.member.count,
+                "start": found.member.incarnation.map(lotussaddle_fleet::start_of),
+                "life": found.member.incarnation,
+                "writes": found.member.write_count,
                 "copies": copies.len(),
                 "stands": count("stands"),
                 "refused": found.refused.len(),
--- a/crates/day/src/virt.rs
+++ b/crates/day/src/virt.rs
@@ -159,14 +159,14 @@
 impl DiskOf {
     fn save(&mut self, save: Save) {
         match save {
-            Save::Copy(id, Some(bytes)) => drop(self.copies.insert(id, bytes)),
-            Save::Copy(id, None) => drop(self.copies.remove(&id)),
-            Save::Life(life) => self.life = Some(life),
-            Save::Asked(life) => self.asked = life,
-            Save::Count(count) => self.count = count,
-            Save::Given(member, life) => drop(self.given.insert(member, life)),
+            Save::Replica(id, Some(bytes)) => drop(self.copies.insert(id, bytes)),
+            Save::Replica(id, None) => drop(self.copies.remove(&id)),
+            Save::Incarnation(life) => self.life = Some(life),
+            Save::ProposedIncarnation(life) => self.asked = life,
+            Save::WriteCount(count) => self.count = count,
+            Save::GrantedIncarnation(member, life) => drop(self.given.insert(member, life)),
             Save::Duties(bytes) => self.duties = Some(bytes),
-            Save::Fence(bytes) => self.fence = Some(bytes),
+            Save::FencingTokens(bytes) => self.fence = Some(bytes),
         }
     }
 
@@ -175,7 +175,15 @@
         let copies = self.copies.values().filter_map(|bytes| decode_replica(bytes).ok()).collect();
         let given = self.given.iter().map(|(member, life)| (*member, *life)).collect();
         let (duties, fence) = (self.duties.clone(), self.fence.clone());
-        Stored { life: self.life, asked: self.asked, count: self.count, given, duties, fence, copies }
+        Stored {
+            incarnation: self.life,
+            proposed_incarnation: self.asked,
+            write_count: self.count,
+            granted_incarnations: given,
+            duties,
+            fencing_tokens: fence,
+            replicas: copies,
+        }
     }
 }
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -2,7 +2,7 @@
 //! what members that are gone leave behind.
 //!
 //! No socket, clock, thread or file: inputs are calls on [`Member`] with the time since the start, outputs are calls on [`Effects`],
-//! and what its edge proxy is to be told are [`Finding`]s. It knows no route, limit or load of a core server. Start reading at
+//! and what its edge proxy is to be told are [`MemberEvent`]s. It knows no route, limit or load of a core server. Start reading at
 //! [`Plan`], then at [`Member`].
 
 mod duties;
@@ -19,7 +19,7 @@
 
 pub use duties::{CIRCUITS, Duty, DutyPlan, NAMES, PUBLISH, SWEEP};
 pub use lives::{Agreed, Lives, start_of};
-pub use member::{Counts, Effects, Finding, Member, Save, Stored};
+pub use member::{Effects, Member, MemberCounters, MemberEvent, Save, Stored};
 pub use membership_view::{MemberSet, MembershipMessage, MembershipView};
 pub use peers::{PeerLink, Peers};
 pub use plan::Plan;
--- a/crates/fleet/src/member/background.rs
+++ b/crates/fleet/src/member/background.rs
@@ -6,41 +6,43 @@
 use lotussaddle_replica::fingerprint;
 
 use super::Member;
-use super::batches::FRAME;
+use super::batches::MAX_FRAME_BYTES;
 use super::interface::Effects;
 
-/// Copies forgotten, or looked at for orphans, in one slice.
-pub(super) const SLICE: usize = 2048;
-pub(super) const FORGET: ChoreId = ChoreId(0);
-pub(super) const LOOK: ChoreId = ChoreId(1);
-pub(super) const PIECES: ChoreId = ChoreId(2);
-pub(super) const REPAIR: ChoreId = ChoreId(3);
+/// Replicas forgotten, or looked at for orphans, in one slice.
+pub(super) const REPLICAS_PER_SLICE: usize = 2048;
+pub(super) const EXPIRE_REPLICAS: ChoreId = ChoreId(0);
+pub(super) const SCAN_FOR_ORPHANS: ChoreId = ChoreId(1);
+pub(super) const SEND_SNAPSHOT_CHUNKS: ChoreId = ChoreId(2);
+pub(super) const REPAIR_REPLICAS: ChoreId = ChoreId(3);
 
 impl Member {
-    pub(super) fn want_chores(&mut self) {
+    pub(super) fn request_background_tasks(&mut self) {
         let now = self.now;
-        let forget = self.book.next_due().is_some_and(|due| due <= now);
-        self.chores.wanted(now, FORGET, forget, None);
-        self.chores.wanted(now, LOOK, self.look_from.is_some(), None);
-        self.chores.wanted(now, PIECES, !self.wants_pieces.is_empty(), None);
-        self.chores.wanted(now, REPAIR, !self.repairs.is_empty(), None);
+        let forget = self.replica_table.next_due().is_some_and(|due| due <= now);
+        self.chores.wanted(now, EXPIRE_REPLICAS, forget, None);
+        self.chores.wanted(now, SCAN_FOR_ORPHANS, self.orphan_scan_from.is_some(), None);
+        self.chores.wanted(now, SEND_SNAPSHOT_CHUNKS, !self.snapshot_requests.is_empty(), None);
+        self.chores.wanted(now, REPAIR_REPLICAS, !self.repairs.is_empty(), None);
     }
 
-    /// Does one slice of what may wait, if there is any: true, and [`Member::worked`] is to be told how long it took.
-    pub fn work(&mut self, now: Duration, pressed: bool, effects: &mut dyn Effects) -> Option<ChoreId> {
+    /// Does one slice of what may wait, if there is any: true, and [`Member::background_slice_done`] is to be told how long it took.
+    pub fn run_background_slice(
+        &mut self, now: Duration, pressed: bool, effects: &mut dyn Effects,
+    ) -> Option<ChoreId> {
         self.now = now;
-        self.want_chores();
+        self.request_background_tasks();
         let slice = self.chores.next(now, pressed)?;
         match slice.chore {
-            FORGET => {
-                let gone = self.book.expire(now, SLICE);
+            EXPIRE_REPLICAS => {
+                let gone = self.replica_table.expire(now, REPLICAS_PER_SLICE);
                 self.counts.forgotten += gone.len() as u64;
-                self.changed.extend(gone);
+                self.changed_dialogues.extend(gone);
             }
-            LOOK => self.look_for_orphans(),
-            PIECES => {
-                if let Some((member, cursor)) = self.wants_pieces.pop_front() {
-                    self.send_piece(member, cursor, effects);
+            SCAN_FOR_ORPHANS => self.scan_for_orphans(),
+            SEND_SNAPSHOT_CHUNKS => {
+                if let Some((member, cursor)) = self.snapshot_requests.pop_front() {
+                    self.send_snapshot_chunk(member, cursor, effects);
                 }
             }
             _ => {
@@ -52,36 +54,37 @@
         Some(slice.chore)
     }
 
-    /// A slice that [`Member::work`] did took so long.
-    pub fn worked(&mut self, now: Duration, chore: ChoreId, took: Duration) {
+    /// Records how long a slice of [`Member::run_background_slice`] took.
+    pub fn background_slice_done(&mut self, now: Duration, chore: ChoreId, took: Duration) {
         let more = match chore {
-            FORGET => self.book.next_due().is_some_and(|due| due <= now),
-            LOOK => self.look_from.is_some(),
-            PIECES => !self.wants_pieces.is_empty(),
+            EXPIRE_REPLICAS => self.replica_table.next_due().is_some_and(|due| due <= now),
+            SCAN_FOR_ORPHANS => self.orphan_scan_from.is_some(),
+            SEND_SNAPSHOT_CHUNKS => !self.snapshot_requests.is_empty(),
             _ => !self.repairs.is_empty(),
         };
-        self.chores.done(now, chore, FRAME, took, more);
+        self.chores.done(now, chore, MAX_FRAME_BYTES, took, more);
     }
 
-    fn look_for_orphans(&mut self) {
-        let Some(from) = self.look_from.take().filter(|_| self.lives.mine() > 0) else { return };
+    fn scan_for_orphans(&mut self) {
+        let Some(from) = self.orphan_scan_from.take().filter(|_| self.lives.mine() > 0) else { return };
         let now = self.now;
         let mut actions = Vec::new();
         let mut next = None;
-        let life = self.lives.mine();
-        for (looks, (id, copy)) in self.book.iter_from(from).enumerate() {
-            if looks >= SLICE {
+        let incarnation = self.lives.mine();
+        for (looks, (id, replica)) in self.replica_table.iter_from(from).enumerate() {
+            if looks >= REPLICAS_PER_SLICE {
                 next = Some(fingerprint(id));
                 break;
             }
-            if !copy.owner().is_some_and(|owner| self.takeovers.is_ended(owner)) {
+            if !replica.owner().is_some_and(|owner| self.takeovers.is_ended(owner)) {
                 continue;
             }
             let live = |member: u16| !self.view.gone(member);
-            let first = self.book.group().candidates(fingerprint(id)).iter().find(|member| live(*member));
-            actions.extend(self.takeovers.look(now, id, copy, first, life));
+            let first =
+                self.replica_table.group().candidates(fingerprint(id)).iter().find(|member| live(*member));
+            actions.extend(self.takeovers.look(now, id, replica, first, incarnation));
         }
-        self.look_from = next;
+        self.orphan_scan_from = next;
         self.do_takeover_actions(actions);
     }
 }
--- a/crates/fleet/src/member/confirmations.rs
+++ b/crates/fleet/src/member/confirmations.rs
@@ -8,7 +8,7 @@
 use lotussaddle_trunk::{Answer, Progress};
 
 use super::Member;
-use super::interface::Finding;
+use super::interface::MemberEvent;
 use crate::redial::Verdict;
 
 /// What was found of one dialogue, and is reported once it is acknowledged.
@@ -76,12 +76,12 @@
             Verdict::Answered(answer) => (Progress::Ended, Some(answer.clone())),
             Verdict::Concluded => (Progress::Ended, None),
             Verdict::Free { .. } | Verdict::Unsure { .. } => {
-                return self.findings.push(Finding::Found(id, verdict));
+                return self.events.push(MemberEvent::RedialResolved(id, verdict));
             }
         };
         let acks = self.plan.before_answer;
-        match self.write(&id, reached, Duration::ZERO, answer.as_ref(), self.now, acks) {
-            None => self.findings.push(Finding::Found(id, verdict)),
+        match self.write_step(&id, reached, Duration::ZERO, answer.as_ref(), self.now, acks) {
+            None => self.events.push(MemberEvent::RedialResolved(id, verdict)),
             Some(ticket) => {
                 let by = self.now + self.plan.ask_within;
                 self.confirmations.insert(id, ticket, by, verdict);
@@ -89,34 +89,35 @@
         }
     }
 
-    /// Acknowledgements did not come in time: what was found is said where the sheet has answers go without, else its caller is to
+    /// Acknowledgements did not come in time: what was found is said where the configuration has answers go without, else its caller is to
     /// come again. A line that was taken over for it waits meanwhile.
-    pub(super) fn unconfirmed(&mut self) {
+    pub(super) fn resolve_overdue_confirmations(&mut self) {
         while let Some(id) = self.confirmations.overdue(self.now) {
             let Some(verdict) = self.confirmations.remove(&id) else { break };
-            if !self.plan.strictly && self.book.owns_dialogue(&id) {
-                self.findings.push(Finding::Found(id, verdict));
+            if !self.plan.strictly && self.replica_table.owns_dialogue(&id) {
+                self.events.push(MemberEvent::RedialResolved(id, verdict));
                 continue;
             }
-            if let (Verdict::Stands { server, launch }, true) = (verdict, self.book.owns_dialogue(&id))
-                && let Some(owner) = self.book.get(&id).and_then(Replica::owner)
+            if let (Verdict::Stands { server, launch }, true) =
+                (verdict, self.replica_table.owns_dialogue(&id))
+                && let Some(owner) = self.replica_table.get(&id).and_then(Replica::owner)
             {
                 self.takeovers.keep(self.now, &id, server, owner, launch);
             }
             let come_back = self.plan.silence;
-            self.findings.push(Finding::Found(id, Verdict::Unsure { come_back }));
+            self.events.push(MemberEvent::RedialResolved(id, Verdict::Unsure { come_back }));
         }
     }
 
-    /// Writes that are kept by as many as was asked for.
-    pub(super) fn are_kept(&mut self) {
-        for ticket in self.book.take_completed_writes() {
+    /// Reports writes that the required number of replicas has acknowledged.
+    pub(super) fn report_completed_writes(&mut self) {
+        for ticket in self.replica_table.take_completed_writes() {
             match self.confirmations.dialogue_of(ticket) {
                 Some(id) => {
                     let verdict = self.confirmations.remove(&id);
-                    self.findings.extend(verdict.map(|verdict| Finding::Found(id, verdict)));
+                    self.events.extend(verdict.map(|verdict| MemberEvent::RedialResolved(id, verdict)));
                 }
-                None => self.findings.push(Finding::Kept(ticket)),
+                None => self.events.push(MemberEvent::WriteConfirmed(ticket)),
             }
         }
     }
--- a/crates/fleet/src/member/core_servers.rs
+++ b/crates/fleet/src/member/core_servers.rs
@@ -8,18 +8,21 @@
 use lotussaddle_trunk::{AuditMessage, Frame, HeldLine, Progress};
 
 use super::Member;
-use super::interface::{Effects, Finding};
+use super::interface::{Effects, MemberEvent};
 use crate::duties::SWEEP;
 use crate::takeovers::{LineOf, TakeoverAction};
 
-/// Core servers whose lines are looked after, at most.
-pub(super) const MOST_CORES: usize = 10_000;
+/// Core servers whose lines are looked after (upper bound).
+pub(super) const MAX_CORE_SERVERS: usize = 10_000;
 
 impl Member {
     /// A link to a core server is up. What stands there of this member and is not held here is nobody's.
     pub fn core_up(&mut self, now: Duration, server: &ServerId) {
         self.now = now;
-        if self.cores.len() < MOST_CORES && self.cores.insert(server.clone()) && self.lives.mine() > 0 {
+        if self.connected_cores.len() < MAX_CORE_SERVERS
+            && self.connected_cores.insert(server.clone())
+            && self.lives.mine() > 0
+        {
             let action = self.takeovers.ask_of_mine(now, server);
             self.do_takeover_actions(vec![action]);
         }
@@ -27,43 +30,46 @@
 
     /// The link to a core server has gone.
     pub fn core_down(&mut self, server: &ServerId) {
-        if self.cores.remove(server) {
+        if self.connected_cores.remove(server) {
             self.takeovers.forget_server(server);
         }
     }
 
-    /// A core server speaks of whose dialogues are; `held` tells what this member's edge proxy has standing.
-    pub fn core_said(
+    /// An audit message of a core server was received; `held` says whether the edge proxy holds a standing dialogue.
+    pub fn audit_received(
         &mut self, now: Duration, server: &ServerId, audit: AuditMessage, held: &dyn Fn(&DialogueId) -> bool,
         effects: &mut dyn Effects,
     ) {
         self.now = now;
         match audit {
             AuditMessage::Lines { serial, more, lines } => {
-                // Where all peers have forgotten a life, core servers still know of it.
+                // Where all peers have forgotten an incarnation, core servers still know of it.
                 let ours = lines.iter().map(|line| line.owner).filter(|owner| owner.member == self.plan.me);
                 if self.lives.witnessed(ours.map(|owner| owner.incarnation).max().unwrap_or_default()) {
-                    return self.overtaken(effects);
+                    return self.later_incarnation_known(effects);
                 }
-                let (me, book) = (self.plan.me, &self.book);
-                let kept: BTreeSet<DialogueId> =
-                    lines.iter().map(|line| line.dialogue.clone()).filter(|id| self.is_coming(id)).collect();
+                let (me, replica_table) = (self.plan.me, &self.replica_table);
+                let kept: BTreeSet<DialogueId> = lines
+                    .iter()
+                    .map(|line| line.dialogue.clone())
+                    .filter(|id| self.is_claimed_for_caller(id))
+                    .collect();
                 let whose = |line: &HeldLine| {
                     if line.owner.member == me
-                        && line.owner.incarnation == book.incarnation()
+                        && line.owner.incarnation == replica_table.incarnation()
                         && held(&line.dialogue)
                     {
                         return LineOf::Held;
                     }
-                    let owner = book.get(&line.dialogue).and_then(Replica::owner);
+                    let owner = replica_table.get(&line.dialogue).and_then(Replica::owner);
                     match kept.contains(&line.dialogue) || owner.is_some_and(|owner| owner > line.owner) {
                         true => LineOf::Claimed,
                         false => LineOf::Nobody,
                     }
                 };
-                let life = self.lives.mine();
-                if life > 0 {
-                    let actions = self.takeovers.holds(now, server, serial, &lines, more, life, whose);
+                let incarnation = self.lives.mine();
+                if incarnation > 0 {
+                    let actions = self.takeovers.holds(now, server, serial, &lines, more, incarnation, whose);
                     self.do_takeover_actions(actions);
                 }
             }
@@ -75,9 +81,9 @@
                 self.do_takeover_actions(actions);
             }
             AuditMessage::Moved { dialogue, by, .. } => {
-                self.book.write_refused(now, &dialogue, by);
+                self.replica_table.write_refused(now, &dialogue, by);
                 self.takeovers.drop_of(&dialogue);
-                self.findings.push(Finding::Replaced(dialogue));
+                self.events.push(MemberEvent::OwnershipLost(dialogue));
             }
             AuditMessage::Fenced { dialogue, duty, highest } => {
                 self.takeovers.drop_of(&dialogue);
@@ -96,8 +102,8 @@
         mine
     }
 
-    /// A core server could not be told.
-    pub fn unreached(&mut self, now: Duration, frame: &Frame) {
+    /// A frame could not be sent to a core server.
+    pub fn core_send_failed(&mut self, now: Duration, frame: &Frame) {
         self.now = now;
         match frame {
             Frame::AuditMessage(AuditMessage::Adopt { dialogue, .. }) => {
@@ -121,28 +127,28 @@
                         continue;
                     }
                     self.takeovers.let_go(self.now, &server);
-                    self.findings.push(Finding::ToCore(
+                    self.events.push(MemberEvent::SendToCore(
                         server,
                         Frame::AuditMessage(AuditMessage::Adopt { dialogue, owner, action: act }),
                     ));
                 }
                 TakeoverAction::Own { dialogue, owner, server, launch } => {
                     self.counts.taken_over += 1;
-                    self.book.claim(self.now, &dialogue, owner, &Replica::default());
+                    self.replica_table.claim(self.now, &dialogue, owner, &Replica::default());
                     let reached = Progress::Stands { server, launch };
-                    self.write(&dialogue, reached, Duration::ZERO, None, self.now, 0);
+                    self.write_step(&dialogue, reached, Duration::ZERO, None, self.now, 0);
                 }
                 TakeoverAction::Release { server, dialogue, launch } => {
                     self.counts.released += 1;
-                    self.findings.push(Finding::ToCore(server, Frame::Release { dialogue, launch }));
+                    self.events.push(MemberEvent::SendToCore(server, Frame::Release { dialogue, launch }));
                 }
                 TakeoverAction::Over { dialogue, owner } => {
-                    self.book.claim(self.now, &dialogue, owner, &Replica::default());
-                    self.write(&dialogue, Progress::Ended, Duration::ZERO, None, self.now, 0);
+                    self.replica_table.claim(self.now, &dialogue, owner, &Replica::default());
+                    self.write_step(&dialogue, Progress::Ended, Duration::ZERO, None, self.now, 0);
                 }
-                TakeoverAction::What { server, serial, member, life, after } => {
-                    let what = AuditMessage::ListLines { serial, member, incarnation: life, after };
-                    self.findings.push(Finding::ToCore(server, Frame::AuditMessage(what)));
+                TakeoverAction::What { server, serial, member, life: incarnation, after } => {
+                    let what = AuditMessage::ListLines { serial, member, incarnation, after };
+                    self.events.push(MemberEvent::SendToCore(server, Frame::AuditMessage(what)));
                 }
             }
         }
--- a/crates/fleet/src/member/dispatch.rs
+++ b/crates/fleet/src/member/dispatch.rs
@@ -5,29 +5,33 @@
 use lotussaddle_trunk::{Frame, PeerMessage, Replaced};
 
 use super::Member;
-use super::interface::{Effects, Finding};
+use super::interface::{Effects, MemberEvent};
 use super::repair::RepairStep;
 use crate::lives::Agreed;
 use crate::peers::{Known, PeerLink, Way};
 
 impl Member {
-    /// A frame came on a peer link.
-    pub fn heard(&mut self, now: Duration, link: PeerLink, frame: Frame, effects: &mut dyn Effects) {
+    /// A frame was received on a peer link.
+    pub fn frame_received(&mut self, now: Duration, link: PeerLink, frame: Frame, effects: &mut dyn Effects) {
         self.now = now;
         let Some(known) = self.peers.links.get_mut(&link) else { return };
         known.liveness.received();
         let known = known.clone();
         match frame {
-            Frame::Ping { nonce } => drop(self.tell(link, Frame::Pong { nonce }, effects)),
+            Frame::Ping { nonce } => drop(self.send_to_link(link, Frame::Pong { nonce }, effects)),
             Frame::Pong { .. } => {}
             Frame::Bye { why } => self.close(link, &format!("said good-bye: {why}"), effects),
-            Frame::Hello(hello) if !known.greeted => self.greeted(link, &known, &hello, effects),
-            Frame::PeerMessage(peer) if known.greeted => self.peer_said(link, &known, peer, effects),
+            Frame::Hello(hello) if !known.greeted => self.hello_received(link, &known, &hello, effects),
+            Frame::PeerMessage(peer) if known.greeted => {
+                self.peer_message_received(link, &known, peer, effects)
+            }
             _ => self.close(link, "said what is not a member's to say", effects),
         }
     }
 
-    fn peer_said(&mut self, link: PeerLink, known: &Known, peer: PeerMessage, effects: &mut dyn Effects) {
+    fn peer_message_received(
+        &mut self, link: PeerLink, known: &Known, peer: PeerMessage, effects: &mut dyn Effects,
+    ) {
         if let (Way::Operator, PeerMessage::Inquire { query: what }) = (known.way, &peer) {
             return self.inquired(link, what, effects);
         }
@@ -37,13 +41,22 @@
         if let PeerMessage::Greeting {
             group,
             member: place,
-            incarnation: life,
+            incarnation,
             known_remote_incarnation: yours,
             saved,
             last_seen_ago: away,
         } = peer
         {
-            return self.is_here(link, member, group, place, life, (yours, saved), away, effects);
+            return self.greeting_received(
+                link,
+                member,
+                group,
+                place,
+                incarnation,
+                (yours, saved),
+                away,
+                effects,
+            );
         }
         if known.way != Way::Here {
             return self.close(link, "spoke before it said who it is", effects);
@@ -52,59 +65,63 @@
         let place = usize::from(member);
         match peer {
             PeerMessage::Greeting { .. } => {}
-            PeerMessage::ProposeIncarnation { incarnation: life } => {
-                self.life_asked(link, member, life, effects)
-            }
-            PeerMessage::IncarnationReply { incarnation: life, granted: given, highest } => {
-                if let Agreed::New { life, fresh } = self.lives.answered(member, life, given, highest) {
-                    self.begin_life(life, fresh && self.has_neighbour_told(), effects);
+            PeerMessage::ProposeIncarnation { incarnation } => {
+                self.incarnation_proposed(link, member, incarnation, effects)
+            }
+            PeerMessage::IncarnationReply { incarnation, granted: given, highest } => {
+                if let Agreed::New { life: incarnation, fresh } =
+                    self.lives.answered(member, incarnation, given, highest)
+                {
+                    self.begin_incarnation(incarnation, fresh && self.has_neighbour_reported(), effects);
                 }
             }
-            PeerMessage::Membership { message } => self.membership_came(link, member, &message, effects),
+            PeerMessage::Membership { message } => self.membership_received(link, member, &message, effects),
             PeerMessage::DiskCount { saved } => self.view.saved(member, saved),
-            PeerMessage::Replicas { incarnation: life, first, replicas: copies } => {
-                self.copies_came(member, life, first, &copies, effects)
+            PeerMessage::Replicas { incarnation, first, replicas } => {
+                self.replicas_received(member, incarnation, first, &replicas, effects)
             }
-            PeerMessage::Acknowledge { incarnation: life, up_to, saved, replaced }
-                if life == self.lives.mine() =>
+            PeerMessage::Acknowledge { incarnation, up_to, saved, replaced }
+                if incarnation == self.lives.mine() =>
             {
                 self.view.saved(member, saved);
                 for Replaced { dialogue, by } in replaced {
-                    self.goes(&dialogue);
-                    if self.book.write_refused(self.now, &dialogue, by) {
+                    self.watch_lines_of_lost_dialogue(&dialogue);
+                    if self.replica_table.write_refused(self.now, &dialogue, by) {
                         self.counts.replaced += 1;
                         self.takeovers.drop_of(&dialogue);
-                        self.changed.insert(dialogue.clone());
-                        self.findings.push(Finding::Replaced(dialogue));
+                        self.changed_dialogues.insert(dialogue.clone());
+                        self.events.push(MemberEvent::OwnershipLost(dialogue));
                     }
                 }
-                self.book.replica_acknowledged(member, up_to);
-                self.are_kept();
+                self.replica_table.replica_acknowledged(member, up_to);
+                self.report_completed_writes();
             }
-            PeerMessage::Resume { incarnation: life, received_up_to: have, snapshot }
-                if life == self.lives.mine() =>
+            PeerMessage::Resume { incarnation, received_up_to, snapshot }
+                if incarnation == self.lives.mine() =>
             {
-                self.resume_asked(member, have, snapshot);
+                self.resume_received(member, received_up_to, snapshot);
             }
-            PeerMessage::SnapshotChunk { incarnation: life, cursor, next, replicas: copies }
-                if life == self.view.life(member) =>
+            PeerMessage::SnapshotChunk { incarnation, cursor, next, replicas }
+                if incarnation == self.view.life(member) =>
             {
-                self.piece_came(member, cursor, next, &copies, effects);
+                self.snapshot_chunk_received(member, cursor, next, &replicas, effects);
             }
-            PeerMessage::Ask { serial, dialogue, owner } => self.asked(member, serial, dialogue, owner),
-            PeerMessage::AskReply { serial, is_authoritative: sure, higher, replica: copy } => {
-                self.told(member, serial, sure, higher, copy.as_ref());
+            PeerMessage::Ask { serial, dialogue, owner } => {
+                self.ask_received(member, serial, dialogue, owner)
+            }
+            PeerMessage::AskReply { serial, is_authoritative: sure, higher, replica } => {
+                self.ask_reply_received(member, serial, sure, higher, replica.as_ref());
             }
             PeerMessage::RangeDigests { level, from, digests: sums } => {
-                self.repairs.push(member, RepairStep::Sums(level, from, sums))
+                self.repairs.push(member, RepairStep::RangeDigests(level, from, sums))
             }
             PeerMessage::DialogueDigests { range, fingerprints: prints } => {
-                self.repairs.push(member, RepairStep::Prints(range, prints))
+                self.repairs.push(member, RepairStep::DialogueDigests(range, prints))
             }
             PeerMessage::RequestReplicas { id_hashes: ids } => {
-                self.repairs.push(member, RepairStep::Want(ids))
+                self.repairs.push(member, RepairStep::RequestReplicas(ids))
             }
-            // Of another life than the one that is known: it will be said again.
+            // Of another incarnation than the one that is known: it will be said again.
             PeerMessage::Acknowledge { .. }
             | PeerMessage::Resume { .. }
             | PeerMessage::SnapshotChunk { .. } => {}
@@ -114,14 +131,16 @@
                     self.close(link, "said what cannot be read about duties", effects);
                 }
             }
-            PeerMessage::CheckLines { action: act, server } => self.check(member, &act, &server, effects),
+            PeerMessage::CheckLines { action: act, server } => {
+                self.check_lines(member, &act, &server, effects)
+            }
             PeerMessage::Publish { action: act, serial, order } => {
-                self.ordered(member, &act, serial, order, effects)
+                self.tables_order_received(member, &act, serial, order, effects)
             }
             PeerMessage::Published { serial, why } => {
-                let (now, life) = (self.now, self.view.life(member));
+                let (now, incarnation) = (self.now, self.view.life(member));
                 if let Some(duties) = &mut self.duties {
-                    duties.published(now, member, life, serial, why.as_deref());
+                    duties.published(now, member, incarnation, serial, why.as_deref());
                 }
             }
             PeerMessage::PublishRequest { name } => {
@@ -141,12 +160,12 @@
         debug_assert!(place < self.incoming.len());
     }
 
-    fn membership_came(&mut self, link: PeerLink, from: u16, message: &[u8], effects: &mut dyn Effects) {
+    fn membership_received(&mut self, link: PeerLink, from: u16, message: &[u8], effects: &mut dyn Effects) {
         match self.view.received(self.now, from, message) {
             Ok(changed) => {
                 let me = self.plan.me;
                 for member in changed.into_iter().filter(|member| *member != me) {
-                    self.register_tells_life(member, effects);
+                    self.apply_registered_incarnation(member, effects);
                 }
             }
             Err(error) => self.close(link, &format!("said what is wrong about membership: {error}"), effects),
--- a/crates/fleet/src/member/duty_acts.rs
+++ b/crates/fleet/src/member/duty_acts.rs
@@ -13,14 +13,14 @@
 
 impl Member {
     /// The holder of `circuits` has this member look after its own lines at a core server.
-    pub(super) fn check(
+    pub(super) fn check_lines(
         &mut self, member: u16, act: &DutyAction, server: &ServerId, effects: &mut dyn Effects,
     ) {
-        let again = || AfterWrite::Check { from: member, act: *act, server: server.clone() };
-        if !self.may(member, act, again, effects) {
+        let again = || AfterWrite::CheckLines { from: member, act: *act, server: server.clone() };
+        if !self.admits_duty_action(member, act, again, effects) {
             return;
         }
-        if self.lives.mine() > 0 && self.cores.contains(server) {
+        if self.lives.mine() > 0 && self.connected_cores.contains(server) {
             let action = self.takeovers.check_mine(self.now, server);
             self.do_takeover_actions(action.into_iter().collect());
         }
@@ -28,25 +28,26 @@
 
     /// Whether an act of a duty may be done: its number is no lower than one that was seen, and where it is new it is on disk, so that
     /// this member refuses lower ones past its own restart.
-    pub(super) fn may(
+    pub(super) fn admits_duty_action(
         &mut self, from: u16, act: &DutyAction, again: impl Fn() -> AfterWrite, effects: &mut dyn Effects,
     ) -> bool {
         let Some(duties) = self.duties.as_mut().filter(|_| act.member == from) else { return false };
         match duties.admits(act) {
             Err(highest) => {
-                self.to_say.push((from, PeerMessage::Fenced { duty: act.duty, highest }));
+                self.outgoing_messages.push((from, PeerMessage::Fenced { duty: act.duty, highest }));
                 false
             }
             Ok(new) => {
                 let fence = duties.fence();
                 if new {
-                    self.fenced_by = self.order(vec![Save::Fence(fence)], effects);
+                    self.fencing_write = self.submit_disk_write(vec![Save::FencingTokens(fence)], effects);
                 }
                 // What comes under it before it is on disk waits behind the first.
-                let Some(number) = self.fenced_by.filter(|number| self.writes.is_pending(*number)) else {
+                let Some(number) = self.fencing_write.filter(|number| self.disk_writes.is_pending(*number))
+                else {
                     return true;
                 };
-                self.writes.wait_for(number, [again()]);
+                self.disk_writes.wait_for(number, [again()]);
                 false
             }
         }
@@ -59,8 +60,8 @@
         // A disk that fails leaves none, and what was on it is older than what is said from then on.
         self.has_disk |= effects.has_disk();
         let swept = duties.act(now, SWEEP).is_some();
-        if swept != self.sweeps {
-            self.sweeps = swept;
+        if swept != self.holds_sweep_duty {
+            self.holds_sweep_duty = swept;
             self.takeovers.sweeps_no_more();
         }
         loop {
@@ -72,23 +73,25 @@
                 match action {
                     DutyEffect::Say(to, word) => {
                         if let Some(link) = self.peers.to(to) {
-                            self.tell(
+                            self.send_to_link(
                                 link,
                                 Frame::PeerMessage(PeerMessage::Duties { message: word }),
                                 effects,
                             );
                         }
                     }
-                    DutyEffect::Keep(number, kept) => match self.order(vec![Save::Duties(kept)], effects) {
-                        Some(order) => duties.ordered(order, number),
-                        // Where there is no disk, memory is all that is promised; one that is too far behind promises nothing.
-                        None => duties.kept(now, number, !self.has_disk),
-                    },
+                    DutyEffect::Keep(number, kept) => {
+                        match self.submit_disk_write(vec![Save::Duties(kept)], effects) {
+                            Some(order) => duties.ordered(order, number),
+                            // Where there is no disk, memory is all that is promised; one that is too far behind promises nothing.
+                            None => duties.kept(now, number, !self.has_disk),
+                        }
+                    }
                     DutyEffect::Check(act, server) => {
                         for member in (0..self.plan.members.len() as u16).filter(|member| *member != me) {
                             if let Some(link) = self.peers.to(member) {
                                 let check = PeerMessage::CheckLines { action: act, server: server.clone() };
-                                self.tell(link, Frame::PeerMessage(check), effects);
+                                self.send_to_link(link, Frame::PeerMessage(check), effects);
                             }
                         }
                         let action = self.takeovers.check_mine(now, &server);
@@ -100,9 +103,12 @@
         }
         let heard = || -> Vec<(u16, u64)> {
             let all =
-                (0..self.plan.members.len() as u16).filter(|member| *member == me || self.reaches(*member));
-            let life = |member: u16| if member == me { self.lives.mine() } else { self.view.life(member) };
-            all.map(|member| (member, life(member))).filter(|(_, life)| *life > 0).collect()
+                (0..self.plan.members.len() as u16).filter(|member| *member == me || self.can_reach(*member));
+            let incarnation =
+                |member: u16| if member == me { self.lives.mine() } else { self.view.life(member) };
+            all.map(|member| (member, incarnation(member)))
+                .filter(|(_, incarnation)| *incarnation > 0)
+                .collect()
         };
         let orders = duties.publishes(now, heard);
         self.duties = Some(duties);
@@ -110,7 +116,7 @@
         let (own, others): (Vec<_>, Vec<_>) = orders.into_iter().partition(|(member, ..)| *member == me);
         for (member, act, serial, order) in others {
             if let Some(link) = self.peers.to(member) {
-                self.tell(
+                self.send_to_link(
                     link,
                     Frame::PeerMessage(PeerMessage::Publish { action: act, serial, order }),
                     effects,
@@ -118,7 +124,7 @@
             }
         }
         for (_, act, serial, order) in own {
-            self.ordered(me, &act, serial, order, effects);
+            self.tables_order_received(me, &act, serial, order, effects);
         }
     }
 
@@ -138,14 +144,14 @@
         self.duties.as_ref()
     }
 
-    /// This process is to end: duties that it holds go to others.
-    pub fn ends(&mut self, now: Duration) {
+    /// The process is shutting down: the duties that it holds are handed over.
+    pub fn begin_shutdown(&mut self, now: Duration) {
         self.now = now;
         self.duties.iter_mut().for_each(|duties| duties.end(now));
     }
 
-    /// Nothing of it is left that others would wait for.
-    pub fn is_done(&self) -> bool {
+    /// Whether nothing is left that other members would wait for.
+    pub fn is_shutdown_complete(&self) -> bool {
         self.duties.as_ref().is_none_or(Duties::is_done)
     }
 }
--- a/crates/fleet/src/member/incarnations.rs
+++ b/crates/fleet/src/member/incarnations.rs
@@ -7,47 +7,50 @@
 use lotussaddle_trunk::{AuditMessage, Frame, Owner, PeerMessage};
 
 use super::Member;
-use super::interface::{Effects, Finding, Save};
+use super::interface::{Effects, MemberEvent, Save};
 use super::saves::AfterWrite;
 use super::streams::Incoming;
 use crate::lives::start_of;
 use crate::peers::PeerLink;
 
-/// An overtaken process asks for a life again after so long: two under one name are a mistake that only an operator mends.
-pub(super) const RETIRED: Duration = Duration::from_secs(60);
+/// An overtaken process asks for an incarnation again after so long: two under one name are a mistake that only an operator mends.
+pub(super) const DUPLICATE_NAME_BACKOFF: Duration = Duration::from_secs(60);
 
 impl Member {
-    /// A later life of this member is known: of another process under its name, or of a former one that those who gave this life
-    /// had forgotten. The latter is over with a new life; the former is not, and the one that is overtaken twice gives way.
-    pub(super) fn overtaken(&mut self, effects: &mut dyn Effects) {
-        let again = self.overtaken_at.replace(self.now).is_some_and(|at| self.now < at + RETIRED);
+    /// A later incarnation of this member is known: of another process under its name, or of a former one that those who gave this incarnation
+    /// had forgotten. The latter is over with a new incarnation; the former is not, and the one that is overtaken twice gives way.
+    pub(super) fn later_incarnation_known(&mut self, effects: &mut dyn Effects) {
+        let again =
+            self.overtaken_at.replace(self.now).is_some_and(|at| self.now < at + DUPLICATE_NAME_BACKOFF);
         if again {
-            self.retired_until = self.now + RETIRED;
-            let line = "another process has this member's name, and the later life: this one keeps no copies for a while";
+            self.incarnation_requests_blocked_until = self.now + DUPLICATE_NAME_BACKOFF;
+            let line = "another process runs under this member's name with a later incarnation: this one holds no replicas for 60 s";
             effects.log(line);
         } else {
-            effects.log("a later life of this member is known than the one it was given: it takes another");
+            effects.log(
+                "a later incarnation of this member is known than the one granted to it: requesting a new one",
+            );
         }
-        self.end_life(effects);
+        self.end_incarnation(effects);
     }
 
-    pub(super) fn ask_for_life(&mut self, effects: &mut dyn Effects) {
-        if self.now < self.retired_until {
+    pub(super) fn propose_incarnation(&mut self, effects: &mut dyn Effects) {
+        if self.now < self.incarnation_requests_blocked_until {
             return;
         }
         if self.plan.members.len() == 1 && self.lives.mine() == 0 {
-            return; // Nobody is there to agree, nor to keep copies.
+            return; // Nobody is there to agree, nor to keep replicas.
         }
-        if !self.has_neighbour_majority_told() && self.now < self.neighbours_tell_by {
+        if !self.has_majority_reported() && self.now < self.neighbour_reports_deadline {
             return;
         }
-        if let Some(life) = self.lives.ask(self.now) {
-            self.order(vec![Save::Asked(life)], effects);
+        if let Some(incarnation) = self.lives.ask(self.now) {
+            self.submit_disk_write(vec![Save::ProposedIncarnation(incarnation)], effects);
             for member in 0..self.plan.members.len() as u16 {
                 if let Some(link) = self.peers.to(member) {
-                    self.tell(
+                    self.send_to_link(
                         link,
-                        Frame::PeerMessage(PeerMessage::ProposeIncarnation { incarnation: life }),
+                        Frame::PeerMessage(PeerMessage::ProposeIncarnation { incarnation }),
                         effects,
                     );
                 }
@@ -55,147 +58,146 @@
         }
     }
 
-    fn neighbours_that_told(&self) -> usize {
+    fn reporting_neighbour_count(&self) -> usize {
         self.view.neighbours().iter().filter(|neighbour| self.lives.has_told(**neighbour)).count()
     }
 
-    /// Of this member and its neighbours more than half have said what they know of its former life. Neighbours alone hear regularly
+    /// Of this member and its neighbours more than half have said what they know of its previous incarnation. Neighbours alone hear regularly
     /// how many writes its disk has had.
-    fn has_neighbour_majority_told(&self) -> bool {
+    fn has_majority_reported(&self) -> bool {
         let group = self.view.neighbours().len() + 1;
-        self.neighbours_that_told() + 1 > group / 2
+        self.reporting_neighbour_count() + 1 > group / 2
     }
 
-    /// A neighbour has said what it knows of this member's former life: without one nobody can tell whether its disk is old.
-    pub(super) fn has_neighbour_told(&self) -> bool {
-        self.neighbours_that_told() > 0
+    /// A neighbour has said what it knows of this member's previous incarnation: without one nobody can tell whether its disk is old.
+    pub(super) fn has_neighbour_reported(&self) -> bool {
+        self.reporting_neighbour_count() > 0
     }
 
-    pub(super) fn life_asked(&mut self, link: PeerLink, member: u16, life: u64, effects: &mut dyn Effects) {
-        let (given, highest) = self.lives.asked(member, self.view.life(member), life);
+    pub(super) fn incarnation_proposed(
+        &mut self, link: PeerLink, member: u16, incarnation: u64, effects: &mut dyn Effects,
+    ) {
+        let (given, highest) = self.lives.asked(member, self.view.life(member), incarnation);
         if !given {
-            self.tell(
+            self.send_to_link(
                 link,
-                Frame::PeerMessage(PeerMessage::IncarnationReply {
-                    incarnation: life,
-                    granted: given,
-                    highest,
-                }),
+                Frame::PeerMessage(PeerMessage::IncarnationReply { incarnation, granted: given, highest }),
                 effects,
             );
             return;
         }
         // A vote is kept before it is said.
-        if let Some(number) = self.order(vec![Save::Given(member, life)], effects) {
-            self.writes.wait_for(number, [AfterWrite::GrantLife { link, life, highest }]);
+        if let Some(number) =
+            self.submit_disk_write(vec![Save::GrantedIncarnation(member, incarnation)], effects)
+        {
+            self.disk_writes.wait_for(number, [AfterWrite::GrantIncarnation { link, incarnation, highest }]);
         } else {
-            self.tell(
+            self.send_to_link(
                 link,
-                Frame::PeerMessage(PeerMessage::IncarnationReply {
-                    incarnation: life,
-                    granted: given,
-                    highest,
-                }),
+                Frame::PeerMessage(PeerMessage::IncarnationReply { incarnation, granted: given, highest }),
                 effects,
             );
         }
     }
 
-    pub(super) fn begin_life(&mut self, life: u64, fresh: bool, effects: &mut dyn Effects) {
-        let first = self.book.incarnation() == 0;
-        self.fresh = fresh && first;
-        if !fresh && first && !self.book.is_empty() {
-            // What the disk had is older than what was written in the life before.
-            let dropped = self.book.drop_not_owned();
+    pub(super) fn begin_incarnation(&mut self, incarnation: u64, fresh: bool, effects: &mut dyn Effects) {
+        let first = self.replica_table.incarnation() == 0;
+        self.replicas_are_current = fresh && first;
+        if !fresh && first && !self.replica_table.is_empty() {
+            // What the disk had is older than what was written in the incarnation before.
+            let dropped = self.replica_table.drop_not_owned();
             let why = self.lives.why_older();
-            effects.log(&format!("{why}: its {dropped} copies are not all that was kept, and are let go"));
+            effects.log(&format!("{why}: its {dropped} replicas are incomplete and are dropped"));
         }
         let now = self.now;
         if let Some(duties) = &mut self.duties {
             if !fresh && first {
                 duties.is_older(now);
             }
-            duties.lives(now, life);
+            duties.lives(now, incarnation);
         }
         // By their own clocks, peers know how long this member was away: the clock on the wall may have been set in between.
-        if let Some(away) = self.away.take().filter(|_| first) {
-            self.book.age_restored(self.now, away);
-        }
-        effects.log(&format!("life {} begins", start_of(life)));
-        self.book.begin_incarnation(self.now, life);
-        // What stands goes on under this life: its core servers are told, or it would pass for what the former one left, or, where
-        // it was launched before this process had a life, end with its link.
-        let standing = self.book.iter().filter_map(|(id, copy)| {
-            let owner =
-                copy.owner().filter(|owner| (owner.member, owner.incarnation) == (self.plan.me, life))?;
-            match copy.reading() {
+        if let Some(away) = self.min_time_since_previous_incarnation.take().filter(|_| first) {
+            self.replica_table.age_restored(self.now, away);
+        }
+        effects.log(&format!("incarnation {} begins", start_of(incarnation)));
+        self.replica_table.begin_incarnation(self.now, incarnation);
+        // What stands goes on under this incarnation: its core servers are told, or it would pass for what the former one left, or, where
+        // it was launched before this process had an incarnation, end with its link.
+        let standing = self.replica_table.iter().filter_map(|(id, replica)| {
+            let owner = replica
+                .owner()
+                .filter(|owner| (owner.member, owner.incarnation) == (self.plan.me, incarnation))?;
+            match replica.reading() {
                 ReplicaReading::Stands { server, .. } => Some((server.clone(), id.clone(), owner)),
                 _ => None,
             }
         });
         let adopts = standing.map(|(server, dialogue, owner)| {
-            Finding::ToCore(
+            MemberEvent::SendToCore(
                 server,
                 Frame::AuditMessage(AuditMessage::Adopt { dialogue, owner, action: None }),
             )
         });
-        self.findings.extend(adopts);
-        // An older copy has had fewer writes: from here on they are counted above all that were told.
-        self.writes.count_from(self.lives.saved());
-        self.order(vec![Save::Life(life)], effects);
+        self.events.extend(adopts);
+        // An older replica has had fewer writes: from here on they are counted above all that were told.
+        self.disk_writes.count_from(self.lives.saved());
+        self.submit_disk_write(vec![Save::Incarnation(incarnation)], effects);
         for member in 0..self.plan.members.len() as u16 {
             if let Some(link) = self.peers.to(member) {
-                self.say_here(link, member, effects);
+                self.send_greeting(link, member, effects);
             }
-            self.resume(member, effects);
+            self.send_resume(member, effects);
         }
-        // A former life of this member left something behind, perhaps.
-        self.takeovers.ended(self.now, self.plan.me, life - 1);
-        self.view.set_self(self.now, life, self.caught_up());
+        // A previous incarnation of this member left something behind, perhaps.
+        self.takeovers.ended(self.now, self.plan.me, incarnation - 1);
+        self.view.set_self(self.now, incarnation, self.caught_up());
     }
 
-    /// This process has no life until it gets a new one: nothing is copied under the old one.
-    pub(super) fn end_life(&mut self, effects: &mut dyn Effects) {
+    /// This process has no incarnation until it gets a new one: nothing is copied under the old one.
+    pub(super) fn end_incarnation(&mut self, effects: &mut dyn Effects) {
         let now = self.now;
         self.duties.iter_mut().for_each(|duties| duties.lives(now, 0));
-        self.fresh = false;
-        self.wise_at = self.now + self.plan.forget + self.plan.forget / 8;
+        self.replicas_are_current = false;
+        self.losses_expired_at = self.now + self.plan.forget + self.plan.forget / 8;
         for member in 0..self.plan.members.len() as u16 {
-            self.book.stream(member).halt();
-            self.resumed[usize::from(member)] = false;
+            self.replica_table.stream(member).halt();
+            self.peer_resumed[usize::from(member)] = false;
             self.incoming[usize::from(member)] = Incoming::default();
             if let Some(link) = self.peers.to(member) {
-                self.say_here(link, member, effects);
+                self.send_greeting(link, member, effects);
             }
         }
     }
 
-    /// A member's register may tell a later life of it than was known.
-    pub(super) fn register_tells_life(&mut self, member: u16, effects: &mut dyn Effects) {
-        let life = self.view.registered_life(member);
-        if life > self.view.life(member) {
-            self.peer_lives(member, life, effects);
+    /// A member's register may tell a later incarnation of it than was known.
+    pub(super) fn apply_registered_incarnation(&mut self, member: u16, effects: &mut dyn Effects) {
+        let incarnation = self.view.registered_life(member);
+        if incarnation > self.view.life(member) {
+            self.peer_incarnation_known(member, incarnation, effects);
         }
     }
 
-    /// A peer is in this life.
-    pub(super) fn peer_lives(&mut self, member: u16, life: u64, effects: &mut dyn Effects) {
+    /// A peer is in this incarnation.
+    pub(super) fn peer_incarnation_known(
+        &mut self, member: u16, incarnation: u64, effects: &mut dyn Effects,
+    ) {
         let before = self.view.life(member);
-        if self.view.lives(member, life) {
+        if self.view.lives(member, incarnation) {
             if before > 0 {
                 self.takeovers.ended(self.now, member, before);
             }
-            self.resume(member, effects);
-        } else if self.incoming[usize::from(member)].life != life {
-            self.resume(member, effects);
+            self.send_resume(member, effects);
+        } else if self.incoming[usize::from(member)].incarnation != incarnation {
+            self.send_resume(member, effects);
         }
         // One that is held gone stays so until the view has it back.
-        if !self.was_gone.has(member) {
-            self.takeovers.returned(member, life);
+        if !self.members_seen_gone.has(member) {
+            self.takeovers.returned(member, incarnation);
         }
-        if life > 0 {
-            // What it left in lives before this one is nobody's.
-            let ended = life - 1;
+        if incarnation > 0 {
+            // What it left in incarnations before this one is nobody's.
+            let ended = incarnation - 1;
             if !self.takeovers.is_ended(Owner { round: 0, member, incarnation: ended }) {
                 self.takeovers.ended(self.now, member, ended);
             }
--- a/crates/fleet/src/member/interface.rs
+++ b/crates/fleet/src/member/interface.rs
@@ -7,86 +7,102 @@
 use crate::peers::PeerLink;
 use crate::redial::Verdict;
 
-/// What members are told by their disk at the start.
+/// State that a member restores from its disk at the start.
 #[derive(Default)]
 pub struct Stored {
-    pub life: Option<u64>,
-    /// The life that was asked for last.
-    pub asked: u64,
-    /// Writes that it has had.
-    pub count: u64,
-    pub given: Vec<(u16, u64)>,
-    /// What was voted for and agreed on about duties, as [`Save::Duties`] had it.
+    pub incarnation: Option<u64>,
+    /// The incarnation that was proposed last.
+    pub proposed_incarnation: u64,
+    /// Number of writes that the disk has taken.
+    pub write_count: u64,
+    /// The last incarnation that this member granted to each peer, by member index.
+    pub granted_incarnations: Vec<(u16, u64)>,
+    /// Votes and agreed assignments of duties, in the form of [`Save::Duties`].
     pub duties: Option<Vec<u8>>,
-    /// Numbers of duties that were seen, as [`Save::Fence`] had them.
-    pub fence: Option<Vec<u8>>,
-    pub copies: Vec<ReplicaUpdate>,
+    /// The highest fencing tokens seen, in the form of [`Save::FencingTokens`].
+    pub fencing_tokens: Option<Vec<u8>>,
+    pub replicas: Vec<ReplicaUpdate>,
 }
 
-/// What is to be kept on disk.
+/// A change to be persisted on disk.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Save {
-    /// A copy, as its bytes; none: it is forgotten.
-    Copy(DialogueId, Option<Vec<u8>>),
-    Life(u64),
-    /// A life is asked for; it is lost with a kill, or not.
-    Asked(u64),
-    Given(u16, u64),
-    /// What this member voted for, and which table of duties it keeps.
+    /// An encoded replica; `None` deletes it.
+    Replica(DialogueId, Option<Vec<u8>>),
+    /// The incarnation that this member has begun.
+    Incarnation(u64),
+    /// An incarnation that is being proposed to the peers.
+    ProposedIncarnation(u64),
+    /// A peer and the incarnation that this member granted it.
+    GrantedIncarnation(u16, u64),
+    /// The votes of this member and its table of duty assignments.
     Duties(Vec<u8>),
-    /// Which numbers of duties it has seen: on disk before an act under a new one is done.
-    Fence(Vec<u8>),
-    /// How many writes the disk has had with this one.
-    Count(u64),
+    /// The highest fencing tokens seen. They are on disk before an action under a new token is carried out.
+    FencingTokens(Vec<u8>),
+    /// Number of writes that the disk has taken, this one included.
+    WriteCount(u64),
 }
 
-/// All that a member does to the world. None of it waits, and none of it calls back.
+/// Side effects of a member on its surroundings. No method blocks or calls back into the member.
 pub trait Effects {
-    /// False: the queue is full or the link gone; nothing was queued.
+    /// Queues a frame. False: the queue is full or the link is closed, and nothing was queued.
     fn send(&mut self, link: PeerLink, frame: Frame) -> bool;
-    /// Begins a connection to a member; [`Member::connected`] or [`Member::lost`] follows.
+    /// Starts a connection attempt to a member; [`Member::link_connected`] or [`Member::link_closed`] follows.
     fn connect(&mut self, member: u16) -> PeerLink;
-    /// Closes a link that the member has given up.
+    /// Closes a link for the given reason.
     fn close(&mut self, link: PeerLink, why: &str);
-    /// A line for the log.
+    /// Writes a line to the log.
     fn log(&mut self, line: &str);
-    /// There is a disk at all: else nothing is made ready for it.
+    /// Whether there is a disk; without one no records are encoded.
     fn has_disk(&self) -> bool;
-    /// Has it kept on disk; [`Member::saved`] tells by the number when it is. False: there is no disk.
+    /// Submits changes to the disk; [`Member::disk_write_done`] reports the result under this number. False: there is no disk.
     fn save(&mut self, what: Vec<Save>, number: u64) -> bool;
 }
 
-/// What its edge proxy is to be told, or to do.
+/// A report or a request from a member to its edge proxy.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Finding {
-    /// The write under this ticket is kept by as many as is asked for.
-    Kept(u64),
-    Found(DialogueId, Verdict),
-    /// Another has it: it is let go.
-    Replaced(DialogueId),
-    /// Another wants it: it is let go, and then [`Member::let_go`] is called.
-    LetGo(DialogueId),
-    /// An order about number tables; [`Member::tabled`] is told what came of it.
-    Tables(u64, TablesOrder),
-    /// Is to be said to a core server; where it cannot be, [`Member::unreached`] is called.
-    ToCore(ServerId, Frame),
+pub enum MemberEvent {
+    /// The write with this ticket has been acknowledged by the required number of replicas.
+    WriteConfirmed(u64),
+    /// The result of a look-up that [`Member::look_up_dialogue`] started.
+    RedialResolved(DialogueId, Verdict),
+    /// Another member owns the dialogue: the edge proxy drops it.
+    OwnershipLost(DialogueId),
+    /// Another member claims the dialogue: the edge proxy drops it and then calls [`Member::dialogue_given_up`].
+    GiveUpDialogue(DialogueId),
+    /// An order about number tables to carry out; [`Member::tables_order_done`] takes the result.
+    CarryOutTablesOrder(u64, TablesOrder),
+    /// A frame to send to a core server; where that fails, [`Member::core_send_failed`] is called.
+    SendToCore(ServerId, Frame),
 }
 
 /// Counters for operators, since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
-    /// Steps of own dialogues written, and frames and copies sent to peers for them.
+pub struct MemberCounters {
+    /// Steps of own dialogues that were written.
     pub writes: u64,
+    /// Replicas sent to peers.
     pub copies_sent: u64,
+    /// Received replicas that changed the replica table.
     pub copies_taken: u64,
+    /// Received replicas that were rejected.
     pub copies_refused: u64,
+    /// Ownership losses of dialogues.
     pub replaced: u64,
+    /// Dialogues found with two different answers.
     pub differ: u64,
+    /// Look-ups of redialled dialogues.
     pub asks: u64,
+    /// Look-ups refused for lack of an incarnation or of capacity.
     pub asks_refused: u64,
+    /// Orphaned dialogues taken over.
     pub taken_over: u64,
+    /// Orphaned lines released.
     pub released: u64,
+    /// Replicas sent, requested or dropped by anti-entropy.
     pub repaired: u64,
+    /// Snapshot chunks received.
     pub pieces: u64,
+    /// Expired replicas.
     pub forgotten: u64,
 }
--- a/crates/fleet/src/member/links.rs
+++ b/crates/fleet/src/member/links.rs
@@ -13,64 +13,64 @@
 use crate::peers::{Known, PeerLink, Way};
 
 /// Clocks may differ by so much over an absence before one is taken to have stood still, in parts of it, and in itself.
-pub(super) const STOOD_STILL: Duration = Duration::from_secs(5);
+pub(super) const CLOCK_STALL_TOLERANCE: Duration = Duration::from_secs(5);
 
 /// A link over which nothing comes regularly is taken as dead when nothing has followed what was sent for so long, and two silences.
-const ANSWER_WITHIN: Duration = Duration::from_secs(2);
+const MIN_LINK_RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// There a ping asks when nothing has followed what was sent for so long, and half a silence.
-const PING_AFTER: Duration = Duration::from_millis(500);
+const MIN_PING_DELAY: Duration = Duration::from_millis(500);
 
 /// The number of a ping; who answers is told by the link.
-const PROBE: u64 = 0;
+const PROBE_NONCE: u64 = 0;
 
 impl Member {
-    /// A link has come in where peers come in.
-    pub fn linked(&mut self, now: Duration, link: PeerLink) {
+    /// A peer link was accepted.
+    pub fn link_accepted(&mut self, now: Duration, link: PeerLink) {
         self.now = now;
         self.peers.came(now, link);
     }
 
-    /// A link begun from here is up.
-    pub fn connected(&mut self, now: Duration, link: PeerLink, effects: &mut dyn Effects) {
+    /// A link that this member started is open.
+    pub fn link_connected(&mut self, now: Duration, link: PeerLink, effects: &mut dyn Effects) {
         self.now = now;
         if let Some(known) = self.peers.links.get_mut(&link) {
             (known.way, known.since) = (Way::Fresh, now);
-            self.greet(link, effects);
+            self.send_hello(link, effects);
         }
     }
 
-    fn greet(&mut self, link: PeerLink, effects: &mut dyn Effects) {
+    fn send_hello(&mut self, link: PeerLink, effects: &mut dyn Effects) {
         let name: Arc<str> = Arc::from(&*self.plan.members[usize::from(self.plan.me)]);
-        self.tell(link, Frame::Hello(Hello::new(Role::Edge, name)), effects);
+        self.send_to_link(link, Frame::Hello(Hello::new(Role::Edge, name)), effects);
         if let Some(member) = self.peers.links.get(&link).and_then(|known| known.member) {
-            self.say_here(link, member, effects);
+            self.send_greeting(link, member, effects);
         }
     }
 
-    pub(super) fn say_here(&mut self, link: PeerLink, member: u16, effects: &mut dyn Effects) {
+    pub(super) fn send_greeting(&mut self, link: PeerLink, member: u16, effects: &mut dyn Effects) {
         let yours = self.view.life(member).max(self.lives.given_to(member));
         // Only neighbours send regularly, so that only what they tell is how long it was away.
         let was_heard = self.view.life(member) > 0 && self.view.is_neighbour(member);
         let away = was_heard.then(|| self.view.away(self.now, member));
         let saved = self.view.most_saved(member);
-        let (group, me, life) = (self.group, self.plan.me, self.lives.mine());
+        let (group, me, incarnation) = (self.group, self.plan.me, self.lives.mine());
         if let Some(known) = self.peers.links.get_mut(&link) {
-            known.told_life = Some(life);
+            known.told_life = Some(incarnation);
         }
         let here = PeerMessage::Greeting {
             group,
             member: me,
-            incarnation: life,
+            incarnation,
             known_remote_incarnation: yours,
             saved,
             last_seen_ago: away,
         };
-        self.tell(link, Frame::PeerMessage(here), effects);
+        self.send_to_link(link, Frame::PeerMessage(here), effects);
     }
 
     /// Closes a link that cannot take what is said: what was to be said is not lost in silence.
-    pub(super) fn tell(&mut self, link: PeerLink, frame: Frame, effects: &mut dyn Effects) -> bool {
+    pub(super) fn send_to_link(&mut self, link: PeerLink, frame: Frame, effects: &mut dyn Effects) -> bool {
         if let Some(known) = self.peers.links.get_mut(&link) {
             known.liveness.sent(self.now, &frame);
         }
@@ -84,7 +84,7 @@
     pub(super) fn close(&mut self, link: PeerLink, why: &str, effects: &mut dyn Effects) {
         if self.peers.links.contains_key(&link) {
             effects.close(link, why);
-            self.forget_link(link, why, effects);
+            self.clean_up_link(link, why, effects);
         }
     }
 
@@ -94,7 +94,7 @@
             return; // Heartbeats tell.
         }
         if let Some(link) = self.peers.to(member) {
-            self.tell(link, Frame::Ping { nonce: PROBE }, effects);
+            self.send_to_link(link, Frame::Ping { nonce: PROBE_NONCE }, effects);
         }
     }
 
@@ -104,7 +104,7 @@
             let Some(link) = self.peers.to(member) else { continue };
             match self.check_link(link, member) {
                 LinkCheck::Idle => {}
-                LinkCheck::Ping => drop(self.tell(link, Frame::Ping { nonce: PROBE }, effects)),
+                LinkCheck::Ping => drop(self.send_to_link(link, Frame::Ping { nonce: PROBE_NONCE }, effects)),
                 LinkCheck::Dead => {
                     self.close(link, "silent, taken as dead", effects);
                     // The other side may hold it for alive, and would not begin another.
@@ -121,36 +121,40 @@
             return if is_dead { LinkCheck::Dead } else { LinkCheck::Idle };
         }
         let Some(known) = self.peers.links.get(&link) else { return LinkCheck::Idle };
-        known.liveness.check(self.now, (silence / 2).max(PING_AFTER), (silence * 2).max(ANSWER_WITHIN))
+        known.liveness.check(
+            self.now,
+            (silence / 2).max(MIN_PING_DELAY),
+            (silence * 2).max(MIN_LINK_RESPONSE_TIMEOUT),
+        )
     }
 
     /// Whether what is said to a member now reaches it, as far as is known: there is a link, and it is heard.
-    pub(super) fn reaches(&self, member: u16) -> bool {
+    pub(super) fn can_reach(&self, member: u16) -> bool {
         is_reached(&self.peers, &self.view, self.now, member)
     }
 
-    /// A link has gone, or did not come up.
-    pub fn lost(&mut self, now: Duration, link: PeerLink, why: &str, effects: &mut dyn Effects) {
+    /// A link was closed, or could not be opened.
+    pub fn link_closed(&mut self, now: Duration, link: PeerLink, why: &str, effects: &mut dyn Effects) {
         self.now = now;
-        self.forget_link(link, why, effects);
+        self.clean_up_link(link, why, effects);
     }
 
-    fn forget_link(&mut self, link: PeerLink, why: &str, effects: &mut dyn Effects) {
+    fn clean_up_link(&mut self, link: PeerLink, why: &str, effects: &mut dyn Effects) {
         let up = self.peers.links.get(&link).is_some_and(|known| known.way == Way::Here);
         let Some(member) = self.peers.lost(self.now, link) else { return };
         let place = usize::from(member);
-        self.resumed[place] = false;
-        self.book.stream(member).halt();
-        self.incoming[place].owed = false;
+        self.peer_resumed[place] = false;
+        self.replica_table.stream(member).halt();
+        self.incoming[place].acknowledgement_due = false;
         self.incoming[place].replaced.clear();
-        self.wants_pieces.retain(|(to, _)| *to != member);
+        self.snapshot_requests.retain(|(to, _)| *to != member);
         self.repairs.forget(member);
         if up {
             effects.log(&format!("member {} gone: {why}", self.plan.members[place]));
         }
     }
 
-    pub(super) fn greeted(
+    pub(super) fn hello_received(
         &mut self, link: PeerLink, known: &Known, hello: &Hello, effects: &mut dyn Effects,
     ) {
         let place = self.plan.members.iter().position(|name| **name == *hello.name);
@@ -178,39 +182,43 @@
             }
         }
         if came_in {
-            self.greet(link, effects);
+            self.send_hello(link, effects);
         }
     }
 
     #[expect(clippy::too_many_arguments)]
-    pub(super) fn is_here(
-        &mut self, link: PeerLink, member: u16, group: u64, place: u16, life: u64,
+    pub(super) fn greeting_received(
+        &mut self, link: PeerLink, member: u16, group: u64, place: u16, incarnation: u64,
         (yours, saved): (u64, u64), away: Option<Duration>, effects: &mut dyn Effects,
     ) {
         if group != self.group || place != member {
             let line = format!(
-                "member {} has another group or other figures: no copies go there",
+                "member {} has a different group or plan: no replicas are sent to it",
                 self.name(member)
             );
             effects.log(&line);
             return self.close(link, "another group", effects);
         }
         // A clock here that stood still while the other's went on: what is kept here may be forgotten elsewhere, and would be
-        // brought back to life.
+        // brought back to incarnation.
         let mine = self.view.away(self.now, member);
-        let still = away.filter(|away| *away > mine + mine / 8 + STOOD_STILL && yours == self.lives.mine());
+        let still =
+            away.filter(|away| *away > mine + mine / 8 + CLOCK_STALL_TOLERANCE && yours == self.lives.mine());
         if self.lives.mine() == 0
             && let Some(away) = away
         {
-            self.away = Some(self.away.map_or(away, |known| known.min(away)));
+            self.min_time_since_previous_incarnation =
+                Some(self.min_time_since_previous_incarnation.map_or(away, |known| known.min(away)));
         }
         if self.lives.told(member, yours, saved) {
-            self.overtaken(effects);
+            self.later_incarnation_known(effects);
         } else if still.is_some() && self.lives.mine() > 0 {
-            let dropped = self.book.drop_not_owned();
-            effects.log(&format!("this clock stood still: {dropped} copies let go, a new life begins"));
+            let dropped = self.replica_table.drop_not_owned();
+            effects.log(&format!(
+                "the local clock was stopped: dropped {dropped} replicas, requesting a new incarnation"
+            ));
             self.lives.renew();
-            self.end_life(effects);
+            self.end_incarnation(effects);
         }
         if let Some(known) = self.peers.links.get_mut(&link) {
             known.way = Way::Here;
@@ -228,19 +236,23 @@
         }
         let new = self.peers.links.contains_key(&link) && !self.view.hears(self.now, member);
         if new {
-            effects.log(&format!("member {} here, in life {}", self.name(member), start_of(life)));
+            effects.log(&format!(
+                "member {} here, in incarnation {}",
+                self.name(member),
+                start_of(incarnation)
+            ));
         }
         self.view.heard(self.now, member);
-        self.resumed[usize::from(member)] = false;
-        if life >= self.view.life(member) && life > 0 {
-            self.peer_lives(member, life, effects);
+        self.peer_resumed[usize::from(member)] = false;
+        if incarnation >= self.view.life(member) && incarnation > 0 {
+            self.peer_incarnation_known(member, incarnation, effects);
         }
-        // A life that began between the greeting and now was told only on links that were up.
+        // An incarnation that began between the greeting and now was told only on links that were up.
         let told_life = self.peers.links.get(&link).map(|known| known.told_life);
         if told_life.is_some_and(|told| told != Some(self.lives.mine())) {
-            self.say_here(link, member, effects);
+            self.send_greeting(link, member, effects);
         }
-        self.ask_for_life(effects);
-        self.resume(member, effects);
+        self.propose_incarnation(effects);
+        self.send_resume(member, effects);
     }
 }
--- a/crates/fleet/src/member/mod.rs
+++ b/crates/fleet/src/member/mod.rs
@@ -35,16 +35,16 @@
 use crate::redial::Redials;
 use crate::takeovers::Takeovers;
 
-use background::{FORGET, LOOK, PIECES, REPAIR};
+use background::{EXPIRE_REPLICAS, REPAIR_REPLICAS, SCAN_FOR_ORPHANS, SEND_SNAPSHOT_CHUNKS};
 use confirmations::Confirmations;
 use repair::RepairQueue;
 use saves::DiskWrites;
 use streams::Incoming;
 use table_orders::TableOrders;
 
-pub use interface::{Counts, Effects, Finding, Save, Stored};
+pub use interface::{Effects, MemberCounters, MemberEvent, Save, Stored};
 
-/// One member of a fleet as a state machine: calls are its inputs, [`Effects`] and [`Finding`] its outputs.
+/// One member of a fleet as a state machine: calls are its inputs, [`Effects`] and [`MemberEvent`] are its outputs.
 pub struct Member {
     plan: Plan,
     group: u64,
@@ -52,85 +52,98 @@
     view: MembershipView,
     lives: Lives,
     peers: Peers,
-    book: ReplicaTable,
+    replica_table: ReplicaTable,
     redials: Redials,
     takeovers: Takeovers,
     duties: Option<Duties>,
     table_orders: TableOrders,
-    /// The order to the disk that the last number of a duty is kept by.
-    fenced_by: Option<u64>,
-    /// It held `sweep` when it was looked at last.
-    sweeps: bool,
-    /// There was a disk in this life.
+    /// The disk write that persists the newest fencing token.
+    fencing_write: Option<u64>,
+    /// Whether this member held the duty `sweep` at the last check.
+    holds_sweep_duty: bool,
+    /// Whether this process has had a disk.
     has_disk: bool,
     incoming: Vec<Incoming>,
-    /// A peer has said what it has, and its stream goes on.
-    resumed: Vec<bool>,
-    /// The disk's copies were of the life before this one: all that was acknowledged is here.
-    fresh: bool,
-    /// Since when everything that could have been lost at the start is forgotten by all.
-    wise_at: Duration,
-    retired_until: Duration,
+    /// By peer: it has reported its position, so that the stream to it continues.
+    peer_resumed: Vec<bool>,
+    /// The replicas on disk are of the previous incarnation, so that all acknowledged writes are present.
+    replicas_are_current: bool,
+    /// When whatever could have been lost at the start has expired on all members.
+    losses_expired_at: Duration,
+    incarnation_requests_blocked_until: Duration,
     overtaken_at: Option<Duration>,
     confirmations: Confirmations,
-    lets: BTreeMap<DialogueId, Vec<(u16, u64, Owner)>>,
-    findings: Vec<Finding>,
-    /// Said to peers at the end of the turn.
-    to_say: Vec<(u16, PeerMessage)>,
-    /// Answers to questions, each a promise: said once it is kept.
-    known: Vec<(u16, PeerMessage)>,
-    /// Changed in this turn, to be kept on disk.
-    changed: BTreeSet<DialogueId>,
-    writes: DiskWrites,
-    /// The shortest time, as peers count it, for which the life before this one has been gone.
-    away: Option<Duration>,
-    tickets: u64,
-    /// Core servers to which a link is up.
-    cores: BTreeSet<ServerId>,
+    ownership_requests: BTreeMap<DialogueId, Vec<(u16, u64, Owner)>>,
+    events: Vec<MemberEvent>,
+    /// Messages sent to peers at the end of the iteration.
+    outgoing_messages: Vec<(u16, PeerMessage)>,
+    /// Replies to look-ups. Each is a promise and is sent once it is persisted.
+    promised_replies: Vec<(u16, PeerMessage)>,
+    /// Dialogues changed in this iteration, to be persisted.
+    changed_dialogues: BTreeSet<DialogueId>,
+    disk_writes: DiskWrites,
+    /// The least time since the previous incarnation ended, by the clocks of the peers.
+    min_time_since_previous_incarnation: Option<Duration>,
+    last_ticket: u64,
+    /// Core servers with an open link.
+    connected_cores: BTreeSet<ServerId>,
     chores: Chores,
-    look_from: Option<u64>,
-    wants_pieces: VecDeque<(u16, Cursor)>,
+    orphan_scan_from: Option<u64>,
+    snapshot_requests: VecDeque<(u16, Cursor)>,
     repairs: RepairQueue,
-    /// Until then a new life is asked for only once a majority of this member and its neighbours has told what it knows.
-    neighbours_tell_by: Duration,
-    look_at: Duration,
-    compare_at: Duration,
-    was_gone: MemberSet,
-    counts: Counts,
+    /// Before this time an incarnation is proposed only once a majority of this member and its neighbours has reported what it knows.
+    neighbour_reports_deadline: Duration,
+    next_check_at: Duration,
+    next_comparison_at: Duration,
+    members_seen_gone: MemberSet,
+    counts: MemberCounters,
 }
 
 impl Member {
-    /// A member that starts at `now` with what its disk had stored; `chance` is drawn from the system.
+    /// A member that starts at `now` from the state on its disk; `chance` is a random seed from the system.
     pub fn new(now: Duration, plan: Plan, stored: Stored, chance: u64) -> Self {
         let (me, members) = (plan.me, plan.members.len());
-        let book = ReplicaTable::new(
+        let replica_table = ReplicaTable::new(
             me,
             plan.group(),
             ReplicaLimits { max_replicas: plan.most, retention: plan.forget },
         );
         let mut chores = Chores::new(Budget::default());
-        for (chore, priority) in [(FORGET, 1), (LOOK, 2), (PIECES, 3), (REPAIR, 1)] {
+        for (chore, priority) in
+            [(EXPIRE_REPLICAS, 1), (SCAN_FOR_ORPHANS, 2), (SEND_SNAPSHOT_CHUNKS, 3), (REPAIR_REPLICAS, 1)]
+        {
             chores.add(chore, priority);
         }
-        let known = stored.life.map(|life| (life, stored.count));
-        let mut lives = Lives::new(me, members, known, stored.asked, chance);
-        stored.given.iter().for_each(|(peer, life)| lives.recall_given(*peer, *life));
+        let known = stored.incarnation.map(|incarnation| (incarnation, stored.write_count));
+        let mut lives = Lives::new(me, members, known, stored.proposed_incarnation, chance);
+        stored
+            .granted_incarnations
+            .iter()
+            .for_each(|(peer, incarnation)| lives.recall_given(*peer, *incarnation));
         let duties = plan.duties.as_ref().map(|duties| {
-            let kept = (stored.duties.as_deref(), stored.fence.as_deref());
-            Duties::new(now, me, &book.group().clone(), duties, plan.unclaimed, kept, chance ^ 0x5bd1_e995)
+            let kept = (stored.duties.as_deref(), stored.fencing_tokens.as_deref());
+            Duties::new(
+                now,
+                me,
+                &replica_table.group().clone(),
+                duties,
+                plan.unclaimed,
+                kept,
+                chance ^ 0x5bd1_e995,
+            )
         });
         let mut member = Self {
             duties,
-            fenced_by: None,
+            fencing_write: None,
             table_orders: TableOrders::default(),
-            sweeps: false,
+            holds_sweep_duty: false,
             has_disk: false,
             group: plan.digest(),
             now,
             view: MembershipView::new(now, me, plan.overlay(), plan.silence),
             lives,
             peers: Peers::new(now, me, members, chance ^ 0x9e37_79b9_7f4a_7c15),
-            book,
+            replica_table,
             redials: Redials::new(
                 me,
                 plan.group(),
@@ -141,33 +154,33 @@
             ),
             takeovers: Takeovers::new(me, plan.unclaimed),
             incoming: (0..members).map(|_| Incoming::default()).collect(),
-            resumed: vec![false; members],
-            fresh: false,
-            wise_at: now + plan.forget + plan.forget / 8,
-            retired_until: Duration::ZERO,
+            peer_resumed: vec![false; members],
+            replicas_are_current: false,
+            losses_expired_at: now + plan.forget + plan.forget / 8,
+            incarnation_requests_blocked_until: Duration::ZERO,
             overtaken_at: None,
             confirmations: Confirmations::default(),
-            known: Vec::new(),
-            lets: BTreeMap::new(),
-            findings: Vec::new(),
-            to_say: Vec::new(),
-            changed: BTreeSet::new(),
-            writes: DiskWrites::new(stored.count),
-            away: None,
-            tickets: 0,
-            cores: BTreeSet::new(),
+            promised_replies: Vec::new(),
+            ownership_requests: BTreeMap::new(),
+            events: Vec::new(),
+            outgoing_messages: Vec::new(),
+            changed_dialogues: BTreeSet::new(),
+            disk_writes: DiskWrites::new(stored.write_count),
+            min_time_since_previous_incarnation: None,
+            last_ticket: 0,
+            connected_cores: BTreeSet::new(),
             chores,
-            look_from: None,
-            wants_pieces: VecDeque::new(),
+            orphan_scan_from: None,
+            snapshot_requests: VecDeque::new(),
             repairs: RepairQueue::default(),
-            neighbours_tell_by: now + plan.silence,
-            look_at: now,
-            compare_at: now + plan.compare_every,
-            was_gone: MemberSet::default(),
-            counts: Counts::default(),
+            neighbour_reports_deadline: now + plan.silence,
+            next_check_at: now,
+            next_comparison_at: now + plan.compare_every,
+            members_seen_gone: MemberSet::default(),
+            counts: MemberCounters::default(),
             plan,
         };
-        stored.copies.iter().for_each(|copy| member.book.restore(now, copy));
+        stored.replicas.iter().for_each(|replica| member.replica_table.restore(now, replica));
         member
     }
 
@@ -175,48 +188,49 @@
         self.now
     }
 
-    /// What has happened since the start, counted.
-    pub fn counts(&self) -> &Counts {
+    /// Counters since the start of the process.
+    pub fn counts(&self) -> &MemberCounters {
         &self.counts
     }
 
-    /// The figures this member was built with.
+    /// The plan this member was built with.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
 
-    /// Its own dialogues and the copies that it holds for others.
-    pub fn book(&self) -> &ReplicaTable {
-        &self.book
+    /// Its own dialogues and the replicas that it holds for other members.
+    pub fn replica_table(&self) -> &ReplicaTable {
+        &self.replica_table
     }
 
-    /// The incarnation that this process has; zero: none yet.
-    pub fn life(&self) -> u64 {
+    /// The incarnation of this process; zero while it has none.
+    pub fn incarnation(&self) -> u64 {
         self.lives.mine()
     }
 
-    /// Which peers are heard, and what they have said of themselves.
+    /// Which peers are responsive, and what they report of themselves.
     pub fn view(&self) -> &MembershipView {
         &self.view
     }
 
-    /// Dialogues taken over and kept for their callers; dialogues asked for.
-    pub fn sizes(&self) -> (usize, usize) {
+    /// Numbers of dialogues taken over and held for their callers, and of look-ups in progress.
+    pub fn table_sizes(&self) -> (usize, usize) {
         (self.takeovers.len(), self.redials.len())
     }
 
-    /// Takes what its edge proxy is to be told since the last call.
-    pub fn findings(&mut self) -> Vec<Finding> {
-        std::mem::take(&mut self.findings)
+    /// Takes the events for the edge proxy since the last call.
+    pub fn take_events(&mut self) -> Vec<MemberEvent> {
+        std::mem::take(&mut self.events)
     }
 
-    /// All that this member must know of what was dialled before, it knows: it has compared with all but so few that whoever
-    /// acknowledged a write is not among those only, or so much time has passed that whatever it lacks is forgotten.
+    /// Whether this member knows all earlier dialogues that it must know: it has synchronised with so many peers that at least one
+    /// of those that acknowledged any write is among them, or whatever it lacks has expired.
     pub fn caught_up(&self) -> bool {
         let others = (0..self.incoming.len()).filter(|place| *place != usize::from(self.plan.me));
         let missing = others.filter(|place| !self.incoming[*place].synced).count();
         let may_miss = self.plan.awaited().max(1) - 1;
-        self.lives.mine() > 0 && (self.fresh || missing <= may_miss || self.now >= self.wise_at)
+        self.lives.mine() > 0
+            && (self.replicas_are_current || missing <= may_miss || self.now >= self.losses_expired_at)
     }
 
     fn name(&self, member: u16) -> &str {
--- a/crates/fleet/src/member/own_dialogues.rs
+++ b/crates/fleet/src/member/own_dialogues.rs
@@ -7,63 +7,65 @@
 use lotussaddle_trunk::{Answer, Owner, Progress};
 
 use super::Member;
-use super::interface::Finding;
+use super::interface::MemberEvent;
 
 impl Member {
-    pub(super) fn write(
+    pub(super) fn write_step(
         &mut self, id: &DialogueId, reached: Progress, bar: Duration, answer: Option<&Answer>,
         base: Duration, acks: usize,
     ) -> Option<u64> {
         self.counts.writes += 1;
-        self.tickets += 1;
-        let ticket = self.tickets;
+        self.last_ticket += 1;
+        let ticket = self.last_ticket;
         let wait = (acks > 0).then_some((ticket, acks));
-        let written = self.book.write(self.now, id, reached, bar, answer, base, wait);
-        self.changed.insert(id.clone());
+        let written = self.replica_table.write(self.now, id, reached, bar, answer, base, wait);
+        self.changed_dialogues.insert(id.clone());
         match written {
             WriteResult::Pending => Some(ticket),
-            // While it has no life nobody can acknowledge anything.
+            // While it has no incarnation nobody can acknowledge anything.
             WriteResult::Immediate => {
                 (acks > 0 && self.plan.strictly && self.lives.mine() == 0).then_some(ticket)
             }
             WriteResult::Replaced(_) => {
                 self.counts.replaced += 1;
-                self.findings.push(Finding::Replaced(id.clone()));
+                self.events.push(MemberEvent::OwnershipLost(id.clone()));
                 Some(ticket) // Which is never told: nothing is sent or said.
             }
         }
     }
 
-    /// Its edge proxy has taken a dialogue that was dialled.
-    pub fn taken(&mut self, now: Duration, id: &DialogueId) {
+    /// The edge proxy has accepted a dialogue.
+    pub fn dialogue_accepted(&mut self, now: Duration, id: &DialogueId) {
         self.now = now;
         // One that was asked for is this member's already.
-        if !self.book.owns_dialogue(id) || self.book.get(id).is_some_and(|copy| !copy.is_open()) {
-            self.write(id, Progress::Accepted, Duration::ZERO, None, now, 0);
+        if !self.replica_table.owns_dialogue(id)
+            || self.replica_table.get(id).is_some_and(|replica| !replica.is_open())
+        {
+            self.write_step(id, Progress::Accepted, Duration::ZERO, None, now, 0);
         }
     }
 
     /// A launch is to be sent, and ends by itself at that time. Some: not before that ticket is told.
-    pub fn launch(
+    pub fn launch_planned(
         &mut self, now: Duration, id: &DialogueId, server: &ServerId, launch: LaunchNumber, until: Duration,
     ) -> Option<u64> {
         self.now = now;
         let reached = Progress::Launched { server: server.clone(), launch };
         let acks = self.plan.before_launch;
-        self.write(id, reached, until + self.plan.release, None, until, acks)
+        self.write_step(id, reached, until + self.plan.release, None, until, acks)
     }
 
     /// A launch came back without a result; `doubt`: its core server may have it all the same.
-    pub fn back(&mut self, now: Duration, id: &DialogueId, doubt: bool) {
+    pub fn launch_returned(&mut self, now: Duration, id: &DialogueId, doubt: bool) {
         self.now = now;
-        if self.book.owns_dialogue(id) {
+        if self.replica_table.owns_dialogue(id) {
             let bar = if doubt { now + self.plan.release } else { Duration::ZERO };
-            self.write(id, Progress::Accepted, bar, None, now, 0);
+            self.write_step(id, Progress::Accepted, bar, None, now, 0);
         }
     }
 
     /// A final answer is to be given. Some: not before that ticket is told.
-    pub fn answer(
+    pub fn answer_planned(
         &mut self, now: Duration, id: &DialogueId, answer: &Answer, launch: LaunchNumber,
     ) -> Option<u64> {
         self.now = now;
@@ -72,45 +74,45 @@
             _ => Progress::Ended,
         };
         let acks = self.plan.before_answer;
-        self.write(id, reached, Duration::ZERO, Some(answer), now, acks)
+        self.write_step(id, reached, Duration::ZERO, Some(answer), now, acks)
     }
 
-    /// A dialogue is over.
-    pub fn over(&mut self, now: Duration, id: &DialogueId) {
+    /// A dialogue has ended.
+    pub fn dialogue_ended(&mut self, now: Duration, id: &DialogueId) {
         self.now = now;
-        if self.book.owns_dialogue(id) {
-            self.write(id, Progress::Ended, Duration::ZERO, None, now, 0);
+        if self.replica_table.owns_dialogue(id) {
+            self.write_step(id, Progress::Ended, Duration::ZERO, None, now, 0);
         }
     }
 
     /// What launches of this dialogue bear, so that its core server knows whose it is; none where nobody is to take it over.
     pub fn owner_of(&self, id: &DialogueId) -> Option<Owner> {
-        let owner = self.book.get(id)?.owner()?;
-        (self.lives.mine() > 0 && self.book.owns_dialogue(id)).then_some(owner)
+        let owner = self.replica_table.get(id)?.owner()?;
+        (self.lives.mine() > 0 && self.replica_table.owns_dialogue(id)).then_some(owner)
     }
 
     /// A dialogue of this member is another's now, who may never come for what stands.
-    pub(super) fn goes(&mut self, id: &DialogueId) {
-        let Some(copy) = self.book.get(id) else { return };
-        let servers = copy.owner_states().iter().filter_map(|part| match &part.progress {
+    pub(super) fn watch_lines_of_lost_dialogue(&mut self, id: &DialogueId) {
+        let Some(replica) = self.replica_table.get(id) else { return };
+        let servers = replica.owner_states().iter().filter_map(|part| match &part.progress {
             Progress::Stands { server, .. } if part.owner.member == self.plan.me => Some(server),
             _ => None,
         });
         servers.for_each(|server| self.takeovers.let_go(self.now, server));
     }
 
-    /// Its edge proxy has let a dialogue go, as [`Finding::LetGo`] asked.
-    pub fn let_go(&mut self, now: Duration, id: &DialogueId) {
+    /// Its edge proxy has let a dialogue go, as [`MemberEvent::GiveUpDialogue`] asked.
+    pub fn dialogue_given_up(&mut self, now: Duration, id: &DialogueId) {
         self.now = now;
         self.takeovers.drop_of(id);
-        for (member, serial, owner) in self.lets.remove(id).unwrap_or_default() {
+        for (member, serial, owner) in self.ownership_requests.remove(id).unwrap_or_default() {
             self.counts.replaced += 1;
-            self.answer_asked(member, serial, id, owner);
+            self.answer_ask(member, serial, id, owner);
         }
     }
 
     /// It is kept for its caller, or being taken over for one: its edge proxy does not hold it yet.
-    pub(super) fn is_coming(&self, id: &DialogueId) -> bool {
+    pub(super) fn is_claimed_for_caller(&self, id: &DialogueId) -> bool {
         self.takeovers.has(id) || self.redials.has(id) || self.confirmations.contains(id)
     }
 }
--- a/crates/fleet/src/member/repair.rs
+++ b/crates/fleet/src/member/repair.rs
@@ -6,17 +6,17 @@
 use lotussaddle_trunk::{Frame, PeerMessage};
 
 use super::Member;
-use super::batches::in_frames;
+use super::batches::split_into_frames;
 use super::interface::Effects;
 
-/// Steps of comparisons that wait, at most; beyond it they are dropped, and come again with the next comparison.
-const MOST_REPAIRS: usize = 1024;
+/// Steps of comparisons that wait (upper bound); beyond it they are dropped, and come again with the next comparison.
+const MAX_QUEUED_REPAIRS: usize = 1024;
 
 /// A step of a comparison that waits for its turn.
 pub(super) enum RepairStep {
-    Sums(u8, u32, Vec<u64>),
-    Prints(u32, Vec<(u64, u64)>),
-    Want(Vec<u64>),
+    RangeDigests(u8, u32, Vec<u64>),
+    DialogueDigests(u32, Vec<(u64, u64)>),
+    RequestReplicas(Vec<u64>),
 }
 
 /// Steps of comparisons that wait, with the member that each is for.
@@ -32,7 +32,7 @@
 
     /// Adds a step; where the queue is full it is dropped, and comes again with the next comparison.
     pub(super) fn push(&mut self, member: u16, step: RepairStep) {
-        if self.steps.len() < MOST_REPAIRS {
+        if self.steps.len() < MAX_QUEUED_REPAIRS {
             self.steps.push_back((member, step));
         }
     }
@@ -48,21 +48,22 @@
 }
 
 impl Member {
-    pub(super) fn compare(&mut self) {
+    pub(super) fn start_comparisons(&mut self) {
         for member in self.plan.me + 1..self.plan.members.len() as u16 {
             if self.peers.to(member).is_some() && self.incoming[usize::from(member)].synced {
-                let (level, from, sums) = self.book.top_digests(member);
-                self.to_say.push((member, PeerMessage::RangeDigests { level, from, digests: sums }));
+                let (level, from, sums) = self.replica_table.top_digests(member);
+                self.outgoing_messages
+                    .push((member, PeerMessage::RangeDigests { level, from, digests: sums }));
             }
         }
     }
 
     pub(super) fn send_repair(&mut self, member: u16, step: RepairStep, effects: &mut dyn Effects) {
         let Some(link) = self.peers.to(member) else { return };
-        let mut copies = Vec::new();
+        let mut replicas = Vec::new();
         match step {
-            RepairStep::Sums(level, from, sums) => {
-                for differing in self.book.compare_ranges(member, level, from, &sums) {
+            RepairStep::RangeDigests(level, from, sums) => {
+                for differing in self.replica_table.compare_ranges(member, level, from, &sums) {
                     let peer = match differing {
                         RangeDifference::Subranges(level, from, sums) => {
                             PeerMessage::RangeDigests { level, from, digests: sums }
@@ -71,31 +72,34 @@
                             PeerMessage::DialogueDigests { range, fingerprints: prints }
                         }
                     };
-                    self.tell(link, Frame::PeerMessage(peer), effects);
+                    self.send_to_link(link, Frame::PeerMessage(peer), effects);
                 }
             }
-            RepairStep::Prints(range, prints) => {
-                let life = self.view.life(member);
-                let repair = self.book.compare_dialogues(self.now, member, life, range, &prints);
+            RepairStep::DialogueDigests(range, prints) => {
+                let incarnation = self.view.life(member);
+                let repair =
+                    self.replica_table.compare_dialogues(self.now, member, incarnation, range, &prints);
                 self.counts.repaired +=
                     (repair.to_send.len() + repair.to_request.len() + repair.dropped_count) as u64;
                 if !repair.to_request.is_empty() {
-                    self.tell(
+                    self.send_to_link(
                         link,
                         Frame::PeerMessage(PeerMessage::RequestReplicas { id_hashes: repair.to_request }),
                         effects,
                     );
                 }
-                copies = repair.to_send;
+                replicas = repair.to_send;
+            }
+            RepairStep::RequestReplicas(ids) => {
+                replicas = self.replica_table.requested_replicas(self.now, member, &ids)
             }
-            RepairStep::Want(ids) => copies = self.book.requested_replicas(self.now, member, &ids),
         }
-        for copies in in_frames(copies).into_iter().filter(|copies| !copies.is_empty()) {
-            self.counts.copies_sent += copies.len() as u64;
-            let life = self.lives.mine();
-            self.tell(
+        for replicas in split_into_frames(replicas).into_iter().filter(|replicas| !replicas.is_empty()) {
+            self.counts.copies_sent += replicas.len() as u64;
+            let incarnation = self.lives.mine();
+            self.send_to_link(
                 link,
-                Frame::PeerMessage(PeerMessage::Replicas { incarnation: life, first: 0, replicas: copies }),
+                Frame::PeerMessage(PeerMessage::Replicas { incarnation, first: 0, replicas }),
                 effects,
             );
         }
--- a/crates/fleet/src/member/saves.rs
+++ b/crates/fleet/src/member/saves.rs
@@ -13,15 +13,15 @@
 /// What is done once a disk write has succeeded.
 pub(super) enum AfterWrite {
     /// A message to a member that promises what was written.
-    Say { to: u16, message: PeerMessage },
+    Send { to: u16, message: PeerMessage },
     /// A member's writes are kept here, as far as that.
-    Acknowledge { to: u16, life: u64, up_to: u64, replaced: Vec<Replaced> },
+    Acknowledge { to: u16, incarnation: u64, up_to: u64, replaced: Vec<Replaced> },
     /// The vote for a peer's incarnation.
-    GrantLife { link: PeerLink, life: u64, highest: u64 },
+    GrantIncarnation { link: PeerLink, incarnation: u64, highest: u64 },
     /// An act of the duty `circuits` under a number that was new.
-    Check { from: u16, act: DutyAction, server: ServerId },
+    CheckLines { from: u16, act: DutyAction, server: ServerId },
     /// An act of the duty `publish` under a number that was new.
-    Order { from: u16, act: DutyAction, serial: u64, order: TablesOrder },
+    CarryOutTablesOrder { from: u16, act: DutyAction, serial: u64, order: TablesOrder },
 }
 
 /// Numbers of disk writes, and what waits for them.
@@ -51,16 +51,16 @@
         self.issued = self.issued.max(number);
     }
 
-    /// Counts a change that is kept in memory alone: a disk that lacks it is told by that.
+    /// MemberCounters a change that is kept in memory alone: a disk that lacks it is told by that.
     fn count_in_memory(&mut self) {
         self.issued += 1;
         self.saved = self.saved.max(self.issued);
     }
 
-    /// Has it kept on disk; gives the write's number, none where there is no disk to wait for.
+    /// Has it persisted on disk; gives the write's number, none where there is no disk to wait for.
     fn submit(&mut self, mut what: Vec<Save>, effects: &mut dyn Effects) -> Option<u64> {
         let number = self.issued + 1;
-        what.push(Save::Count(number));
+        what.push(Save::WriteCount(number));
         if !effects.save(what, number) {
             self.count_in_memory();
             return None;
@@ -96,18 +96,18 @@
 }
 
 impl Member {
-    /// Sends what came up in this turn: acknowledgements, writes, what is to be kept on disk.
+    /// Sends what came up in this turn: acknowledgements, writes, what is to be persisted on disk.
     pub fn flush(&mut self, now: Duration, effects: &mut dyn Effects) {
         self.now = now;
         self.settle_duties(effects);
         let mut after = self.owed_acknowledgements();
         self.save_changed(effects);
-        let known = std::mem::take(&mut self.known).into_iter();
-        after.extend(known.map(|(to, message)| AfterWrite::Say { to, message }));
+        let known = std::mem::take(&mut self.promised_replies).into_iter();
+        after.extend(known.map(|(to, message)| AfterWrite::Send { to, message }));
         self.do_after_last_write(after, effects);
-        for (member, peer) in std::mem::take(&mut self.to_say) {
+        for (member, peer) in std::mem::take(&mut self.outgoing_messages) {
             if let Some(link) = self.peers.to(member) {
-                self.tell(link, Frame::PeerMessage(peer), effects);
+                self.send_to_link(link, Frame::PeerMessage(peer), effects);
             }
         }
         self.send_streams(effects);
@@ -115,87 +115,92 @@
 
     /// What peers have sent and is not acknowledged yet.
     fn owed_acknowledgements(&mut self) -> Vec<AfterWrite> {
-        let mut owed = Vec::new();
+        let mut acknowledgement_due = Vec::new();
         for (place, incoming) in self.incoming.iter_mut().enumerate() {
             let replaced = std::mem::take(&mut incoming.replaced);
-            let up_to = if incoming.synced && std::mem::take(&mut incoming.owed) { incoming.have } else { 0 };
+            let up_to = if incoming.synced && std::mem::take(&mut incoming.acknowledgement_due) {
+                incoming.received_up_to
+            } else {
+                0
+            };
             if up_to > 0 || !replaced.is_empty() {
-                owed.push(AfterWrite::Acknowledge { to: place as u16, life: incoming.life, up_to, replaced });
+                acknowledgement_due.push(AfterWrite::Acknowledge {
+                    to: place as u16,
+                    incarnation: incoming.incarnation,
+                    up_to,
+                    replaced,
+                });
             }
         }
-        owed
+        acknowledgement_due
     }
 
-    /// Has the copies that changed in this turn kept on disk.
+    /// Has the replicas that changed in this turn persisted on disk.
     fn save_changed(&mut self, effects: &mut dyn Effects) {
-        let changed = std::mem::take(&mut self.changed);
+        let changed = std::mem::take(&mut self.changed_dialogues);
         if changed.is_empty() {
             return;
         }
         if !effects.has_disk() {
-            return self.writes.count_in_memory();
+            return self.disk_writes.count_in_memory();
         }
         let now = self.now;
-        let copies = changed.into_iter().map(|id| {
-            let copy = self.book.get(&id).map(|copy| encode_replica(&copy.to_update(now, &id)));
-            Save::Copy(id, copy)
+        let replicas = changed.into_iter().map(|id| {
+            let replica =
+                self.replica_table.get(&id).map(|replica| encode_replica(&replica.to_update(now, &id)));
+            Save::Replica(id, replica)
         });
-        let copies: Vec<Save> = copies.collect();
-        self.order(copies, effects);
+        let replicas: Vec<Save> = replicas.collect();
+        self.submit_disk_write(replicas, effects);
     }
 
     /// An acknowledgement says that it is kept: on disk, where there is one, and with all that came before it.
     fn do_after_last_write(&mut self, after: Vec<AfterWrite>, effects: &mut dyn Effects) {
-        match self.writes.last_pending() {
-            Some(number) => self.writes.wait_for(number, after),
-            None => after.into_iter().for_each(|after| self.is_saved(after, effects)),
+        match self.disk_writes.last_pending() {
+            Some(number) => self.disk_writes.wait_for(number, after),
+            None => after.into_iter().for_each(|after| self.run_after_write(after, effects)),
         }
     }
 
-    /// Has it kept on disk; gives the write's number, none where there is no disk to wait for.
-    pub(super) fn order(&mut self, what: Vec<Save>, effects: &mut dyn Effects) -> Option<u64> {
-        self.writes.submit(what, effects)
+    /// Has it persisted on disk; gives the write's number, none where there is no disk to wait for.
+    pub(super) fn submit_disk_write(&mut self, what: Vec<Save>, effects: &mut dyn Effects) -> Option<u64> {
+        self.disk_writes.submit(what, effects)
     }
 
     /// What [`Effects::save`] was given this number for is on disk; or it failed, and nothing more is kept there.
-    pub fn saved(&mut self, now: Duration, number: u64, well: bool, effects: &mut dyn Effects) {
+    pub fn disk_write_done(&mut self, now: Duration, number: u64, well: bool, effects: &mut dyn Effects) {
         self.now = now;
-        let waited = self.writes.report(number, well);
+        let waited = self.disk_writes.report(number, well);
         self.duties.iter_mut().for_each(|duties| duties.saved(now, number, well));
         // Not kept: not acknowledged. The owner goes by whoever else has it.
         for after in waited.into_iter().filter(|_| well) {
-            self.is_saved(after, effects);
+            self.run_after_write(after, effects);
         }
     }
 
-    fn is_saved(&mut self, after: AfterWrite, effects: &mut dyn Effects) {
+    fn run_after_write(&mut self, after: AfterWrite, effects: &mut dyn Effects) {
         match after {
-            AfterWrite::Say { to, message } => {
+            AfterWrite::Send { to, message } => {
                 if let Some(link) = self.peers.to(to) {
-                    self.tell(link, Frame::PeerMessage(message), effects);
+                    self.send_to_link(link, Frame::PeerMessage(message), effects);
                 }
             }
-            AfterWrite::Acknowledge { to, life, up_to, replaced } => {
+            AfterWrite::Acknowledge { to, incarnation, up_to, replaced } => {
                 if let Some(link) = self.peers.to(to) {
-                    let saved = self.writes.saved();
-                    self.tell(
+                    let saved = self.disk_writes.saved();
+                    self.send_to_link(
                         link,
-                        Frame::PeerMessage(PeerMessage::Acknowledge {
-                            incarnation: life,
-                            up_to,
-                            saved,
-                            replaced,
-                        }),
+                        Frame::PeerMessage(PeerMessage::Acknowledge { incarnation, up_to, saved, replaced }),
                         effects,
                     );
                 }
             }
-            AfterWrite::GrantLife { link, life, highest } => {
+            AfterWrite::GrantIncarnation { link, incarnation, highest } => {
                 if self.peers.links.contains_key(&link) {
-                    self.tell(
+                    self.send_to_link(
                         link,
                         Frame::PeerMessage(PeerMessage::IncarnationReply {
-                            incarnation: life,
+                            incarnation,
                             granted: true,
                             highest,
                         }),
@@ -203,9 +208,9 @@
                     );
                 }
             }
-            AfterWrite::Check { from, act, server } => self.check(from, &act, &server, effects),
-            AfterWrite::Order { from, act, serial, order } => {
-                self.ordered(from, &act, serial, order, effects)
+            AfterWrite::CheckLines { from, act, server } => self.check_lines(from, &act, &server, effects),
+            AfterWrite::CarryOutTablesOrder { from, act, serial, order } => {
+                self.tables_order_received(from, &act, serial, order, effects)
             }
         }
     }
--- a/crates/fleet/src/member/search.rs
+++ b/crates/fleet/src/member/search.rs
@@ -8,13 +8,13 @@
 use lotussaddle_trunk::{AuditMessage, Frame, Owner, PeerMessage, Progress, ReplicaUpdate};
 
 use super::Member;
-use super::interface::Finding;
+use super::interface::MemberEvent;
 use crate::membership_view::MembershipView;
 use crate::peers::Peers;
 use crate::redial::{Begin, RedialAction, Verdict};
 
-/// Questions answered in one turn, at most; whoever gets no answer is not sure.
-pub(super) const MOST_KNOWN: usize = 30_000;
+/// Questions answered in one iteration (upper bound); whoever gets no answer is not sure.
+pub(super) const MAX_REPLIES_PER_ITERATION: usize = 30_000;
 
 /// Whether what is said to a member now reaches it, as far as is known: there is a link, and it is heard.
 pub(super) fn is_reached(peers: &Peers, view: &MembershipView, now: Duration, member: u16) -> bool {
@@ -22,14 +22,14 @@
 }
 
 impl Member {
-    /// A dialogue is dialled that was dialled before: what is known of it? Told by [`Finding::Found`].
-    pub fn seek(&mut self, now: Duration, id: &DialogueId, cut_off: Duration) {
+    /// Looks up a dialogue that its caller redials. The result is reported by [`MemberEvent::RedialResolved`].
+    pub fn look_up_dialogue(&mut self, now: Duration, id: &DialogueId, cut_off: Duration) {
         self.now = now;
         self.counts.asks += 1;
         let come_back = self.plan.silence;
         if self.lives.mine() == 0 || self.redials.len() + self.confirmations.len() >= self.plan.asks {
             self.counts.asks_refused += 1;
-            return self.findings.push(Finding::Found(id.clone(), Verdict::Unsure { come_back }));
+            return self.events.push(MemberEvent::RedialResolved(id.clone(), Verdict::Unsure { come_back }));
         }
         self.confirmations.remove(id);
         if let Some((server, launch)) = self.takeovers.claim(id) {
@@ -37,7 +37,8 @@
         }
         // What this member owns nobody else has gone on with, or its writes will be refused. What stood is asked for all the same:
         // it is not held here any more.
-        let own = self.book.get(id).filter(|_| self.book.owns_dialogue(id)).map(Replica::reading);
+        let own =
+            self.replica_table.get(id).filter(|_| self.replica_table.owns_dialogue(id)).map(Replica::reading);
         let verdict = match own {
             Some(ReplicaReading::Answered(answer)) => Some(Verdict::Answered(answer.clone())),
             Some(ReplicaReading::Ended) => Some(Verdict::Concluded),
@@ -56,14 +57,14 @@
         }
         self.takeovers.drop_of(id);
         let print = fingerprint(id);
-        let candidates: Vec<u16> = self.book.group().candidates(print).iter().collect();
-        let known = self.book.get(id).cloned().unwrap_or_default();
+        let candidates: Vec<u16> = self.replica_table.group().candidates(print).iter().collect();
+        let known = self.replica_table.get(id).cloned().unwrap_or_default();
         let round = known.owner().map_or(0, |owner| owner.round) + 1;
         let owner = Owner { round, member: self.plan.me, incarnation: self.lives.mine() };
         let mut knows = candidates.contains(&self.plan.me) && self.caught_up();
         if candidates.contains(&self.plan.me) {
-            self.book.claim_requested(now, id, owner);
-            knows &= self.book.has_claim(id, owner);
+            self.replica_table.claim_requested(now, id, owner);
+            knows &= self.replica_table.has_claim(id, owner);
         }
         let (peers, view) = (&self.peers, &self.view);
         let reached = |member: u16| is_reached(peers, view, now, member);
@@ -72,8 +73,8 @@
         self.do_redial_actions(actions);
     }
 
-    /// Its caller wants no more of what is sought.
-    pub fn sought_no_more(&mut self, id: &DialogueId) {
+    /// Cancels a look-up that its caller no longer waits for.
+    pub fn cancel_look_up(&mut self, id: &DialogueId) {
         self.redials.drop_of(id);
     }
 
@@ -81,68 +82,71 @@
         for action in actions {
             match action {
                 RedialAction::Ask { to, serial, dialogue, owner } => {
-                    self.to_say.push((to, PeerMessage::Ask { serial, dialogue, owner }));
+                    self.outgoing_messages.push((to, PeerMessage::Ask { serial, dialogue, owner }));
                 }
                 RedialAction::Claim { dialogue, owner, found } => {
-                    self.book.claim(self.now, &dialogue, owner, &found);
-                    self.write(&dialogue, Progress::Accepted, Duration::ZERO, None, self.now, 0);
+                    self.replica_table.claim(self.now, &dialogue, owner, &found);
+                    self.write_step(&dialogue, Progress::Accepted, Duration::ZERO, None, self.now, 0);
                 }
                 RedialAction::Adopt { server, dialogue, owner } => {
                     self.takeovers.let_go(self.now, &server); // The answer may be lost.
                     let frame = Frame::AuditMessage(AuditMessage::Adopt { dialogue, owner, action: None });
-                    self.findings.push(Finding::ToCore(server, frame));
+                    self.events.push(MemberEvent::SendToCore(server, frame));
                 }
                 RedialAction::Say(id, verdict) => self.confirm(id, verdict),
             }
         }
     }
 
-    pub(super) fn asked(&mut self, member: u16, serial: u64, id: DialogueId, owner: Owner) {
+    pub(super) fn ask_received(&mut self, member: u16, serial: u64, id: DialogueId, owner: Owner) {
         if owner.member != member || owner.incarnation != self.view.life(member) {
-            return; // Of another life, or in another's name.
+            return; // Of another incarnation, or in another's name.
         }
         let actions = self.redials.beaten(&id, owner);
         self.do_redial_actions(actions);
-        if self.book.owns_dialogue(&id) && self.book.get(&id).and_then(Replica::owner) < Some(owner) {
+        if self.replica_table.owns_dialogue(&id)
+            && self.replica_table.get(&id).and_then(Replica::owner) < Some(owner)
+        {
             // What is out is called off first, so that the answer says how long it is in doubt.
-            let waits = self.lets.entry(id.clone()).or_default();
+            let waits = self.ownership_requests.entry(id.clone()).or_default();
             waits.push((member, serial, owner));
             self.confirmations.remove(&id);
-            self.goes(&id);
-            return self.findings.push(Finding::LetGo(id));
+            self.watch_lines_of_lost_dialogue(&id);
+            return self.events.push(MemberEvent::GiveUpDialogue(id));
         }
-        self.answer_asked(member, serial, &id, owner);
+        self.answer_ask(member, serial, &id, owner);
     }
 
-    pub(super) fn answer_asked(&mut self, member: u16, serial: u64, id: &DialogueId, owner: Owner) {
-        let (higher, copy) = self.book.claim_requested(self.now, id, owner);
-        let sure = higher.is_none() && self.caught_up() && self.book.has_claim(id, owner);
-        self.changed.insert(id.clone());
+    pub(super) fn answer_ask(&mut self, member: u16, serial: u64, id: &DialogueId, owner: Owner) {
+        let (higher, replica) = self.replica_table.claim_requested(self.now, id, owner);
+        let sure = higher.is_none() && self.caught_up() && self.replica_table.has_claim(id, owner);
+        self.changed_dialogues.insert(id.clone());
         // A promise that a kill undoes is none: it is kept before it is said.
-        if self.known.len() < MOST_KNOWN {
-            self.known.push((
-                member,
-                PeerMessage::AskReply { serial, is_authoritative: sure, higher, replica: copy },
-            ));
+        if self.promised_replies.len() < MAX_REPLIES_PER_ITERATION {
+            self.promised_replies
+                .push((member, PeerMessage::AskReply { serial, is_authoritative: sure, higher, replica }));
         }
     }
 
-    pub(super) fn told(
-        &mut self, from: u16, serial: u64, sure: bool, higher: Option<Owner>, copy: Option<&ReplicaUpdate>,
+    pub(super) fn ask_reply_received(
+        &mut self, from: u16, serial: u64, sure: bool, higher: Option<Owner>, replica: Option<&ReplicaUpdate>,
     ) {
         let Some((id, owner)) = self.redials.of(serial) else { return };
         let id = id.clone();
-        let copy = copy.filter(|copy| copy.dialogue == id).map(|copy| Replica::from_update(self.now, copy));
-        let candidate = self.book.group().candidates(fingerprint(&id)).contains(self.plan.me);
+        let replica = replica
+            .filter(|replica| replica.dialogue == id)
+            .map(|replica| Replica::from_update(self.now, replica));
+        let candidate = self.replica_table.group().candidates(fingerprint(&id)).contains(self.plan.me);
         let knows = candidate && self.caught_up();
         if let (true, Some(higher)) = (candidate, higher) {
             // This member promises itself the higher claim that it is about to make.
             let owner = Owner { round: owner.round.max(higher.round + 1), ..owner };
-            self.book.claim_requested(self.now, &id, owner);
+            self.replica_table.claim_requested(self.now, &id, owner);
         }
         let (peers, view, now) = (&self.peers, &self.view, self.now);
         let reached = |member: u16| is_reached(peers, view, now, member);
-        let actions = self.redials.answered(now, serial, from, sure, higher, copy.as_ref(), &reached, knows);
+        let actions =
+            self.redials.answered(now, serial, from, sure, higher, replica.as_ref(), &reached, knows);
         self.do_redial_actions(actions);
     }
 }
--- a/crates/fleet/src/member/streams.rs
+++ b/crates/fleet/src/member/streams.rs
@@ -1,156 +1,162 @@
-//! Replication streams: copies sent and received in order, and the snapshots that precede a stream.
+//! Replication streams: replicas sent and received in order, and the snapshots that precede a stream.
 
 use lotussaddle::interface::DialogueId;
 use lotussaddle_replica::{MergeResult, Replica};
 use lotussaddle_trunk::{Cursor, Frame, PeerMessage, Replaced, ReplicaUpdate};
 
 use super::Member;
-use super::batches::in_frames;
-use super::interface::{Effects, Finding};
+use super::batches::split_into_frames;
+use super::interface::{Effects, MemberEvent};
 
-/// Copies sent to one member in one turn, at most.
-const A_TURN: usize = 512;
+/// Replicas sent to one member in one iteration (upper bound).
+const MAX_UPDATES_PER_ITERATION: usize = 512;
 
-/// What is had of a peer's stream.
+/// Position in the stream received from a peer.
 #[derive(Default)]
 pub(super) struct Incoming {
-    pub(super) life: u64,
-    pub(super) have: u64,
+    pub(super) incarnation: u64,
+    pub(super) received_up_to: u64,
     /// Where its snapshot stands, while one comes.
     pub(super) snapshot: Option<Cursor>,
-    /// All that it knew, and this member is to know, was had once in this life.
+    /// All that it knew, and this member is to know, was had once in this incarnation.
     pub(super) synced: bool,
     /// An acknowledgement is owed; none is given before the snapshot is whole, since what it leads up to was not had before.
-    pub(super) owed: bool,
+    pub(super) acknowledgement_due: bool,
     pub(super) replaced: Vec<Replaced>,
 }
 
 impl Member {
     /// Says what is had of a peer's stream, and asks for a snapshot where all before it is not had.
-    pub(super) fn resume(&mut self, member: u16, effects: &mut dyn Effects) {
-        let life = self.view.life(member);
-        let Some(link) = self.peers.to(member).filter(|_| life > 0 && self.lives.mine() > 0) else { return };
+    pub(super) fn send_resume(&mut self, member: u16, effects: &mut dyn Effects) {
+        let incarnation = self.view.life(member);
+        let Some(link) = self.peers.to(member).filter(|_| incarnation > 0 && self.lives.mine() > 0) else {
+            return;
+        };
         let incoming = &mut self.incoming[usize::from(member)];
-        if incoming.life != life {
-            (incoming.life, incoming.have, incoming.snapshot, incoming.owed) = (life, 0, None, false);
+        if incoming.incarnation != incarnation {
+            (
+                incoming.incarnation,
+                incoming.received_up_to,
+                incoming.snapshot,
+                incoming.acknowledgement_due,
+            ) = (incarnation, 0, None, false);
         }
         // What it has, its disk may not have had yet: it is acknowledged behind that.
-        incoming.owed |= incoming.synced;
+        incoming.acknowledgement_due |= incoming.synced;
         let snapshot = (!incoming.synced).then(|| incoming.snapshot.unwrap_or(Cursor { at: 0, from: 0 }));
-        let resume = PeerMessage::Resume { incarnation: life, received_up_to: incoming.have, snapshot };
-        self.tell(link, Frame::PeerMessage(resume), effects);
+        let resume = PeerMessage::Resume { incarnation, received_up_to: incoming.received_up_to, snapshot };
+        self.send_to_link(link, Frame::PeerMessage(resume), effects);
     }
 
     /// A peer says what it has of the stream to it.
-    pub(super) fn resume_asked(&mut self, member: u16, have: u64, snapshot: Option<Cursor>) {
+    pub(super) fn resume_received(&mut self, member: u16, received_up_to: u64, snapshot: Option<Cursor>) {
         let place = usize::from(member);
-        let first = !std::mem::replace(&mut self.resumed[place], true);
+        let first = !std::mem::replace(&mut self.peer_resumed[place], true);
         let begins = snapshot == Some(Cursor { at: 0, from: 0 });
         if begins {
-            let cursor = self.book.cursor(member);
-            self.book.stream(member).resume(cursor.at);
-            self.wants_pieces.push_back((member, cursor));
-        } else if first && !self.book.stream(member).resume(have) {
+            let cursor = self.replica_table.cursor(member);
+            self.replica_table.stream(member).resume(cursor.at);
+            self.snapshot_requests.push_back((member, cursor));
+        } else if first && !self.replica_table.stream(member).resume(received_up_to) {
             // The tail behind it is not kept any more: all anew.
-            let cursor = self.book.cursor(member);
-            self.wants_pieces.push_back((member, cursor));
+            let cursor = self.replica_table.cursor(member);
+            self.snapshot_requests.push_back((member, cursor));
         } else if let Some(cursor) = snapshot {
-            self.wants_pieces.push_back((member, cursor));
+            self.snapshot_requests.push_back((member, cursor));
         }
     }
 
-    pub(super) fn piece_came(
-        &mut self, member: u16, cursor: Cursor, next: Option<u64>, copies: &[ReplicaUpdate],
+    pub(super) fn snapshot_chunk_received(
+        &mut self, member: u16, cursor: Cursor, next: Option<u64>, replicas: &[ReplicaUpdate],
         effects: &mut dyn Effects,
     ) {
-        let news = self.book.merge_received(self.now, copies);
+        let news = self.replica_table.merge_received(self.now, replicas);
         self.counts.pieces += 1;
-        self.news(news, effects);
+        self.apply_merge_result(news, effects);
         let incoming = &mut self.incoming[usize::from(member)];
-        incoming.have = incoming.have.max(cursor.at);
+        incoming.received_up_to = incoming.received_up_to.max(cursor.at);
         incoming.synced = next.is_none();
-        incoming.owed |= incoming.synced;
+        incoming.acknowledgement_due |= incoming.synced;
         incoming.snapshot = next.map(|from| Cursor { at: cursor.at, from });
         if next.is_some() {
-            self.resume(member, effects);
+            self.send_resume(member, effects);
         } else {
             effects.log(&format!("caught up with member {}", self.name(member)));
-            self.compare_at = self.now;
+            self.next_comparison_at = self.now;
         }
     }
 
-    pub(super) fn copies_came(
-        &mut self, member: u16, life: u64, first: u64, copies: &[ReplicaUpdate], effects: &mut dyn Effects,
+    pub(super) fn replicas_received(
+        &mut self, member: u16, incarnation: u64, first: u64, replicas: &[ReplicaUpdate],
+        effects: &mut dyn Effects,
     ) {
-        let news = self.book.merge_received(self.now, copies);
-        let replaced = self.news(news, effects);
+        let news = self.replica_table.merge_received(self.now, replicas);
+        let replaced = self.apply_merge_result(news, effects);
         let incoming = &mut self.incoming[usize::from(member)];
-        if first == 0 || life != incoming.life {
-            if !replaced.is_empty() && life == incoming.life {
+        if first == 0 || incarnation != incoming.incarnation {
+            if !replaced.is_empty() && incarnation == incoming.incarnation {
                 incoming.replaced.extend(replaced);
             }
             return;
         }
         incoming.replaced.extend(replaced);
         // Behind a snapshot that has begun the stream goes on at a number that is told with its first piece.
-        if incoming.synced && first > incoming.have + 1 {
+        if incoming.synced && first > incoming.received_up_to + 1 {
             // Some are missing: it is told again what is had.
-            self.resumed[usize::from(member)] = false;
-            return self.resume(member, effects);
+            self.peer_resumed[usize::from(member)] = false;
+            return self.send_resume(member, effects);
         }
-        incoming.have = incoming.have.max(first + copies.len() as u64 - 1);
-        incoming.owed = true;
+        incoming.received_up_to = incoming.received_up_to.max(first + replicas.len() as u64 - 1);
+        incoming.acknowledgement_due = true;
     }
 
-    /// What came of copies: those that were refused are given back.
-    fn news(&mut self, news: MergeResult, effects: &mut dyn Effects) -> Vec<Replaced> {
+    /// What came of replicas: those that were refused are given back.
+    fn apply_merge_result(&mut self, news: MergeResult, effects: &mut dyn Effects) -> Vec<Replaced> {
         self.counts.copies_taken += news.changed.len() as u64;
         self.counts.copies_refused += news.rejected_count as u64;
         for id in &news.answer_conflicts {
             self.counts.differ += 1;
-            let answers = self.book.get(id).map(Replica::answers).unwrap_or_default();
+            let answers = self.replica_table.get(id).map(Replica::answers).unwrap_or_default();
             effects.log(&format!("dialogue {} has two different answers: {answers:?}", id.0));
         }
         for (id, _) in news.ownership_lost {
             self.counts.replaced += 1;
-            self.goes(&id);
+            self.watch_lines_of_lost_dialogue(&id);
             self.takeovers.drop_of(&id);
-            self.findings.push(Finding::Replaced(id));
+            self.events.push(MemberEvent::OwnershipLost(id));
         }
         if self.takeovers.any_ended() {
             let left = |id: &DialogueId| {
-                self.book.get(id).and_then(Replica::owner).is_some_and(|o| self.takeovers.is_ended(o))
+                self.replica_table
+                    .get(id)
+                    .and_then(Replica::owner)
+                    .is_some_and(|o| self.takeovers.is_ended(o))
             };
             let look = news.changed.iter().any(left);
             self.takeovers.look_again |= look;
         }
-        self.changed.extend(news.changed);
+        self.changed_dialogues.extend(news.changed);
         news.replaced
     }
 
-    pub(super) fn send_piece(&mut self, member: u16, cursor: Cursor, effects: &mut dyn Effects) {
+    pub(super) fn send_snapshot_chunk(&mut self, member: u16, cursor: Cursor, effects: &mut dyn Effects) {
         let Some(link) = self.peers.to(member) else { return };
-        let (copies, next) = self.book.snapshot_chunk(self.now, member, cursor.from);
-        let life = self.lives.mine();
-        let mut frames = in_frames(copies);
+        let (replicas, next) = self.replica_table.snapshot_chunk(self.now, member, cursor.from);
+        let incarnation = self.lives.mine();
+        let mut frames = split_into_frames(replicas);
         let last = frames.pop().unwrap_or_default();
-        for copies in frames {
-            self.counts.copies_sent += copies.len() as u64;
-            self.tell(
+        for replicas in frames {
+            self.counts.copies_sent += replicas.len() as u64;
+            self.send_to_link(
                 link,
-                Frame::PeerMessage(PeerMessage::Replicas { incarnation: life, first: 0, replicas: copies }),
+                Frame::PeerMessage(PeerMessage::Replicas { incarnation, first: 0, replicas }),
                 effects,
             );
         }
         self.counts.copies_sent += last.len() as u64;
-        self.tell(
+        self.send_to_link(
             link,
-            Frame::PeerMessage(PeerMessage::SnapshotChunk {
-                incarnation: life,
-                cursor,
-                next,
-                replicas: last,
-            }),
+            Frame::PeerMessage(PeerMessage::SnapshotChunk { incarnation, cursor, next, replicas: last }),
             effects,
         );
     }
@@ -161,7 +167,7 @@
             return;
         }
         for member in 0..self.plan.members.len() as u16 {
-            if self.resumed[usize::from(member)] && self.book.stream(member).has_unsent() {
+            if self.peer_resumed[usize::from(member)] && self.replica_table.stream(member).has_unsent() {
                 self.send_stream(member, effects);
             }
         }
@@ -169,17 +175,21 @@
 
     fn send_stream(&mut self, member: u16, effects: &mut dyn Effects) {
         let Some(link) = self.peers.to(member) else { return };
-        if self.book.stream(member).is_overrun() {
+        if self.replica_table.stream(member).is_overrun() {
             return self.close(link, "too far behind: it begins anew with a snapshot", effects);
         }
-        let Some((mut first, copies)) = self.book.next_updates(self.now, member, A_TURN) else { return };
-        let life = self.lives.mine();
-        for copies in in_frames(copies) {
-            let count = copies.len() as u64;
+        let Some((mut first, replicas)) =
+            self.replica_table.next_updates(self.now, member, MAX_UPDATES_PER_ITERATION)
+        else {
+            return;
+        };
+        let incarnation = self.lives.mine();
+        for replicas in split_into_frames(replicas) {
+            let count = replicas.len() as u64;
             self.counts.copies_sent += count;
-            if !self.tell(
+            if !self.send_to_link(
                 link,
-                Frame::PeerMessage(PeerMessage::Replicas { incarnation: life, first, replicas: copies }),
+                Frame::PeerMessage(PeerMessage::Replicas { incarnation, first, replicas }),
                 effects,
             ) {
                 return;
@@ -189,11 +199,11 @@
     }
 
     /// Whether there is more to be sent than one turn takes.
-    pub fn is_behind(&mut self) -> bool {
+    pub fn has_unsent_updates(&mut self) -> bool {
         (0..self.plan.members.len() as u16).any(|member| {
-            self.resumed[usize::from(member)]
+            self.peer_resumed[usize::from(member)]
                 && self.peers.to(member).is_some()
-                && self.book.stream(member).has_unsent()
+                && self.replica_table.stream(member).has_unsent()
         })
     }
 }
--- a/crates/fleet/src/member/table_orders.rs
+++ b/crates/fleet/src/member/table_orders.rs
@@ -7,12 +7,12 @@
 use lotussaddle_trunk::{DutyAction, PeerMessage, TablesOrder};
 
 use super::Member;
-use super::interface::{Effects, Finding};
+use super::interface::{Effects, MemberEvent};
 use super::saves::AfterWrite;
 use crate::duties::PUBLISH;
 
-/// Orders about number tables carried out at once, and remembered, at most; one beyond it comes again.
-const MOST_ORDERS: usize = 64;
+/// Orders about number tables carried out at once, and remembered (upper bound); one beyond it comes again.
+const MAX_TABLES_ORDERS: usize = 64;
 
 /// An order that is being carried out.
 struct RunningOrder {
@@ -46,7 +46,7 @@
     fn begin(&mut self, serial: u64, from: u16) -> bool {
         let first = !self.running.iter().any(|order| order.serial == serial);
         self.running.retain(|order| order.serial != serial);
-        let room = self.running.len() < MOST_ORDERS;
+        let room = self.running.len() < MAX_TABLES_ORDERS;
         if room {
             self.running.push(RunningOrder { serial, from });
         }
@@ -57,7 +57,7 @@
     fn end(&mut self, serial: u64, error: Option<Arc<str>>) -> Option<u16> {
         let place = self.running.iter().position(|order| order.serial == serial)?;
         let order = self.running.remove(place);
-        if self.finished.len() >= MOST_ORDERS {
+        if self.finished.len() >= MAX_TABLES_ORDERS {
             self.finished.pop_front();
         }
         self.finished.push_back(FinishedOrder { serial, error });
@@ -67,32 +67,32 @@
 
 impl Member {
     /// An order about number tables came from whoever holds `publish`, perhaps this member. It is carried out once.
-    pub(super) fn ordered(
+    pub(super) fn tables_order_received(
         &mut self, from: u16, act: &DutyAction, serial: u64, order: TablesOrder, effects: &mut dyn Effects,
     ) {
-        let again = || AfterWrite::Order { from, act: *act, serial, order: order.clone() };
-        if !self.may(from, act, again, effects) {
+        let again = || AfterWrite::CarryOutTablesOrder { from, act: *act, serial, order: order.clone() };
+        if !self.admits_duty_action(from, act, again, effects) {
             return;
         }
         if self.table_orders.is_done(serial) {
             return self.answer_order(from, serial, None);
         }
         if self.table_orders.begin(serial, from) {
-            self.findings.push(Finding::Tables(serial, order));
+            self.events.push(MemberEvent::CarryOutTablesOrder(serial, order));
         }
     }
 
     fn answer_order(&mut self, to: u16, serial: u64, why: Option<Arc<str>>) {
-        let (now, life) = (self.now, self.lives.mine());
+        let (now, incarnation) = (self.now, self.lives.mine());
         if to != self.plan.me {
-            self.to_say.push((to, PeerMessage::Published { serial, why }));
+            self.outgoing_messages.push((to, PeerMessage::Published { serial, why }));
         } else if let Some(duties) = &mut self.duties {
-            duties.published(now, to, life, serial, why.as_deref());
+            duties.published(now, to, incarnation, serial, why.as_deref());
         }
     }
 
-    /// What came of an order about number tables, a [`Finding::Tables`] among others.
-    pub fn tabled(&mut self, now: Duration, serial: u64, why: Option<&str>) {
+    /// What came of an order about number tables, a [`MemberEvent::CarryOutTablesOrder`] among others.
+    pub fn tables_order_done(&mut self, now: Duration, serial: u64, why: Option<&str>) {
         self.now = now;
         let error: Option<Arc<str>> = why.map(Arc::from);
         if let Some(from) = self.table_orders.end(serial, error.clone()) {
@@ -108,7 +108,7 @@
             Some(holder) if holder == self.plan.me => duties.want(now, name),
             Some(holder) => {
                 let there = self.peers.to(holder).is_some();
-                self.to_say.push((holder, PeerMessage::PublishRequest { name: name.into() }));
+                self.outgoing_messages.push((holder, PeerMessage::PublishRequest { name: name.into() }));
                 there
             }
             None => false,
--- a/crates/fleet/src/member/timers.rs
+++ b/crates/fleet/src/member/timers.rs
@@ -13,98 +13,98 @@
 use crate::takeovers::TakeoverAction;
 
 /// A link that says nothing of use for so long is closed.
-const GREET_WITHIN: Duration = Duration::from_secs(2);
+const GREETING_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Hashed with a member's name to rank its successors; all members must have the same bytes.
 const SUCCESSOR_SEED: &[u8] = b"estate";
 
 impl Member {
-    /// When `alarm` is to be called next.
+    /// When `timer_fired` is to be called next.
     pub fn next_due(&self) -> Duration {
         let dues = [
             self.peers.next_due(),
-            self.lives.next_due().map(|at| at.max(self.retired_until)),
+            self.lives.next_due().map(|at| at.max(self.incarnation_requests_blocked_until)),
             self.redials.next_due(),
             self.confirmations.next_due(),
             self.takeovers.next_due(),
             self.duties.as_ref().map(Duties::next_due),
             self.chores.due(false),
-            Some(self.look_at),
-            Some(self.compare_at),
+            Some(self.next_check_at),
+            Some(self.next_comparison_at),
         ];
         dues.into_iter().flatten().fold(self.view.next_due(), Duration::min)
     }
 
-    /// The time given by `next_due` has come.
-    pub fn alarm(&mut self, now: Duration, effects: &mut dyn Effects) {
+    /// Does the work that is due at the time given by `next_due`.
+    pub fn timer_fired(&mut self, now: Duration, effects: &mut dyn Effects) {
         self.now = now;
         for member in self.peers.to_begin(now) {
             let link = effects.connect(member);
             self.peers.begun(now, member, link);
         }
-        self.ask_for_life(effects);
+        self.propose_incarnation(effects);
         if let Some(duties) = self.duties.as_mut().filter(|duties| duties.next_due() <= now) {
-            duties.alarm(now, &self.cores);
+            duties.alarm(now, &self.connected_cores);
         }
         let actions = self.redials.alarm(now);
         self.do_redial_actions(actions);
-        self.unconfirmed();
+        self.resolve_overdue_confirmations();
         let actions = self.takeovers.alarm(now);
         self.do_takeover_actions(actions);
         if self.view.next_due() <= now {
             self.send_membership(effects);
         }
-        if self.look_at <= now {
-            self.look_at = now + self.plan.silence / 2;
-            self.look_round(effects);
+        if self.next_check_at <= now {
+            self.next_check_at = now + self.plan.silence / 2;
+            self.check_members_and_links(effects);
         }
-        if self.compare_at <= now {
-            self.compare_at = now + self.plan.compare_every;
-            self.compare();
+        if self.next_comparison_at <= now {
+            self.next_comparison_at = now + self.plan.compare_every;
+            self.start_comparisons();
         }
-        self.want_chores();
+        self.request_background_tasks();
     }
 
     fn send_membership(&mut self, effects: &mut dyn Effects) {
         self.view.set_self(self.now, self.lives.mine(), self.caught_up());
         for MembershipMessage { to, is_heartbeat, bytes } in self.view.tick(self.now) {
             let Some(link) = self.peers.to(to) else { continue };
-            self.tell(link, Frame::PeerMessage(PeerMessage::Membership { message: bytes }), effects);
+            self.send_to_link(link, Frame::PeerMessage(PeerMessage::Membership { message: bytes }), effects);
             if is_heartbeat {
-                self.tell_disk_count(link, effects);
+                self.send_disk_count(link, effects);
             }
         }
     }
 
     /// Tells a neighbour how many writes the disk has had, where that is news to it.
-    fn tell_disk_count(&mut self, link: PeerLink, effects: &mut dyn Effects) {
-        let saved = self.writes.saved();
+    fn send_disk_count(&mut self, link: PeerLink, effects: &mut dyn Effects) {
+        let saved = self.disk_writes.saved();
         let Some(known) = self.peers.links.get_mut(&link) else { return };
         if known.told_saved.replace(saved) != Some(saved) {
-            self.tell(link, Frame::PeerMessage(PeerMessage::DiskCount { saved }), effects);
+            self.send_to_link(link, Frame::PeerMessage(PeerMessage::DiskCount { saved }), effects);
         }
     }
 
-    /// Who is gone, which links are dead, what is left behind.
-    fn look_round(&mut self, effects: &mut dyn Effects) {
+    /// Checks which members are gone, which links are dead and which dialogues are orphaned.
+    fn check_members_and_links(&mut self, effects: &mut dyn Effects) {
         let now = self.now;
         for member in 0..self.plan.members.len() as u16 {
             let gone = self.view.gone(member);
-            if gone && !self.was_gone.has(member) {
-                self.was_gone.set(member);
+            if gone && !self.members_seen_gone.has(member) {
+                self.members_seen_gone.set(member);
                 effects.log(&format!("member {} is not heard by a majority", self.name(member)));
                 self.takeovers.ended(now, member, self.view.life(member));
-            } else if !gone && self.was_gone.has(member) {
-                self.was_gone.unset(member);
+            } else if !gone && self.members_seen_gone.has(member) {
+                self.members_seen_gone.unset(member);
                 effects.log(&format!("member {} is heard again", self.name(member)));
-                let life = self.view.life(member);
-                self.takeovers.returned(member, life);
-                self.takeovers.ended(now, member, life.saturating_sub(1));
+                let incarnation = self.view.life(member);
+                self.takeovers.returned(member, incarnation);
+                self.takeovers.ended(now, member, incarnation.saturating_sub(1));
             }
         }
         self.review_links(effects);
         let slow = self.peers.links.iter().filter(|(_, known)| {
-            let wait = if known.way == Way::Operator { GREET_WITHIN * 15 } else { GREET_WITHIN };
+            let wait = if known.way == Way::Operator { GREETING_TIMEOUT * 15 } else { GREETING_TIMEOUT };
             known.way != Way::Here && now >= known.since + wait
         });
         for link in slow.map(|(link, _)| *link).collect::<Vec<_>>() {
@@ -112,7 +112,7 @@
         }
         if self.lives.mine() > 0 {
             let live = |member: u16| !self.view.gone(member);
-            let (group, plan, me) = (self.book.group(), &self.plan, self.plan.me);
+            let (group, plan, me) = (self.replica_table.group(), &self.plan, self.plan.me);
             let is_successor_of = |member: u16| {
                 let print = digest(&[SUCCESSOR_SEED, plan.members[usize::from(member)].as_bytes()]);
                 group.ranked_members(print).into_iter().find(|member| live(*member)) == Some(me)
@@ -122,7 +122,7 @@
                 // Where there are duties one member sweeps for all; else each ended incarnation has its own successor.
                 let sweeps = self.duties.as_ref().map(|duties| duties.act(now, SWEEP).is_some());
                 let is_successor_of = |member: u16| sweeps.unwrap_or_else(|| is_successor_of(member));
-                let actions = self.takeovers.sweep(now, is_successor_of, &self.cores);
+                let actions = self.takeovers.sweep(now, is_successor_of, &self.connected_cores);
                 let asked = actions.iter().rev().find_map(|action| match action {
                     TakeoverAction::What { server, member, .. } if *member != self.plan.me => {
                         Some((server, *member))
@@ -135,8 +135,8 @@
                 }
                 self.do_takeover_actions(actions);
             }
-            if std::mem::take(&mut self.takeovers.look_again) && self.look_from.is_none() {
-                self.look_from = Some(0);
+            if std::mem::take(&mut self.takeovers.look_again) && self.orphan_scan_from.is_none() {
+                self.orphan_scan_from = Some(0);
             }
         }
     }
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -77,7 +77,8 @@
             .map(|(place, name)| {
                 let member = place as u16;
                 let me = member == plan.me;
-                let (life, view) = (if me { self.life() } else { self.view().life(member) }, self.view());
+                let (life, view) =
+                    (if me { self.incarnation() } else { self.view().life(member) }, self.view());
                 json!({
                     "name": name,
                     "this": me,
@@ -91,12 +92,12 @@
             })
             .collect();
         let counts = self.counts();
-        let (kept, asked) = self.sizes();
+        let (kept, asked) = self.table_sizes();
         json!({
             "member": plan.members.get(usize::from(plan.me)),
             "members": members,
-            "copies": self.book().len(),
-            "lag": self.book().max_lag(),
+            "copies": self.replica_table().len(),
+            "lag": self.replica_table().max_lag(),
             "kept_for_callers": kept,
             "asked_for": asked,
             "counts": {
@@ -166,10 +167,10 @@
             }
             Some(("voters", rest)) => self.ordered_voters(rest),
             Some(("hand-over", rest)) => self.ordered_over(rest),
-            None if what == "differ" => differ(now, self.book().iter(), names),
+            None if what == "differ" => differ(now, self.replica_table().iter(), names),
             Some(("show", id)) => {
                 let id = DialogueId(id.into());
-                show(now, &id, self.book().get(&id), names)
+                show(now, &id, self.replica_table().get(&id), names)
             }
             _ => json!({ "error": format!("{what:?} is not known here") }),
         };
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
-use lotussaddle_fleet::{DutyPlan, Effects, Finding, Member, PeerLink, Plan, Save, Stored, Verdict};
+use lotussaddle_fleet::{DutyPlan, Effects, Member, MemberEvent, PeerLink, Plan, Save, Stored, Verdict};
 use lotussaddle_trunk::{
     Answer, AuditMessage, DutyAction, Frame, HeldLine, Hello, Owner, PeerMessage, Progress, Role,
     TablesOrder, VERSION, decode_replica,
@@ -91,7 +91,7 @@
     /// These disks have nothing for now.
     slow: BTreeSet<usize>,
     unsaved: Vec<(usize, Vec<Save>, u64)>,
-    found: Vec<(usize, Finding)>,
+    found: Vec<(usize, MemberEvent)>,
     starts: u64,
     /// The link from member 0 to member 1 breaks behind each piece of a snapshot; so often it did.
     breaks: Option<usize>,
@@ -138,19 +138,20 @@
         let mut given = BTreeMap::new();
         for save in self.ends[place].disk.iter().flatten() {
             match save {
-                Save::Copy(id, Some(bytes)) => {
+                Save::Replica(id, Some(bytes)) => {
                     drop(copies.insert(id.clone(), decode_replica(bytes).unwrap()))
                 }
-                Save::Copy(id, None) => drop(copies.remove(id)),
-                Save::Life(life) => stored.life = Some(*life),
-                Save::Asked(life) => stored.asked = *life,
-                Save::Count(count) => stored.count = *count,
-                Save::Given(member, life) => drop(given.insert(*member, *life)),
+                Save::Replica(id, None) => drop(copies.remove(id)),
+                Save::Incarnation(life) => stored.incarnation = Some(*life),
+                Save::ProposedIncarnation(life) => stored.proposed_incarnation = *life,
+                Save::WriteCount(count) => stored.write_count = *count,
+                Save::GrantedIncarnation(member, life) => drop(given.insert(*member, *life)),
                 Save::Duties(bytes) => stored.duties = Some(bytes.clone()),
-                Save::Fence(bytes) => stored.fence = Some(bytes.clone()),
+                Save::FencingTokens(bytes) => stored.fencing_tokens = Some(bytes.clone()),
             }
         }
-        (stored.copies, stored.given) = (copies.into_values().collect(), given.into_iter().collect());
+        (stored.replicas, stored.granted_incarnations) =
+            (copies.into_values().collect(), given.into_iter().collect());
         let plan = Plan { me: place as u16, ..self.plan.clone() };
         let chance = self.starts.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         self.members[place] = Some(Member::new(self.now, plan, stored, chance));
@@ -172,7 +173,7 @@
         if self.ends[other].open.remove(&far)
             && let Some(member) = &mut self.members[other]
         {
-            member.lost(self.now, PeerLink(far), "closed by its peer", &mut self.ends[other]);
+            member.link_closed(self.now, PeerLink(far), "closed by its peer", &mut self.ends[other]);
         }
     }
 
@@ -182,7 +183,7 @@
         if self.ends[place].open.remove(&link)
             && let Some(member) = &mut self.members[place]
         {
-            member.lost(self.now, PeerLink(link), "broken", &mut self.ends[place]);
+            member.link_closed(self.now, PeerLink(link), "broken", &mut self.ends[place]);
         }
     }
 
@@ -194,12 +195,12 @@
             for place in 0..self.members.len() {
                 let Some(member) = &mut self.members[place] else { continue };
                 member.flush(now, &mut self.ends[place]);
-                while let Some(chore) = member.work(now, false, &mut self.ends[place]) {
-                    member.worked(now, chore, Duration::ZERO);
+                while let Some(chore) = member.run_background_slice(now, false, &mut self.ends[place]) {
+                    member.background_slice_done(now, chore, Duration::ZERO);
                 }
-                for finding in member.findings() {
-                    if let Finding::LetGo(id) = &finding {
-                        member.let_go(now, id);
+                for finding in member.take_events() {
+                    if let MemberEvent::GiveUpDialogue(id) = &finding {
+                        member.dialogue_given_up(now, id);
                     }
                     self.found.push((place, finding));
                     more = true;
@@ -241,9 +242,9 @@
                 self.ends[other].open.insert(far);
                 self.pairs.insert((place, link), (other, far));
                 self.pairs.insert((other, far), (place, link));
-                self.member(other).linked(now, PeerLink(far));
+                self.member(other).link_accepted(now, PeerLink(far));
                 if let Some(member) = &mut self.members[place] {
-                    member.connected(now, PeerLink(link), &mut self.ends[place]);
+                    member.link_connected(now, PeerLink(link), &mut self.ends[place]);
                 }
             }
             Done::Close(link) => self.shut(place, link),
@@ -258,7 +259,7 @@
         if let Some(member) = &mut self.members[place]
             && self.ends[place].open.contains(&link)
         {
-            member.heard(self.now, PeerLink(link), frame, &mut self.ends[place]);
+            member.frame_received(self.now, PeerLink(link), frame, &mut self.ends[place]);
         }
     }
 
@@ -266,7 +267,7 @@
     fn had(&mut self, place: usize, saves: Vec<Save>, number: u64) {
         self.ends[place].disk.as_mut().expect("there is one").extend(saves);
         if let Some(member) = &mut self.members[place] {
-            member.saved(self.now, number, true, &mut self.ends[place]);
+            member.disk_write_done(self.now, number, true, &mut self.ends[place]);
         }
     }
 
@@ -303,7 +304,7 @@
                 if let Some(member) = &mut self.members[place]
                     && member.next_due() <= self.now
                 {
-                    member.alarm(self.now, &mut self.ends[place]);
+                    member.timer_fired(self.now, &mut self.ends[place]);
                 }
             }
             self.settle();
@@ -313,14 +314,14 @@
     fn launches(&mut self, place: usize, id: &DialogueId, lasts: Duration) {
         let now = self.now;
         let member = self.member(place);
-        member.taken(now, id);
-        member.launch(now, id, &server(), LaunchNumber(0), now + lasts);
+        member.dialogue_accepted(now, id);
+        member.launch_planned(now, id, &server(), LaunchNumber(0), now + lasts);
         self.settle();
     }
 
     fn answers(&mut self, place: usize, id: &DialogueId, answer: Answer) {
         let now = self.now;
-        self.member(place).answer(now, id, &answer, LaunchNumber(0));
+        self.member(place).answer_planned(now, id, &answer, LaunchNumber(0));
         self.settle();
     }
 
@@ -331,14 +332,14 @@
 
     fn seek(&mut self, place: usize, id: &DialogueId) {
         let (now, cut_off) = (self.now, self.now + ms(3000));
-        self.member(place).seek(now, id, cut_off);
+        self.member(place).look_up_dialogue(now, id, cut_off);
         self.settle();
     }
 
     /// Under which owner a member has asked a core server for a dialogue last.
     fn adopting(&self, place: usize, id: &DialogueId) -> Option<Owner> {
         self.found.iter().rev().find_map(|(of, finding)| match finding {
-            Finding::ToCore(_, Frame::AuditMessage(AuditMessage::Adopt { dialogue, owner, .. })) => {
+            MemberEvent::SendToCore(_, Frame::AuditMessage(AuditMessage::Adopt { dialogue, owner, .. })) => {
                 (*of == place && dialogue == id).then_some(*owner)
             }
             _ => None,
@@ -357,14 +358,16 @@
     fn core_says(&mut self, place: usize, audit: AuditMessage) {
         let (now, ends) = (self.now, &mut self.ends[place]);
         let member = self.members[place].as_mut().expect("it runs");
-        member.core_said(now, &server(), audit, &|_| false, ends);
+        member.audit_received(now, &server(), audit, &|_| false, ends);
         self.settle();
     }
 
     /// What was found of a dialogue at a member, last.
     fn verdict(&self, place: usize, id: &DialogueId) -> Option<Verdict> {
         self.found.iter().rev().find_map(|(of, finding)| match finding {
-            Finding::Found(found, verdict) if *of == place && found == id => Some(verdict.clone()),
+            MemberEvent::RedialResolved(found, verdict) if *of == place && found == id => {
+                Some(verdict.clone())
+            }
             _ => None,
         })
     }
@@ -414,10 +417,13 @@
     net.cut = holders.iter().map(|holder| (other, *holder)).collect();
     net.adopts(other, &d);
     net.run(ms(60));
-    assert!(is_unsure(&net.verdict(other, &d)) && net.member(other).sizes().0 == 1, "kept for its caller");
+    assert!(
+        is_unsure(&net.verdict(other, &d)) && net.member(other).table_sizes().0 == 1,
+        "kept for its caller"
+    );
     net.heal();
     net.seek(other, &d);
-    assert_eq!((net.verdict(other, &d), net.member(other).sizes().0), (stands(), 0));
+    assert_eq!((net.verdict(other, &d), net.member(other).table_sizes().0), (stands(), 0));
 }
 
 #[test]
@@ -457,7 +463,7 @@
     net.launches(holders[0], &d, ms(1000));
     net.heal();
     // Both are known at the other holder: that it stood by one's word, and that another has launched it since.
-    let copy = net.member(holders[1]).book().get(&d).unwrap().clone();
+    let copy = net.member(holders[1]).replica_table().get(&d).unwrap().clone();
     assert!(copy.newer_launch_until().is_some(), "{copy:?}");
     net.kill(holders[0]);
     net.seek(other, &d);
@@ -477,12 +483,12 @@
         places.rotate_left(turn);
         let (now, cut_off) = (net.now, net.now + ms(3000));
         for place in places {
-            net.member(place).seek(now, &d, cut_off);
+            net.member(place).look_up_dialogue(now, &d, cut_off);
         }
         net.run(ms(200));
         let lost = |place: usize| {
             net.found.iter().any(|(of, finding)| {
-                let mine = matches!(finding, Finding::LetGo(id) | Finding::Replaced(id) if *id == d);
+                let mine = matches!(finding, MemberEvent::GiveUpDialogue(id) | MemberEvent::OwnershipLost(id) if *id == d);
                 *of == place && mine
             })
         };
@@ -510,7 +516,7 @@
     let told: BTreeSet<String> = [holders[0], holders[1]]
         .into_iter()
         .map(|place| {
-            let copy = net.member(place).book().get(&d).expect("it is known").clone();
+            let copy = net.member(place).replica_table().get(&d).expect("it is known").clone();
             assert!(copy.has_conflicting_answers() && copy.answers().len() == 2, "{copy:?}");
             lotussaddle_fleet::show(now, &d, Some(&copy), &[])["reads"].to_string()
         })
@@ -541,13 +547,14 @@
     net.cut = (0..5).filter(|place| *place != 1).map(|place| (place, 1)).collect();
     let (now, cut_off) = (net.now, net.now + ms(3000));
     for n in 0..10_000 {
-        net.member(1).seek(now, &id(&format!("nobody-{n}")), cut_off);
+        net.member(1).look_up_dialogue(now, &id(&format!("nobody-{n}")), cut_off);
     }
     net.run(ms(60));
-    let unsure =
-        |(_, finding): &&(usize, Finding)| matches!(finding, Finding::Found(_, Verdict::Unsure { .. }));
+    let unsure = |(_, finding): &&(usize, MemberEvent)| {
+        matches!(finding, MemberEvent::RedialResolved(_, Verdict::Unsure { .. }))
+    };
     assert_eq!(net.found.iter().filter(unsure).count(), 10_000, "each has its answer");
-    assert!(net.member(1).counts().asks_refused >= 9_800 && net.member(1).sizes().1 == 0);
+    assert!(net.member(1).counts().asks_refused >= 9_800 && net.member(1).table_sizes().1 == 0);
 }
 
 #[test]
@@ -575,7 +582,7 @@
         let link = 77;
         net.ends[0].open.insert(link);
         let now = net.now;
-        net.member(0).linked(now, PeerLink(link));
+        net.member(0).link_accepted(now, PeerLink(link));
         says.into_iter().for_each(|frame| net.hear(0, link, frame));
         net.settle();
         assert!(!net.ends[0].open.contains(&link), "{what}");
@@ -612,7 +619,9 @@
     net.member(other).core_up(now, &server());
     net.settle();
     let asked = net.found.iter().rev().find_map(|(of, finding)| match finding {
-        Finding::ToCore(_, Frame::AuditMessage(AuditMessage::ListLines { serial, .. })) if *of == other => {
+        MemberEvent::SendToCore(_, Frame::AuditMessage(AuditMessage::ListLines { serial, .. }))
+            if *of == other =>
+        {
             Some(*serial)
         }
         _ => None,
@@ -628,8 +637,9 @@
     net.core_says(other, AuditMessage::Lines { serial, more: false, lines });
     net.heal();
     assert_eq!((net.verdict(other, &d), net.adopting(other, &d)), (stands(), Some(owner)));
-    let released =
-        |(_, finding): &(usize, Finding)| matches!(finding, Finding::ToCore(_, Frame::Release { .. }));
+    let released = |(_, finding): &(usize, MemberEvent)| {
+        matches!(finding, MemberEvent::SendToCore(_, Frame::Release { .. }))
+    };
     assert!(!net.found.iter().any(released));
 }
 
@@ -641,15 +651,15 @@
         let lines = vec![lotussaddle_trunk::HeldLine { dialogue: id("x"), launch: LaunchNumber(0), owner }];
         net.core_says(0, AuditMessage::Lines { serial: 1, more: false, lines });
         net.run(ms(2000));
-        net.member(0).life()
+        net.member(0).incarnation()
     };
-    let before = net.member(0).life();
+    let before = net.member(0).incarnation();
     let higher = tells(&mut net, before + (7 << 24));
     assert!(higher > before + (7 << 24), "a former life, or another process");
     assert_eq!(tells(&mut net, before + (7 << 24)), higher, "that is over");
     assert_eq!(tells(&mut net, higher + (7 << 24)), 0, "another process: it keeps on taking later ones");
     net.run(ms(62_000));
-    assert!(net.member(0).life() > higher + (7 << 24));
+    assert!(net.member(0).incarnation() > higher + (7 << 24));
 }
 
 #[test]
@@ -658,8 +668,8 @@
     let now = net.now;
     for n in 0..3000 {
         let d = id(&format!("d{n}"));
-        net.member(0).taken(now, &d);
-        net.member(0).answer(now, &d, &Answer::Failed, LaunchNumber(0));
+        net.member(0).dialogue_accepted(now, &d);
+        net.member(0).answer_planned(now, &d, &Answer::Failed, LaunchNumber(0));
     }
     net.settle();
     net.kill(1);
@@ -670,9 +680,9 @@
     net.run(ms(60_000));
     let breaks = net.breaks.take().unwrap_or_default();
     net.run(ms(3000));
-    assert_eq!(net.member(1).book().len(), 3000);
+    assert_eq!(net.member(1).replica_table().len(), 3000);
     assert!(net.member(1).caught_up() && (11..100).contains(&breaks), "{breaks}");
-    let reached = net.member(1).book().get(&id("d7")).unwrap().owner_states()[0].progress.clone();
+    let reached = net.member(1).replica_table().get(&id("d7")).unwrap().owner_states()[0].progress.clone();
     assert_eq!(reached, Progress::Ended);
 }
 
@@ -686,8 +696,9 @@
     let d = d.unwrap();
     net.slow.insert(1);
     net.launches(0, &d, ms(1000));
-    let kept =
-        |net: &Net| net.found.iter().filter(|(of, f)| *of == 0 && matches!(f, Finding::Kept(_))).count();
+    let kept = |net: &Net| {
+        net.found.iter().filter(|(of, f)| *of == 0 && matches!(f, MemberEvent::WriteConfirmed(_))).count()
+    };
     let link = net.pairs.iter().find(|((a, _), (b, _))| (*a, *b) == (0, 1)).map(|((_, link), _)| *link);
     net.break_off(0, link.expect("there is one"));
     net.run(ms(900));
@@ -714,9 +725,10 @@
         let now = net.now;
         for (place, finding) in std::mem::take(&mut net.found) {
             match finding {
-                Finding::ToCore(_, Frame::AuditMessage(AuditMessage::ListLines { serial, member, .. }))
-                    if usize::from(member) == place =>
-                {
+                MemberEvent::SendToCore(
+                    _,
+                    Frame::AuditMessage(AuditMessage::ListLines { serial, member, .. }),
+                ) if usize::from(member) == place => {
                     asked += 1;
                     let owner = |dialogue: &str| HeldLine {
                         dialogue: id(dialogue),
@@ -724,7 +736,7 @@
                         owner: Owner {
                             round: 0,
                             member,
-                            incarnation: net.members[place].as_ref().unwrap().life(),
+                            incarnation: net.members[place].as_ref().unwrap().incarnation(),
                         },
                     };
                     let lines = vec![owner("busy"), owner("held")];
@@ -737,9 +749,9 @@
                         holds
                     };
                     let (member, ends) = (net.members[place].as_mut().unwrap(), &mut net.ends[place]);
-                    member.core_said(now, &server(), holds, &held, ends);
+                    member.audit_received(now, &server(), holds, &held, ends);
                 }
-                Finding::ToCore(
+                MemberEvent::SendToCore(
                     _,
                     Frame::AuditMessage(AuditMessage::Adopt { dialogue, owner, action: act }),
                 ) => {
@@ -771,8 +783,9 @@
     net.member(0).core_up(now, &server());
     net.run(ms(100));
     net.found.clear();
-    let orders =
-        |net: &Net| net.found.iter().filter(|(_, found)| matches!(found, Finding::Tables(..))).count();
+    let orders = |net: &Net| {
+        net.found.iter().filter(|(_, found)| matches!(found, MemberEvent::CarryOutTablesOrder(..))).count()
+    };
     // Member 4 says to member 0, on its link, that it holds the duty.
     let says = |net: &mut Net, number: u64, serial: u64| {
         let (link, _) =
@@ -853,7 +866,7 @@
     net.heal();
     net.run(ms(4000));
     assert!(net.link(0, used).is_some(), "it is begun anew");
-    assert!(net.member(used).book().get(&d).is_some(), "and what was to be said comes over it");
+    assert!(net.member(used).replica_table().get(&d).is_some(), "and what was to be said comes over it");
 }
 
 #[test]
@@ -892,7 +905,7 @@
     let logs = &net.ends[member].logs;
     assert!(logs.iter().any(|line| line.contains("are not all that was kept, and are let go")), "{logs:#?}");
     assert!(
-        net.member(member).caught_up() && net.member(member).book().get(&d).is_some(),
+        net.member(member).caught_up() && net.member(member).replica_table().get(&d).is_some(),
         "it has them anew"
     );
 }
@@ -911,9 +924,9 @@
     net.run(ms(200));
     net.start(member);
     net.run(ms(900));
-    assert_eq!(net.member(member).life(), 0, "it waits for its neighbours, although most have told");
+    assert_eq!(net.member(member).incarnation(), 0, "it waits for its neighbours, although most have told");
     net.run(ms(1200));
-    assert!(net.member(member).life() > 0, "but not for ever");
+    assert!(net.member(member).incarnation() > 0, "but not for ever");
     let logs = &net.ends[member].logs;
     assert!(logs.iter().any(|line| line.contains("are not all that was kept, and are let go")), "{logs:#?}");
 }
--- a/crates/fleet/tests/unit/batches.rs
+++ b/crates/fleet/tests/unit/batches.rs
@@ -31,7 +31,7 @@
                 owner_records: vec![part; 16],
                 answers: vec![RecordedAnswer { owner, answer }; 4],
             };
-            assert!(encode_replica(&copy).len() <= at_most(&copy));
+            assert!(encode_replica(&copy).len() <= encoded_size_bound(&copy));
         }
     }
 }
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
-use lotussaddle_fleet::{DutyPlan, Effects, Finding, Member, PeerLink, Plan, Save, Stored};
+use lotussaddle_fleet::{DutyPlan, Effects, Member, MemberEvent, PeerLink, Plan, Save, Stored};
 use lotussaddle_trunk::{Answer, Frame, TablesOrder};
 use rustix::time::{ClockId, clock_gettime};
 
@@ -217,7 +217,7 @@
             self.take(now, input);
         }
         if self.member.next_due() <= now {
-            self.member.alarm(now, &mut self.outbox);
+            self.member.timer_fired(now, &mut self.outbox);
         }
         self.make_calls(now);
         self.member.flush(now, &mut self.outbox);
@@ -233,17 +233,17 @@
         match input {
             Input::Accepted(link) => {
                 self.outbox.open.insert(link);
-                self.member.linked(now, link);
+                self.member.link_accepted(now, link);
             }
             Input::Connected(link) if self.has_link(link) => {
-                self.member.connected(now, link, &mut self.outbox);
+                self.member.link_connected(now, link, &mut self.outbox);
             }
             Input::Received(link, frame) if self.has_link(link) => {
-                self.member.heard(now, link, frame, &mut self.outbox);
+                self.member.frame_received(now, link, frame, &mut self.outbox);
             }
             Input::Lost(link) => {
                 if self.outbox.open.remove(&link) {
-                    self.member.lost(now, link, "closed by its peer", &mut self.outbox);
+                    self.member.link_closed(now, link, "closed by its peer", &mut self.outbox);
                 }
             }
             Input::Connected(_) | Input::Received(..) => {}
@@ -253,15 +253,15 @@
     fn work(&mut self, now: Duration) {
         for _ in 0..SLICES_A_TURN {
             let began = Instant::now();
-            let Some(chore) = self.member.work(now, false, &mut self.outbox) else { return };
-            self.member.worked(now, chore, began.elapsed());
+            let Some(chore) = self.member.run_background_slice(now, false, &mut self.outbox) else { return };
+            self.member.background_slice_done(now, chore, began.elapsed());
         }
     }
 
     /// Carries out what the state machine found.
     fn settle(&mut self, now: Duration) {
         loop {
-            let findings = self.member.findings();
+            let findings = self.member.take_events();
             if findings.is_empty() {
                 return;
             }
@@ -269,13 +269,15 @@
         }
     }
 
-    fn apply(&mut self, now: Duration, finding: Finding) {
+    fn apply(&mut self, now: Duration, finding: MemberEvent) {
         match finding {
-            Finding::Tables(serial, order) => self.carry_out(now, serial, order),
-            Finding::LetGo(dialogue) => self.member.let_go(now, &dialogue),
-            Finding::Kept(ticket) => self.calls.iter_mut().for_each(|calls| calls.kept(now, ticket)),
-            Finding::ToCore(_, frame) => self.member.unreached(now, &frame),
-            Finding::Found(..) | Finding::Replaced(_) => {}
+            MemberEvent::CarryOutTablesOrder(serial, order) => self.carry_out(now, serial, order),
+            MemberEvent::GiveUpDialogue(dialogue) => self.member.dialogue_given_up(now, &dialogue),
+            MemberEvent::WriteConfirmed(ticket) => {
+                self.calls.iter_mut().for_each(|calls| calls.kept(now, ticket))
+            }
+            MemberEvent::SendToCore(_, frame) => self.member.core_send_failed(now, &frame),
+            MemberEvent::RedialResolved(..) | MemberEvent::OwnershipLost(_) => {}
         }
     }
 
@@ -284,7 +286,7 @@
         if let TablesOrder::Swap { name, .. } = order {
             self.outbox.effects.push(Effect::InForce(name));
         }
-        self.member.tabled(now, serial, None);
+        self.member.tables_order_done(now, serial, None);
     }
 
     fn make_calls(&mut self, now: Duration) {
@@ -297,16 +299,17 @@
         let server = ServerId(Arc::from("core"));
         match step {
             CallStep::Launch(dialogue) => {
-                self.member.taken(now, &dialogue);
+                self.member.dialogue_accepted(now, &dialogue);
                 let until = now + LAUNCH_LASTS;
-                let ticket = self.member.launch(now, &dialogue, &server, LaunchNumber(0), until);
+                let ticket = self.member.launch_planned(now, &dialogue, &server, LaunchNumber(0), until);
                 self.wait_for(now, ticket, CallStep::Answer(dialogue));
             }
             CallStep::Answer(dialogue) => {
-                let ticket = self.member.answer(now, &dialogue, &Answer::Stands { server }, LaunchNumber(0));
+                let ticket =
+                    self.member.answer_planned(now, &dialogue, &Answer::Stands { server }, LaunchNumber(0));
                 self.wait_for(now, ticket, CallStep::End(dialogue));
             }
-            CallStep::End(dialogue) => self.member.over(now, &dialogue),
+            CallStep::End(dialogue) => self.member.dialogue_ended(now, &dialogue),
         }
     }
 
--- a/crates/scale/tests/unit/hollow.rs
+++ b/crates/scale/tests/unit/hollow.rs
@@ -17,8 +17,8 @@
     let dead = verdict_of("member member-00007 is not heard by a majority");
     assert_eq!(dead, Some(Verdict::HeldDead(7)));
     assert_eq!(verdict_of("member member-00007 is heard again"), Some(Verdict::HeardAgain(7)));
-    assert_eq!(verdict_of("member member-00007 here, in life 3"), None);
-    assert_eq!(verdict_of("life 3 begins"), None);
+    assert_eq!(verdict_of("member member-00007 here, in incarnation 3"), None);
+    assert_eq!(verdict_of("incarnation 3 begins"), None);
 }
 
 #[test]
--- a/crates/serve/src/logs.rs
+++ b/crates/serve/src/logs.rs
@@ -33,7 +33,7 @@
     Said(LogTopic, String),
     Counts(Box<Counts>, (usize, usize, usize)),
     /// Of a member: counts, copies held, writes that some peer has not acknowledged.
-    Fleet(Box<lotussaddle_fleet::Counts>, usize, u64),
+    Fleet(Box<lotussaddle_fleet::MemberCounters>, usize, u64),
 }
 
 pub struct Log {
--- a/crates/serve/src/proxy.rs
+++ b/crates/serve/src/proxy.rs
@@ -6,7 +6,7 @@
 
 use lotussaddle::interface::{DialogueId, ServerId};
 use lotussaddle_edge::{Decisions, DialogueStep, Edge, EdgeEffects, LinkId, LogTopic, PriorOutcome};
-use lotussaddle_fleet::{Effects, Finding, Member, PeerLink, Verdict};
+use lotussaddle_fleet::{Effects, Member, MemberEvent, PeerLink, Verdict};
 use lotussaddle_numbers::Tables;
 use lotussaddle_trunk::{Answer, Frame, Message};
 use std::sync::Arc;
@@ -112,13 +112,13 @@
 
     fn look_up_dialogue(&mut self, dialogue: &DialogueId, cut_off: Duration) -> bool {
         let Some(member) = &mut self.member else { return false };
-        member.seek(self.now, dialogue, cut_off);
+        member.look_up_dialogue(self.now, dialogue, cut_off);
         true
     }
 
     fn tables_order_done(&mut self, serial: u64, why: Option<&str>) {
         if let Some(member) = &mut self.member {
-            member.tabled(self.now, serial, why);
+            member.tables_order_done(self.now, serial, why);
         }
     }
 
@@ -137,20 +137,20 @@
 
 fn tell(member: &mut Member, now: Duration, id: &DialogueId, step: DialogueStep) -> Option<u64> {
     match step {
-        DialogueStep::Accepted => member.taken(now, id),
+        DialogueStep::Accepted => member.dialogue_accepted(now, id),
         DialogueStep::Launch { server, launch, until } => {
-            return member.launch(now, id, server, launch, until);
+            return member.launch_planned(now, id, server, launch, until);
         }
-        DialogueStep::LaunchReturned { outcome_unknown: doubt } => member.back(now, id, doubt),
+        DialogueStep::LaunchReturned { outcome_unknown: doubt } => member.launch_returned(now, id, doubt),
         DialogueStep::Answer { answer, launch } => {
             let answer = match answer {
                 Frame::Stands { server, .. } => Answer::Stands { server: server.clone() },
                 Frame::Refused { retry_after: come_back, .. } => Answer::Refused { come_back: *come_back },
                 _ => Answer::Failed,
             };
-            return member.answer(now, id, &answer, launch);
+            return member.answer_planned(now, id, &answer, launch);
         }
-        DialogueStep::Ended => member.over(now, id),
+        DialogueStep::Ended => member.dialogue_ended(now, id),
     }
     None
 }
@@ -227,7 +227,7 @@
             (Frame::AuditMessage(audit), Some(server)) => {
                 let (edge, member) = (&self.edge, self.member.as_mut().expect("it was looked for"));
                 let held = |id: &DialogueId| edge.dialogue_stands(id) == Some(true);
-                member.core_said(now, &server, audit, &held, effects);
+                member.audit_received(now, &server, audit, &held, effects);
             }
             (frame, core) => {
                 if let (Frame::Ended { dialogue, .. }, Some(_), Some(member)) =
@@ -254,7 +254,7 @@
             self.with_edge(now, wires, |edge, wires| edge.timer_fired(now, wires));
         }
         if let Some(member) = self.member.as_mut().filter(|member| member.next_due() <= now) {
-            member.alarm(now, effects);
+            member.timer_fired(now, effects);
         }
         self.tickets.trim();
         self.settle(now, wires);
@@ -285,7 +285,7 @@
 
     pub fn peer_linked(&mut self, now: Duration, link: PeerLink) {
         if let Some(member) = &mut self.member {
-            member.linked(now, link);
+            member.link_accepted(now, link);
         }
     }
 
@@ -293,7 +293,7 @@
         &mut self, now: Duration, link: PeerLink, wires: &mut dyn EdgeEffects, effects: &mut dyn Effects,
     ) {
         if let Some(member) = &mut self.member {
-            member.connected(now, link, effects);
+            member.link_connected(now, link, effects);
         }
         self.settle(now, wires);
     }
@@ -303,7 +303,7 @@
         effects: &mut dyn Effects,
     ) {
         if let Some(member) = &mut self.member {
-            member.heard(now, link, frame, effects);
+            member.frame_received(now, link, frame, effects);
         }
         self.settle(now, wires);
     }
@@ -313,7 +313,7 @@
         effects: &mut dyn Effects,
     ) {
         if let Some(member) = &mut self.member {
-            member.lost(now, link, why, effects);
+            member.link_closed(now, link, why, effects);
         }
         self.settle(now, wires);
     }
@@ -324,7 +324,7 @@
         effects: &mut dyn Effects,
     ) {
         if let Some(member) = &mut self.member {
-            member.saved(now, number, well, effects);
+            member.disk_write_done(now, number, well, effects);
         }
         self.settle(now, wires);
     }
@@ -332,13 +332,13 @@
     /// This process is to end: what it holds for the fleet goes to others.
     pub fn ends(&mut self, now: Duration) {
         if let Some(member) = &mut self.member {
-            member.ends(now);
+            member.begin_shutdown(now);
         }
     }
 
     /// Nothing of it is left that others would wait for.
     pub fn is_done(&self) -> bool {
-        self.member.as_ref().is_none_or(|member| member.is_done())
+        self.member.as_ref().is_none_or(|member| member.is_shutdown_complete())
     }
 
     /// The end of a turn: what came up in it is sent to peers.
@@ -361,9 +361,9 @@
         &mut self, now: Duration, pressed: bool, effects: &mut dyn Effects, clock: &dyn Fn() -> Duration,
     ) -> bool {
         let Some(member) = &mut self.member else { return false };
-        let Some(chore) = member.work(now, pressed, effects) else { return false };
+        let Some(chore) = member.run_background_slice(now, pressed, effects) else { return false };
         let after = clock();
-        member.worked(after, chore, after.saturating_sub(now));
+        member.background_slice_done(after, chore, after.saturating_sub(now));
         true
     }
 
@@ -371,7 +371,7 @@
     fn settle(&mut self, now: Duration, wires: &mut dyn EdgeEffects) {
         loop {
             let findings = match &mut self.member {
-                Some(member) => member.findings(),
+                Some(member) => member.take_events(),
                 None => return,
             };
             if findings.is_empty() {
@@ -383,32 +383,32 @@
         }
     }
 
-    fn apply(&mut self, now: Duration, finding: Finding, wires: &mut dyn EdgeEffects) {
+    fn apply(&mut self, now: Duration, finding: MemberEvent, wires: &mut dyn EdgeEffects) {
         match finding {
-            Finding::Kept(number) => {
+            MemberEvent::WriteConfirmed(number) => {
                 if let Some(ticket) = self.tickets.kept(false, number) {
                     self.with_edge(now, wires, |edge, wires| edge.step_recorded(now, ticket, wires));
                 }
             }
-            Finding::Found(id, verdict) => self.found(now, &id, verdict, wires),
-            Finding::Replaced(id) => {
+            MemberEvent::RedialResolved(id, verdict) => self.found(now, &id, verdict, wires),
+            MemberEvent::OwnershipLost(id) => {
                 self.with_edge(now, wires, |edge, wires| edge.dialogue_replaced(now, &id, wires));
             }
-            Finding::Tables(serial, order) => {
+            MemberEvent::CarryOutTablesOrder(serial, order) => {
                 self.with_edge(now, wires, |edge, wires| edge.order_tables(now, serial, order, wires));
             }
-            Finding::LetGo(id) => {
+            MemberEvent::GiveUpDialogue(id) => {
                 self.with_edge(now, wires, |edge, wires| edge.dialogue_replaced(now, &id, wires));
                 if let Some(member) = &mut self.member {
-                    member.let_go(now, &id);
+                    member.dialogue_given_up(now, &id);
                 }
             }
-            Finding::ToCore(server, frame) => {
+            MemberEvent::SendToCore(server, frame) => {
                 let told = self.with_edge(now, wires, |edge, wires| {
                     edge.send_to_core(now, &server, frame.clone(), wires)
                 });
                 if let Some(member) = self.member.as_mut().filter(|_| !told) {
-                    member.unreached(now, &frame);
+                    member.core_send_failed(now, &frame);
                 }
             }
         }
@@ -440,7 +440,7 @@
             let release = Frame::Release { dialogue: id.clone(), launch };
             self.with_edge(now, wires, |edge, wires| edge.send_to_core(now, &server, release, wires));
             if let Some(member) = &mut self.member {
-                member.over(now, id);
+                member.dialogue_ended(now, id);
             }
         }
     }
--- a/crates/serve/src/records.rs
+++ b/crates/serve/src/records.rs
@@ -80,25 +80,25 @@
     each(&mut |table, key, value| match (table, std::str::from_utf8(key)) {
         (ANSWERED, Ok(id)) => found.answered.push(DialogueId(id.into())),
         (COPIES, Ok(id)) => match decode_replica(value) {
-            Ok(copy) if *copy.dialogue.0 == *id => found.member.copies.push(copy),
+            Ok(copy) if *copy.dialogue.0 == *id => found.member.replicas.push(copy),
             Ok(_) => found.refused.push(format!("copy of {id}: it is another's")),
             Err(why) => found.refused.push(format!("copy of {id}: {why}")),
         },
-        (LIVES, _) if key == FENCE => found.member.fence = Some(value.to_vec()),
+        (LIVES, _) if key == FENCE => found.member.fencing_tokens = Some(value.to_vec()),
         (LIVES, _) if key == DUTIES => found.member.duties = Some(value.to_vec()),
         (LIVES, _) => {
             let life = value.try_into().ok().map(u64::from_le_bytes);
             match (key.try_into().ok().map(u16::from_le_bytes), life) {
-                (_, Some(life)) if key == OWN => found.member.life = Some(life),
-                (_, Some(life)) if key == ASKED => found.member.asked = life,
-                (_, Some(count)) if key == COUNT => found.member.count = count,
+                (_, Some(life)) if key == OWN => found.member.incarnation = Some(life),
+                (_, Some(life)) if key == ASKED => found.member.proposed_incarnation = life,
+                (_, Some(count)) if key == COUNT => found.member.write_count = count,
                 (Some(member), Some(life)) => drop(given.insert(member, life)),
                 _ => found.refused.push("a life that cannot be read".into()),
             }
         }
         _ => {}
     })?;
-    found.member.given = given.into_iter().collect();
+    found.member.granted_incarnations = given.into_iter().collect();
     Ok(found)
 }
 
@@ -141,16 +141,16 @@
             match save {
                 // Times are counted from the start that reads it, less what peers know of the time away: the clock on the
                 // wall may have been set.
-                Save::Copy(id, Some(bytes)) => {
+                Save::Replica(id, Some(bytes)) => {
                     batch.put(COPIES, id.0.as_bytes(), None, &bytes);
                 }
-                Save::Copy(id, None) => drop(batch.delete(COPIES, id.0.as_bytes())),
-                Save::Fence(bytes) => drop(batch.put(LIVES, FENCE, None, &bytes)),
+                Save::Replica(id, None) => drop(batch.delete(COPIES, id.0.as_bytes())),
+                Save::FencingTokens(bytes) => drop(batch.put(LIVES, FENCE, None, &bytes)),
                 Save::Duties(bytes) => drop(batch.put(LIVES, DUTIES, None, &bytes)),
-                Save::Life(life) => drop(batch.put(LIVES, OWN, None, &life.to_le_bytes())),
-                Save::Asked(life) => drop(batch.put(LIVES, ASKED, None, &life.to_le_bytes())),
-                Save::Count(count) => drop(batch.put(LIVES, COUNT, None, &count.to_le_bytes())),
-                Save::Given(member, life) => {
+                Save::Incarnation(life) => drop(batch.put(LIVES, OWN, None, &life.to_le_bytes())),
+                Save::ProposedIncarnation(life) => drop(batch.put(LIVES, ASKED, None, &life.to_le_bytes())),
+                Save::WriteCount(count) => drop(batch.put(LIVES, COUNT, None, &count.to_le_bytes())),
+                Save::GrantedIncarnation(member, life) => {
                     batch.put(LIVES, &member.to_le_bytes(), None, &life.to_le_bytes());
                 }
             }
--- a/crates/serve/src/run.rs
+++ b/crates/serve/src/run.rs
@@ -207,7 +207,7 @@
         let wall = Wall { off: clocks.wall };
         let (records, found, told) = Records::open(store, sheet.limits.concluded_retention, wall)?;
         found.answered.iter().for_each(|id| edge.remember_concluded(id));
-        let copies = found.member.copies.len();
+        let copies = found.member.replicas.len();
         let line =
             format!("the store remembers {} answered dialogues, {copies} copies", found.answered.len());
         shared.log(LogTopic::Link, &line);
@@ -388,8 +388,8 @@
         if let Some(member) = self.proxy.member() {
             log.put(LogLine::Fleet(
                 Box::new(member.counts().clone()),
-                member.book().len(),
-                member.book().max_lag(),
+                member.replica_table().len(),
+                member.replica_table().max_lag(),
             ));
         }
     }
