--- a/crates/fleet/src/member/own_dialogues.rs
+++ b/crates/fleet/src/member/own_dialogues.rs
@@ -1,4 +1,4 @@
-//! Steps of the dialogues that this member's own edge proxy owns: each one is written to the book and replicated.
+//! Steps of the dialogues that this member's own edge proxy owns: each one is written to the replica table and replicated.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
         self.changed_dialogues.insert(id.clone());
         match written {
             WriteResult::Pending => Some(ticket),
-            // While it has no incarnation nobody can acknowledge anything.
+            // No peer acknowledges writes while this member has no incarnation.
             WriteResult::Immediate => {
                 (acks > 0 && self.plan.strictly && self.lives.mine() == 0).then_some(ticket)
             }
@@ -37,7 +37,7 @@
     /// The edge proxy has accepted a dialogue.
     pub fn dialogue_accepted(&mut self, now: Duration, id: &DialogueId) {
         self.now = now;
-        // One that was asked for is this member's already.
+        // A dialogue that was looked up is owned by this member already.
         if !self.replica_table.owns_dialogue(id)
             || self.replica_table.get(id).is_some_and(|replica| !replica.is_open())
         {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// A launch is to be sent, and ends by itself at that time. Some: not before that ticket is told.
+    /// A launch is about to be sent; it ends by itself at `until`. `Some`: only after the write with that ticket is confirmed.
     pub fn launch_planned(
         &mut self, now: Duration, id: &DialogueId, server: &ServerId, launch: LaunchNumber, until: Duration,
     ) -> Option<u64> {
@@ -55,7 +55,7 @@
         self.write_step(id, reached, until + self.plan.release, None, until, acks)
     }
 
-    /// A launch came back without a result; `doubt`: its core server may have it all the same.
+    /// A launch ended without a result; `doubt`: its core server may have set it up nevertheless.
     pub fn launch_returned(&mut self, now: Duration, id: &DialogueId, doubt: bool) {
         self.now = now;
         if self.replica_table.owns_dialogue(id) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// A final answer is to be given. Some: not before that ticket is told.
+    /// A final answer is about to be given. `Some`: only after the write with that ticket is confirmed.
     pub fn answer_planned(
         &mut self, now: Duration, id: &DialogueId, answer: &Answer, launch: LaunchNumber,
     ) -> Option<u64> {
@@ -91,7 +91,7 @@
         (self.lives.mine() > 0 && self.replica_table.owns_dialogue(id)).then_some(owner)
     }
 
-    /// A dialogue of this member is another's now, who may never come for what stands.
+    /// Another member now owns a dialogue of this member, and may never adopt what stands.
     pub(super) fn watch_lines_of_lost_dialogue(&mut self, id: &DialogueId) {
         let Some(replica) = self.replica_table.get(id) else { return };
         let servers = replica.owner_states().iter().filter_map(|part| match &part.progress {
@@ -101,7 +101,7 @@
         servers.for_each(|server| self.takeovers.let_go(self.now, server));
     }
 
-    /// Its edge proxy has let a dialogue go, as [`MemberEvent::GiveUpDialogue`] asked.
+    /// The edge proxy has dropped a dialogue, as requested by [`MemberEvent::GiveUpDialogue`].
     pub fn dialogue_given_up(&mut self, now: Duration, id: &DialogueId) {
         self.now = now;
         self.takeovers.drop_of(id);
@@ -111,7 +111,7 @@
         }
     }
 
-    /// It is kept for its caller, or being taken over for one: its edge proxy does not hold it yet.
+    /// Whether the dialogue is held or being taken over for its caller while the edge proxy does not hold it yet.
     pub(super) fn is_claimed_for_caller(&self, id: &DialogueId) -> bool {
         self.takeovers.has(id) || self.redials.has(id) || self.confirmations.contains(id)
     }
--- a/crates/fleet/src/member/saves.rs
+++ b/crates/fleet/src/member/saves.rs
@@ -10,17 +10,17 @@
 use super::interface::{Effects, Save};
 use crate::peers::PeerLink;
 
-/// What is done once a disk write has succeeded.
+/// Action to run once a disk write has succeeded.
 pub(super) enum AfterWrite {
     /// A message to a member that promises what was written.
     Send { to: u16, message: PeerMessage },
-    /// A member's writes are kept here, as far as that.
+    /// Acknowledges the writes of a member up to this number.
     Acknowledge { to: u16, incarnation: u64, up_to: u64, replaced: Vec<Replaced> },
     /// The vote for a peer's incarnation.
     GrantIncarnation { link: PeerLink, incarnation: u64, highest: u64 },
-    /// An act of the duty `circuits` under a number that was new.
+    /// An action of the duty `circuits` under a new fencing token.
     CheckLines { from: u16, act: DutyAction, server: ServerId },
-    /// An act of the duty `publish` under a number that was new.
+    /// An action of the duty `publish` under a new fencing token.
     CarryOutTablesOrder { from: u16, act: DutyAction, serial: u64, order: TablesOrder },
 }
 
@@ -29,7 +29,7 @@
     /// The last write that was numbered, and the last that is on disk.
     issued: u64,
     saved: u64,
-    /// The last write that the disk took, and the last of which it told what came of it.
+    /// The last write that the disk accepted, and the last of which it reported the result.
     accepted: u64,
     reported: u64,
     waiting: BTreeMap<u64, Vec<AfterWrite>>,
@@ -46,18 +46,18 @@
         self.saved
     }
 
-    /// From here on writes are numbered above this.
+    /// Makes later writes take numbers above this one.
     pub(super) fn count_from(&mut self, number: u64) {
         self.issued = self.issued.max(number);
     }
 
-    /// MemberCounters a change that is kept in memory alone: a disk that lacks it is told by that.
+    /// Counts a change that is held in memory only, so that a disk that lacks it is recognised as outdated.
     fn count_in_memory(&mut self) {
         self.issued += 1;
         self.saved = self.saved.max(self.issued);
     }
 
-    /// Has it persisted on disk; gives the write's number, none where there is no disk to wait for.
+    /// Submits changes to the disk; returns the number of the write, or `None` where there is no disk to wait for.
     fn submit(&mut self, mut what: Vec<Save>, effects: &mut dyn Effects) -> Option<u64> {
         let number = self.issued + 1;
         what.push(Save::WriteCount(number));
@@ -70,22 +70,22 @@
         Some(number)
     }
 
-    /// Whether the disk has yet to tell of this write.
+    /// Whether the disk has not reported the result of this write.
     pub(super) fn is_pending(&self, number: u64) -> bool {
         number > self.reported
     }
 
-    /// The last write of which the disk has yet to tell.
+    /// The last write whose result the disk has not reported.
     fn last_pending(&self) -> Option<u64> {
         Some(self.accepted).filter(|number| self.is_pending(*number))
     }
 
-    /// This is done after that write.
+    /// Queues actions to run after a write.
     pub(super) fn wait_for(&mut self, number: u64, after: impl IntoIterator<Item = AfterWrite>) {
         self.waiting.entry(number).or_default().extend(after);
     }
 
-    /// The disk tells of a write; gives what waited for it.
+    /// Records the result of a write; returns the actions that waited for it.
     fn report(&mut self, number: u64, well: bool) -> Vec<AfterWrite> {
         if well {
             self.saved = self.saved.max(number);
@@ -96,7 +96,7 @@
 }
 
 impl Member {
-    /// Sends what came up in this turn: acknowledgements, writes, what is to be persisted on disk.
+    /// Sends what this iteration produced: acknowledgements, messages, replicated writes and disk writes.
     pub fn flush(&mut self, now: Duration, effects: &mut dyn Effects) {
         self.now = now;
         self.settle_duties(effects);
@@ -113,7 +113,7 @@
         self.send_streams(effects);
     }
 
-    /// What peers have sent and is not acknowledged yet.
+    /// Acknowledgements that are due to peers.
     fn owed_acknowledgements(&mut self) -> Vec<AfterWrite> {
         let mut acknowledgement_due = Vec::new();
         for (place, incoming) in self.incoming.iter_mut().enumerate() {
@@ -135,7 +135,7 @@
         acknowledgement_due
     }
 
-    /// Has the replicas that changed in this turn persisted on disk.
+    /// Persists the replicas that changed in this iteration.
     fn save_changed(&mut self, effects: &mut dyn Effects) {
         let changed = std::mem::take(&mut self.changed_dialogues);
         if changed.is_empty() {
@@ -154,7 +154,7 @@
         self.submit_disk_write(replicas, effects);
     }
 
-    /// An acknowledgement says that it is kept: on disk, where there is one, and with all that came before it.
+    /// An acknowledgement promises that a write and all before it are stored, on disk where there is one.
     fn do_after_last_write(&mut self, after: Vec<AfterWrite>, effects: &mut dyn Effects) {
         match self.disk_writes.last_pending() {
             Some(number) => self.disk_writes.wait_for(number, after),
@@ -162,17 +162,17 @@
         }
     }
 
-    /// Has it persisted on disk; gives the write's number, none where there is no disk to wait for.
+    /// Submits changes to the disk; returns the number of the write, or `None` where there is no disk to wait for.
     pub(super) fn submit_disk_write(&mut self, what: Vec<Save>, effects: &mut dyn Effects) -> Option<u64> {
         self.disk_writes.submit(what, effects)
     }
 
-    /// What [`Effects::save`] was given this number for is on disk; or it failed, and nothing more is kept there.
+    /// The disk write that [`Effects::save`] got this number for succeeded, or it failed and the disk takes no more writes.
     pub fn disk_write_done(&mut self, now: Duration, number: u64, well: bool, effects: &mut dyn Effects) {
         self.now = now;
         let waited = self.disk_writes.report(number, well);
         self.duties.iter_mut().for_each(|duties| duties.saved(now, number, well));
-        // Not kept: not acknowledged. The owner goes by whoever else has it.
+        // A write that failed is not acknowledged. Its owner relies on the other replicas.
         for after in waited.into_iter().filter(|_| well) {
             self.run_after_write(after, effects);
         }
--- a/crates/fleet/src/member/search.rs
+++ b/crates/fleet/src/member/search.rs
@@ -13,10 +13,10 @@
 use crate::peers::Peers;
 use crate::redial::{Begin, RedialAction, Verdict};
 
-/// Questions answered in one iteration (upper bound); whoever gets no answer is not sure.
+/// Questions answered in one iteration (upper bound); an asker without a reply treats the outcome as unknown.
 pub(super) const MAX_REPLIES_PER_ITERATION: usize = 30_000;
 
-/// Whether what is said to a member now reaches it, as far as is known: there is a link, and it is heard.
+/// Whether messages are expected to reach a member: there is a link and the member is responsive.
 pub(super) fn is_reached(peers: &Peers, view: &MembershipView, now: Duration, member: u16) -> bool {
     peers.to(member).is_some() && view.hears(now, member)
 }
@@ -107,7 +107,7 @@
         if self.replica_table.owns_dialogue(&id)
             && self.replica_table.get(&id).and_then(Replica::owner) < Some(owner)
         {
-            // What is out is called off first, so that the answer says how long it is in doubt.
+            // Running launches are cancelled first, so that the reply says how long their outcome is unknown.
             let waits = self.ownership_requests.entry(id.clone()).or_default();
             waits.push((member, serial, owner));
             self.confirmations.remove(&id);
@@ -121,7 +121,7 @@
         let (higher, replica) = self.replica_table.claim_requested(self.now, id, owner);
         let sure = higher.is_none() && self.caught_up() && self.replica_table.has_claim(id, owner);
         self.changed_dialogues.insert(id.clone());
-        // A promise that a kill undoes is none: it is kept before it is said.
+        // A promise must survive a kill of the process: it is persisted before it is sent.
         if self.promised_replies.len() < MAX_REPLIES_PER_ITERATION {
             self.promised_replies
                 .push((member, PeerMessage::AskReply { serial, is_authoritative: sure, higher, replica }));
--- a/crates/fleet/src/member/streams.rs
+++ b/crates/fleet/src/member/streams.rs
@@ -16,17 +16,17 @@
 pub(super) struct Incoming {
     pub(super) incarnation: u64,
     pub(super) received_up_to: u64,
-    /// Where its snapshot stands, while one comes.
+    /// Position in its snapshot, while one is being received.
     pub(super) snapshot: Option<Cursor>,
-    /// All that it knew, and this member is to know, was had once in this incarnation.
+    /// The snapshot of the peer was received completely in this incarnation.
     pub(super) synced: bool,
-    /// An acknowledgement is owed; none is given before the snapshot is whole, since what it leads up to was not had before.
+    /// An acknowledgement is due. None is sent before the snapshot is complete, since earlier updates are missing until then.
     pub(super) acknowledgement_due: bool,
     pub(super) replaced: Vec<Replaced>,
 }
 
 impl Member {
-    /// Says what is had of a peer's stream, and asks for a snapshot where all before it is not had.
+    /// Reports the position in a peer's stream, and requests a snapshot where earlier updates are missing.
     pub(super) fn send_resume(&mut self, member: u16, effects: &mut dyn Effects) {
         let incarnation = self.view.life(member);
         let Some(link) = self.peers.to(member).filter(|_| incarnation > 0 && self.lives.mine() > 0) else {
@@ -41,14 +41,14 @@
                 incoming.acknowledgement_due,
             ) = (incarnation, 0, None, false);
         }
-        // What it has, its disk may not have had yet: it is acknowledged behind that.
+        // The disk may not have all that was received: the acknowledgement follows the disk write.
         incoming.acknowledgement_due |= incoming.synced;
         let snapshot = (!incoming.synced).then(|| incoming.snapshot.unwrap_or(Cursor { at: 0, from: 0 }));
         let resume = PeerMessage::Resume { incarnation, received_up_to: incoming.received_up_to, snapshot };
         self.send_to_link(link, Frame::PeerMessage(resume), effects);
     }
 
-    /// A peer says what it has of the stream to it.
+    /// A peer reports its position in the stream to it.
     pub(super) fn resume_received(&mut self, member: u16, received_up_to: u64, snapshot: Option<Cursor>) {
         let place = usize::from(member);
         let first = !std::mem::replace(&mut self.peer_resumed[place], true);
@@ -58,7 +58,7 @@
             self.replica_table.stream(member).resume(cursor.at);
             self.snapshot_requests.push_back((member, cursor));
         } else if first && !self.replica_table.stream(member).resume(received_up_to) {
-            // The tail behind it is not kept any more: all anew.
+            // The updates after this position are no longer retained: a new snapshot is sent.
             let cursor = self.replica_table.cursor(member);
             self.snapshot_requests.push_back((member, cursor));
         } else if let Some(cursor) = snapshot {
@@ -100,9 +100,9 @@
             return;
         }
         incoming.replaced.extend(replaced);
-        // Behind a snapshot that has begun the stream goes on at a number that is told with its first piece.
+        // After a snapshot has started, the stream continues at the number in its first chunk.
         if incoming.synced && first > incoming.received_up_to + 1 {
-            // Some are missing: it is told again what is had.
+            // Updates are missing: the position is reported again.
             self.peer_resumed[usize::from(member)] = false;
             return self.send_resume(member, effects);
         }
@@ -110,7 +110,7 @@
         incoming.acknowledgement_due = true;
     }
 
-    /// What came of replicas: those that were refused are given back.
+    /// Applies the result of merging replicas; returns the rejected ones.
     fn apply_merge_result(&mut self, news: MergeResult, effects: &mut dyn Effects) -> Vec<Replaced> {
         self.counts.copies_taken += news.changed.len() as u64;
         self.counts.copies_refused += news.rejected_count as u64;
@@ -161,7 +161,7 @@
         );
     }
 
-    /// Sends what the streams to all peers have, as much as one turn takes.
+    /// Sends pending updates to all peers, up to the limit of one iteration.
     pub(super) fn send_streams(&mut self, effects: &mut dyn Effects) {
         if self.lives.mine() == 0 {
             return;
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Whether there is more to be sent than one turn takes.
+    /// Whether updates remain to be sent after this iteration.
     pub fn has_unsent_updates(&mut self) -> bool {
         (0..self.plan.members.len() as u16).any(|member| {
             self.peer_resumed[usize::from(member)]
