--- a/crates/fleet/src/member/background.rs
+++ b/crates/fleet/src/member/background.rs
@@ -9,7 +9,7 @@
 use super::batches::MAX_FRAME_BYTES;
 use super::interface::Effects;
 
-/// Replicas forgotten, or looked at for orphans, in one slice.
+/// Maximum number of replicas expired, or checked for orphans, in one slice.
 pub(super) const REPLICAS_PER_SLICE: usize = 2048;
 pub(super) const EXPIRE_REPLICAS: ChoreId = ChoreId(0);
 pub(super) const SCAN_FOR_ORPHANS: ChoreId = ChoreId(1);
@@ -26,7 +26,7 @@
         self.chores.wanted(now, REPAIR_REPLICAS, !self.repairs.is_empty(), None);
     }
 
-    /// Does one slice of what may wait, if there is any: true, and [`Member::background_slice_done`] is to be told how long it took.
+    /// Does one slice of background work, if any is pending; `Some`: report its duration to [`Member::background_slice_done`].
     pub fn run_background_slice(
         &mut self, now: Duration, pressed: bool, effects: &mut dyn Effects,
     ) -> Option<ChoreId> {
--- a/crates/fleet/src/member/batches.rs
+++ b/crates/fleet/src/member/batches.rs
@@ -5,7 +5,7 @@
 /// Upper bound on the bytes of replicas in one frame.
 pub(super) const MAX_FRAME_BYTES: usize = 40 * 1024;
 
-/// More bytes than a replica takes, found without encoding it: that is done once, when it is sent.
+/// Upper bound on the encoded bytes of a replica, without encoding it: that happens once, when it is sent.
 pub(super) fn encoded_size_bound(replica: &ReplicaUpdate) -> usize {
     let part = |part: &OwnerRecord| match &part.progress {
         Progress::Launched { server, .. } | Progress::Stands { server, .. } => 96 + server.0.len(),
@@ -19,7 +19,7 @@
     32 + replica.dialogue.0.len() + parts + replica.answers.iter().map(given).sum::<usize>()
 }
 
-/// Replicas in frames that are not too long; one empty one where there are none.
+/// Splits replicas into frames of bounded length; one empty frame where there are none.
 pub(super) fn split_into_frames(replicas: Vec<ReplicaUpdate>) -> Vec<Vec<ReplicaUpdate>> {
     let mut frames = vec![Vec::new()];
     let mut bytes = 0;
--- a/crates/fleet/src/member/duty_acts.rs
+++ b/crates/fleet/src/member/duty_acts.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    /// What has come of it for duties: said, kept, done.
+    /// Carries out the effects of duties: messages, disk writes and actions.
     pub(super) fn settle_duties(&mut self, effects: &mut dyn Effects) {
         let (now, me) = (self.now, self.plan.me);
         let Some(mut duties) = self.duties.take() else { return };
--- a/crates/fleet/src/member/incarnations.rs
+++ b/crates/fleet/src/member/incarnations.rs
@@ -86,7 +86,7 @@
             );
             return;
         }
-        // A vote is kept before it is said.
+        // A vote is persisted before it is sent.
         if let Some(number) =
             self.submit_disk_write(vec![Save::GrantedIncarnation(member, incarnation)], effects)
         {
--- a/crates/fleet/src/member/links.rs
+++ b/crates/fleet/src/member/links.rs
@@ -12,16 +12,16 @@
 use crate::lives::start_of;
 use crate::peers::{Known, PeerLink, Way};
 
-/// Clocks may differ by so much over an absence before one is taken to have stood still, in parts of it, and in itself.
+/// Tolerated difference between two clocks over an absence, on top of an eighth of it, before the local clock is taken to have stopped.
 pub(super) const CLOCK_STALL_TOLERANCE: Duration = Duration::from_secs(5);
 
-/// A link over which nothing comes regularly is taken as dead when nothing has followed what was sent for so long, and two silences.
+/// Minimum response time-out of a link without regular heartbeats; the time-out is at least two peer response time-outs.
 const MIN_LINK_RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// There a ping asks when nothing has followed what was sent for so long, and half a silence.
+/// Minimum wait before a ping on such a link; the wait is at least half a peer response time-out.
 const MIN_PING_DELAY: Duration = Duration::from_millis(500);
 
-/// The number of a ping; who answers is told by the link.
+/// Nonce of all pings: the link identifies who answers.
 const PROBE_NONCE: u64 = 0;
 
 impl Member {
@@ -50,7 +50,7 @@
 
     pub(super) fn send_greeting(&mut self, link: PeerLink, member: u16, effects: &mut dyn Effects) {
         let yours = self.view.life(member).max(self.lives.given_to(member));
-        // Only neighbours send regularly, so that only what they tell is how long it was away.
+        // Only neighbours exchange heartbeats, so that only they can measure an absence.
         let was_heard = self.view.life(member) > 0 && self.view.is_neighbour(member);
         let away = was_heard.then(|| self.view.away(self.now, member));
         let saved = self.view.most_saved(member);
@@ -69,7 +69,7 @@
         self.send_to_link(link, Frame::PeerMessage(here), effects);
     }
 
-    /// Closes a link that cannot take what is said: what was to be said is not lost in silence.
+    /// Sends a frame, and closes a link that cannot take it, so that no frame is lost unnoticed.
     pub(super) fn send_to_link(&mut self, link: PeerLink, frame: Frame, effects: &mut dyn Effects) -> bool {
         if let Some(known) = self.peers.links.get_mut(&link) {
             known.liveness.sent(self.now, &frame);
@@ -88,17 +88,17 @@
         }
     }
 
-    /// Asks whether the link to a member that is no neighbour is still there: a new one from the same member says that it may not be.
+    /// Pings the link to a member that is no neighbour: a new link from the same member suggests that the old one is dead.
     fn probe_link_to(&mut self, member: u16, effects: &mut dyn Effects) {
         if self.view.is_neighbour(member) {
-            return; // Heartbeats tell.
+            return; // Heartbeats show whether it is alive.
         }
         if let Some(link) = self.peers.to(member) {
             self.send_to_link(link, Frame::Ping { nonce: PROBE_NONCE }, effects);
         }
     }
 
-    /// Closes links that are dead, and asks over those that may be.
+    /// Closes dead links, and pings those that may be dead.
     pub(super) fn review_links(&mut self, effects: &mut dyn Effects) {
         for member in 0..self.plan.members.len() as u16 {
             let Some(link) = self.peers.to(member) else { continue };
@@ -107,7 +107,7 @@
                 LinkCheck::Ping => drop(self.send_to_link(link, Frame::Ping { nonce: PROBE_NONCE }, effects)),
                 LinkCheck::Dead => {
                     self.close(link, "silent, taken as dead", effects);
-                    // The other side may hold it for alive, and would not begin another.
+                    // The peer may consider the link alive and not start another.
                     self.peers.knock_again(member);
                 }
             }
@@ -128,7 +128,7 @@
         )
     }
 
-    /// Whether what is said to a member now reaches it, as far as is known: there is a link, and it is heard.
+    /// Whether messages are expected to reach a member: there is a link and the member is responsive.
     pub(super) fn can_reach(&self, member: u16) -> bool {
         is_reached(&self.peers, &self.view, self.now, member)
     }
@@ -247,7 +247,7 @@
         if incarnation >= self.view.life(member) && incarnation > 0 {
             self.peer_incarnation_known(member, incarnation, effects);
         }
-        // An incarnation that began between the greeting and now was told only on links that were up.
+        // An incarnation that began after the greeting was reported only on links that were open.
         let told_life = self.peers.links.get(&link).map(|known| known.told_life);
         if told_life.is_some_and(|told| told != Some(self.lives.mine())) {
             self.send_greeting(link, member, effects);
--- a/crates/fleet/src/member/repair.rs
+++ b/crates/fleet/src/member/repair.rs
@@ -9,17 +9,17 @@
 use super::batches::split_into_frames;
 use super::interface::Effects;
 
-/// Steps of comparisons that wait (upper bound); beyond it they are dropped, and come again with the next comparison.
+/// Maximum number of queued comparison steps; further ones are dropped and repeated by the next comparison.
 const MAX_QUEUED_REPAIRS: usize = 1024;
 
-/// A step of a comparison that waits for its turn.
+/// A queued step of a comparison.
 pub(super) enum RepairStep {
     RangeDigests(u8, u32, Vec<u64>),
     DialogueDigests(u32, Vec<(u64, u64)>),
     RequestReplicas(Vec<u64>),
 }
 
-/// Steps of comparisons that wait, with the member that each is for.
+/// Queued comparison steps, with the member that each is for.
 #[derive(Default)]
 pub(super) struct RepairQueue {
     steps: VecDeque<(u16, RepairStep)>,
@@ -41,7 +41,7 @@
         self.steps.pop_front()
     }
 
-    /// Drops the steps of a member whose link has gone.
+    /// Drops the steps of a member whose link was closed.
     pub(super) fn forget(&mut self, member: u16) {
         self.steps.retain(|(to, _)| *to != member);
     }
--- a/crates/fleet/src/member/table_orders.rs
+++ b/crates/fleet/src/member/table_orders.rs
@@ -17,7 +17,7 @@
 /// An order that is being carried out.
 struct RunningOrder {
     serial: u64,
-    /// Who is told what came of it.
+    /// The member that gets the result.
     from: u16,
 }
 
@@ -53,7 +53,7 @@
         room && first
     }
 
-    /// An order has ended; gives who is told.
+    /// Records the result of an order; returns the member that gets it.
     fn end(&mut self, serial: u64, error: Option<Arc<str>>) -> Option<u16> {
         let place = self.running.iter().position(|order| order.serial == serial)?;
         let order = self.running.remove(place);
@@ -91,7 +91,7 @@
         }
     }
 
-    /// What came of an order about number tables, a [`MemberEvent::CarryOutTablesOrder`] among others.
+    /// Takes the result of an order about number tables, a [`MemberEvent::CarryOutTablesOrder`] among others.
     pub fn tables_order_done(&mut self, now: Duration, serial: u64, why: Option<&str>) {
         self.now = now;
         let error: Option<Arc<str>> = why.map(Arc::from);
--- a/crates/fleet/src/member/timers.rs
+++ b/crates/fleet/src/member/timers.rs
@@ -12,7 +12,7 @@
 use crate::peers::{PeerLink, Way};
 use crate::takeovers::TakeoverAction;
 
-/// A link that says nothing of use for so long is closed.
+/// A link without a valid greeting after this time is closed.
 const GREETING_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Hashed with a member's name to rank its successors; all members must have the same bytes.
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Tells a neighbour how many writes the disk has had, where that is news to it.
+    /// Reports the number of disk writes to a neighbour when it has changed.
     fn send_disk_count(&mut self, link: PeerLink, effects: &mut dyn Effects) {
         let saved = self.disk_writes.saved();
         let Some(known) = self.peers.links.get_mut(&link) else { return };
@@ -117,7 +117,7 @@
                 let print = digest(&[SUCCESSOR_SEED, plan.members[usize::from(member)].as_bytes()]);
                 group.ranked_members(print).into_iter().find(|member| live(*member)) == Some(me)
             };
-            // One that hears no majority cannot tell who is gone.
+            // A member that does not reach a majority cannot determine who is gone.
             if self.view.with_majority() {
                 // Where there are duties one member sweeps for all; else each ended incarnation has its own successor.
                 let sweeps = self.duties.as_ref().map(|duties| duties.act(now, SWEEP).is_some());
