--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -19,7 +19,7 @@
 
 pub use duties::{CIRCUITS, Duty, DutyPlan, NAMES, PUBLISH, SWEEP};
 pub use incarnations::{IncarnationTracker, ProposalOutcome, start_count};
-pub use member::{Counts, Effects, Finding, Member, Save, Stored};
+pub use member::{Effects, Member, MemberCounters, MemberEvent, Save, Stored};
 pub use membership_view::{MemberSet, MembershipMessage, MembershipView};
 pub use peers::{PeerLink, Peers};
 pub use plan::Plan;
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -79,7 +79,8 @@
             .map(|(place, name)| {
                 let member = place as u16;
                 let me = member == plan.self_member;
-                let (life, view) = (if me { self.life() } else { self.view().incarnation(member) }, self.view());
+                let (life, view) =
+                    (if me { self.incarnation() } else { self.view().incarnation(member) }, self.view());
                 json!({
                     "name": name,
                     "this": me,
@@ -93,12 +94,12 @@
             })
             .collect();
         let counts = self.counts();
-        let (kept, asked) = self.sizes();
+        let (kept, asked) = self.table_sizes();
         json!({
             "member": plan.members.get(usize::from(plan.self_member)),
             "members": members,
-            "copies": self.book().len(),
-            "lag": self.book().max_lag(),
+            "copies": self.replica_table().len(),
+            "lag": self.replica_table().max_lag(),
             "kept_for_callers": kept,
             "asked_for": asked,
             "counts": {
@@ -168,10 +169,10 @@
             }
             Some(("voters", rest)) => self.order_voters(rest),
             Some(("hand-over", rest)) => self.order_hand_over(rest),
-            None if what == "differ" => conflicting_dialogues(now, self.book().iter(), names),
+            None if what == "differ" => conflicting_dialogues(now, self.replica_table().iter(), names),
             Some(("show", id)) => {
                 let id = DialogueId(id.into());
-                dialogue_json(now, &id, self.book().get(&id), names)
+                dialogue_json(now, &id, self.replica_table().get(&id), names)
             }
             _ => json!({ "error": format!("{what:?} is not known here") }),
         };
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::{DialogueId, LaunchNumber, ServerId};
-use lotussaddle_fleet::{DutyPlan, Effects, Finding, Member, PeerLink, Plan, Save, Stored, Verdict};
+use lotussaddle_fleet::{DutyPlan, Effects, Member, MemberEvent, PeerLink, Plan, Save, Stored, Verdict};
 use lotussaddle_trunk::{
     Answer, AuditMessage, DutyAction, Frame, HeldLine, Hello, Owner, PeerMessage, Progress, Role,
     TablesOrder, VERSION, decode_replica,
@@ -91,7 +91,7 @@
     /// Members whose disk writes are delayed.
     slow: BTreeSet<usize>,
     unsaved: Vec<(usize, Vec<Save>, u64)>,
-    found: Vec<(usize, Finding)>,
+    found: Vec<(usize, MemberEvent)>,
     starts: u64,
     /// If set, the link from member 0 to member 1 breaks after each snapshot chunk; the number of breaks so far.
     breaks: Option<usize>,
@@ -143,19 +143,20 @@
         let mut given = BTreeMap::new();
         for save in self.ends[place].disk.iter().flatten() {
             match save {
-                Save::Copy(id, Some(bytes)) => {
+                Save::Replica(id, Some(bytes)) => {
                     drop(copies.insert(id.clone(), decode_replica(bytes).unwrap()))
                 }
-                Save::Copy(id, None) => drop(copies.remove(id)),
-                Save::Life(life) => stored.life = Some(*life),
-                Save::Asked(life) => stored.asked = *life,
-                Save::Count(count) => stored.count = *count,
-                Save::Given(member, life) => drop(given.insert(*member, *life)),
+                Save::Replica(id, None) => drop(copies.remove(id)),
+                Save::Incarnation(life) => stored.incarnation = Some(*life),
+                Save::ProposedIncarnation(life) => stored.proposed_incarnation = *life,
+                Save::WriteCount(count) => stored.write_count = *count,
+                Save::GrantedIncarnation(member, life) => drop(given.insert(*member, *life)),
                 Save::Duties(bytes) => stored.duties = Some(bytes.clone()),
-                Save::Fence(bytes) => stored.fence = Some(bytes.clone()),
+                Save::FencingTokens(bytes) => stored.fencing_tokens = Some(bytes.clone()),
             }
         }
-        (stored.copies, stored.given) = (copies.into_values().collect(), given.into_iter().collect());
+        (stored.replicas, stored.granted_incarnations) =
+            (copies.into_values().collect(), given.into_iter().collect());
         let plan = Plan { self_member: place as u16, ..self.plan.clone() };
         let chance = self.starts.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         self.members[place] = Some(Member::new(self.now, plan, stored, chance));
@@ -177,7 +178,7 @@
         if self.ends[other].open.remove(&far)
             && let Some(member) = &mut self.members[other]
         {
-            member.lost(self.now, PeerLink(far), "closed by its peer", &mut self.ends[other]);
+            member.link_closed(self.now, PeerLink(far), "closed by its peer", &mut self.ends[other]);
         }
     }
 
@@ -187,7 +188,7 @@
         if self.ends[place].open.remove(&link)
             && let Some(member) = &mut self.members[place]
         {
-            member.lost(self.now, PeerLink(link), "broken", &mut self.ends[place]);
+            member.link_closed(self.now, PeerLink(link), "broken", &mut self.ends[place]);
         }
     }
 
@@ -199,12 +200,12 @@
             for place in 0..self.members.len() {
                 let Some(member) = &mut self.members[place] else { continue };
                 member.flush(now, &mut self.ends[place]);
-                while let Some(chore) = member.work(now, false, &mut self.ends[place]) {
-                    member.worked(now, chore, Duration::ZERO);
+                while let Some(chore) = member.run_background_slice(now, false, &mut self.ends[place]) {
+                    member.background_slice_done(now, chore, Duration::ZERO);
                 }
-                for finding in member.findings() {
-                    if let Finding::LetGo(id) = &finding {
-                        member.let_go(now, id);
+                for finding in member.take_events() {
+                    if let MemberEvent::GiveUpDialogue(id) = &finding {
+                        member.dialogue_given_up(now, id);
                     }
                     self.found.push((place, finding));
                     more = true;
@@ -246,9 +247,9 @@
                 self.ends[other].open.insert(far);
                 self.pairs.insert((place, link), (other, far));
                 self.pairs.insert((other, far), (place, link));
-                self.member(other).linked(now, PeerLink(far));
+                self.member(other).link_accepted(now, PeerLink(far));
                 if let Some(member) = &mut self.members[place] {
-                    member.connected(now, PeerLink(link), &mut self.ends[place]);
+                    member.link_connected(now, PeerLink(link), &mut self.ends[place]);
                 }
             }
             RecordedEffect::Close(link) => self.close_link(place, link),
@@ -263,7 +264,7 @@
         if let Some(member) = &mut self.members[place]
             && self.ends[place].open.contains(&link)
         {
-            member.heard(self.now, PeerLink(link), frame, &mut self.ends[place]);
+            member.frame_received(self.now, PeerLink(link), frame, &mut self.ends[place]);
         }
     }
 
@@ -271,7 +272,7 @@
     fn complete_save(&mut self, place: usize, saves: Vec<Save>, number: u64) {
         self.ends[place].disk.as_mut().expect("there is one").extend(saves);
         if let Some(member) = &mut self.members[place] {
-            member.saved(self.now, number, true, &mut self.ends[place]);
+            member.disk_write_done(self.now, number, true, &mut self.ends[place]);
         }
     }
 
@@ -308,7 +309,7 @@
                 if let Some(member) = &mut self.members[place]
                     && member.next_due() <= self.now
                 {
-                    member.alarm(self.now, &mut self.ends[place]);
+                    member.timer_fired(self.now, &mut self.ends[place]);
                 }
             }
             self.settle();
@@ -318,14 +319,14 @@
     fn launches(&mut self, place: usize, id: &DialogueId, lasts: Duration) {
         let now = self.now;
         let member = self.member(place);
-        member.taken(now, id);
-        member.launch(now, id, &server(), LaunchNumber(0), now + lasts);
+        member.dialogue_accepted(now, id);
+        member.launch_planned(now, id, &server(), LaunchNumber(0), now + lasts);
         self.settle();
     }
 
     fn answers(&mut self, place: usize, id: &DialogueId, answer: Answer) {
         let now = self.now;
-        self.member(place).answer(now, id, &answer, LaunchNumber(0));
+        self.member(place).answer_planned(now, id, &answer, LaunchNumber(0));
         self.settle();
     }
 
@@ -336,14 +337,14 @@
 
     fn seek(&mut self, place: usize, id: &DialogueId) {
         let (now, cut_off) = (self.now, self.now + ms(3000));
-        self.member(place).seek(now, id, cut_off);
+        self.member(place).look_up_dialogue(now, id, cut_off);
         self.settle();
     }
 
     /// The owner for which a member asked a core server last to adopt a dialogue.
     fn adopting(&self, place: usize, id: &DialogueId) -> Option<Owner> {
         self.found.iter().rev().find_map(|(of, finding)| match finding {
-            Finding::ToCore(_, Frame::AuditMessage(AuditMessage::Adopt { dialogue, owner, .. })) => {
+            MemberEvent::SendToCore(_, Frame::AuditMessage(AuditMessage::Adopt { dialogue, owner, .. })) => {
                 (*of == place && dialogue == id).then_some(*owner)
             }
             _ => None,
@@ -362,14 +363,16 @@
     fn core_says(&mut self, place: usize, audit: AuditMessage) {
         let (now, ends) = (self.now, &mut self.ends[place]);
         let member = self.members[place].as_mut().expect("it runs");
-        member.core_said(now, &server(), audit, &|_| false, ends);
+        member.audit_received(now, &server(), audit, &|_| false, ends);
         self.settle();
     }
 
     /// The latest result of a search at a member.
     fn verdict(&self, place: usize, id: &DialogueId) -> Option<Verdict> {
         self.found.iter().rev().find_map(|(of, finding)| match finding {
-            Finding::Found(found, verdict) if *of == place && found == id => Some(verdict.clone()),
+            MemberEvent::RedialResolved(found, verdict) if *of == place && found == id => {
+                Some(verdict.clone())
+            }
             _ => None,
         })
     }
@@ -419,10 +422,12 @@
     net.blocked_pairs = holders.iter().map(|holder| (other, *holder)).collect();
     net.adopts(other, &d);
     net.run(ms(60));
-    assert!(is_unsure(&net.verdict(other, &d)) && net.member(other).sizes().0 == 1, "held for its caller");
+    assert!(
+        is_unsure(&net.verdict(other, &d)) && net.member(other).table_sizes().0 == 1, "held for its caller"
+    );
     net.heal();
     net.seek(other, &d);
-    assert_eq!((net.verdict(other, &d), net.member(other).sizes().0), (stands(), 0));
+    assert_eq!((net.verdict(other, &d), net.member(other).table_sizes().0), (stands(), 0));
 }
 
 #[test]
@@ -463,7 +468,7 @@
     net.launches(holders[0], &d, ms(1000));
     net.heal();
     // The other holder knows both: the first owner's record that it stood, and the later owner's launch.
-    let copy = net.member(holders[1]).book().get(&d).unwrap().clone();
+    let copy = net.member(holders[1]).replica_table().get(&d).unwrap().clone();
     assert!(copy.newer_launch_until().is_some(), "{copy:?}");
     net.kill(holders[0]);
     net.seek(other, &d);
@@ -483,12 +488,12 @@
         places.rotate_left(rotation);
         let (now, cut_off) = (net.now, net.now + ms(3000));
         for place in places {
-            net.member(place).seek(now, &d, cut_off);
+            net.member(place).look_up_dialogue(now, &d, cut_off);
         }
         net.run(ms(200));
         let lost = |place: usize| {
             net.found.iter().any(|(of, finding)| {
-                let mine = matches!(finding, Finding::LetGo(id) | Finding::Replaced(id) if *id == d);
+                let mine = matches!(finding, MemberEvent::GiveUpDialogue(id) | MemberEvent::OwnershipLost(id) if *id == d);
                 *of == place && mine
             })
         };
@@ -517,7 +522,7 @@
     let readings: BTreeSet<String> = [holders[0], holders[1]]
         .into_iter()
         .map(|place| {
-            let copy = net.member(place).book().get(&d).expect("it is known").clone();
+            let copy = net.member(place).replica_table().get(&d).expect("it is known").clone();
             assert!(copy.has_conflicting_answers() && copy.answers().len() == 2, "{copy:?}");
             lotussaddle_fleet::dialogue_json(now, &d, Some(&copy), &[])["reads"].to_string()
         })
@@ -548,13 +553,14 @@
     net.blocked_pairs = (0..5).filter(|place| *place != 1).map(|place| (place, 1)).collect();
     let (now, cut_off) = (net.now, net.now + ms(3000));
     for n in 0..10_000 {
-        net.member(1).seek(now, &id(&format!("nobody-{n}")), cut_off);
+        net.member(1).look_up_dialogue(now, &id(&format!("nobody-{n}")), cut_off);
     }
     net.run(ms(60));
-    let unsure =
-        |(_, finding): &&(usize, Finding)| matches!(finding, Finding::Found(_, Verdict::Unsure { .. }));
+    let unsure = |(_, finding): &&(usize, MemberEvent)| {
+        matches!(finding, MemberEvent::RedialResolved(_, Verdict::Unsure { .. }))
+    };
     assert_eq!(net.found.iter().filter(unsure).count(), 10_000, "each has its answer");
-    assert!(net.member(1).counts().asks_refused >= 9_800 && net.member(1).sizes().1 == 0);
+    assert!(net.member(1).counts().asks_refused >= 9_800 && net.member(1).table_sizes().1 == 0);
 }
 
 #[test]
@@ -582,7 +588,7 @@
         let link = 77;
         net.ends[0].open.insert(link);
         let now = net.now;
-        net.member(0).linked(now, PeerLink(link));
+        net.member(0).link_accepted(now, PeerLink(link));
         says.into_iter().for_each(|frame| net.deliver(0, link, frame));
         net.settle();
         assert!(!net.ends[0].open.contains(&link), "{what}");
@@ -619,7 +625,9 @@
     net.member(other).core_up(now, &server());
     net.settle();
     let asked = net.found.iter().rev().find_map(|(of, finding)| match finding {
-        Finding::ToCore(_, Frame::AuditMessage(AuditMessage::ListLines { serial, .. })) if *of == other => {
+        MemberEvent::SendToCore(_, Frame::AuditMessage(AuditMessage::ListLines { serial, .. }))
+            if *of == other =>
+        {
             Some(*serial)
         }
         _ => None,
@@ -635,8 +643,9 @@
     net.core_says(other, AuditMessage::Lines { serial, more: false, lines });
     net.heal();
     assert_eq!((net.verdict(other, &d), net.adopting(other, &d)), (stands(), Some(owner)));
-    let released =
-        |(_, finding): &(usize, Finding)| matches!(finding, Finding::ToCore(_, Frame::Release { .. }));
+    let released = |(_, finding): &(usize, MemberEvent)| {
+        matches!(finding, MemberEvent::SendToCore(_, Frame::Release { .. }))
+    };
     assert!(!net.found.iter().any(released));
 }
 
@@ -648,15 +657,15 @@
         let lines = vec![lotussaddle_trunk::HeldLine { dialogue: id("x"), launch: LaunchNumber(0), owner }];
         net.core_says(0, AuditMessage::Lines { serial: 1, more: false, lines });
         net.run(ms(2000));
-        net.member(0).life()
+        net.member(0).incarnation()
     };
-    let before = net.member(0).life();
+    let before = net.member(0).incarnation();
     let higher = tells(&mut net, before + (7 << 24));
     assert!(higher > before + (7 << 24), "a previous incarnation, or another process");
     assert_eq!(tells(&mut net, before + (7 << 24)), higher, "that incarnation has ended");
     assert_eq!(tells(&mut net, higher + (7 << 24)), 0, "another process: it keeps on taking later ones");
     net.run(ms(62_000));
-    assert!(net.member(0).life() > higher + (7 << 24));
+    assert!(net.member(0).incarnation() > higher + (7 << 24));
 }
 
 #[test]
@@ -665,8 +674,8 @@
     let now = net.now;
     for n in 0..3000 {
         let d = id(&format!("d{n}"));
-        net.member(0).taken(now, &d);
-        net.member(0).answer(now, &d, &Answer::Failed, LaunchNumber(0));
+        net.member(0).dialogue_accepted(now, &d);
+        net.member(0).answer_planned(now, &d, &Answer::Failed, LaunchNumber(0));
     }
     net.settle();
     net.kill(1);
@@ -677,9 +686,9 @@
     net.run(ms(60_000));
     let breaks = net.breaks.take().unwrap_or_default();
     net.run(ms(3000));
-    assert_eq!(net.member(1).book().len(), 3000);
+    assert_eq!(net.member(1).replica_table().len(), 3000);
     assert!(net.member(1).caught_up() && (11..100).contains(&breaks), "{breaks}");
-    let reached = net.member(1).book().get(&id("d7")).unwrap().owner_states()[0].progress.clone();
+    let reached = net.member(1).replica_table().get(&id("d7")).unwrap().owner_states()[0].progress.clone();
     assert_eq!(reached, Progress::Ended);
 }
 
@@ -694,7 +703,7 @@
     net.slow.insert(1);
     net.launches(0, &d, ms(1000));
     let kept = |net: &TestNetwork| {
-        net.found.iter().filter(|(of, f)| *of == 0 && matches!(f, Finding::Kept(_))).count()
+        net.found.iter().filter(|(of, f)| *of == 0 && matches!(f, MemberEvent::WriteConfirmed(_))).count()
     };
     let link = net.pairs.iter().find(|((a, _), (b, _))| (*a, *b) == (0, 1)).map(|((_, link), _)| *link);
     net.break_link(0, link.expect("there is one"));
@@ -721,9 +730,10 @@
         let now = net.now;
         for (place, finding) in std::mem::take(&mut net.found) {
             match finding {
-                Finding::ToCore(_, Frame::AuditMessage(AuditMessage::ListLines { serial, member, .. }))
-                    if usize::from(member) == place =>
-                {
+                MemberEvent::SendToCore(
+                    _,
+                    Frame::AuditMessage(AuditMessage::ListLines { serial, member, .. }),
+                ) if usize::from(member) == place => {
                     asked += 1;
                     let owner = |dialogue: &str| HeldLine {
                         dialogue: id(dialogue),
@@ -731,7 +741,7 @@
                         owner: Owner {
                             round: 0,
                             member,
-                            incarnation: net.members[place].as_ref().unwrap().life(),
+                            incarnation: net.members[place].as_ref().unwrap().incarnation(),
                         },
                     };
                     let lines = vec![owner("busy"), owner("held")];
@@ -744,9 +754,9 @@
                         holds
                     };
                     let (member, ends) = (net.members[place].as_mut().unwrap(), &mut net.ends[place]);
-                    member.core_said(now, &server(), holds, &held, ends);
+                    member.audit_received(now, &server(), holds, &held, ends);
                 }
-                Finding::ToCore(
+                MemberEvent::SendToCore(
                     _,
                     Frame::AuditMessage(AuditMessage::Adopt { dialogue, owner, action: act }),
                 ) => {
@@ -779,7 +789,7 @@
     net.run(ms(100));
     net.found.clear();
     let orders = |net: &TestNetwork| {
-        net.found.iter().filter(|(_, found)| matches!(found, Finding::Tables(..))).count()
+        net.found.iter().filter(|(_, found)| matches!(found, MemberEvent::CarryOutTablesOrder(..))).count()
     };
     // Member 4 sends member 0 an order, as the holder of the duty.
     let says = |net: &mut TestNetwork, number: u64, serial: u64| {
@@ -861,7 +871,7 @@
     net.heal();
     net.run(ms(4000));
     assert!(net.link(0, used).is_some(), "a new link was opened");
-    assert!(net.member(used).book().get(&d).is_some(), "the pending write arrives over the new link");
+    assert!(net.member(used).replica_table().get(&d).is_some(), "the pending write arrives over the new link");
 }
 
 #[test]
@@ -900,7 +910,7 @@
     let logs = &net.ends[member].logs;
     assert!(logs.iter().any(|line| line.contains("are not all that was kept, and are let go")), "{logs:#?}");
     assert!(
-        net.member(member).caught_up() && net.member(member).book().get(&d).is_some(),
+        net.member(member).caught_up() && net.member(member).replica_table().get(&d).is_some(),
         "it received the replicas again"
     );
 }
@@ -919,9 +929,9 @@
     net.run(ms(200));
     net.start(member);
     net.run(ms(900));
-    assert_eq!(net.member(member).life(), 0, "it waits for its neighbours, although a majority has reported");
+    assert_eq!(net.member(member).incarnation(), 0, "it waits for its neighbours, although a majority has reported");
     net.run(ms(1200));
-    assert!(net.member(member).life() > 0, "but only for a limited time");
+    assert!(net.member(member).incarnation() > 0, "but only for a limited time");
     let logs = &net.ends[member].logs;
     assert!(logs.iter().any(|line| line.contains("are not all that was kept, and are let go")), "{logs:#?}");
 }
