--- a/crates/fleet/src/member/core_servers.rs
+++ b/crates/fleet/src/member/core_servers.rs
@@ -71,7 +71,8 @@
                 };
                 let incarnation = self.lives.current();
                 if incarnation > 0 {
-                    let actions = self.takeovers.lines_listed(now, server, serial, &lines, more, incarnation, whose);
+                    let actions =
+                        self.takeovers.lines_listed(now, server, serial, &lines, more, incarnation, whose);
                     self.do_takeover_actions(actions);
                 }
             }
--- a/crates/fleet/src/member/incarnations.rs
+++ b/crates/fleet/src/member/incarnations.rs
@@ -77,7 +77,8 @@
     pub(super) fn incarnation_proposed(
         &mut self, link: PeerLink, member: u16, incarnation: u64, effects: &mut dyn Effects,
     ) {
-        let (given, highest) = self.lives.proposal_received(member, self.view.incarnation(member), incarnation);
+        let (given, highest) =
+            self.lives.proposal_received(member, self.view.incarnation(member), incarnation);
         if !given {
             self.send_to_link(
                 link,
--- a/crates/fleet/src/member/links.rs
+++ b/crates/fleet/src/member/links.rs
@@ -202,8 +202,8 @@
         // A clock here that stood still while the other's went on: what is kept here may be forgotten elsewhere, and would be
         // brought back to incarnation.
         let mine = self.view.time_since_frame(self.now, member);
-        let still =
-            away.filter(|away| *away > mine + mine / 8 + CLOCK_STALL_TOLERANCE && yours == self.lives.current());
+        let still = away
+            .filter(|away| *away > mine + mine / 8 + CLOCK_STALL_TOLERANCE && yours == self.lives.current());
         if self.lives.current() == 0
             && let Some(away) = away
         {
@@ -238,7 +238,8 @@
         if new {
             effects.log(&format!(
                 "member {} here, in incarnation {}",
-                self.name(member), start_count(incarnation)
+                self.name(member),
+                start_count(incarnation)
             ));
         }
         self.view.frame_received(self.now, member);
--- a/crates/fleet/src/member/search.rs
+++ b/crates/fleet/src/member/search.rs
@@ -140,7 +140,8 @@
         let replica = replica
             .filter(|replica| replica.dialogue == id)
             .map(|replica| Replica::from_update(self.now, replica));
-        let candidate = self.replica_table.group().candidates(fingerprint(&id)).contains(self.plan.self_member);
+        let candidate =
+            self.replica_table.group().candidates(fingerprint(&id)).contains(self.plan.self_member);
         let knows = candidate && self.caught_up();
         if let (true, Some(higher)) = (candidate, higher) {
             // This member promises itself the higher claim that it is about to make.
--- a/crates/fleet/src/member/streams.rs
+++ b/crates/fleet/src/member/streams.rs
@@ -29,7 +29,8 @@
     /// Reports the position in a peer's stream, and requests a snapshot where earlier updates are missing.
     pub(super) fn send_resume(&mut self, member: u16, effects: &mut dyn Effects) {
         let incarnation = self.view.incarnation(member);
-        let Some(link) = self.peers.link_to(member).filter(|_| incarnation > 0 && self.lives.current() > 0) else {
+        let Some(link) = self.peers.link_to(member).filter(|_| incarnation > 0 && self.lives.current() > 0)
+        else {
             return;
         };
         let incoming = &mut self.incoming[usize::from(member)];
--- a/crates/fleet/src/member/timers.rs
+++ b/crates/fleet/src/member/timers.rs
@@ -104,7 +104,8 @@
         }
         self.review_links(effects);
         let slow = self.peers.links.iter().filter(|(_, known)| {
-            let wait = if known.state == LinkState::Operator { GREETING_TIMEOUT * 15 } else { GREETING_TIMEOUT };
+            let wait =
+                if known.state == LinkState::Operator { GREETING_TIMEOUT * 15 } else { GREETING_TIMEOUT };
             known.state != LinkState::Identified && now >= known.since + wait
         });
         for link in slow.map(|(link, _)| *link).collect::<Vec<_>>() {
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -423,7 +423,8 @@
     net.adopts(other, &d);
     net.run(ms(60));
     assert!(
-        is_unsure(&net.verdict(other, &d)) && net.member(other).table_sizes().0 == 1, "held for its caller"
+        is_unsure(&net.verdict(other, &d)) && net.member(other).table_sizes().0 == 1,
+        "held for its caller"
     );
     net.heal();
     net.seek(other, &d);
@@ -871,7 +872,10 @@
     net.heal();
     net.run(ms(4000));
     assert!(net.link(0, used).is_some(), "a new link was opened");
-    assert!(net.member(used).replica_table().get(&d).is_some(), "the pending write arrives over the new link");
+    assert!(
+        net.member(used).replica_table().get(&d).is_some(),
+        "the pending write arrives over the new link"
+    );
 }
 
 #[test]
@@ -929,7 +933,11 @@
     net.run(ms(200));
     net.start(member);
     net.run(ms(900));
-    assert_eq!(net.member(member).incarnation(), 0, "it waits for its neighbours, although a majority has reported");
+    assert_eq!(
+        net.member(member).incarnation(),
+        0,
+        "it waits for its neighbours, although a majority has reported"
+    );
     net.run(ms(1200));
     assert!(net.member(member).incarnation() > 0, "but only for a limited time");
     let logs = &net.ends[member].logs;
