--- a/crates/model/src/replicas.rs
+++ b/crates/model/src/replicas.rs
@@ -1,343 +1,364 @@
-//! One dialogue, its copies at three members, and callers that dial it again at the other two, at once if it comes to that.
+//! Model of one dialogue, its replicas at three members, and callers that redial it at the other two, possibly concurrently.
 //!
-//! Two copies, one acknowledgement awaited. Members have disks; a kill loses what the disk has not had. Frames between two members
-//! keep their order and take as long as they like, so that a cut, one way or both, is a frame that does not come. A launch has its
-//! time, and a release after it: once that has passed it is out no more, and is not sent any more either.
+//! There are two replicas, and a writer waits for one acknowledgement. A kill loses whatever is not on disk. Frames between two
+//! members stay in order and are delayed without bound, so a cut in one or both directions is a frame that does not arrive. A launch
+//! has a time limit followed by a release time; once both have passed it is no longer outstanding and is no longer sent.
 
 use crate::Model;
 
-/// How members go about it.
+/// The replication rules of the members; each can be switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Keeping {
-    /// A copy, or a promise, is on disk before it is acknowledged; else as soon as it was read.
-    pub kept_first: bool,
-    /// Of the two holders of whoever wrote last, so many must answer before one goes on.
-    pub holders_asked: u8,
-    /// Copies are joined; else the one that came last counts.
-    pub joined: bool,
-    /// What a former owner wrote is gone by only once a later one's launch is out no more; else at once, as what binds more.
-    pub waits_for_later: bool,
-    /// What was found is written under the new owner and acknowledged before it is said again.
-    pub confirms: bool,
-    /// What a former owner writes after another was promised the dialogue is refused; else acknowledged.
-    pub refuses_former: bool,
-    pub kills: u8,
-    /// Only this member is ever killed.
-    pub only: Option<usize>,
-    /// Redials at the second member, and at the third.
+pub struct ReplicaProtocol {
+    /// A replica or a promise is on disk before it is acknowledged; otherwise it is acknowledged on receipt.
+    pub persists_first: bool,
+    /// How many of the two replica holders of the last writer must answer before a new owner continues.
+    pub required_holders: u8,
+    /// Replicas are merged; otherwise the one received last replaces the others.
+    pub merges_replicas: bool,
+    /// A previous owner's result is used only once no later owner's launch is outstanding; otherwise at once.
+    pub waits_for_later_launches: bool,
+    /// A result found in replicas is written under the new owner and acknowledged before it is repeated to a caller.
+    pub confirms_found_result: bool,
+    /// Writes of a previous owner are refused after the dialogue was promised to another; otherwise they are acknowledged.
+    pub refuses_previous_owner: bool,
+    /// The maximum number of kills explored.
+    pub max_kills: u8,
+    /// If set, only this member is killed.
+    pub only_killed: Option<usize>,
+    /// Whether the caller redials at the second and at the third member.
     pub redials: [bool; 2],
 }
 
-impl Keeping {
-    /// As `lotussaddle-fleet` has it.
-    pub const BUILT: Self = Self {
-        kept_first: true,
-        holders_asked: 2,
-        joined: true,
-        waits_for_later: true,
-        confirms: true,
-        refuses_former: true,
-        kills: 1,
-        only: None,
+impl ReplicaProtocol {
+    /// The protocol as implemented by `lotussaddle-fleet`.
+    pub const IMPLEMENTED: Self = Self {
+        persists_first: true,
+        required_holders: 2,
+        merges_replicas: true,
+        waits_for_later_launches: true,
+        confirms_found_result: true,
+        refuses_previous_owner: true,
+        max_kills: 1,
+        only_killed: None,
         redials: [true, true],
     };
 }
 
 const MEMBERS: usize = 3;
-/// What an owner wrote last: nothing, that it owns it, a launch out, that it stands. Owners are in order of their places.
-type Copy = [u8; MEMBERS];
+/// The last state written by each owner: nothing, claimed, launch outstanding, or set-up succeeded. Owners rank by index.
+type Replica = [u8; MEMBERS];
 const CLAIMED: u8 = 1;
-const OUT: u8 = 2;
-const STANDS: u8 = 3;
+const LAUNCHED: u8 = 2;
+const SUCCEEDED: u8 = 3;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum At {
-    /// It has not been dialled there.
+enum OwnerPhase {
+    /// The dialogue has not been dialled at this member.
     Idle,
-    Asking,
-    /// It is this owner's, once bars of others have passed.
+    Inquiring,
+    /// The member owns the dialogue, and may act once launches of other owners are no longer outstanding.
     Owned,
-    /// Its launch is written, and waits for an acknowledgement.
+    /// The launch is written and waits for an acknowledgement.
     Launching,
-    Out,
-    /// Its answer is written, and waits for an acknowledgement.
+    Launched,
+    /// The answer is written and waits for an acknowledgement.
     Answering,
     Answered,
-    /// Killed, replaced, or not sure: nothing more comes of it.
-    Over,
+    /// Killed, replaced or unresolved: the member takes no further action.
+    Finished,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Frame {
-    Copy { owner: usize, copy: Copy },
-    Kept { owner: usize, reached: u8 },
+    Replica { owner: usize, replica: Replica },
+    Acknowledge { owner: usize, reached: u8 },
     Refused { owner: usize },
     Ask { owner: usize },
-    Know { owner: usize, copy: Copy },
+    AskReply { owner: usize, replica: Replica },
 }
 
+/// A state of [`ReplicaModel`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
-    memory: [Copy; MEMBERS],
-    disk: [Copy; MEMBERS],
-    /// Answers of a member that wait for its disk.
-    owed: [Vec<(usize, Frame)>; MEMBERS],
-    wires: [[Vec<Frame>; MEMBERS]; MEMBERS],
-    at: [At; MEMBERS],
-    /// Members that would know and have promised, of an owner that asks; what they knew.
-    sure: [u8; MEMBERS],
-    found: [Copy; MEMBERS],
+    memory: [Replica; MEMBERS],
+    disk: [Replica; MEMBERS],
+    /// Per member, its answers to be sent once its state is on disk.
+    awaiting_disk: [Vec<(usize, Frame)>; MEMBERS],
+    frames_in_transit: [[Vec<Frame>; MEMBERS]; MEMBERS],
+    phase: [OwnerPhase; MEMBERS],
+    /// Per inquiring owner, a bit set of the members that have answered and promised, and the merged replicas they reported.
+    answered: [u8; MEMBERS],
+    found: [Replica; MEMBERS],
     launched: [bool; MEMBERS],
-    passed: [bool; MEMBERS],
-    said: [bool; MEMBERS],
+    release_passed: [bool; MEMBERS],
+    answer_sent: [bool; MEMBERS],
     kills: u8,
-    what: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
-pub struct Replicas(pub Keeping);
+/// The model of a replicated dialogue under a [`ReplicaProtocol`].
+pub struct ReplicaModel(pub ReplicaProtocol);
 
-fn join(into: &mut Copy, other: &Copy) {
-    for (mine, theirs) in into.iter_mut().zip(other) {
-        *mine = (*mine).max(*theirs);
+fn merge(into: &mut Replica, other: &Replica) {
+    for (own, received) in into.iter_mut().zip(other) {
+        *own = (*own).max(*received);
     }
 }
 
-/// The highest owner that a copy knows of, or that has written.
-fn highest(copy: &Copy, least: u8) -> Option<usize> {
-    (0..MEMBERS).rev().find(|owner| copy[*owner] >= least)
+/// The highest-ranking owner whose entry in a replica is at least `minimum`.
+fn highest_owner(replica: &Replica, minimum: u8) -> Option<usize> {
+    (0..MEMBERS).rev().find(|owner| replica[*owner] >= minimum)
 }
 
-/// What makes no difference any more is let go, so that states differ only in what does.
-fn tidy(state: &mut State) {
+/// Clears fields that can no longer affect the outcome, so that equivalent states compare equal.
+fn normalize(state: &mut State) {
     for owner in 0..MEMBERS {
-        if matches!(state.at[owner], At::Over | At::Answered) {
-            (state.sure[owner], state.found[owner]) = (0, Copy::default());
+        if matches!(state.phase[owner], OwnerPhase::Finished | OwnerPhase::Answered) {
+            (state.answered[owner], state.found[owner]) = (0, Replica::default());
             for from in 0..MEMBERS {
-                state.wires[from][owner]
-                    .retain(|frame| matches!(frame, Frame::Copy { .. } | Frame::Ask { .. }));
+                state.frames_in_transit[from][owner]
+                    .retain(|frame| matches!(frame, Frame::Replica { .. } | Frame::Ask { .. }));
             }
         }
     }
 }
 
-impl Replicas {
+impl ReplicaModel {
     fn write(&self, state: &mut State, owner: usize, reached: u8) {
         state.memory[owner][owner] = reached;
-        let copy = state.memory[owner];
+        let replica = state.memory[owner];
         for to in (0..MEMBERS).filter(|to| *to != owner) {
-            state.wires[owner][to].push(Frame::Copy { owner, copy });
+            state.frames_in_transit[owner][to].push(Frame::Replica { owner, replica });
         }
     }
 
-    /// An answer goes once it is kept, or at once.
+    /// Sends an answer once the state is persisted, or immediately.
     fn answer(&self, state: &mut State, from: usize, to: usize, frame: Frame) {
-        // Where nothing will be killed any more, the disk is of no account.
-        if self.0.kept_first && state.kills < self.0.kills {
-            state.owed[from].push((to, frame));
+        // The disk has no effect once no kill can follow.
+        if self.0.persists_first && state.kills < self.0.max_kills {
+            state.awaiting_disk[from].push((to, frame));
         } else {
-            state.wires[from][to].push(frame);
+            state.frames_in_transit[from][to].push(frame);
         }
     }
 
     fn launch(state: &mut State, owner: usize) {
         let others = || (0..MEMBERS).filter(|other| *other != owner);
-        if others().any(|other| state.launched[other] && !state.passed[other]) {
-            state.what = Some("two launches are out");
-        } else if others().any(|other| state.said[other]) {
-            state.what = Some("launched though another had answered");
+        if others().any(|other| state.launched[other] && !state.release_passed[other]) {
+            state.violation = Some("two launches are out");
+        } else if others().any(|other| state.answer_sent[other]) {
+            state.violation = Some("launched though another had answered");
         }
-        (state.launched[owner], state.at[owner]) = (true, At::Out);
+        (state.launched[owner], state.phase[owner]) = (true, OwnerPhase::Launched);
     }
 
-    /// Whether so many have answered that nothing can be unknown.
-    fn decide(&self, state: &mut State, owner: usize) {
-        let sure = state.sure[owner];
-        let of_holders = highest(&state.found[owner], OUT)
-            .is_some_and(|wrote| (sure & !(1 << wrote)).count_ones() >= u32::from(self.0.holders_asked));
-        if !of_holders && sure.count_ones() < MEMBERS as u32 {
+    /// Takes ownership once enough members have answered that no acknowledged write can be missing.
+    fn try_take_ownership(&self, state: &mut State, owner: usize) {
+        let answered = state.answered[owner];
+        let holders_answered = highest_owner(&state.found[owner], LAUNCHED).is_some_and(|writer| {
+            (answered & !(1 << writer)).count_ones() >= u32::from(self.0.required_holders)
+        });
+        if !holders_answered && answered.count_ones() < MEMBERS as u32 {
             return;
         }
         let found = state.found[owner];
-        join(&mut state.memory[owner], &found);
-        state.at[owner] = At::Owned;
-        if found.contains(&STANDS) && !self.0.waits_for_later {
-            (state.said[owner], state.at[owner]) = (true, At::Answered);
+        merge(&mut state.memory[owner], &found);
+        state.phase[owner] = OwnerPhase::Owned;
+        if found.contains(&SUCCEEDED) && !self.0.waits_for_later_launches {
+            (state.answer_sent[owner], state.phase[owner]) = (true, OwnerPhase::Answered);
         }
     }
 
-    fn heard(&self, state: &mut State, from: usize, me: usize, frame: Frame) {
+    fn receive(&self, state: &mut State, from: usize, member: usize, frame: Frame) {
         match frame {
-            Frame::Copy { owner, copy } => {
-                let promised = highest(&state.memory[me], CLAIMED).is_some_and(|known| known > owner);
-                if self.0.joined {
-                    join(&mut state.memory[me], &copy);
+            Frame::Replica { owner, replica } => {
+                let promised =
+                    highest_owner(&state.memory[member], CLAIMED).is_some_and(|known| known > owner);
+                if self.0.merges_replicas {
+                    merge(&mut state.memory[member], &replica);
                 } else {
-                    state.memory[me] = copy;
+                    state.memory[member] = replica;
                 }
-                let answer = match promised && self.0.refuses_former && self.0.joined {
+                let answer = match promised && self.0.refuses_previous_owner && self.0.merges_replicas {
                     true => Frame::Refused { owner },
-                    false => Frame::Kept { owner, reached: copy[owner] },
+                    false => Frame::Acknowledge { owner, reached: replica[owner] },
                 };
-                self.answer(state, me, from, answer);
+                self.answer(state, member, from, answer);
             }
-            Frame::Kept { owner, reached } => match (state.at[owner], reached) {
-                (At::Launching, OUT) => Self::launch(state, owner),
-                (At::Answering, STANDS) => {
+            Frame::Acknowledge { owner, reached } => match (state.phase[owner], reached) {
+                (OwnerPhase::Launching, LAUNCHED) => Self::launch(state, owner),
+                (OwnerPhase::Answering, SUCCEEDED) => {
                     let higher = (owner + 1..MEMBERS).any(|other| state.launched[other]);
                     if higher {
-                        state.what = Some("answered though another has launched it since");
+                        state.violation = Some("answered though another has launched it since");
                     }
-                    (state.said[owner], state.at[owner]) = (true, At::Answered);
+                    (state.answer_sent[owner], state.phase[owner]) = (true, OwnerPhase::Answered);
                 }
                 _ => {}
             },
             Frame::Refused { owner } => {
-                if state.at[owner] != At::Answered {
-                    state.at[owner] = At::Over;
+                if state.phase[owner] != OwnerPhase::Answered {
+                    state.phase[owner] = OwnerPhase::Finished;
                 }
             }
             Frame::Ask { owner } => {
-                if highest(&state.memory[me], CLAIMED).is_some_and(|known| known > owner) {
-                    return self.answer(state, me, from, Frame::Refused { owner });
+                if highest_owner(&state.memory[member], CLAIMED).is_some_and(|known| known > owner) {
+                    return self.answer(state, member, from, Frame::Refused { owner });
                 }
-                let copy = state.memory[me];
-                state.memory[me][owner] = state.memory[me][owner].max(CLAIMED);
-                // Whoever has it lets go before it says what it knows.
-                if me < owner && !matches!(state.at[me], At::Idle | At::Answered) {
-                    state.at[me] = At::Over;
+                let replica = state.memory[member];
+                state.memory[member][owner] = state.memory[member][owner].max(CLAIMED);
+                // A current owner gives up the dialogue before it reports its replica.
+                if member < owner && !matches!(state.phase[member], OwnerPhase::Idle | OwnerPhase::Answered) {
+                    state.phase[member] = OwnerPhase::Finished;
                 }
-                self.answer(state, me, from, Frame::Know { owner, copy });
+                self.answer(state, member, from, Frame::AskReply { owner, replica });
             }
-            Frame::Know { owner, copy } if state.at[owner] == At::Asking => {
-                join(&mut state.found[owner], &copy);
-                state.sure[owner] |= 1 << from;
-                self.decide(state, owner);
+            Frame::AskReply { owner, replica } if state.phase[owner] == OwnerPhase::Inquiring => {
+                merge(&mut state.found[owner], &replica);
+                state.answered[owner] |= 1 << from;
+                self.try_take_ownership(state, owner);
             }
-            Frame::Know { .. } => {}
+            Frame::AskReply { .. } => {}
         }
     }
 }
 
-impl Model for Replicas {
+impl Model for ReplicaModel {
     type State = State;
 
-    fn begin(&self) -> State {
+    fn initial_state(&self) -> State {
         let mut state = State {
             memory: [[0; MEMBERS]; MEMBERS],
             disk: [[0; MEMBERS]; MEMBERS],
-            owed: Default::default(),
-            wires: Default::default(),
-            at: [At::Idle; MEMBERS],
-            sure: [0; MEMBERS],
+            awaiting_disk: Default::default(),
+            frames_in_transit: Default::default(),
+            phase: [OwnerPhase::Idle; MEMBERS],
+            answered: [0; MEMBERS],
             found: [[0; MEMBERS]; MEMBERS],
             launched: [false; MEMBERS],
-            passed: [false; MEMBERS],
-            said: [false; MEMBERS],
+            release_passed: [false; MEMBERS],
+            answer_sent: [false; MEMBERS],
             kills: 0,
-            what: None,
+            violation: None,
         };
-        // The first member has it, and wants to launch it.
-        state.at[0] = At::Launching;
-        self.write(&mut state, 0, OUT);
+        // The first member owns the dialogue and is about to launch it.
+        state.phase[0] = OwnerPhase::Launching;
+        self.write(&mut state, 0, LAUNCHED);
         state
     }
 
-    fn next(&self, state: &State) -> Vec<(String, State)> {
-        let mut all = Vec::new();
-        let mut may = |words: String, change: &dyn Fn(&mut State)| {
+    fn successors(&self, state: &State) -> Vec<(String, State)> {
+        let mut events = Vec::new();
+        let mut add_event = |description: String, change: &dyn Fn(&mut State)| {
             let mut next = state.clone();
             change(&mut next);
-            tidy(&mut next);
-            all.push((words, next));
+            normalize(&mut next);
+            events.push((description, next));
         };
         for from in 0..MEMBERS {
             for to in 0..MEMBERS {
-                if let Some(frame) = state.wires[from][to].first() {
-                    may(format!("member {to} hears of {from}: {frame:?}"), &|next| {
-                        let frame = next.wires[from][to].remove(0);
-                        self.heard(next, from, to, frame);
+                if let Some(frame) = state.frames_in_transit[from][to].first() {
+                    add_event(format!("member {to} receives from {from}: {frame:?}"), &|next| {
+                        let frame = next.frames_in_transit[from][to].remove(0);
+                        self.receive(next, from, to, frame);
                     });
                 }
             }
         }
-        for me in 0..MEMBERS {
-            if !state.owed[me].is_empty() {
-                may(
-                    format!("the disk of member {me} has had all, and what waited for it is sent"),
+        for member in 0..MEMBERS {
+            if !state.awaiting_disk[member].is_empty() {
+                add_event(
+                    format!("member {member} persists its state and sends what waited for it"),
                     &|next| {
-                        next.disk[me] = next.memory[me];
-                        for (to, frame) in std::mem::take(&mut next.owed[me]) {
-                            next.wires[me][to].push(frame);
+                        next.disk[member] = next.memory[member];
+                        for (to, frame) in std::mem::take(&mut next.awaiting_disk[member]) {
+                            next.frames_in_transit[member][to].push(frame);
                         }
                     },
                 );
             }
-            if state.kills < self.0.kills && self.0.only.is_none_or(|only| only == me) {
-                may(format!("member {me} is killed, and starts again"), &|next| {
+            if state.kills < self.0.max_kills && self.0.only_killed.is_none_or(|only| only == member) {
+                add_event(format!("member {member} is killed and restarts"), &|next| {
                     next.kills += 1;
-                    next.memory[me] = next.disk[me];
-                    next.owed[me].clear();
-                    if next.at[me] != At::Idle {
-                        next.at[me] = At::Over;
+                    next.memory[member] = next.disk[member];
+                    next.awaiting_disk[member].clear();
+                    if next.phase[member] != OwnerPhase::Idle {
+                        next.phase[member] = OwnerPhase::Finished;
                     }
                 });
             }
-            let redialled = me > 0 && self.0.redials[me - 1];
-            match state.at[me] {
-                At::Idle if redialled => may(format!("it is dialled again at member {me}"), &|next| {
-                    if highest(&next.memory[me], CLAIMED).is_some_and(|known| known > me) {
-                        next.at[me] = At::Over;
-                        return;
-                    }
-                    (next.at[me], next.found[me], next.sure[me]) = (At::Asking, next.memory[me], 1 << me);
-                    next.memory[me][me] = CLAIMED;
-                    for to in (0..MEMBERS).filter(|to| *to != me) {
-                        next.wires[me][to].push(Frame::Ask { owner: me });
-                    }
-                    self.decide(next, me);
-                }),
-                At::Owned => {
-                    let found = &state.found[me];
-                    let barred = |other: usize| found[other] == OUT && !state.passed[other] && other != me;
-                    // The time of a former owner's launch is of no account once it stood.
-                    let stood = highest(found, STANDS);
-                    let mut later = stood.map_or(0, |stood| stood + 1)..MEMBERS;
-                    if later.any(barred) {
-                    } else if stood.is_some() {
-                        may(format!("member {me} goes by it that it stands"), &|next| {
-                            if self.0.confirms {
-                                next.at[me] = At::Answering;
-                                self.write(next, me, STANDS);
-                            } else {
-                                (next.said[me], next.at[me]) = (true, At::Answered);
-                            }
-                        });
+            let is_redialled = member > 0 && self.0.redials[member - 1];
+            match state.phase[member] {
+                OwnerPhase::Idle if is_redialled => {
+                    add_event(format!("the caller redials at member {member}"), &|next| {
+                        if highest_owner(&next.memory[member], CLAIMED).is_some_and(|known| known > member) {
+                            next.phase[member] = OwnerPhase::Finished;
+                            return;
+                        }
+                        (next.phase[member], next.found[member], next.answered[member]) =
+                            (OwnerPhase::Inquiring, next.memory[member], 1 << member);
+                        next.memory[member][member] = CLAIMED;
+                        for to in (0..MEMBERS).filter(|to| *to != member) {
+                            next.frames_in_transit[member][to].push(Frame::Ask { owner: member });
+                        }
+                        self.try_take_ownership(next, member);
+                    })
+                }
+                OwnerPhase::Owned => {
+                    let found = &state.found[member];
+                    let is_outstanding = |other: usize| {
+                        found[other] == LAUNCHED && !state.release_passed[other] && other != member
+                    };
+                    // The time limit of an earlier owner's launch does not matter once the set-up succeeded.
+                    let succeeded = highest_owner(found, SUCCEEDED);
+                    let mut later = succeeded.map_or(0, |succeeded| succeeded + 1)..MEMBERS;
+                    if later.any(is_outstanding) {
+                    } else if succeeded.is_some() {
+                        add_event(
+                            format!("member {member} uses the successful set-up that it found"),
+                            &|next| {
+                                if self.0.confirms_found_result {
+                                    next.phase[member] = OwnerPhase::Answering;
+                                    self.write(next, member, SUCCEEDED);
+                                } else {
+                                    (next.answer_sent[member], next.phase[member]) =
+                                        (true, OwnerPhase::Answered);
+                                }
+                            },
+                        );
                     } else {
-                        may(format!("member {me} writes that it launches"), &|next| {
-                            next.at[me] = At::Launching;
-                            self.write(next, me, OUT);
+                        add_event(format!("member {member} writes its launch"), &|next| {
+                            next.phase[member] = OwnerPhase::Launching;
+                            self.write(next, member, LAUNCHED);
                         });
                     }
                 }
-                At::Out if !state.passed[me] => may(format!("what member {me} launched stands"), &|next| {
-                    next.at[me] = At::Answering;
-                    self.write(next, me, STANDS);
-                }),
+                OwnerPhase::Launched if !state.release_passed[member] => {
+                    add_event(format!("the launch of member {member} succeeds"), &|next| {
+                        next.phase[member] = OwnerPhase::Answering;
+                        self.write(next, member, SUCCEEDED);
+                    })
+                }
                 _ => {}
             }
-            if !state.passed[me] && (state.launched[me] || state.at[me] == At::Launching) {
-                may(format!("the time of member {me}'s launch and the release pass"), &|next| {
-                    next.passed[me] = true;
-                    if matches!(next.at[me], At::Launching | At::Out) {
-                        next.at[me] = At::Over;
-                    }
-                });
+            if !state.release_passed[member]
+                && (state.launched[member] || state.phase[member] == OwnerPhase::Launching)
+            {
+                add_event(
+                    format!("the time limit and the release time of the launch of member {member} pass"),
+                    &|next| {
+                        next.release_passed[member] = true;
+                        if matches!(next.phase[member], OwnerPhase::Launching | OwnerPhase::Launched) {
+                            next.phase[member] = OwnerPhase::Finished;
+                        }
+                    },
+                );
             }
         }
-        all
+        events
     }
 
-    fn wrong(&self, state: &State) -> Option<String> {
-        state.what.map(String::from)
+    fn violation(&self, state: &State) -> Option<String> {
+        state.violation.map(String::from)
     }
 }
--- a/crates/model/src/restart.rs
+++ b/crates/model/src/restart.rs
@@ -1,287 +1,316 @@
-//! One dialogue at an edge proxy that is killed at any moment: its record, its launches, its answer, its caller.
+//! Model of one dialogue at an edge proxy that can be killed at any moment: its record, launches, answer and caller.
 //!
-//! Bytes that were written to a socket may arrive after whoever wrote them is gone; a record that was being written
-//! may be there or not. A core server notices that a link is gone some time later, yet before the release time has
-//! passed: that is what the release time is for.
+//! Bytes written to a socket may arrive after the writer has been killed; a record whose write was in progress
+//! may or may not be on disk. A core server notices a closed link after a delay, but before the release time has
+//! passed; this bound is the purpose of the release time.
 
 use crate::Model;
 
-/// In which order an edge proxy does what it does.
+/// The order in which an edge proxy records, sends and answers, and what it does after a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Design {
-    /// The final answer is recorded before it is said; else after.
+pub struct RestartDesign {
+    /// The final answer is recorded before it is sent to the caller; otherwise after.
     pub answer_recorded_first: bool,
-    pub launches: Launches,
-    /// After a start a dialogue whose record says that a launch was out is launched no sooner than a release time
-    /// later.
-    pub bars_what_was_out: bool,
-    /// After a start nothing is launched for a release time, whatever is recorded.
-    pub bars_all: bool,
-    pub kills: u8,
+    /// When launches are recorded.
+    pub launch_recording: LaunchRecording,
+    /// After a restart, a dialogue whose record shows an outstanding launch is not launched again until a release time
+    /// has passed.
+    pub blocks_recorded_launches: bool,
+    /// After a restart nothing is launched for a release time, regardless of the records.
+    pub blocks_all_launches: bool,
+    /// The maximum number of kills explored.
+    pub max_kills: u8,
 }
 
-/// Whether a launch is recorded, and when.
+/// Whether a launch is recorded, and when relative to sending it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Launches {
+pub enum LaunchRecording {
+    /// Launches are not recorded.
     Never,
+    /// Before it is sent.
     Before,
+    /// After it is sent.
     After,
 }
 
-impl Design {
-    /// Launches recorded before they are sent, answers before they are said.
-    pub const RECORDED: Self = Self {
+impl RestartDesign {
+    /// Launches are recorded before they are sent, answers before they are sent to the caller.
+    pub const RECORD_FIRST: Self = Self {
         answer_recorded_first: true,
-        launches: Launches::Before,
-        bars_what_was_out: true,
-        bars_all: false,
-        kills: 3,
+        launch_recording: LaunchRecording::Before,
+        blocks_recorded_launches: true,
+        blocks_all_launches: false,
+        max_kills: 3,
+    };
+    /// No launch is recorded; a restarted edge proxy launches nothing for a release time.
+    pub const HOLD_AFTER_RESTART: Self = Self {
+        launch_recording: LaunchRecording::Never,
+        blocks_recorded_launches: false,
+        blocks_all_launches: true,
+        ..Self::RECORD_FIRST
     };
-    /// No launch is recorded; whoever starts rests for a release time.
-    pub const RESTS: Self =
-        Self { launches: Launches::Never, bars_what_was_out: false, bars_all: true, ..Self::RECORDED };
 }
 
+/// The progress of the dialogue at the edge proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum At {
-    /// Not known here.
+enum DialogueState {
+    /// The edge proxy does not know the dialogue.
     Unknown,
     Waiting,
-    /// Its launch's record is on its way to the disk; then it is sent.
+    /// The launch record is being written; the launch is sent afterwards.
     Recording,
-    Out,
-    /// Sent, and its record is on its way to the disk.
-    OutRecording,
-    /// Its answer's record is on its way to the disk; then it is said.
+    Launched,
+    /// The launch is sent and its record is being written.
+    LaunchedRecording,
+    /// The answer record is being written; the answer is sent afterwards.
     Answering,
-    /// Said, and its record is on its way to the disk.
-    Said,
-    Done,
+    /// The answer is sent and its record is being written.
+    AnswerRecording,
+    Completed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Record {
     None,
-    Out,
+    Launched,
     Answered,
 }
 
+/// A state of [`RestartModel`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
-    /// None: killed.
-    edge: Option<At>,
-    /// A release time has not passed since this life began.
-    young: bool,
-    /// ... nor since the last launch ended in doubt, as this life knows.
-    barred: bool,
+    /// The dialogue at the edge proxy; `None` while the edge proxy is down.
+    edge: Option<DialogueState>,
+    /// Less than a release time has passed since this incarnation started.
+    recently_started: bool,
+    /// Launches are blocked, as far as this incarnation knows: a launch ended unresolved less than a release time ago.
+    launches_blocked: bool,
     disk: Record,
-    /// Launches on their way to the core server, and launches that it has.
-    coming: u8,
-    there: u8,
-    /// The core server has a link that is gone, and has not noticed.
-    unnoticed: bool,
-    /// It has answered on a link that is still there.
+    /// LaunchRecording on their way to the core server, and launches that it has.
+    launches_in_transit: u8,
+    launches_at_server: u8,
+    /// The link to the core server is closed and the core server has not noticed.
+    link_loss_unnoticed: bool,
+    /// The core server has accepted the set-up on a link that is still open.
     stood: bool,
-    /// Answers on their way to the caller, and answers that it has.
-    saying: u8,
-    answers: u8,
-    asked: bool,
-    /// A release time has not passed since a launch ended in doubt, as a clock on the wall has it.
-    in_doubt: bool,
+    /// Answers in transit to the caller, and answers that it has received.
+    answers_in_transit: u8,
+    answers_received: u8,
+    caller_waiting: bool,
+    /// Less than a release time of wall-clock time has passed since a launch ended unresolved.
+    launch_unresolved: bool,
     kills: u8,
-    what: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
-pub struct Restart(pub Design);
+/// The model of a dialogue under a [`RestartDesign`].
+pub struct RestartModel(pub RestartDesign);
 
-impl Restart {
+impl RestartModel {
     fn launch(&self, state: &State) -> Vec<(String, State)> {
         let mut next = state.clone();
-        match self.0.launches {
-            Launches::Before if state.disk != Record::Out => next.edge = Some(At::Recording),
+        match self.0.launch_recording {
+            LaunchRecording::Before if state.disk != Record::Launched => {
+                next.edge = Some(DialogueState::Recording)
+            }
             _ => self.send(&mut next),
         }
         vec![("launches".into(), next)]
     }
 
     fn send(&self, next: &mut State) {
-        next.edge = Some(if self.0.launches == Launches::After { At::OutRecording } else { At::Out });
-        if next.in_doubt {
-            next.what = Some("rule 5: launched within the release time of a launch in doubt");
-        } else if next.there > 0 || next.coming > 0 {
-            next.what = Some("rule 2: launched while another launch is out");
+        next.edge = Some(if self.0.launch_recording == LaunchRecording::After {
+            DialogueState::LaunchedRecording
+        } else {
+            DialogueState::Launched
+        });
+        if next.launch_unresolved {
+            next.violation = Some("rule 5: launched within the release time of a launch in doubt");
+        } else if next.launches_at_server > 0 || next.launches_in_transit > 0 {
+            next.violation = Some("rule 2: launched while another launch is out");
         }
-        next.coming += 1;
+        next.launches_in_transit += 1;
     }
 
-    fn kill(state: &State, record: Record, words: &str) -> (String, State) {
+    fn kill(state: &State, record: Record, description: &str) -> (String, State) {
         let mut next = state.clone();
-        // Bytes that were written may still arrive; what comes back over a link that is gone does not.
-        let was_out = next.coming > 0 || next.there > 0;
+        // Written bytes may still arrive; replies on a closed link do not.
+        let was_launched = next.launches_in_transit > 0 || next.launches_at_server > 0;
         next.edge = None;
-        next.unnoticed = was_out;
-        next.in_doubt |= was_out;
-        (next.stood, next.barred) = (false, false);
-        next.asked = next.answers == 0;
+        next.link_loss_unnoticed = was_launched;
+        next.launch_unresolved |= was_launched;
+        (next.stood, next.launches_blocked) = (false, false);
+        next.caller_waiting = next.answers_received == 0;
         next.disk = record;
         next.kills += 1;
-        (format!("killed{words}"), next)
+        (format!("killed{description}"), next)
     }
 }
 
-impl Model for Restart {
+impl Model for RestartModel {
     type State = State;
 
-    fn begin(&self) -> State {
+    fn initial_state(&self) -> State {
         State {
-            edge: Some(At::Unknown),
-            young: false,
-            barred: false,
+            edge: Some(DialogueState::Unknown),
+            recently_started: false,
+            launches_blocked: false,
             disk: Record::None,
-            coming: 0,
-            there: 0,
-            unnoticed: false,
+            launches_in_transit: 0,
+            launches_at_server: 0,
+            link_loss_unnoticed: false,
             stood: false,
-            saying: 0,
-            answers: 0,
-            asked: true,
-            in_doubt: false,
+            answers_in_transit: 0,
+            answers_received: 0,
+            caller_waiting: true,
+            launch_unresolved: false,
             kills: 0,
-            what: None,
+            violation: None,
         }
     }
 
-    fn next(&self, state: &State) -> Vec<(String, State)> {
-        let mut all = Vec::new();
-        let with = |change: &dyn Fn(&mut State)| {
+    fn successors(&self, state: &State) -> Vec<(String, State)> {
+        let mut events = Vec::new();
+        let successor = |change: &dyn Fn(&mut State)| {
             let mut next = state.clone();
             change(&mut next);
             next
         };
-        // The wires.
-        if state.coming > 0 {
-            all.push((
+        // Network.
+        if state.launches_in_transit > 0 {
+            events.push((
                 "a launch arrives at the core server".into(),
-                with(&|s| {
-                    s.coming -= 1;
-                    s.there += 1;
+                successor(&|s| {
+                    s.launches_in_transit -= 1;
+                    s.launches_at_server += 1;
                 }),
             ));
         }
-        if state.there > 0 && !state.unnoticed && !state.stood {
-            all.push(("the core server stands it".into(), with(&|s| s.stood = true)));
-            if matches!(state.edge, Some(At::Out | At::OutRecording)) {
-                all.push((
+        if state.launches_at_server > 0 && !state.link_loss_unnoticed && !state.stood {
+            events.push(("the core server accepts the set-up".into(), successor(&|s| s.stood = true)));
+            if matches!(state.edge, Some(DialogueState::Launched | DialogueState::LaunchedRecording)) {
+                events.push((
                     "its launch is broken off".into(),
-                    with(&|s| {
-                        s.there = 0;
-                        s.in_doubt = true;
-                        s.barred = true;
-                        s.edge = Some(At::Waiting);
+                    successor(&|s| {
+                        s.launches_at_server = 0;
+                        s.launch_unresolved = true;
+                        s.launches_blocked = true;
+                        s.edge = Some(DialogueState::Waiting);
                     }),
                 ));
             }
         }
-        if state.unnoticed && state.coming == 0 {
-            all.push((
-                "the core server notices that the link is gone".into(),
-                with(&|s| {
-                    s.unnoticed = false;
-                    s.there = 0;
+        if state.link_loss_unnoticed && state.launches_in_transit == 0 {
+            events.push((
+                "the core server notices that the link is closed".into(),
+                successor(&|s| {
+                    s.link_loss_unnoticed = false;
+                    s.launches_at_server = 0;
                 }),
             ));
         }
-        if state.saying > 0 {
-            all.push((
+        if state.answers_in_transit > 0 {
+            events.push((
                 "an answer arrives at the caller".into(),
-                with(&|s| {
-                    s.saying -= 1;
-                    s.answers += 1;
-                    s.asked = false;
+                successor(&|s| {
+                    s.answers_in_transit -= 1;
+                    s.answers_received += 1;
+                    s.caller_waiting = false;
                 }),
             ));
         }
         // Time.
-        if (state.in_doubt || state.young || state.barred) && !state.unnoticed {
-            all.push((
+        if (state.launch_unresolved || state.recently_started || state.launches_blocked)
+            && !state.link_loss_unnoticed
+        {
+            events.push((
                 "a release time passes".into(),
-                with(&|s| {
-                    (s.in_doubt, s.young, s.barred) = (false, false, false);
+                successor(&|s| {
+                    (s.launch_unresolved, s.recently_started, s.launches_blocked) = (false, false, false);
                 }),
             ));
         }
         // The edge proxy.
         match state.edge {
-            None => all.push((
+            None => events.push((
                 "the edge proxy starts".into(),
-                with(&|s| {
-                    s.edge = Some(if s.disk == Record::Answered { At::Done } else { At::Unknown });
-                    s.young = true;
-                    s.barred = self.0.bars_all || (self.0.bars_what_was_out && s.disk == Record::Out);
+                successor(&|s| {
+                    s.edge = Some(if s.disk == Record::Answered {
+                        DialogueState::Completed
+                    } else {
+                        DialogueState::Unknown
+                    });
+                    s.recently_started = true;
+                    s.launches_blocked = self.0.blocks_all_launches
+                        || (self.0.blocks_recorded_launches && s.disk == Record::Launched);
                 }),
             )),
-            Some(At::Unknown) if state.asked => {
-                all.push(("the caller dials".into(), with(&|s| s.edge = Some(At::Waiting))));
+            Some(DialogueState::Unknown) if state.caller_waiting => {
+                events
+                    .push(("the caller dials".into(), successor(&|s| s.edge = Some(DialogueState::Waiting))));
             }
-            Some(At::Waiting) if !state.barred => all.extend(self.launch(state)),
-            Some(At::Recording) => all.push((
-                "the launch is recorded, and sent".into(),
-                with(&|s| {
-                    s.disk = Record::Out;
+            Some(DialogueState::Waiting) if !state.launches_blocked => events.extend(self.launch(state)),
+            Some(DialogueState::Recording) => events.push((
+                "the launch is recorded and sent".into(),
+                successor(&|s| {
+                    s.disk = Record::Launched;
                     self.send(s);
                 }),
             )),
-            Some(At::OutRecording) => all.push((
+            Some(DialogueState::LaunchedRecording) => events.push((
                 "the launch is recorded".into(),
-                with(&|s| {
-                    s.disk = Record::Out;
-                    s.edge = Some(At::Out);
+                successor(&|s| {
+                    s.disk = Record::Launched;
+                    s.edge = Some(DialogueState::Launched);
                 }),
             )),
-            Some(At::Out) if state.stood => all.push((
-                "the edge proxy hears that it stands".into(),
-                with(&|s| {
+            Some(DialogueState::Launched) if state.stood => events.push((
+                "the edge proxy receives the accepted set-up".into(),
+                successor(&|s| {
                     if self.0.answer_recorded_first {
-                        s.edge = Some(At::Answering);
+                        s.edge = Some(DialogueState::Answering);
                     } else {
-                        s.saying += 1;
-                        s.edge = Some(At::Said);
+                        s.answers_in_transit += 1;
+                        s.edge = Some(DialogueState::AnswerRecording);
                     }
                 }),
             )),
-            Some(At::Answering) => all.push((
-                "the answer is recorded, and said".into(),
-                with(&|s| {
+            Some(DialogueState::Answering) => events.push((
+                "the answer is recorded and sent".into(),
+                successor(&|s| {
                     s.disk = Record::Answered;
-                    s.saying += 1;
-                    s.edge = Some(At::Done);
+                    s.answers_in_transit += 1;
+                    s.edge = Some(DialogueState::Completed);
                 }),
             )),
-            Some(At::Said) => all.push((
+            Some(DialogueState::AnswerRecording) => events.push((
                 "the answer is recorded".into(),
-                with(&|s| {
+                successor(&|s| {
                     s.disk = Record::Answered;
-                    s.edge = Some(At::Done);
+                    s.edge = Some(DialogueState::Completed);
                 }),
             )),
             _ => {}
         }
-        if let Some(at) = state.edge.filter(|_| state.kills < self.0.kills) {
-            all.push(Self::kill(state, state.disk, ""));
-            let writing = match at {
-                At::Recording | At::OutRecording => Some(Record::Out),
-                At::Answering | At::Said => Some(Record::Answered),
+        if let Some(dialogue_state) = state.edge.filter(|_| state.kills < self.0.max_kills) {
+            events.push(Self::kill(state, state.disk, ""));
+            let record_being_written = match dialogue_state {
+                DialogueState::Recording | DialogueState::LaunchedRecording => Some(Record::Launched),
+                DialogueState::Answering | DialogueState::AnswerRecording => Some(Record::Answered),
                 _ => None,
             };
-            all.extend(writing.map(|record| Self::kill(state, record, ", its record was just written")));
+            events.extend(
+                record_being_written
+                    .map(|record| Self::kill(state, record, " just after its record was written")),
+            );
         }
-        all
+        events
     }
 
-    fn wrong(&self, state: &State) -> Option<String> {
-        if state.answers + state.saying > 1 {
+    fn violation(&self, state: &State) -> Option<String> {
+        if state.answers_received + state.answers_in_transit > 1 {
             return Some("rule 1: a second answer".into());
         }
-        state.what.map(String::from)
+        state.violation.map(String::from)
     }
 }
--- a/crates/model/tests/duties.rs
+++ b/crates/model/tests/duties.rs
@@ -1,18 +1,18 @@
-//! Orders of vote, table, lease and act over kills, losses and repeats: the one that is built, and each that is not right.
+//! Orders of vote, table, lease and action with kills, losses and duplicates: the implemented one, and each incorrect variant.
 
-use lotussaddle_model::{Duties, Explored, Ordering, VotersChange, explore};
+use lotussaddle_model::{DutyModel, DutyProtocol, ExplorationResult, VoterSetChange, explore};
 
-fn breaks(ordering: Ordering, wanted: &str) {
-    match explore(&Duties(ordering), 8_000_000) {
-        Explored::Breaks { way, what } => assert_eq!(what, wanted, "{way:#?}"),
-        other => panic!("{ordering:?}: {other:?}"),
+fn assert_violation(protocol: DutyProtocol, expected: &str) {
+    match explore(&DutyModel(protocol), 8_000_000) {
+        ExplorationResult::Violated { path, violation } => assert_eq!(violation, expected, "{path:#?}"),
+        other => panic!("{protocol:?}: {other:?}"),
     }
 }
 
 #[test]
-fn what_is_built_holds_through_every_order() {
-    match explore(&Duties(Ordering { kills: 0, ..Ordering::BUILT }), 8_000_000) {
-        Explored::Holds { states } => {
+fn implemented_protocol_holds_for_every_order() {
+    match explore(&DutyModel(DutyProtocol { max_kills: 0, ..DutyProtocol::IMPLEMENTED }), 8_000_000) {
+        ExplorationResult::Holds { states } => {
             println!("{states} states");
             assert!(states > 1000);
         }
@@ -20,54 +20,70 @@
     }
 }
 
-/// Outside CI: with kills. `LOTUSSADDLE_STATES` bounds it.
+/// Not run in CI. `LOTUSSADDLE_STATES` bounds the number of states.
 #[test]
 #[ignore = "takes minutes"]
-fn what_is_built_holds_over_kills() {
-    let most = std::env::var("LOTUSSADDLE_STATES").ok().and_then(|n| n.parse().ok()).unwrap_or(10_000_000);
+fn implemented_protocol_holds_with_kills() {
+    let max_states =
+        std::env::var("LOTUSSADDLE_STATES").ok().and_then(|n| n.parse().ok()).unwrap_or(10_000_000);
     for kills in [1, 2] {
-        let found = explore(&Duties(Ordering { kills, ..Ordering::BUILT }), most);
-        println!("{kills} kills: {found:#?}");
-        assert!(!matches!(found, Explored::Breaks { .. }));
+        let result =
+            explore(&DutyModel(DutyProtocol { max_kills: kills, ..DutyProtocol::IMPLEMENTED }), max_states);
+        println!("{kills} kills: {result:#?}");
+        assert!(!matches!(result, ExplorationResult::Violated { .. }));
     }
 }
 
 #[test]
-fn a_vote_that_is_said_before_it_is_kept_is_shown() {
-    breaks(Ordering { kept_first: false, ..Ordering::BUILT }, "two are agreed on under one number");
+fn sending_a_vote_before_persisting_it_is_a_violation() {
+    assert_violation(
+        DutyProtocol { persists_first: false, ..DutyProtocol::IMPLEMENTED },
+        "two are agreed on under one number",
+    );
 }
 
 #[test]
-fn a_vote_remembered_without_whose_it_was_is_shown() {
-    breaks(Ordering { own_terms: false, ..Ordering::BUILT }, "two hold it at once");
+fn remembering_a_vote_without_its_candidate_is_a_violation() {
+    assert_violation(
+        DutyProtocol { terms_per_candidate: false, ..DutyProtocol::IMPLEMENTED },
+        "two hold it at once",
+    );
 }
 
 #[test]
-fn a_lease_counted_from_the_answer_is_shown() {
-    breaks(Ordering { from_asked: false, kills: 0, ..Ordering::BUILT }, "two hold it at once");
+fn counting_a_lease_from_the_reply_is_a_violation() {
+    assert_violation(
+        DutyProtocol { lease_from_request: false, max_kills: 0, ..DutyProtocol::IMPLEMENTED },
+        "two hold it at once",
+    );
 }
 
 #[test]
-fn receivers_without_a_fence_are_shown() {
-    breaks(
-        Ordering { fenced: false, kills: 0, ..Ordering::BUILT },
+fn receivers_that_ignore_fencing_tokens_are_a_violation() {
+    assert_violation(
+        DutyProtocol { checks_fencing_token: false, max_kills: 0, ..DutyProtocol::IMPLEMENTED },
         "an act under an overtaken number was done",
     );
 }
 
 #[test]
-fn a_vote_for_one_with_an_older_table_is_shown() {
-    breaks(
-        Ordering { newest_only: false, kills: 0, ..Ordering::BUILT },
+fn voting_for_a_candidate_with_an_older_table_is_a_violation() {
+    assert_violation(
+        DutyProtocol { requires_newest_table: false, max_kills: 0, ..DutyProtocol::IMPLEMENTED },
         "two are agreed on under one number",
     );
 }
 
 #[test]
-fn two_voters_changed_at_once_are_shown_and_one_is_right() {
-    assert!(matches!(explore(&VotersChange { at_once: 1 }, 1_000_000), Explored::Holds { .. }));
-    match explore(&VotersChange { at_once: 2 }, 1_000_000) {
-        Explored::Breaks { what, .. } => assert_eq!(what, "two chairs at once, by two sets of voters"),
+fn adding_two_voters_at_once_is_a_violation_and_adding_one_is_safe() {
+    assert!(matches!(
+        explore(&VoterSetChange { added_at_once: 1 }, 1_000_000),
+        ExplorationResult::Holds { .. }
+    ));
+    match explore(&VoterSetChange { added_at_once: 2 }, 1_000_000) {
+        ExplorationResult::Violated { violation, .. } => {
+            assert_eq!(violation, "two chairs at once, by two sets of voters")
+        }
         other => panic!("{other:?}"),
     }
 }
--- a/crates/model/tests/replicas.rs
+++ b/crates/model/tests/replicas.rs
@@ -1,26 +1,26 @@
-//! Orders of write, acknowledgement, promise and launch over kills and cuts: the one that is built, and each that is not right.
+//! Orders of write, acknowledgement, promise and launch with kills and cuts: the implemented one, and each incorrect variant.
 
-use lotussaddle_model::{Explored, Keeping, Replicas, explore};
+use lotussaddle_model::{ExplorationResult, ReplicaModel, ReplicaProtocol, explore};
 
-fn explored(keeping: Keeping) -> Explored {
-    explore(&Replicas(keeping), 1_000_000)
+fn explore_bounded(protocol: ReplicaProtocol) -> ExplorationResult {
+    explore(&ReplicaModel(protocol), 1_000_000)
 }
 
-/// What is enough to see most of it, in little time: no kill with two redials, one kill with one.
-const TWO_REDIALS: Keeping = Keeping { kills: 0, ..Keeping::BUILT };
-const ONE_KILL: Keeping = Keeping { redials: [true, false], ..Keeping::BUILT };
+/// Configurations that find most violations in little time: two redials without kills, and one redial with one kill.
+const TWO_REDIALS: ReplicaProtocol = ReplicaProtocol { max_kills: 0, ..ReplicaProtocol::IMPLEMENTED };
+const ONE_KILL: ReplicaProtocol = ReplicaProtocol { redials: [true, false], ..ReplicaProtocol::IMPLEMENTED };
 
-fn breaks(keeping: Keeping, wanted: &str) {
-    match explored(keeping) {
-        Explored::Breaks { way, what } => assert_eq!(what, wanted, "{way:#?}"),
-        other => panic!("{keeping:?}: {other:?}"),
+fn assert_violation(protocol: ReplicaProtocol, expected: &str) {
+    match explore_bounded(protocol) {
+        ExplorationResult::Violated { path, violation } => assert_eq!(violation, expected, "{path:#?}"),
+        other => panic!("{protocol:?}: {other:?}"),
     }
 }
 
 #[test]
-fn what_is_built_holds_through_every_order() {
-    match explored(TWO_REDIALS) {
-        Explored::Holds { states } => {
+fn implemented_protocol_holds_for_every_order() {
+    match explore_bounded(TWO_REDIALS) {
+        ExplorationResult::Holds { states } => {
             println!("{states} states");
             assert!(states > 10_000);
         }
@@ -28,48 +28,71 @@
     }
 }
 
-/// Outside CI: takes minutes and gigabytes. `LOTUSSADDLE_STATES` bounds the last one.
+/// Not run in CI: it takes minutes and gigabytes of memory. `LOTUSSADDLE_STATES` bounds the number of states.
 #[test]
 #[ignore = "takes minutes"]
-fn what_is_built_holds_over_a_kill() {
-    let most = std::env::var("LOTUSSADDLE_STATES").ok().and_then(|n| n.parse().ok()).unwrap_or(10_000_000);
+fn implemented_protocol_holds_with_a_kill() {
+    let max_states =
+        std::env::var("LOTUSSADDLE_STATES").ok().and_then(|n| n.parse().ok()).unwrap_or(10_000_000);
     for redials in [[true, false], [false, true], [true, true]] {
-        let found = explore(&Replicas(Keeping { redials, ..Keeping::BUILT }), most);
-        println!("{redials:?}: {found:#?}");
-        assert!(!matches!(found, Explored::Breaks { .. }));
+        let result =
+            explore(&ReplicaModel(ReplicaProtocol { redials, ..ReplicaProtocol::IMPLEMENTED }), max_states);
+        println!("{redials:?}: {result:#?}");
+        assert!(!matches!(result, ExplorationResult::Violated { .. }));
     }
 }
 
 #[test]
-fn too_few_holders_asked_is_shown() {
-    breaks(Keeping { holders_asked: 1, ..TWO_REDIALS }, "launched though another had answered");
+fn asking_too_few_holders_is_a_violation() {
+    assert_violation(
+        ReplicaProtocol { required_holders: 1, ..TWO_REDIALS },
+        "launched though another had answered",
+    );
 }
 
 #[test]
-fn copies_that_count_as_they_arrive_are_shown() {
-    breaks(Keeping { joined: false, ..TWO_REDIALS }, "launched though another had answered");
+fn replacing_replicas_in_arrival_order_is_a_violation() {
+    assert_violation(
+        ReplicaProtocol { merges_replicas: false, ..TWO_REDIALS },
+        "launched though another had answered",
+    );
 }
 
 #[test]
-fn a_former_owner_that_is_still_acknowledged_is_shown() {
-    breaks(Keeping { refuses_former: false, ..TWO_REDIALS }, "launched though another had answered");
+fn acknowledging_a_previous_owner_is_a_violation() {
+    assert_violation(
+        ReplicaProtocol { refuses_previous_owner: false, ..TWO_REDIALS },
+        "launched though another had answered",
+    );
 }
 
 #[test]
-fn going_at_once_by_what_a_later_owner_did_not_go_by_is_shown() {
-    breaks(Keeping { waits_for_later: false, ..TWO_REDIALS }, "launched though another had answered");
+fn using_a_result_while_a_later_launch_is_outstanding_is_a_violation() {
+    assert_violation(
+        ReplicaProtocol { waits_for_later_launches: false, ..TWO_REDIALS },
+        "launched though another had answered",
+    );
 }
 
 #[test]
-fn acknowledged_before_it_is_kept_is_shown() {
-    breaks(Keeping { kept_first: false, ..ONE_KILL }, "answered though another has launched it since");
+fn acknowledging_before_persisting_is_a_violation() {
+    assert_violation(
+        ReplicaProtocol { persists_first: false, ..ONE_KILL },
+        "answered though another has launched it since",
+    );
 }
 
 #[test]
-fn saying_again_what_one_member_alone_knows_is_shown() {
-    let two = Keeping { confirms: false, only: Some(1), ..Keeping::BUILT };
-    match explore(&Replicas(two), 6_000_000) {
-        Explored::Breaks { what, .. } => assert_eq!(what, "launched though another had answered"),
+fn repeating_an_unconfirmed_result_is_a_violation() {
+    let protocol = ReplicaProtocol {
+        confirms_found_result: false,
+        only_killed: Some(1),
+        ..ReplicaProtocol::IMPLEMENTED
+    };
+    match explore(&ReplicaModel(protocol), 6_000_000) {
+        ExplorationResult::Violated { violation, .. } => {
+            assert_eq!(violation, "launched though another had answered")
+        }
         other => panic!("{other:?}"),
     }
 }
--- a/crates/model/tests/restart.rs
+++ b/crates/model/tests/restart.rs
@@ -1,50 +1,61 @@
-//! Orders of record, launch and answer over kills: those that are right, and each that is not by its shortest way.
+//! Orders of record, launch and answer with kills: the correct ones, and each incorrect one with its shortest path.
 
-use lotussaddle_model::{Design, Explored, Launches, Restart, explore};
+use lotussaddle_model::{ExplorationResult, LaunchRecording, RestartDesign, RestartModel, explore};
 
-fn explored(design: Design) -> Explored {
-    explore(&Restart(design), 1_000_000)
+fn explore_bounded(design: RestartDesign) -> ExplorationResult {
+    explore(&RestartModel(design), 1_000_000)
 }
 
-fn breaks(design: Design, wanted: &str, step: &str) {
-    match explored(design) {
-        Explored::Breaks { way, what } => {
-            assert!(what.starts_with(wanted), "{design:?}: {what}: {way:#?}");
-            assert!(way.iter().any(|event| event == step), "{design:?}: {way:#?}");
+fn assert_violation(design: RestartDesign, expected: &str, step: &str) {
+    match explore_bounded(design) {
+        ExplorationResult::Violated { path, violation } => {
+            assert!(violation.starts_with(expected), "{design:?}: {violation}: {path:#?}");
+            assert!(path.iter().any(|event| event == step), "{design:?}: {path:#?}");
         }
         other => panic!("{design:?}: {other:?}"),
     }
 }
 
 #[test]
-fn two_designs_hold_through_every_order_of_three_kills() {
-    for design in [Design::RECORDED, Design::RESTS] {
-        match explored(design) {
-            Explored::Holds { states } => assert!(states > 100, "{design:?}: only {states} states"),
+fn both_correct_designs_hold_for_every_order_of_three_kills() {
+    for design in [RestartDesign::RECORD_FIRST, RestartDesign::HOLD_AFTER_RESTART] {
+        match explore_bounded(design) {
+            ExplorationResult::Holds { states } => assert!(states > 100, "{design:?}: only {states} states"),
             other => panic!("{design:?}: {other:#?}"),
         }
     }
 }
 
 #[test]
-fn each_wrong_order_is_shown_by_a_way_to_where_it_breaks() {
-    let recorded = Design::RECORDED;
-    breaks(
-        Design { answer_recorded_first: false, ..recorded },
+fn each_wrong_order_is_reported_with_a_path_to_the_violation() {
+    let record_first = RestartDesign::RECORD_FIRST;
+    assert_violation(
+        RestartDesign { answer_recorded_first: false, ..record_first },
         "rule 1",
-        "the edge proxy hears that it stands",
+        "the edge proxy receives the accepted set-up",
     );
-    breaks(Design { bars_what_was_out: false, ..recorded }, "rule 5", "killed");
-    breaks(Design { launches: Launches::After, ..recorded }, "rule 5", "killed");
-    breaks(Design { launches: Launches::Never, ..recorded }, "rule 5", "killed");
-    breaks(
-        Design { answer_recorded_first: false, ..Design::RESTS },
+    assert_violation(RestartDesign { blocks_recorded_launches: false, ..record_first }, "rule 5", "killed");
+    assert_violation(
+        RestartDesign { launch_recording: LaunchRecording::After, ..record_first },
+        "rule 5",
+        "killed",
+    );
+    assert_violation(
+        RestartDesign { launch_recording: LaunchRecording::Never, ..record_first },
+        "rule 5",
+        "killed",
+    );
+    assert_violation(
+        RestartDesign { answer_recorded_first: false, ..RestartDesign::HOLD_AFTER_RESTART },
         "rule 1",
-        "the edge proxy hears that it stands",
+        "the edge proxy receives the accepted set-up",
     );
 }
 
 #[test]
-fn what_is_too_large_is_said_to_be() {
-    assert_eq!(explore(&Restart(Design::RECORDED), 10), Explored::TooLarge { states: 10 });
+fn a_model_beyond_the_bound_is_reported_as_too_large() {
+    assert_eq!(
+        explore(&RestartModel(RestartDesign::RECORD_FIRST), 10),
+        ExplorationResult::TooLarge { states: 10 }
+    );
 }
