--- a/crates/fleet/src/membership_view.rs
+++ b/crates/fleet/src/membership_view.rs
@@ -86,7 +86,7 @@
         if let Some(known) = self.members.get_mut(usize::from(member)) {
             known.heard = now;
         }
-        self.membership.heard(now, member);
+        self.membership.frame_received(now, member);
     }
 
     /// A message of the membership protocol came from a member. Gives the members of which something is new.
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -117,7 +117,7 @@
     /// Which members are neighbours: the same for all that have the same list.
     ///
     /// # Panics
-    /// If there are no members, or more than [`lotussaddle_membership::MOST_MEMBERS`].
+    /// If there are no members, or more than [`lotussaddle_membership::MAX_MEMBERS`].
     pub fn overlay(&self) -> Arc<Overlay> {
         let seed = digest(&[self.members.join("\n").as_bytes()]);
         let overlay = Overlay::new(self.members.len(), seed);
--- a/crates/membership/benches/fleet_events.rs
+++ b/crates/membership/benches/fleet_events.rs
@@ -15,7 +15,7 @@
 /// The period over which bytes are counted, from the event on.
 const PERIOD: Duration = Duration::from_secs(10);
 /// An event that takes longer than this has not ended.
-const LONGEST: Duration = Duration::from_secs(60);
+const EVENT_TIME_LIMIT: Duration = Duration::from_secs(60);
 const WINDOW_SECONDS: f64 = 10.0;
 
 fn main() {
@@ -71,11 +71,13 @@
     let mut equal_at = None;
     let mut counts = None;
     let step = SILENCE / 20;
-    while counts.is_none() || ((right_at.is_none() || equal_at.is_none()) && fleet.now - start < LONGEST) {
+    while counts.is_none()
+        || ((right_at.is_none() || equal_at.is_none()) && fleet.now - start < EVENT_TIME_LIMIT)
+    {
         fleet.run_for(step);
         let passed = fleet.now - start;
-        keep_last_change(&mut right_at, passed, views_right(fleet));
-        keep_last_change(&mut equal_at, passed, registers_equal(fleet));
+        track_condition_start(&mut right_at, passed, views_right(fleet));
+        track_condition_start(&mut equal_at, passed, registers_equal(fleet));
         if counts.is_none() && passed >= PERIOD {
             counts = Some(average_counts(fleet));
         }
@@ -93,8 +95,8 @@
     );
 }
 
-/// Keeps the time from which a condition has held without a break.
-fn keep_last_change(since: &mut Option<Duration>, passed: Duration, holds: bool) {
+/// Tracks the time from which a condition has held without a break.
+fn track_condition_start(since: &mut Option<Duration>, passed: Duration, holds: bool) {
     *since = if holds { since.or(Some(passed)) } else { None };
 }
 
@@ -111,7 +113,7 @@
     period.map_or("not within 60 s".into(), |period| period.as_millis().to_string())
 }
 
-/// The time that this thread has had a processor; zero where the system does not say.
+/// The time that this thread has had a processor; zero if the system does not report it.
 fn processor_time() -> Duration {
     let text = std::fs::read_to_string("/proc/self/schedstat").unwrap_or_default();
     let nanoseconds = text.split(' ').next().and_then(|field| field.parse().ok());
--- a/crates/membership/src/allowance.rs
+++ b/crates/membership/src/allowance.rs
@@ -17,7 +17,7 @@
         Self { bytes_per_second: f64::from(bytes_per_second), burst, available: burst, refilled_at: now }
     }
 
-    /// Takes this many bytes, unless there are fewer.
+    /// Takes this many bytes if they are available.
     pub(crate) fn take(&mut self, now: Duration, bytes: usize) -> bool {
         self.refill(now);
         let wanted = bytes as f64;
--- a/crates/membership/src/codec.rs
+++ b/crates/membership/src/codec.rs
@@ -2,11 +2,11 @@
 //! list, each with the distance from the member before.
 
 use crate::MemberIndex;
-use crate::message::{MOST_BUCKETS, MOST_REGISTERS, MOST_REQUESTED_BUCKETS, Message, MessageError};
+use crate::message::{MAX_BUCKETS, MAX_REGISTERS, MAX_REQUESTED_BUCKETS, Message, MessageError};
 use crate::register::{MemberRegister, Register};
 
-/// The longest message in bytes.
-pub const MOST_MESSAGE_BYTES: usize = 1682;
+/// The maximum length of a message in bytes.
+pub const MAX_MESSAGE_BYTES: usize = 1682;
 
 const HEARTBEAT: u8 = 1;
 const REGISTERS: u8 = 2;
@@ -16,7 +16,7 @@
 
 const SEVEN_BITS: u64 = 0x7f;
 const MORE: u8 = 0x80;
-const MOST_NUMBER_BITS: u32 = 64;
+const MAX_NUMBER_BITS: u32 = 64;
 
 impl Message {
     /// The bytes of this message.
@@ -52,7 +52,7 @@
 
     /// The message with these bytes.
     pub fn decode(bytes: &[u8]) -> Result<Self, MessageError> {
-        if bytes.len() > MOST_MESSAGE_BYTES {
+        if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(MessageError::TooLong { bytes: bytes.len() });
         }
         let mut reader = Reader { rest: bytes };
@@ -115,7 +115,7 @@
         loop {
             let byte = self.byte()?;
             let part = u64::from(byte) & SEVEN_BITS;
-            let overflows = shift >= MOST_NUMBER_BITS || part << shift >> shift != part;
+            let overflows = shift >= MAX_NUMBER_BITS || part << shift >> shift != part;
             let is_longer_than_needed = shift > 0 && byte == 0;
             if overflows || is_longer_than_needed {
                 return Err(MessageError::BadNumber);
@@ -132,26 +132,26 @@
         T::try_from(self.number()?).map_err(|_| MessageError::BadNumber)
     }
 
-    fn count(&mut self, most: usize) -> Result<usize, MessageError> {
+    fn count(&mut self, max: usize) -> Result<usize, MessageError> {
         let count = self.number()?;
-        if count > most as u64 {
+        if count > max as u64 {
             return Err(MessageError::TooManyEntries(count));
         }
         Ok(count as usize)
     }
 
     fn digests(&mut self) -> Result<Vec<u32>, MessageError> {
-        let count = self.count(MOST_BUCKETS)?;
+        let count = self.count(MAX_BUCKETS)?;
         (0..count).map(|_| self.array().map(u32::from_le_bytes)).collect()
     }
 
     fn buckets(&mut self) -> Result<Vec<u16>, MessageError> {
-        let count = self.count(MOST_REQUESTED_BUCKETS)?;
+        let count = self.count(MAX_REQUESTED_BUCKETS)?;
         (0..count).map(|_| self.number_of()).collect()
     }
 
     fn registers(&mut self) -> Result<Vec<MemberRegister>, MessageError> {
-        let count = self.count(MOST_REGISTERS)?;
+        let count = self.count(MAX_REGISTERS)?;
         let mut next = 0;
         let mut registers = Vec::with_capacity(count);
         for _ in 0..count {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,16 +1,16 @@
 //! The membership of a fleet of edge proxies, without I/O: who is gone, and whether this member has a majority.
 //!
-//! Members exchange heartbeats with at most ten neighbours in a fixed overlay ([`Overlay`]). Each says in a [`Register`] which
+//! Members exchange heartbeats with at most ten neighbours in a fixed overlay ([`Overlay`]). Each publishes in a [`Register`] which
 //! neighbours it does not hear; registers are flooded over the overlay and repaired by digests. A member whose every path to the
 //! majority is broken is gone. The design is in `docs/design/membership.md`.
 
 mod allowance;
 mod check;
 mod codec;
-mod hearing;
 mod member_set;
 mod membership;
 mod message;
+mod neighbour_monitor;
 mod overlay;
 mod random;
 mod register;
@@ -20,10 +20,10 @@
 mod timing;
 mod view;
 
-pub use codec::MOST_MESSAGE_BYTES;
+pub use codec::MAX_MESSAGE_BYTES;
 pub use membership::Membership;
-pub use message::{MOST_BUCKETS, MOST_REGISTERS, MOST_REQUESTED_BUCKETS, Message, MessageError};
-pub use overlay::{MOST_MEMBERS, MOST_NEIGHBOURS, Overlay, OverlayError};
+pub use message::{MAX_BUCKETS, MAX_REGISTERS, MAX_REQUESTED_BUCKETS, Message, MessageError};
+pub use overlay::{MAX_MEMBERS, MAX_NEIGHBOURS, Overlay, OverlayError};
 pub use register::{MemberRegister, Register};
 pub use timing::Timing;
 
--- a/crates/membership/src/member_set.rs
+++ b/crates/membership/src/member_set.rs
@@ -46,11 +46,11 @@
         self.words.iter().all(|word| *word == 0)
     }
 
-    /// Up to `most` members, in order of the list from `start` and around its end.
-    pub(crate) fn take_from(&self, start: MemberIndex, most: usize) -> Vec<MemberIndex> {
+    /// Up to `max` members, in order of the list from `start` and around its end.
+    pub(crate) fn take_from(&self, start: MemberIndex, max: usize) -> Vec<MemberIndex> {
         let after = self.iter().skip_while(|member| *member < start);
         let before = self.iter().take_while(|member| *member < start);
-        after.chain(before).take(most).collect()
+        after.chain(before).take(max).collect()
     }
 
     /// All members of the set in the order of the list.
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,12 +1,12 @@
-//! The membership state machine: it is told the time and what comes from neighbours, and says what is to be sent to them.
+//! The membership state machine: it takes the current time and messages from neighbours, and returns the messages to send.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use crate::MemberIndex;
 use crate::check;
-use crate::hearing::Hearing;
 use crate::message::{Message, MessageError};
+use crate::neighbour_monitor::NeighbourMonitor;
 use crate::overlay::Overlay;
 use crate::random::mix;
 use crate::register::{MemberRegister, Register};
@@ -16,16 +16,16 @@
 use crate::timing::Timing;
 use crate::view::View;
 
-/// What a member says of itself, apart from whom it hears.
+/// The state that a member publishes of itself, apart from the neighbours that it does not hear.
 #[derive(Clone, Copy, Debug, Default)]
 struct OwnState {
     incarnation: u64,
     caught_up: bool,
 }
 
-/// How a register came, which decides whether it is passed on.
+/// How a register was received; this decides whether it is relayed.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Origin {
+enum RegisterSource {
     Flood,
     Repair,
 }
@@ -37,7 +37,7 @@
     timing: Timing,
     own: OwnState,
     table: RegisterTable,
-    hearing: Hearing,
+    neighbour_monitor: NeighbourMonitor,
     spreading: Spreading,
     repair: Repair,
     view: View,
@@ -61,7 +61,7 @@
             timing,
             own: OwnState::default(),
             table: RegisterTable::new(now, overlay.members()),
-            hearing: Hearing::new(now, neighbours, timing),
+            neighbour_monitor: NeighbourMonitor::new(now, neighbours, timing),
             spreading: Spreading::new(now, me, &overlay),
             repair: Repair::new(now, neighbours, timing.silence),
             view: View::new(overlay.members()),
@@ -82,33 +82,33 @@
         self.refresh_own_register(now);
     }
 
-    /// Any frame of a neighbour came; one that is no neighbour is ignored.
-    pub fn heard(&mut self, now: Duration, neighbour: MemberIndex) {
-        self.hearing.active(now);
+    /// Records that a frame of a neighbour was received; a sender that is not a neighbour is ignored.
+    pub fn frame_received(&mut self, now: Duration, neighbour: MemberIndex) {
+        self.neighbour_monitor.active(now);
         if let Some(position) = self.overlay.position(self.me, neighbour) {
-            self.hearing.heard(now, position);
+            self.neighbour_monitor.frame_received(now, position);
         }
     }
 
-    /// A message of a neighbour came. Gives the members whose incarnation or `caught_up` is new here. A message that is refused
+    /// Applies a message of a neighbour. Returns the members whose incarnation or `caught_up` has changed. A message that is refused
     /// changes nothing.
     pub fn received(
         &mut self, now: Duration, from: MemberIndex, message: &Message,
     ) -> Result<Vec<MemberIndex>, MessageError> {
         let position = self.overlay.position(self.me, from).ok_or(MessageError::NotANeighbour(from))?;
         check::message(&self.overlay, message)?;
-        self.hearing.active(now);
-        self.hearing.heard(now, position);
+        self.neighbour_monitor.active(now);
+        self.neighbour_monitor.frame_received(now, position);
         Ok(self.apply(now, position, message))
     }
 
-    /// What is to be sent at this time, and to whom. To be called at [`Membership::next_due`], and sooner after a message.
+    /// Returns the messages to send now, with their recipients. Call it at [`Membership::next_due`], and sooner after a message.
     pub fn tick(&mut self, now: Duration) -> Vec<(MemberIndex, Message)> {
-        self.hearing.active(now);
+        self.neighbour_monitor.active(now);
         let mut messages = Vec::new();
         if now >= self.next_heartbeat {
             self.next_heartbeat = now + self.timing.heartbeat();
-            self.review_hearing(now);
+            self.review_neighbours(now);
             messages.extend(self.heartbeats());
         }
         if now >= self.next_round && self.has_work() {
@@ -148,7 +148,9 @@
 
     /// Whether a neighbour is not reported as unheard; false for one that is no neighbour.
     pub fn hears(&self, neighbour: MemberIndex) -> bool {
-        self.overlay.position(self.me, neighbour).is_some_and(|position| self.hearing.hears(position))
+        self.overlay
+            .position(self.me, neighbour)
+            .is_some_and(|position| self.neighbour_monitor.hears(position))
     }
 
     /// The latest register of a member that is known here. One of this member with a later incarnation than it was given means that
@@ -174,9 +176,9 @@
                 self.repair.compared(now, position, *digest == self.table.digest());
                 Vec::new()
             }
-            Message::Registers(registers) => self.merge_all(now, position, registers, Origin::Flood),
+            Message::Registers(registers) => self.merge_all(now, position, registers, RegisterSource::Flood),
             Message::BucketDigests(digests) => {
-                self.repair.digests_came(now, position, digests, &self.table.bucket_digests());
+                self.repair.digests_received(now, position, digests, &self.table.bucket_digests());
                 Vec::new()
             }
             Message::BucketRequest(buckets) => {
@@ -185,13 +187,13 @@
             }
             Message::Bucket { bucket, registers } => {
                 self.repair.answered(position, *bucket);
-                self.merge_all(now, position, registers, Origin::Repair)
+                self.merge_all(now, position, registers, RegisterSource::Repair)
             }
         }
     }
 
     fn merge_all(
-        &mut self, now: Duration, position: usize, registers: &[MemberRegister], origin: Origin,
+        &mut self, now: Duration, position: usize, registers: &[MemberRegister], origin: RegisterSource,
     ) -> Vec<MemberIndex> {
         let changed = registers.iter().filter(|entry| self.merge(now, position, entry, origin));
         let changed = changed.map(|entry| entry.member).collect();
@@ -200,7 +202,9 @@
     }
 
     /// Merges a register; true: the incarnation or `caught_up` of its member is new.
-    fn merge(&mut self, now: Duration, position: usize, entry: &MemberRegister, origin: Origin) -> bool {
+    fn merge(
+        &mut self, now: Duration, position: usize, entry: &MemberRegister, origin: RegisterSource,
+    ) -> bool {
         let MemberRegister { member, register } = *entry;
         match self.table.merge(now, member, register) {
             Merge::Older => false,
@@ -210,7 +214,7 @@
             }
             Merge::Replaced(before) => {
                 self.spreading.known_by(position, member);
-                if origin == Origin::Flood || before.is_known() {
+                if origin == RegisterSource::Flood || before.is_known() {
                     self.spreading.pass_on(member, position);
                 }
                 self.replaced(member, &before, &register)
@@ -222,26 +226,26 @@
         self.search_is_due |= before.unheard != register.unheard;
         let is_restarted = before.incarnation != register.incarnation;
         if let Some(position) = self.overlay.position(self.me, member).filter(|_| is_restarted) {
-            self.hearing.restarted(position);
+            self.neighbour_monitor.restarted(position);
         }
         is_restarted || before.caught_up != register.caught_up
     }
 
-    fn review_hearing(&mut self, now: Duration) {
-        if self.hearing.review(now) {
+    fn review_neighbours(&mut self, now: Duration) {
+        if self.neighbour_monitor.review(now) {
             self.search_is_due = true;
             self.refresh_own_register(now);
         }
     }
 
-    /// Says anew what this member says of itself, if the table has something else and no later incarnation.
+    /// Publishes a new own register if the table differs from the own state and has no later incarnation.
     fn refresh_own_register(&mut self, now: Duration) {
         let known = *self.table.get(self.me);
         let OwnState { incarnation, caught_up } = self.own;
-        let unheard = self.hearing.unheard();
-        let is_said =
+        let unheard = self.neighbour_monitor.unheard();
+        let is_current =
             known.incarnation == incarnation && known.unheard == unheard && known.caught_up == caught_up;
-        if incarnation == 0 || is_said {
+        if incarnation == 0 || is_current {
             return;
         }
         let is_first = known.incarnation < incarnation;
@@ -267,8 +271,8 @@
             return;
         }
         self.search_is_due = false;
-        let Self { me, overlay, table, hearing, view, spreading, timing, .. } = self;
-        let own = hearing.unheard();
+        let Self { me, overlay, table, neighbour_monitor, view, spreading, timing, .. } = self;
+        let own = neighbour_monitor.unheard();
         let unheard = |member| if member == *me { own } else { table.get(member).unheard };
         view.search(overlay, *me, unheard);
         let recent = || table.replaced_within(now, timing.recent());
@@ -276,7 +280,7 @@
     }
 }
 
-/// A share of the period, so that members that start at once do not send at once.
+/// A pseudo-random offset within the period, so that members started together do not send together.
 fn phase(me: MemberIndex, period: Duration) -> Duration {
     const STEPS: u64 = 1024;
     let step = mix(u64::from(me)) % STEPS;
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,16 +1,16 @@
-//! The messages between neighbours, and why one is refused.
+//! The messages between neighbours, and the reasons to refuse one.
 
 use crate::MemberIndex;
 use crate::register::MemberRegister;
 
-/// The most registers in one message.
-pub const MOST_REGISTERS: usize = 80;
+/// The maximum number of registers in one message.
+pub const MAX_REGISTERS: usize = 80;
 
-/// The most buckets that are asked for in one message.
-pub const MOST_REQUESTED_BUCKETS: usize = 2;
+/// The maximum number of buckets that are asked for in one message.
+pub const MAX_REQUESTED_BUCKETS: usize = 2;
 
-/// The most bucket digests in one message: those of the largest fleet.
-pub const MOST_BUCKETS: usize = crate::overlay::MOST_MEMBERS / crate::register_table::BUCKET_MEMBERS;
+/// The maximum number of bucket digests in one message: those of the largest fleet.
+pub const MAX_BUCKETS: usize = crate::overlay::MAX_MEMBERS / crate::register_table::BUCKET_MEMBERS;
 
 /// A message from one neighbour to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -20,7 +20,7 @@
         /// The digest of all registers that the sender has.
         digest: u64,
     },
-    /// Registers that are news to the sender.
+    /// Registers that are new to the sender.
     Registers(Vec<MemberRegister>),
     /// The digests of the sender's buckets, all of them in order.
     BucketDigests(Vec<u32>),
@@ -28,7 +28,7 @@
     BucketRequest(Vec<u16>),
     /// The answer to a request.
     Bucket {
-        /// Which bucket it is.
+        /// The index of the bucket.
         bucket: u16,
         /// All registers of the bucket that the sender has.
         registers: Vec<MemberRegister>,
@@ -38,9 +38,9 @@
 /// Why the bytes of a message, or a message, are refused. A refused message has changed nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageError {
-    /// The message is longer than [`crate::MOST_MESSAGE_BYTES`].
+    /// The message is longer than [`crate::MAX_MESSAGE_BYTES`].
     TooLong {
-        /// How long it is.
+        /// The length of the message.
         bytes: usize,
     },
     /// The message ends before its content does.
@@ -73,13 +73,17 @@
             Self::TrailingBytes => write!(formatter, "bytes follow the message"),
             Self::UnknownTag(tag) => write!(formatter, "no message has the tag {tag}"),
             Self::TooManyEntries(count) => write!(formatter, "{count} entries are too many"),
-            Self::BadNumber => write!(formatter, "a number does not fit its field"),
+            Self::BadNumber => {
+                write!(formatter, "a number does not fit its field or is not in its shortest form")
+            }
             Self::NotANeighbour(member) => write!(formatter, "member {member} is not a neighbour"),
             Self::UnknownMember(member) => write!(formatter, "member {member} is not in the list"),
             Self::BadRegister(member) => write!(formatter, "the register of member {member} is not valid"),
-            Self::WrongBucket(bucket) => write!(formatter, "bucket {bucket} is wrong here"),
+            Self::WrongBucket(bucket) => {
+                write!(formatter, "bucket {bucket} does not exist or does not contain the register")
+            }
             Self::WrongBucketCount(count) => {
-                write!(formatter, "{count} bucket digests are not the fleet's number")
+                write!(formatter, "{count} bucket digests do not match the number of buckets of the fleet")
             }
         }
     }
--- a/crates/membership/src/hearing.rs
+++ b/crates/membership/src/neighbour_monitor.rs
@@ -1,5 +1,5 @@
-//! Which neighbours are heard: reports after a silence, taken back after a hold-down that grows with each flap, and none by a process
-//! that was itself stalled.
+//! Failure detection of neighbours: a neighbour is reported after a silence, and the report is withdrawn after a hold-down that
+//! grows with each flap. A process that was itself stalled reports nobody for a time.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
         let is_remembered =
             self.last_flap.is_some_and(|last| now.saturating_sub(last) < timing.flap_memory());
         self.hold_down = if is_remembered {
-            (self.hold_down * 2).min(timing.longest_hold_down())
+            (self.hold_down * 2).min(timing.max_hold_down())
         } else {
             timing.first_hold_down()
         };
@@ -28,8 +28,8 @@
     }
 }
 
-/// The neighbours by position in the overlay, and which of them are reported as not heard.
-pub(crate) struct Hearing {
+/// Monitors the neighbours, by position in the overlay, and holds which of them are reported as not heard.
+pub(crate) struct NeighbourMonitor {
     timing: Timing,
     neighbours: Vec<Neighbour>,
     unheard: u16,
@@ -37,7 +37,7 @@
     listening_until: Duration,
 }
 
-impl Hearing {
+impl NeighbourMonitor {
     /// All neighbours count as heard `now`.
     pub(crate) fn new(now: Duration, neighbours: usize, timing: Timing) -> Self {
         let neighbour = || Neighbour {
@@ -65,7 +65,7 @@
         self.unheard & bit(position) == 0
     }
 
-    /// The process runs at this time. After a gap in which it stood still, it listens before it reports anybody.
+    /// Records that the process runs at this time. After a gap in which it was stalled, it listens before it reports anybody.
     pub(crate) fn active(&mut self, now: Duration) {
         if now.saturating_sub(self.last_activity) >= self.timing.stall() {
             self.listening_until = now + self.timing.listening();
@@ -73,8 +73,8 @@
         self.last_activity = self.last_activity.max(now);
     }
 
-    /// A frame of a neighbour came.
-    pub(crate) fn heard(&mut self, now: Duration, position: usize) {
+    /// Records that a frame of a neighbour was received.
+    pub(crate) fn frame_received(&mut self, now: Duration, position: usize) {
         let neighbour = &mut self.neighbours[position];
         let was_silent = now.saturating_sub(neighbour.last_heard) >= self.timing.silence;
         if was_silent || neighbour.answering_since.is_none() {
@@ -83,23 +83,23 @@
         neighbour.last_heard = neighbour.last_heard.max(now);
     }
 
-    /// A neighbour has a new incarnation: its flaps are forgotten.
+    /// A neighbour has a new incarnation: its flap history is cleared.
     pub(crate) fn restarted(&mut self, position: usize) {
         let neighbour = &mut self.neighbours[position];
         neighbour.hold_down = self.timing.first_hold_down();
         neighbour.last_flap = None;
     }
 
-    /// Makes the reports that are due and takes back those whose hold-down is over; true: the bits have changed.
+    /// Makes the reports that are due and withdraws those whose hold-down has ended; true if the bits have changed.
     pub(crate) fn review(&mut self, now: Duration) -> bool {
         let before = self.unheard;
         let is_listening = now < self.listening_until;
         for position in 0..self.neighbours.len() {
             let is_silent = now.saturating_sub(self.neighbours[position].last_heard) >= self.timing.silence;
             match (self.hears(position), is_silent) {
-                (false, false) => self.take_back(position),
+                (false, false) => self.withdraw_report_if_due(position),
                 (true, true) if !is_listening => self.report(now, position),
-                (false, true) if !is_listening => self.fell_silent_again(now, position),
+                (false, true) if !is_listening => self.count_interrupted_answer(now, position),
                 _ => {}
             }
         }
@@ -111,16 +111,16 @@
         self.unheard |= bit(position);
     }
 
-    /// A reported neighbour that answered and stopped has flapped too, although the report was not taken back.
-    fn fell_silent_again(&mut self, now: Duration, position: usize) {
+    /// A reported neighbour that answered and stopped has flapped too, although the report was not withdrawn.
+    fn count_interrupted_answer(&mut self, now: Duration, position: usize) {
         let neighbour = &mut self.neighbours[position];
         if neighbour.answering_since.is_some() {
             neighbour.count_flap(now, &self.timing);
         }
     }
 
-    /// The hold-down counts from frame to frame: the time since the last one proves nothing.
-    fn take_back(&mut self, position: usize) {
+    /// The hold-down counts from frame to frame, because the time since the last frame proves nothing.
+    fn withdraw_report_if_due(&mut self, position: usize) {
         let neighbour = &self.neighbours[position];
         let Some(since) = neighbour.answering_since else { return };
         if neighbour.last_heard.saturating_sub(since) >= neighbour.hold_down {
@@ -134,5 +134,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/hearing.rs"]
+#[path = "../tests/unit/neighbour_monitor.rs"]
 mod tests;
--- a/crates/membership/src/overlay.rs
+++ b/crates/membership/src/overlay.rs
@@ -5,22 +5,22 @@
 use crate::MemberIndex;
 use crate::random::{SplitMix, mix};
 
-/// The most members that an overlay can have.
-pub const MOST_MEMBERS: usize = 8192;
+/// The maximum number of members that an overlay can have.
+pub const MAX_MEMBERS: usize = 8192;
 
-/// The most neighbours of a member: two in each of five rings.
-pub const MOST_NEIGHBOURS: usize = 10;
+/// The maximum number of neighbours of a member: two in each of five rings.
+pub const MAX_NEIGHBOURS: usize = 10;
 
 const RANDOM_RINGS: u64 = 4;
 
-/// Why there is no overlay for a list of members.
+/// The reason why no overlay can be built for a list of members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OverlayError {
     /// The list is empty.
     NoMembers,
-    /// The list is longer than [`MOST_MEMBERS`].
+    /// The list is longer than [`MAX_MEMBERS`].
     TooManyMembers {
-        /// How many members the list has.
+        /// The number of members on the list.
         members: usize,
     },
 }
@@ -32,7 +32,7 @@
             Self::TooManyMembers { members } => {
                 write!(
                     formatter,
-                    "{members} members are more than the {MOST_MEMBERS} that an overlay can have"
+                    "{members} members are more than the {MAX_MEMBERS} that an overlay can have"
                 )
             }
         }
@@ -57,10 +57,10 @@
         if members == 0 {
             return Err(OverlayError::NoMembers);
         }
-        if members > MOST_MEMBERS {
+        if members > MAX_MEMBERS {
             return Err(OverlayError::TooManyMembers { members });
         }
-        let lists = if members <= MOST_NEIGHBOURS + 1 { complete(members) } else { rings(members, seed) };
+        let lists = if members <= MAX_NEIGHBOURS + 1 { complete(members) } else { rings(members, seed) };
         Ok(Self::of(&lists))
     }
 
@@ -74,8 +74,8 @@
         overlay.starts.push(0);
         for (member, list) in lists.iter().enumerate() {
             for neighbour in list {
-                let of_neighbour = &lists[usize::from(*neighbour)];
-                let position = of_neighbour.iter().position(|other| usize::from(*other) == member);
+                let reverse_list = &lists[usize::from(*neighbour)];
+                let position = reverse_list.iter().position(|other| usize::from(*other) == member);
                 overlay.neighbours.push(*neighbour);
                 overlay.mirrored.push(position.expect("rings are symmetric") as u8);
             }
@@ -89,7 +89,7 @@
         self.starts.len() - 1
     }
 
-    /// The neighbours of a member, [`MOST_NEIGHBOURS`] at most; none of one beyond the list.
+    /// The neighbours of a member, [`MAX_NEIGHBOURS`] at most; none of one beyond the list.
     pub fn neighbours(&self, member: MemberIndex) -> &[MemberIndex] {
         &self.neighbours[self.range(member)]
     }
@@ -113,7 +113,7 @@
     }
 }
 
-/// Everybody is a neighbour of everybody, the nearest in the list first.
+/// A complete graph: all members are neighbours, the nearest in the list first.
 fn complete(members: usize) -> Vec<Vec<MemberIndex>> {
     let mut lists = vec![Vec::new(); members];
     for distance in 1..members {
@@ -130,7 +130,7 @@
 }
 
 fn rings(members: usize, seed: u64) -> Vec<Vec<MemberIndex>> {
-    let mut lists = vec![Vec::with_capacity(MOST_NEIGHBOURS); members];
+    let mut lists = vec![Vec::with_capacity(MAX_NEIGHBOURS); members];
     for ring in 0..RANDOM_RINGS {
         let mut order: Vec<usize> = (0..members).collect();
         SplitMix::new(mix(seed ^ mix(ring))).shuffle(&mut order);
@@ -142,7 +142,7 @@
     lists
 }
 
-/// Makes two members neighbours, unless they are.
+/// Makes two members neighbours unless they already are.
 fn connect(lists: &mut [Vec<MemberIndex>], one: usize, other: usize) {
     if lists[one].contains(&(other as MemberIndex)) {
         return;
--- a/crates/membership/src/register.rs
+++ b/crates/membership/src/register.rs
@@ -1,10 +1,10 @@
-//! A register: the latest word of a member on itself.
+//! A register: the latest state that a member has published of itself.
 
 use crate::MemberIndex;
 use crate::random::mix;
 
-/// What a member says of itself. The later of two registers of one member stays, so merging is a join: lost, doubled, late and
-/// reordered messages do no harm, and the word of a former incarnation never wins.
+/// The state that a member publishes of itself. The later of two registers of one member wins, so merging is a join: lost, duplicate, late and
+/// reordered messages are harmless, and a register of a previous incarnation never wins.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Register {
     /// The incarnation of the member; zero: none is known.
@@ -43,10 +43,10 @@
     }
 }
 
-/// A register and whose it is.
+/// A register and the member that it belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberRegister {
-    /// Whose register it is.
+    /// The member that the register belongs to.
     pub member: MemberIndex,
     /// The register.
     pub register: Register,
--- a/crates/membership/src/register_table.rs
+++ b/crates/membership/src/register_table.rs
@@ -8,14 +8,14 @@
 /// How many members of the list share a bucket. The registers of a bucket fit into one message.
 pub(crate) const BUCKET_MEMBERS: usize = 64;
 
-/// What became of a register that was merged.
+/// The result of merging a register into the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Merge {
-    /// The one in the table was later.
+    /// The register in the table is later and stays.
     Older,
-    /// It was in the table.
+    /// The table already had this register.
     Equal,
-    /// It replaced this one.
+    /// The register replaced this previous one.
     Replaced(Register),
 }
 
@@ -46,7 +46,7 @@
         &self.registers[usize::from(member)]
     }
 
-    /// Keeps the later of a register and the one in the table.
+    /// Stores the later of a register and the one in the table.
     pub(crate) fn merge(&mut self, now: Duration, member: MemberIndex, register: Register) -> Merge {
         let index = usize::from(member);
         let before = self.registers[index];
@@ -106,7 +106,7 @@
     (usize::from(member) / BUCKET_MEMBERS) as u16
 }
 
-/// Folds a digest to half its length; only zero gives zero, nearly always.
+/// Folds a digest to half its length; a digest other than zero almost never folds to zero.
 fn fold(digest: u64) -> u32 {
     (digest >> 32) as u32 ^ digest as u32
 }
--- a/crates/membership/src/repair.rs
+++ b/crates/membership/src/repair.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use crate::allowance::Allowance;
-use crate::message::{MOST_REQUESTED_BUCKETS, Message};
+use crate::message::{MAX_REQUESTED_BUCKETS, Message};
 use crate::register_table::RegisterTable;
 
 const BYTES_PER_SECOND: u32 = 1_500;
 const BURST_BYTES: u32 = 6_000;
 
-/// A request without an answer is forgotten after this many silences.
+/// A request without an answer expires after this many silences.
 const REQUEST_SILENCES: u32 = 2;
 
 struct Request {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// A heartbeat told whether the digests are equal.
+    /// Records whether the digest in a heartbeat equals the own one.
     pub(crate) fn compared(&mut self, now: Duration, position: usize, is_equal: bool) {
         let exchange = &mut self.exchanges[position];
         if is_equal {
@@ -69,17 +69,17 @@
         exchange.digests_are_due |= is_lasting && may_send;
     }
 
-    /// Bucket digests came: buckets that differ are asked for, few of one neighbour and none of two at once.
-    pub(crate) fn digests_came(&mut self, now: Duration, position: usize, theirs: &[u32], ours: &[u32]) {
-        self.forget_old_requests(now);
-        let buckets = ours.len();
+    /// Requests buckets whose digests differ: few from one neighbour, and none from two neighbours at once.
+    pub(crate) fn digests_received(&mut self, now: Duration, position: usize, remote: &[u32], local: &[u32]) {
+        self.expire_requests(now);
+        let buckets = local.len();
         let start = self.next_bucket;
         for bucket in (0..buckets).map(|step| (start + step) % buckets) {
-            if self.exchanges[position].requests.len() >= MOST_REQUESTED_BUCKETS {
+            if self.exchanges[position].requests.len() >= MAX_REQUESTED_BUCKETS {
                 return;
             }
-            let is_empty = theirs[bucket] == 0;
-            if is_empty || theirs[bucket] == ours[bucket] || self.is_requested(bucket as u16) {
+            let is_empty = remote[bucket] == 0;
+            if is_empty || remote[bucket] == local[bucket] || self.is_requested(bucket as u16) {
                 continue;
             }
             let exchange = &mut self.exchanges[position];
@@ -89,17 +89,17 @@
         }
     }
 
-    /// A neighbour asks for buckets.
+    /// Queues the buckets that a neighbour has requested.
     pub(crate) fn requested(&mut self, position: usize, buckets: &[u16]) {
         let to_serve = &mut self.exchanges[position].to_serve;
         for bucket in buckets {
-            if to_serve.len() < MOST_REQUESTED_BUCKETS && !to_serve.contains(bucket) {
+            if to_serve.len() < MAX_REQUESTED_BUCKETS && !to_serve.contains(bucket) {
                 to_serve.push(*bucket);
             }
         }
     }
 
-    /// A neighbour has answered.
+    /// Removes a request that a neighbour has answered.
     pub(crate) fn answered(&mut self, position: usize, bucket: u16) {
         self.exchanges[position].requests.retain(|request| request.bucket != bucket);
     }
@@ -130,7 +130,7 @@
         self.exchanges.iter().flat_map(|exchange| &exchange.requests).any(|request| request.bucket == bucket)
     }
 
-    fn forget_old_requests(&mut self, now: Duration) {
+    fn expire_requests(&mut self, now: Duration) {
         let longest = self.silence * REQUEST_SILENCES;
         for exchange in &mut self.exchanges {
             exchange.requests.retain(|request| now.saturating_sub(request.made_at) < longest);
--- a/crates/membership/src/spreading.rs
+++ b/crates/membership/src/spreading.rs
@@ -5,22 +5,22 @@
 use crate::MemberIndex;
 use crate::allowance::Allowance;
 use crate::member_set::MemberSet;
-use crate::message::{MOST_REGISTERS, Message};
+use crate::message::{MAX_REGISTERS, Message};
 use crate::overlay::Overlay;
 use crate::register_table::RegisterTable;
 
 /// How many of the neighbours that a member hears it passes registers on to.
-const RELAYS: usize = 4;
+const MAX_RELAYS: usize = 4;
 
 const BYTES_PER_SECOND: u32 = 4_500;
 const BURST_BYTES: u32 = 28_000;
 
-/// What is still to be told, and to whom.
+/// The registers that are still to be sent to each neighbour.
 pub(crate) struct Spreading {
     me: MemberIndex,
-    /// For each neighbour, the members whose registers it is to be told.
+    /// For each neighbour, the members whose registers are to be sent to it.
     pending: Vec<MemberSet>,
-    /// For each neighbour, where the next message starts in the list, so that each register has its turn.
+    /// For each neighbour, where the next message starts in the list, so that each register is sent eventually.
     cursors: Vec<MemberIndex>,
     /// One bit for each neighbour that others' registers are passed on to.
     relays: u16,
@@ -30,7 +30,7 @@
 }
 
 impl Spreading {
-    /// Nothing is to be told.
+    /// Starts with no registers to send.
     pub(crate) fn new(now: Duration, me: MemberIndex, overlay: &Overlay) -> Self {
         let neighbours = overlay.neighbours(me).len();
         Self {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The own register is new.
+    /// Schedules the changed own register for all neighbours.
     pub(crate) fn own_changed(&mut self) {
         for position in 0..self.pending.len() {
             self.pending[position].insert(self.me);
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A neighbour told a register that is to be passed on.
+    /// Schedules a register received from a neighbour for all other relays.
     pub(crate) fn pass_on(&mut self, member: MemberIndex, from: usize) {
         for position in 0..self.pending.len() {
             if position != from && self.is_relay(position) {
@@ -60,12 +60,12 @@
         }
     }
 
-    /// A neighbour has the register of this member that the table has.
+    /// Cancels sending a register that the neighbour is known to have.
     pub(crate) fn known_by(&mut self, position: usize, member: MemberIndex) {
         self.pending[position].remove(member);
     }
 
-    /// Chooses the relays anew; one that takes the place of another is told what was recent.
+    /// Chooses the relays again; a new relay is sent the recently replaced registers.
     pub(crate) fn choose_relays(
         &mut self, overlay: &Overlay, unheard: impl Fn(MemberIndex) -> u16,
         recent: impl FnOnce() -> Vec<MemberIndex>,
@@ -77,7 +77,7 @@
         let recent = if added == 0 { Vec::new() } else { recent() };
         for position in 0..self.pending.len() {
             if removed >> position & 1 == 1 {
-                self.keep_only_own(position);
+                self.retain_own_register(position);
             }
             if added >> position & 1 == 1 {
                 recent.iter().for_each(|member| {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Whether anything is to be told.
+    /// Whether any register is to be sent.
     pub(crate) fn has_work(&self) -> bool {
         self.pending.iter().any(|pending| !pending.is_empty())
     }
@@ -112,7 +112,7 @@
 
     fn next_message(&mut self, now: Duration, position: usize, table: &RegisterTable) -> Option<Message> {
         let cursor = self.cursors[position];
-        let mut members = self.pending[position].take_from(cursor, MOST_REGISTERS);
+        let mut members = self.pending[position].take_from(cursor, MAX_REGISTERS);
         let last = *members.last()?;
         members.sort_unstable();
         let message = Message::Registers(members.iter().map(|member| table.entry(*member)).collect());
@@ -124,7 +124,7 @@
         Some(message)
     }
 
-    fn keep_only_own(&mut self, position: usize) {
+    fn retain_own_register(&mut self, position: usize) {
         let had_own = self.pending[position].contains(self.me);
         self.pending[position].clear();
         if had_own {
@@ -140,11 +140,11 @@
 /// One bit for each neighbour that `me` passes registers on to: the first few that it hears, and those of whose first few it is one.
 /// Both ends of an edge work this out alike.
 fn relays(overlay: &Overlay, me: MemberIndex, unheard: impl Fn(MemberIndex) -> u16) -> u16 {
-    let chosen_here = first_heard(overlay, me, &unheard);
+    let chosen_locally = first_heard(overlay, me, &unheard);
     let edges = overlay.neighbours(me).iter().zip(overlay.mirrored(me)).enumerate();
-    edges.fold(chosen_here, |bits, (position, (neighbour, mirrored))| {
-        let is_chosen_there = first_heard(overlay, *neighbour, &unheard) >> mirrored & 1;
-        bits | is_chosen_there << position
+    edges.fold(chosen_locally, |bits, (position, (neighbour, mirrored))| {
+        let is_chosen_remotely = first_heard(overlay, *neighbour, &unheard) >> mirrored & 1;
+        bits | is_chosen_remotely << position
     })
 }
 
@@ -155,7 +155,7 @@
     let whole = edges.filter(|(position, (neighbour, mirrored))| {
         reported >> position & 1 == 0 && unheard(**neighbour) >> **mirrored & 1 == 0
     });
-    whole.take(RELAYS).fold(0, |bits, (position, _)| bits | 1 << position)
+    whole.take(MAX_RELAYS).fold(0, |bits, (position, _)| bits | 1 << position)
 }
 
 #[cfg(test)]
--- a/crates/membership/src/timing.rs
+++ b/crates/membership/src/timing.rs
@@ -6,7 +6,7 @@
 const ROUNDS_IN_HEARTBEAT: u32 = 4;
 const HOLD_DOWN_HEARTBEATS: u32 = 2;
 const LISTENING_HEARTBEATS: u32 = 2;
-const LONGEST_HOLD_DOWN_SILENCES: u32 = 8;
+const MAX_HOLD_DOWN_SILENCES: u32 = 8;
 const FLAP_MEMORY_SILENCES: u32 = 64;
 const RECENT_SILENCES: u32 = 2;
 
@@ -28,17 +28,17 @@
         self.heartbeat() / ROUNDS_IN_HEARTBEAT
     }
 
-    /// How long a neighbour has to be heard again before the first report on it is taken back.
+    /// How long a neighbour has to be heard again before the first report on it is withdrawn.
     pub(crate) fn first_hold_down(&self) -> Duration {
         self.heartbeat() * HOLD_DOWN_HEARTBEATS
     }
 
     /// The bound on the hold-down of a neighbour that flaps.
-    pub(crate) fn longest_hold_down(&self) -> Duration {
-        self.silence * LONGEST_HOLD_DOWN_SILENCES
+    pub(crate) fn max_hold_down(&self) -> Duration {
+        self.silence * MAX_HOLD_DOWN_SILENCES
     }
 
-    /// After this time without a report, flaps of a neighbour are forgotten.
+    /// After this time without a report, the flaps of a neighbour are no longer counted.
     pub(crate) fn flap_memory(&self) -> Duration {
         self.silence * FLAP_MEMORY_SILENCES
     }
@@ -53,7 +53,7 @@
         self.heartbeat() * LISTENING_HEARTBEATS
     }
 
-    /// Registers replaced within this time are told to a neighbour that takes the place of another.
+    /// Registers replaced within this time are sent to a neighbour that replaces another as relay.
     pub(crate) fn recent(&self) -> Duration {
         self.silence * RECENT_SILENCES
     }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,4 +1,4 @@
-//! The verdict: members that no path of unbroken edges joins to this member, if those that are joined to it are a majority.
+//! The membership view: members that no path of unbroken edges joins to this member, if those that are joined to it are a majority.
 
 use crate::MemberIndex;
 use crate::member_set::MemberSet;
--- a/crates/membership/tests/bad_messages.rs
+++ b/crates/membership/tests/bad_messages.rs
@@ -1,4 +1,4 @@
-//! Messages that are lost, doubled, late, out of order, of a former incarnation or not valid.
+//! Messages that are lost, duplicated, late, out of order, of a previous incarnation or not valid.
 
 mod support;
 
@@ -12,14 +12,14 @@
 
 const SEED: u64 = 37;
 
-fn spoil(fleet: &mut Simulation) {
+fn inject_network_faults(fleet: &mut Simulation) {
     fleet.network.loss_percent = 5;
     fleet.network.doubled_percent = 10;
     fleet.network.late_percent = 10;
     fleet.network.latest = Duration::from_millis(600);
 }
 
-fn calm(fleet: &mut Simulation) {
+fn clear_network_faults(fleet: &mut Simulation) {
     fleet.network.loss_percent = 0;
     fleet.network.doubled_percent = 0;
     fleet.network.late_percent = 0;
@@ -30,7 +30,7 @@
     for members in [8, 32, 128] {
         let mut fleet = Simulation::settled(members, SEED);
         let dead = members / 2;
-        spoil(&mut fleet);
+        inject_network_faults(&mut fleet);
         fleet.run_checked(SILENCE * 20, |fleet| assert!(fleet.only_gone(&[]), "{members}"));
         fleet.kill(dead);
         fleet.run_checked(SILENCE * 20, |fleet| assert!(fleet.only_gone(&[dead]), "{members}"));
@@ -45,14 +45,14 @@
 fn registers_are_equal_within_eight_silences_of_quiet() {
     for members in [8, 32, 128] {
         let mut fleet = Simulation::empty(members, SEED);
-        spoil(&mut fleet);
+        inject_network_faults(&mut fleet);
         fleet.network.loss_percent = 40;
         (0..members).for_each(|member| fleet.start(member));
         for round in 0..10 {
             fleet.start(round * 7 % members);
             fleet.run_for(SILENCE / 2);
         }
-        calm(&mut fleet);
+        clear_network_faults(&mut fleet);
         fleet.run_for(SILENCE * 8);
         assert!(fleet.registers_are_equal(), "{members}");
     }
@@ -75,17 +75,17 @@
 }
 
 #[test]
-fn the_word_of_a_former_incarnation_never_counts() {
+fn a_register_of_a_previous_incarnation_is_ignored() {
     let mut fleet = Simulation::settled(32, SEED);
     let member = 9;
-    let former = *fleet.membership(member).register(member as u16).expect("its own");
-    let lying = Register { sequence: 1_000_000, unheard: 0b11, caught_up: false, ..former };
+    let previous = *fleet.membership(member).register(member as u16).expect("its own");
+    let forged = Register { sequence: 1_000_000, unheard: 0b11, caught_up: false, ..previous };
     fleet.kill(member);
     fleet.run_for(SILENCE * 2);
     fleet.start(member);
     fleet.run_for(SILENCE * 2);
     let neighbours = fleet.overlay.neighbours(member as u16).to_vec();
-    let message = Message::Registers(vec![MemberRegister { member: member as u16, register: lying }]);
+    let message = Message::Registers(vec![MemberRegister { member: member as u16, register: forged }]);
     for neighbour in neighbours.iter().map(|neighbour| usize::from(*neighbour)) {
         fleet.inject(neighbour, member, &message);
         fleet.inject(member, neighbour, &message);
@@ -101,23 +101,27 @@
 }
 
 #[test]
-fn a_member_that_hears_its_own_present_word_changed_says_it_anew() {
+fn a_member_that_receives_a_forged_own_register_publishes_its_own_again() {
     let mut fleet = Simulation::settled(32, SEED);
     let member = 9;
     let own = *fleet.membership(member).register(member as u16).expect("its own");
-    let lying = Register { sequence: own.sequence + 5, unheard: 0b11, caught_up: false, ..own };
+    let forged = Register { sequence: own.sequence + 5, unheard: 0b11, caught_up: false, ..own };
     let neighbour = usize::from(fleet.overlay.neighbours(member as u16)[0]);
-    fleet.inject(neighbour, member, &Message::Registers(vec![MemberRegister { member: 9, register: lying }]));
+    fleet.inject(
+        neighbour,
+        member,
+        &Message::Registers(vec![MemberRegister { member: 9, register: forged }]),
+    );
     fleet.run_for(SILENCE * 2);
     for observer in 0..fleet.members() {
         let register = fleet.membership(observer).register(9).expect("it is known");
         assert_eq!((register.unheard, register.caught_up), (0, true));
-        assert!(register.sequence > lying.sequence);
+        assert!(register.sequence > forged.sequence);
     }
 }
 
 #[test]
-fn a_message_of_a_former_start_that_comes_late_changes_nothing() {
+fn a_late_message_of_a_previous_incarnation_changes_nothing() {
     let overlay = Arc::new(Overlay::new(8, 1).expect("an overlay"));
     let timing = Timing { silence: SILENCE };
     let mut observer = Membership::new(Duration::ZERO, 0, overlay, timing);
@@ -127,9 +131,13 @@
     };
     let now = Duration::from_millis(10);
     assert_eq!(observer.received(now, 3, &register(7, 4, false)), Ok(vec![3]));
-    assert_eq!(observer.received(now, 3, &register(7, 4, false)), Ok(vec![]), "it is doubled");
+    assert_eq!(observer.received(now, 3, &register(7, 4, false)), Ok(vec![]), "it is a duplicate");
     assert_eq!(observer.received(now, 2, &register(7, 3, true)), Ok(vec![]), "it is late");
-    assert_eq!(observer.received(now, 2, &register(6, 9, true)), Ok(vec![]), "it is of a former start");
+    assert_eq!(
+        observer.received(now, 2, &register(6, 9, true)),
+        Ok(vec![]),
+        "it is of a previous incarnation"
+    );
     assert_eq!(observer.received(now, 2, &register(7, 5, true)), Ok(vec![3]));
     assert_eq!(observer.register(3).map(|register| register.sequence), Some(5));
     assert_eq!(observer.received(now, 2, &register(8, 1, true)), Ok(vec![3]));
@@ -139,7 +147,9 @@
 fn messages_that_do_not_fit_the_fleet_are_refused_and_change_nothing() {
     let overlay = Arc::new(Overlay::new(100, 1).expect("an overlay"));
     let neighbour = overlay.neighbours(0)[0];
-    let stranger = (1..100).find(|member| !overlay.neighbours(0).contains(member)).expect("a stranger");
+    let non_neighbour = (1..100)
+        .find(|member| !overlay.neighbours(0).contains(member))
+        .expect("a member that is not a neighbour");
     let timing = Timing { silence: SILENCE };
     let mut observer = Membership::new(Duration::ZERO, 0, Arc::clone(&overlay), timing);
     let entry = |member, unheard, incarnation| MemberRegister {
@@ -148,7 +158,7 @@
     };
     let good = entry(3, 0, 1);
     let cases = [
-        (stranger, Message::Heartbeat { digest: 0 }, MessageError::NotANeighbour(stranger)),
+        (non_neighbour, Message::Heartbeat { digest: 0 }, MessageError::NotANeighbour(non_neighbour)),
         (0, Message::Heartbeat { digest: 0 }, MessageError::NotANeighbour(0)),
         (neighbour, Message::Registers(vec![good, entry(100, 0, 1)]), MessageError::UnknownMember(100)),
         (neighbour, Message::Registers(vec![good, entry(4, 1 << 10, 1)]), MessageError::BadRegister(4)),
@@ -168,7 +178,7 @@
 }
 
 #[test]
-fn drawn_messages_neither_panic_nor_stop_the_clock() {
+fn random_messages_neither_panic_nor_stop_the_clock() {
     let overlay = Arc::new(Overlay::new(200, 1).expect("an overlay"));
     let neighbours = overlay.neighbours(0).to_vec();
     let mut observer = Membership::new(Duration::ZERO, 0, overlay, Timing { silence: SILENCE });
@@ -194,7 +204,7 @@
 }
 
 #[test]
-fn a_later_incarnation_of_this_name_is_kept_and_not_overwritten() {
+fn a_later_incarnation_of_the_own_name_is_not_overwritten() {
     let overlay = Arc::new(Overlay::new(8, 1).expect("an overlay"));
     let mut member = Membership::new(Duration::ZERO, 0, overlay, Timing { silence: SILENCE });
     member.set_self(Duration::ZERO, 5, true);
@@ -208,24 +218,27 @@
     assert!(!sent.is_empty());
     member.set_self(SILENCE, 5, true);
     let is_heartbeat = |(_, message): &(u16, Message)| matches!(message, Message::Heartbeat { .. });
-    assert!(member.tick(SILENCE).iter().all(is_heartbeat), "it tells the other's register again and again");
+    assert!(
+        member.tick(SILENCE).iter().all(is_heartbeat),
+        "the register of the other process is sent repeatedly"
+    );
     member.set_self(Duration::ZERO, 10, false);
     assert_eq!(member.register(0).map(|register| register.incarnation), Some(10));
 }
 
 #[test]
-fn two_words_with_the_same_numbers_end_alike_in_any_order() {
+fn registers_with_equal_numbers_converge_in_any_order() {
     let overlay = Arc::new(Overlay::new(8, 1).expect("an overlay"));
     let register = |unheard, caught_up| {
         let register = Register { incarnation: 7, sequence: 4, unheard, caught_up };
         Message::Registers(vec![MemberRegister { member: 3, register }])
     };
-    let words = [register(1, false), register(2, false), register(1, true)];
+    let messages = [register(1, false), register(2, false), register(1, true)];
     let digest = |order: [usize; 3]| {
         let timing = Timing { silence: SILENCE };
         let mut observer = Membership::new(Duration::ZERO, 0, Arc::clone(&overlay), timing);
         for index in order {
-            observer.received(SILENCE, 1, &words[index]).expect("it is valid");
+            observer.received(SILENCE, 1, &messages[index]).expect("it is valid");
         }
         observer.digest()
     };
@@ -264,19 +277,19 @@
         messages.iter().filter(|(_, message)| matches!(message, Message::Registers(_))).count()
     };
     observer.received(SILENCE, from, &bucket(5)).expect("it is valid");
-    assert_eq!(passed_on(&mut observer, SILENCE), 0, "it was told to one that starts empty");
+    assert_eq!(passed_on(&mut observer, SILENCE), 0, "a register was relayed that repair had only filled in");
     observer.received(SILENCE * 2, from, &bucket(6)).expect("it is valid");
-    assert!(passed_on(&mut observer, SILENCE * 2) >= 3, "it is news to others too");
+    assert!(passed_on(&mut observer, SILENCE * 2) >= 3, "a replaced register is relayed");
 }
 
 #[test]
-fn an_incarnation_before_the_present_one_is_not_taken() {
+fn an_earlier_own_incarnation_is_ignored() {
     let overlay = Arc::new(Overlay::new(8, 1).expect("an overlay"));
     let mut member = Membership::new(Duration::ZERO, 0, overlay, Timing { silence: SILENCE });
     member.set_self(Duration::ZERO, 5, true);
     member.set_self(Duration::ZERO, 4, false);
-    let lying = Register { incarnation: 5, sequence: 9, unheard: 0, caught_up: false };
-    let message = Message::Registers(vec![MemberRegister { member: 0, register: lying }]);
+    let forged = Register { incarnation: 5, sequence: 9, unheard: 0, caught_up: false };
+    let message = Message::Registers(vec![MemberRegister { member: 0, register: forged }]);
     member.received(Duration::ZERO, 1, &message).expect("it is valid");
     let register = Register { incarnation: 5, sequence: 10, unheard: 0, caught_up: true };
     assert_eq!(member.register(0), Some(&register));
@@ -288,7 +301,7 @@
     let mut member = Membership::new(Duration::ZERO, 0, overlay, Timing { silence: SILENCE });
     for step in 0..30 {
         let now = Duration::from_millis(step * 200);
-        member.heard(now, 1);
+        member.frame_received(now, 1);
         let messages = member.tick(now);
         assert!(messages.iter().all(|(_, message)| matches!(message, Message::Heartbeat { .. })));
     }
@@ -297,22 +310,22 @@
 }
 
 #[test]
-fn a_neighbour_that_tells_the_same_meanwhile_is_not_told_it() {
+fn a_register_is_not_sent_to_a_neighbour_that_sent_the_same() {
     let overlay = Arc::new(Overlay::new(100, 1).expect("an overlay"));
     let register = Register { incarnation: 5, sequence: 1, unheard: 0, caught_up: true };
     let message = Message::Registers(vec![MemberRegister { member: 50, register }]);
-    let told_after = |tellers: &[u16]| {
+    let recipients_after = |senders: &[u16]| {
         let timing = Timing { silence: SILENCE };
         let mut observer = Membership::new(Duration::ZERO, 0, Arc::clone(&overlay), timing);
-        for teller in tellers {
-            observer.received(Duration::ZERO, *teller, &message).expect("it is valid");
+        for sender in senders {
+            observer.received(Duration::ZERO, *sender, &message).expect("it is valid");
         }
         let sent = observer.tick(Duration::ZERO).into_iter();
-        let told = sent.filter(|(_, message)| matches!(message, Message::Registers(_)));
-        told.map(|(to, _)| to).collect::<Vec<u16>>()
+        let sent_registers = sent.filter(|(_, message)| matches!(message, Message::Registers(_)));
+        sent_registers.map(|(to, _)| to).collect::<Vec<u16>>()
     };
     let first = overlay.neighbours(0)[0];
-    let told_by_one = told_after(&[first]);
-    let second = told_by_one[0];
-    assert_eq!(told_after(&[first, second]), told_by_one[1..]);
+    let recipients_after_one = recipients_after(&[first]);
+    let second = recipients_after_one[0];
+    assert_eq!(recipients_after(&[first, second]), recipients_after_one[1..]);
 }
--- a/crates/membership/tests/codec.rs
+++ b/crates/membership/tests/codec.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use lotussaddle_membership::{
-    MOST_BUCKETS, MOST_MESSAGE_BYTES, MOST_REGISTERS, MemberIndex, MemberRegister, Message, MessageError,
+    MAX_BUCKETS, MAX_MESSAGE_BYTES, MAX_REGISTERS, MemberIndex, MemberRegister, Message, MessageError,
     Register,
 };
 use support::random::TestRandom;
@@ -24,8 +24,8 @@
     registers
 }
 
-fn drawn(random: &mut TestRandom) -> Message {
-    let count = random.below(MOST_REGISTERS as u64 + 1) as usize;
+fn random_message(random: &mut TestRandom) -> Message {
+    let count = random.below(MAX_REGISTERS as u64 + 1) as usize;
     match random.below(5) {
         0 => Message::Heartbeat { digest: random.next() },
         1 => Message::Registers(registers(random, count)),
@@ -36,12 +36,12 @@
 }
 
 #[test]
-fn messages_come_back_as_they_were_and_no_part_of_one_passes() {
+fn messages_round_trip_and_truncated_ones_are_refused() {
     let mut random = TestRandom::new(1);
     for _ in 0..500 {
-        let message = drawn(&mut random);
+        let message = random_message(&mut random);
         let bytes = message.encode();
-        assert!(bytes.len() <= MOST_MESSAGE_BYTES);
+        assert!(bytes.len() <= MAX_MESSAGE_BYTES);
         assert_eq!(Message::decode(&bytes), Ok(message));
         for end in 0..bytes.len() {
             assert_eq!(Message::decode(&bytes[..end]), Err(MessageError::Truncated));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn random_bytes_are_refused_or_are_the_one_form_of_a_message() {
+fn random_bytes_are_refused_or_are_a_canonical_message() {
     let mut random = TestRandom::new(2);
     let mut decoded = 0;
     for _ in 0..200_000 {
@@ -71,10 +71,10 @@
 }
 
 #[test]
-fn changed_bytes_are_refused_or_are_the_one_form_of_a_message() {
+fn changed_bytes_are_refused_or_are_a_canonical_message() {
     let mut random = TestRandom::new(3);
     for _ in 0..20_000 {
-        let mut bytes = drawn(&mut random).encode();
+        let mut bytes = random_message(&mut random).encode();
         let place = random.below(bytes.len() as u64) as usize;
         bytes[place] = random.next() as u8;
         if let Ok(message) = Message::decode(&bytes) {
@@ -86,33 +86,33 @@
 #[test]
 fn the_longest_message_is_within_the_bound() {
     let largest = Register { incarnation: u64::MAX, sequence: u32::MAX, unheard: u16::MAX, caught_up: true };
-    let first = MemberIndex::MAX - MOST_REGISTERS as MemberIndex;
+    let first = MemberIndex::MAX - MAX_REGISTERS as MemberIndex;
     let members = first..MemberIndex::MAX;
     let registers = members.map(|member| MemberRegister { member, register: largest }).collect();
     let longest = Message::Bucket { bucket: u16::MAX, registers };
     let bytes = longest.encode();
-    assert!(bytes.len() <= MOST_MESSAGE_BYTES, "{} bytes", bytes.len());
+    assert!(bytes.len() <= MAX_MESSAGE_BYTES, "{} bytes", bytes.len());
     assert_eq!(Message::decode(&bytes), Ok(longest));
-    let digests = Message::BucketDigests(vec![u32::MAX; MOST_BUCKETS]);
-    assert!(digests.encode().len() <= MOST_MESSAGE_BYTES);
+    let digests = Message::BucketDigests(vec![u32::MAX; MAX_BUCKETS]);
+    assert!(digests.encode().len() <= MAX_MESSAGE_BYTES);
     assert_eq!(Message::decode(&digests.encode()), Ok(digests));
 }
 
 #[test]
-fn what_passes_a_bound_is_refused_by_name() {
+fn entries_beyond_a_bound_are_refused_with_the_reason() {
     let entry = MemberRegister { member: 1, register: Register { incarnation: 1, ..Register::default() } };
     let many = |count: usize| {
         let entries = (0..count).map(|member| MemberRegister { member: member as MemberIndex, ..entry });
         entries.collect::<Vec<_>>()
     };
-    let too_many = Message::Registers(many(MOST_REGISTERS + 1)).encode();
+    let too_many = Message::Registers(many(MAX_REGISTERS + 1)).encode();
     assert_eq!(Message::decode(&too_many), Err(MessageError::TooManyEntries(81)));
-    let too_many = Message::BucketDigests(vec![0; MOST_BUCKETS + 1]).encode();
+    let too_many = Message::BucketDigests(vec![0; MAX_BUCKETS + 1]).encode();
     assert_eq!(Message::decode(&too_many), Err(MessageError::TooManyEntries(129)));
     let too_many = Message::BucketRequest(vec![0; 3]).encode();
     assert_eq!(Message::decode(&too_many), Err(MessageError::TooManyEntries(3)));
-    let too_long = vec![1; MOST_MESSAGE_BYTES + 1];
-    assert_eq!(Message::decode(&too_long), Err(MessageError::TooLong { bytes: MOST_MESSAGE_BYTES + 1 }));
+    let too_long = vec![1; MAX_MESSAGE_BYTES + 1];
+    assert_eq!(Message::decode(&too_long), Err(MessageError::TooLong { bytes: MAX_MESSAGE_BYTES + 1 }));
     assert_eq!(Message::decode(&[]), Err(MessageError::Truncated));
     assert_eq!(Message::decode(&[0]), Err(MessageError::UnknownTag(0)));
     assert_eq!(Message::decode(&[6]), Err(MessageError::UnknownTag(6)));
--- a/crates/membership/tests/cost.rs
+++ b/crates/membership/tests/cost.rs
@@ -8,7 +8,7 @@
 
 const SEED: u64 = 41;
 /// The bound of ten seconds, heartbeats included.
-const MOST_BYTES_IN_TEN_SECONDS: u64 = 100_000;
+const MAX_BYTES_IN_TEN_SECONDS: u64 = 100_000;
 /// Ten neighbours, five heartbeats a second, nine bytes each.
 const STEADY_BYTES_A_SECOND: u64 = 450;
 const STEADY_SECONDS: u32 = 10;
@@ -17,7 +17,7 @@
     (0..fleet.members()).map(|member| fleet.sent(member).worst_window).max().expect("there are members")
 }
 
-/// Plays the events of a fleet's life; the most bytes that a member sent in any ten seconds.
+/// Simulates the events of a fleet; returns the maximum of the bytes that a member sent in any ten seconds.
 fn worst_of_all_events(members: usize) -> u64 {
     let mut fleet = Simulation::settled(members, SEED);
     let zone: Vec<usize> = zone(members).collect();
@@ -37,20 +37,20 @@
 fn no_event_of_small_fleets_costs_more_than_the_bound() {
     for members in [8, 16, 32, 64, 128, 256] {
         let worst = worst_of_all_events(members);
-        assert!(worst < MOST_BYTES_IN_TEN_SECONDS, "of {members}, one sent {worst} bytes in ten seconds");
+        assert!(worst < MAX_BYTES_IN_TEN_SECONDS, "of {members}, one sent {worst} bytes in ten seconds");
     }
 }
 
 #[test]
 fn no_event_of_512_members_costs_more_than_the_bound() {
     let worst = worst_of_all_events(512);
-    assert!(worst < MOST_BYTES_IN_TEN_SECONDS, "one sent {worst} bytes in ten seconds");
+    assert!(worst < MAX_BYTES_IN_TEN_SECONDS, "one sent {worst} bytes in ten seconds");
 }
 
 #[test]
 fn no_event_of_1024_members_costs_more_than_the_bound() {
     let worst = worst_of_all_events(1024);
-    assert!(worst < MOST_BYTES_IN_TEN_SECONDS, "one sent {worst} bytes in ten seconds");
+    assert!(worst < MAX_BYTES_IN_TEN_SECONDS, "one sent {worst} bytes in ten seconds");
 }
 
 /// Run by hand: `cargo test --release -p lotussaddle-membership --test cost -- --ignored`.
@@ -58,7 +58,7 @@
 #[ignore = "minutes long: all events of 4,100 members"]
 fn no_event_of_4100_members_costs_more_than_the_bound() {
     let worst = worst_of_all_events(4100);
-    assert!(worst < MOST_BYTES_IN_TEN_SECONDS, "one sent {worst} bytes in ten seconds");
+    assert!(worst < MAX_BYTES_IN_TEN_SECONDS, "one sent {worst} bytes in ten seconds");
 }
 
 #[test]
@@ -88,8 +88,8 @@
         fleet.run_for(SILENCE / 10);
     }
     let worst = worst_window(&fleet);
-    assert!(worst < MOST_BYTES_IN_TEN_SECONDS, "one sent {worst} bytes in ten seconds");
-    assert!(worst > MOST_BYTES_IN_TEN_SECONDS / 2, "it was no storm: {worst} bytes in ten seconds");
+    assert!(worst < MAX_BYTES_IN_TEN_SECONDS, "one sent {worst} bytes in ten seconds");
+    assert!(worst > MAX_BYTES_IN_TEN_SECONDS / 2, "the storm was too weak: {worst} bytes in ten seconds");
     fleet.run_for(SILENCE * 30);
     assert!(fleet.registers_are_equal());
     assert!(fleet.views_are_right());
--- a/crates/membership/tests/memory.rs
+++ b/crates/membership/tests/memory.rs
@@ -8,12 +8,12 @@
 use lotussaddle_membership::{MemberIndex, MemberRegister, Membership, Message, Overlay, Register, Timing};
 
 const MEMBERS: usize = 4_100;
-const MOST_BYTES_OF_A_MEMBER: usize = 200_000;
-const MOST_BYTES_OF_THE_OVERLAY: usize = 200_000;
+const MAX_MEMBER_BYTES: usize = 200_000;
+const MAX_OVERLAY_BYTES: usize = 200_000;
 const ME: MemberIndex = 17;
 
 static IN_USE: AtomicUsize = AtomicUsize::new(0);
-static MOST_IN_USE: AtomicUsize = AtomicUsize::new(0);
+static MAX_IN_USE: AtomicUsize = AtomicUsize::new(0);
 
 struct Counting;
 
@@ -21,14 +21,14 @@
 unsafe impl GlobalAlloc for Counting {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         let in_use = IN_USE.fetch_add(layout.size(), Ordering::Relaxed) + layout.size();
-        MOST_IN_USE.fetch_max(in_use, Ordering::Relaxed);
-        // SAFETY: the caller keeps to the rules of `alloc`.
+        MAX_IN_USE.fetch_max(in_use, Ordering::Relaxed);
+        // SAFETY: the caller upholds the contract of `alloc`.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
         IN_USE.fetch_sub(layout.size(), Ordering::Relaxed);
-        // SAFETY: the caller keeps to the rules of `dealloc`.
+        // SAFETY: the caller upholds the contract of `dealloc`.
         unsafe { System.dealloc(pointer, layout) }
     }
 }
@@ -40,7 +40,7 @@
     IN_USE.load(Ordering::Relaxed)
 }
 
-/// A neighbour tells registers of all members, whole buckets of digests that differ, and asks for buckets.
+/// A neighbour sends registers of all members, whole buckets of digests that differ, and asks for buckets.
 fn fill(member: &mut Membership, now: Duration, incarnation: u64) {
     let from = member.overlay().neighbours(ME)[0];
     for start in (0..MEMBERS).step_by(50) {
@@ -58,12 +58,12 @@
 }
 
 #[test]
-fn a_member_of_4100_keeps_within_its_bound() {
+fn a_member_of_a_fleet_of_4100_stays_within_its_memory_bound() {
     let before = in_use();
     let overlay = Arc::new(Overlay::new(MEMBERS, 1).expect("an overlay"));
     let of_overlay = in_use() - before;
     let before = in_use();
-    MOST_IN_USE.store(before, Ordering::Relaxed);
+    MAX_IN_USE.store(before, Ordering::Relaxed);
     let mut member = Membership::new(Duration::ZERO, ME, overlay, Timing { silence: Duration::from_secs(1) });
     member.set_self(Duration::ZERO, 1 << 24, true);
     for round in 0..100u64 {
@@ -72,10 +72,10 @@
         drop(member.tick(now));
     }
     let at_rest = in_use() - before;
-    let most = MOST_IN_USE.load(Ordering::Relaxed) - before;
+    let most = MAX_IN_USE.load(Ordering::Relaxed) - before;
     println!("{at_rest} bytes of a member, {most} at most, and {of_overlay} of the overlay");
     assert!(member.register(4_000).is_some());
     assert!(at_rest > 50_000, "the allocator did not count");
-    assert!(most < MOST_BYTES_OF_A_MEMBER, "a member had {most} bytes");
-    assert!(of_overlay < MOST_BYTES_OF_THE_OVERLAY, "the overlay has {of_overlay} bytes");
+    assert!(most < MAX_MEMBER_BYTES, "a member had {most} bytes");
+    assert!(of_overlay < MAX_OVERLAY_BYTES, "the overlay has {of_overlay} bytes");
 }
--- a/crates/membership/tests/overlay.rs
+++ b/crates/membership/tests/overlay.rs
@@ -1,6 +1,6 @@
 //! The overlay: who is whose neighbour.
 
-use lotussaddle_membership::{MOST_MEMBERS, MOST_NEIGHBOURS, MemberIndex, Overlay, OverlayError};
+use lotussaddle_membership::{MAX_MEMBERS, MAX_NEIGHBOURS, MemberIndex, Overlay, OverlayError};
 
 fn all(members: usize) -> impl Iterator<Item = MemberIndex> {
     (0..members).map(|member| member as MemberIndex)
@@ -13,7 +13,7 @@
         assert_eq!(overlay.members(), members);
         for member in all(members) {
             let neighbours = overlay.neighbours(member);
-            assert!(neighbours.len() <= MOST_NEIGHBOURS);
+            assert!(neighbours.len() <= MAX_NEIGHBOURS);
             assert!(!neighbours.contains(&member));
             let distinct: std::collections::BTreeSet<_> = neighbours.iter().collect();
             assert_eq!(distinct.len(), neighbours.len());
@@ -41,12 +41,12 @@
     for member in all(1000) {
         assert!(overlay.position(member, (member + 1) % 1000).is_some());
     }
-    let full = all(1000).filter(|member| overlay.neighbours(*member).len() == MOST_NEIGHBOURS).count();
+    let full = all(1000).filter(|member| overlay.neighbours(*member).len() == MAX_NEIGHBOURS).count();
     assert!(full > 950, "{full} have ten neighbours");
 }
 
 #[test]
-fn the_overlay_rests_on_the_seed_alone() {
+fn the_overlay_depends_only_on_the_seed() {
     let lists = |seed| {
         let overlay = Overlay::new(100, seed).expect("an overlay");
         all(100).map(|member| overlay.neighbours(member).to_vec()).collect::<Vec<_>>()
@@ -69,12 +69,12 @@
 const PINNED_OF_13: [MemberIndex; 9] = [3, 6, 9, 8, 14, 17, 0, 10, 12];
 
 #[test]
-fn lists_without_an_overlay_are_refused_by_name() {
+fn lists_without_an_overlay_are_refused_with_the_reason() {
     assert_eq!(Overlay::new(0, 1).err(), Some(OverlayError::NoMembers));
-    let members = MOST_MEMBERS + 1;
+    let members = MAX_MEMBERS + 1;
     assert_eq!(Overlay::new(members, 1).err(), Some(OverlayError::TooManyMembers { members }));
     let message = OverlayError::TooManyMembers { members }.to_string();
     assert!(message.contains("8193") && message.contains("8192"), "{message}");
-    assert!(Overlay::new(MOST_MEMBERS, 1).is_ok());
+    assert!(Overlay::new(MAX_MEMBERS, 1).is_ok());
     assert!(Overlay::new(5, 1).expect("an overlay").neighbours(5).is_empty());
 }
--- a/crates/membership/tests/slow_members.rs
+++ b/crates/membership/tests/slow_members.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_member_that_stood_still_is_held_gone_meanwhile_and_accuses_nobody() {
+fn a_stalled_member_is_held_gone_meanwhile_and_reports_nobody() {
     for members in SIZES {
         let mut fleet = Simulation::settled(members, SEED);
         let stalled = members / 2;
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_member_that_wakes_to_a_broken_link_reports_it_after_listening() {
+fn a_member_that_resumes_with_a_broken_link_reports_it_after_listening() {
     let mut fleet = Simulation::settled(32, SEED);
     let stalled = 7;
     let lost = neighbours(&fleet, stalled)[0];
@@ -75,12 +75,12 @@
 fn a_member_that_one_neighbour_does_not_hear_is_not_held_gone() {
     for members in SIZES {
         let mut fleet = Simulation::settled(members, SEED);
-        let speaker = members / 2;
-        let deaf = neighbours(&fleet, speaker)[0];
-        fleet.network.one_way_cuts.insert((speaker, deaf));
+        let sender = members / 2;
+        let receiver = neighbours(&fleet, sender)[0];
+        fleet.network.one_way_cuts.insert((sender, receiver));
         fleet.run_checked(SILENCE * 10, |fleet| assert!(fleet.only_gone(&[]), "{members}"));
-        assert!(!fleet.membership(deaf).hears(speaker as u16), "{members}");
-        assert!(fleet.membership(speaker).hears(deaf as u16), "{members}");
+        assert!(!fleet.membership(receiver).hears(sender as u16), "{members}");
+        assert!(fleet.membership(sender).hears(receiver as u16), "{members}");
     }
 }
 
@@ -88,9 +88,9 @@
 fn a_member_that_a_single_neighbour_hears_is_not_held_gone() {
     for members in SIZES {
         let mut fleet = Simulation::settled(members, SEED);
-        let speaker = members / 2;
-        let deaf = neighbours(&fleet, speaker).split_off(1);
-        fleet.network.one_way_cuts.extend(deaf.iter().map(|neighbour| (speaker, *neighbour)));
+        let sender = members / 2;
+        let receiver = neighbours(&fleet, sender).split_off(1);
+        fleet.network.one_way_cuts.extend(receiver.iter().map(|neighbour| (sender, *neighbour)));
         fleet.run_checked(SILENCE * 10, |fleet| assert!(fleet.only_gone(&[]), "{members}"));
     }
 }
@@ -99,18 +99,20 @@
 fn a_member_that_nobody_hears_is_gone_for_all_and_knows_that_it_has_no_majority() {
     for members in SIZES {
         let mut fleet = Simulation::settled(members, SEED);
-        let mute = members / 2;
-        let cuts: Vec<_> = neighbours(&fleet, mute).iter().map(|neighbour| (mute, *neighbour)).collect();
+        let unheard_member = members / 2;
+        let cuts: Vec<_> =
+            neighbours(&fleet, unheard_member).iter().map(|neighbour| (unheard_member, *neighbour)).collect();
         fleet.network.one_way_cuts.extend(cuts);
-        let others: Vec<usize> = (0..members).filter(|member| *member != mute).collect();
+        let others: Vec<usize> = (0..members).filter(|member| *member != unheard_member).collect();
         let all_know = |fleet: &Simulation| {
-            fleet.all_hold_gone(&others, &[mute]) && !fleet.membership(mute).has_majority()
+            fleet.all_hold_gone(&others, &[unheard_member])
+                && !fleet.membership(unheard_member).has_majority()
         };
         let known = fleet.run_until(SILENCE * 2, all_know);
         assert!(known.is_some(), "{members}");
         fleet.run_checked(SILENCE * 20, |fleet| {
-            assert!(fleet.all_hold_gone(&others, &[mute]), "{members}: it flaps");
-            assert!(!fleet.membership(mute).has_majority(), "{members}: it flaps");
+            assert!(fleet.all_hold_gone(&others, &[unheard_member]), "{members}: it flaps");
+            assert!(!fleet.membership(unheard_member).has_majority(), "{members}: it flaps");
         });
     }
 }
@@ -119,11 +121,12 @@
 fn a_member_that_hears_nobody_holds_nobody_gone() {
     for members in SIZES {
         let mut fleet = Simulation::settled(members, SEED);
-        let deaf = members / 2;
-        let cuts: Vec<_> = neighbours(&fleet, deaf).iter().map(|neighbour| (*neighbour, deaf)).collect();
+        let receiver = members / 2;
+        let cuts: Vec<_> =
+            neighbours(&fleet, receiver).iter().map(|neighbour| (*neighbour, receiver)).collect();
         fleet.network.one_way_cuts.extend(cuts);
-        fleet.run_checked(SILENCE * 10, |fleet| assert!(fleet.only_gone(&[deaf]), "{members}"));
-        assert!(!fleet.membership(deaf).has_majority(), "{members}");
+        fleet.run_checked(SILENCE * 10, |fleet| assert!(fleet.only_gone(&[receiver]), "{members}"));
+        assert!(!fleet.membership(receiver).has_majority(), "{members}");
     }
 }
 
@@ -175,7 +178,7 @@
 }
 
 #[test]
-fn a_new_incarnation_forgets_the_flaps_of_the_former() {
+fn a_new_incarnation_clears_the_flap_history() {
     for members in SIZES {
         let mut fleet = Simulation::settled(members, SEED);
         let flapping = members / 2;
@@ -214,11 +217,11 @@
     fleet.network.one_way_cuts.insert((neighbour, member));
     fleet.run_for(SILENCE * 3);
     assert!(!fleet.membership(member).hears(neighbour as u16));
-    let register = *fleet.membership(neighbour).register(member as u16).expect("the former one");
+    let register = *fleet.membership(neighbour).register(member as u16).expect("the previous register");
     assert!(register.incarnation < fleet.incarnation(member));
     fleet.set_incarnation(member);
     fleet.run_for(SILENCE);
-    let register = *fleet.membership(neighbour).register(member as u16).expect("the present one");
+    let register = *fleet.membership(neighbour).register(member as u16).expect("the current register");
     assert_eq!(register.incarnation, fleet.incarnation(member));
     assert_eq!(register.unheard.count_ones(), 1);
 }
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of membership state machines in virtual time, with a network that delays, loses, doubles and cuts.
+//! A fleet of membership state machines in virtual time, over a network that delays, loses, duplicates and cuts messages.
 #![allow(dead_code, reason = "each test file uses its part")]
 
 pub mod network;
--- a/crates/membership/tests/support/network.rs
+++ b/crates/membership/tests/support/network.rs
@@ -1,12 +1,12 @@
-//! What becomes of a message on its way.
+//! The simulated network and its faults.
 
 use std::collections::HashSet;
 use std::time::Duration;
 
 use super::random::TestRandom;
 
-const SHORTEST_DELAY_MS: u64 = 1;
-const LONGEST_DELAY_MS: u64 = 30;
+const MIN_DELAY_MS: u64 = 1;
+const MAX_DELAY_MS: u64 = 30;
 
 /// The faults of the network; none at first.
 #[derive(Default)]
@@ -14,7 +14,7 @@
     pub loss_percent: u64,
     pub doubled_percent: u64,
     pub late_percent: u64,
-    /// How much later a late message comes, at most.
+    /// The maximum extra delay of a late message.
     pub latest: Duration,
     /// Messages from the first to the second are lost.
     pub one_way_cuts: HashSet<(usize, usize)>,
@@ -23,7 +23,7 @@
 }
 
 impl Network {
-    /// The delays after which the copies of a message arrive; none: it is lost.
+    /// The delay of each delivered copy of a message; empty if the message is lost.
     pub fn delays(&self, random: &mut TestRandom, from: usize, to: usize) -> Vec<Duration> {
         let is_cut = self.cut_off.contains(&from) != self.cut_off.contains(&to);
         if is_cut || self.one_way_cuts.contains(&(from, to)) || random.percent(self.loss_percent) {
@@ -34,8 +34,8 @@
     }
 
     fn delay(&self, random: &mut TestRandom) -> Duration {
-        let span = LONGEST_DELAY_MS - SHORTEST_DELAY_MS + 1;
-        let usual = Duration::from_millis(SHORTEST_DELAY_MS + random.below(span));
+        let span = MAX_DELAY_MS - MIN_DELAY_MS + 1;
+        let usual = Duration::from_millis(MIN_DELAY_MS + random.below(span));
         if random.percent(self.late_percent) {
             return usual + Duration::from_millis(random.below(self.latest.as_millis() as u64));
         }
--- a/crates/membership/tests/support/sent_bytes.rs
+++ b/crates/membership/tests/support/sent_bytes.rs
@@ -37,14 +37,14 @@
         self.worst_window = self.worst_window.max(self.in_window);
     }
 
-    /// Counts from here on; the window keeps what was sent before.
+    /// Resets the counts; the window retains bytes sent before.
     pub fn restart_counts(&mut self) {
         self.total = 0;
         self.frames = 0;
         self.worst_window = 0;
     }
 
-    /// Counts from here on, and forgets what was sent before.
+    /// Resets the counts and clears the window.
     pub fn restart_window(&mut self) {
         self.restart_counts();
         self.steps = [0; WINDOW_STEPS];
--- a/crates/membership/tests/support/simulation.rs
+++ b/crates/membership/tests/support/simulation.rs
@@ -12,7 +12,7 @@
 use super::random::TestRandom;
 use super::sent_bytes::SentBytes;
 
-/// How often conditions are looked at.
+/// How often conditions are checked.
 const CHECK_PERIOD: Duration = Duration::from_millis(50);
 /// Low bits of an incarnation, which are drawn; the high ones count starts.
 const DRAWN_BITS: u32 = 24;
@@ -24,14 +24,14 @@
     Arrival { to: usize, from: usize, bytes: Vec<u8> },
 }
 
-/// One place of the member list.
-struct Seat {
+/// One entry of the member list.
+struct SimulatedMember {
     membership: Option<Membership>,
     starts: u64,
-    /// When the next tick is; other tick events of this seat are stale.
+    /// When the next tick is; other tick events of this slot are stale.
     tick_at: Option<Duration>,
     stalled_until: Duration,
-    /// Messages that came while it was stalled.
+    /// Messages received while the member was stalled.
     backlog: Vec<(usize, Vec<u8>)>,
     sent: SentBytes,
 }
@@ -41,7 +41,7 @@
     pub network: Network,
     pub overlay: Arc<Overlay>,
     pub timing: Timing,
-    seats: Vec<Seat>,
+    slots: Vec<SimulatedMember>,
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
     event_count: u64,
     random: TestRandom,
@@ -51,7 +51,7 @@
     /// A fleet in which nobody is up.
     pub fn empty(members: usize, seed: u64) -> Self {
         let now = Duration::from_secs(10);
-        let seat = || Seat {
+        let slot = || SimulatedMember {
             membership: None,
             starts: 0,
             tick_at: None,
@@ -64,7 +64,7 @@
             network: Network::default(),
             overlay: Arc::new(Overlay::new(members, OVERLAY_SEED).expect("an overlay")),
             timing: Timing { silence: SILENCE },
-            seats: (0..members).map(|_| seat()).collect(),
+            slots: (0..members).map(|_| slot()).collect(),
             events: BinaryHeap::new(),
             event_count: 0,
             random: TestRandom::new(seed),
@@ -88,7 +88,7 @@
     }
 
     pub fn members(&self) -> usize {
-        self.seats.len()
+        self.slots.len()
     }
 
     /// A member starts, with a new incarnation.
@@ -101,11 +101,11 @@
     pub fn start_without_incarnation(&mut self, member: usize) {
         let membership =
             Membership::new(self.now, member as MemberIndex, Arc::clone(&self.overlay), self.timing);
-        let seat = &mut self.seats[member];
-        seat.starts += 1;
-        seat.membership = Some(membership);
-        seat.backlog.clear();
-        seat.stalled_until = Duration::ZERO;
+        let slot = &mut self.slots[member];
+        slot.starts += 1;
+        slot.membership = Some(membership);
+        slot.backlog.clear();
+        slot.stalled_until = Duration::ZERO;
         self.tick(member);
     }
 
@@ -120,45 +120,45 @@
     /// The incarnation of the present start of a member.
     pub fn incarnation(&self, member: usize) -> u64 {
         let drawn = (member as u64 * 2_654_435_761) % (1 << DRAWN_BITS);
-        self.seats[member].starts << DRAWN_BITS | drawn
+        self.slots[member].starts << DRAWN_BITS | drawn
     }
 
-    /// A member is gone without a word.
+    /// Kills a member without notice to others.
     pub fn kill(&mut self, member: usize) {
-        let seat = &mut self.seats[member];
-        seat.membership = None;
-        seat.tick_at = None;
-        seat.backlog.clear();
+        let slot = &mut self.slots[member];
+        slot.membership = None;
+        slot.tick_at = None;
+        slot.backlog.clear();
     }
 
-    /// A member stands still for a time; what comes meanwhile waits.
+    /// Stalls a member for a time; messages received meanwhile wait.
     pub fn stall(&mut self, member: usize, period: Duration) {
-        self.seats[member].stalled_until = self.now + period;
+        self.slots[member].stalled_until = self.now + period;
         self.schedule_tick(member, self.now + period);
     }
 
     pub fn is_up(&self, member: usize) -> bool {
-        self.seats[member].membership.is_some()
+        self.slots[member].membership.is_some()
     }
 
     pub fn membership(&self, member: usize) -> &Membership {
-        self.seats[member].membership.as_ref().expect("the member is up")
+        self.slots[member].membership.as_ref().expect("the member is up")
     }
 
     pub fn membership_mut(&mut self, member: usize) -> &mut Membership {
-        self.seats[member].membership.as_mut().expect("the member is up")
+        self.slots[member].membership.as_mut().expect("the member is up")
     }
 
     pub fn sent(&self, member: usize) -> &SentBytes {
-        &self.seats[member].sent
+        &self.slots[member].sent
     }
 
     pub fn restart_counts(&mut self) {
-        self.seats.iter_mut().for_each(|seat| seat.sent.restart_counts());
+        self.slots.iter_mut().for_each(|slot| slot.sent.restart_counts());
     }
 
     pub fn restart_windows(&mut self) {
-        self.seats.iter_mut().for_each(|seat| seat.sent.restart_window());
+        self.slots.iter_mut().for_each(|slot| slot.sent.restart_window());
     }
 
     /// All members that are up.
@@ -166,7 +166,7 @@
         (0..self.members()).filter(|member| self.is_up(*member))
     }
 
-    /// Hands a message to a member as if it came from a neighbour now.
+    /// Hands a message to a member as if a neighbour had just sent it.
     pub fn inject(&mut self, to: usize, from: usize, message: &Message) {
         self.deliver(to, from, message.encode());
     }
@@ -244,7 +244,7 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Tick(member) => {
-                if self.seats[member].tick_at == Some(self.now) {
+                if self.slots[member].tick_at == Some(self.now) {
                     self.wake(member);
                 }
             }
@@ -253,7 +253,7 @@
     }
 
     fn wake(&mut self, member: usize) {
-        let backlog = std::mem::take(&mut self.seats[member].backlog);
+        let backlog = std::mem::take(&mut self.slots[member].backlog);
         for (from, bytes) in backlog {
             self.hand_over(member, from, &bytes);
         }
@@ -264,8 +264,8 @@
         if !self.is_up(to) {
             return;
         }
-        if self.now < self.seats[to].stalled_until {
-            self.seats[to].backlog.push((from, bytes));
+        if self.now < self.slots[to].stalled_until {
+            self.slots[to].backlog.push((from, bytes));
             return;
         }
         self.hand_over(to, from, &bytes);
@@ -274,9 +274,11 @@
     }
 
     fn hand_over(&mut self, to: usize, from: usize, bytes: &[u8]) {
-        let message = Message::decode(bytes).expect("members encode well");
+        let message = Message::decode(bytes).expect("members encode valid messages");
         let now = self.now;
-        self.membership_mut(to).received(now, from as MemberIndex, &message).expect("members send well");
+        self.membership_mut(to)
+            .received(now, from as MemberIndex, &message)
+            .expect("members send valid messages");
     }
 
     fn tick(&mut self, member: usize) {
@@ -292,16 +294,16 @@
 
     fn send(&mut self, from: usize, to: usize, message: &Message) {
         let bytes = message.encode();
-        self.seats[from].sent.add(self.now, bytes.len());
+        self.slots[from].sent.add(self.now, bytes.len());
         for delay in self.network.delays(&mut self.random, from, to) {
             self.push(self.now + delay, Event::Arrival { to, from, bytes: bytes.clone() });
         }
     }
 
     fn schedule_tick(&mut self, member: usize, at: Duration) {
-        let at = at.max(self.seats[member].stalled_until);
-        if self.seats[member].tick_at != Some(at) {
-            self.seats[member].tick_at = Some(at);
+        let at = at.max(self.slots[member].stalled_until);
+        if self.slots[member].tick_at != Some(at) {
+            self.slots[member].tick_at = Some(at);
             self.push(at, Event::Tick(member));
         }
     }
--- a/crates/membership/tests/unit/allowance.rs
+++ b/crates/membership/tests/unit/allowance.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn the_burst_is_there_at_once_and_the_rate_after_it() {
+fn the_burst_is_available_at_once_and_then_the_rate() {
     let mut allowance = Allowance::new(at(10), 100, 1_000);
     assert!(allowance.take(at(10), 1_000));
     assert!(!allowance.take(at(10), 1));
@@ -16,14 +16,14 @@
 }
 
 #[test]
-fn no_more_than_the_burst_is_saved() {
+fn unused_allowance_is_capped_at_the_burst() {
     let mut allowance = Allowance::new(at(10), 100, 1_000);
     assert!(!allowance.take(at(1_000), 1_001));
     assert!(allowance.take(at(1_000), 1_000));
 }
 
 #[test]
-fn a_clock_that_goes_back_gives_nothing() {
+fn a_clock_that_goes_back_adds_no_allowance() {
     let mut allowance = Allowance::new(at(10), 100, 1_000);
     assert!(allowance.take(at(10), 1_000));
     assert!(!allowance.take(at(5), 1));
--- a/crates/membership/tests/unit/repair.rs
+++ b/crates/membership/tests/unit/repair.rs
@@ -7,7 +7,7 @@
 const START: Duration = Duration::from_secs(10);
 const MEMBERS: usize = 1_280;
 const BUCKETS: usize = 20;
-const OURS: [u32; BUCKETS] = [1; BUCKETS];
+const LOCAL_DIGESTS: [u32; BUCKETS] = [1; BUCKETS];
 
 fn repair(neighbours: usize) -> Repair {
     Repair::new(START, neighbours, SILENCE)
@@ -52,12 +52,12 @@
 }
 
 #[test]
-fn an_equal_digest_starts_the_time_anew() {
+fn an_equal_digest_restarts_the_time() {
     assert_eq!(digests_sent(&mut repair(1), 0, 2_000, 800), [2_000]);
 }
 
 #[test]
-fn an_equal_digest_takes_back_digests_that_are_due() {
+fn an_equal_digest_cancels_digests_that_are_due() {
     let mut repair = repair(1);
     repair.compared(at(0), 0, false);
     repair.compared(at(1_000), 0, false);
@@ -67,37 +67,37 @@
 }
 
 #[test]
-fn two_buckets_are_asked_for_at_a_time_and_none_of_two_neighbours() {
+fn two_buckets_are_requested_at_a_time_and_none_from_two_neighbours() {
     let mut repair = repair(3);
-    (0..3).for_each(|position| repair.digests_came(at(0), position, &[2; BUCKETS], &OURS));
+    (0..3).for_each(|position| repair.digests_received(at(0), position, &[2; BUCKETS], &LOCAL_DIGESTS));
     let requests = requested(&repair.round(at(0), &full_table()));
     assert_eq!(requests, [(0, vec![0, 1]), (1, vec![2, 3]), (2, vec![4, 5])]);
-    repair.digests_came(at(10), 0, &[2; BUCKETS], &OURS);
+    repair.digests_received(at(10), 0, &[2; BUCKETS], &LOCAL_DIGESTS);
     assert!(!repair.has_work(), "two are asked for and not answered");
     repair.answered(0, 0);
-    repair.digests_came(at(20), 0, &[2; BUCKETS], &OURS);
+    repair.digests_received(at(20), 0, &[2; BUCKETS], &LOCAL_DIGESTS);
     assert_eq!(requested(&repair.round(at(20), &full_table())), [(0, vec![1, 6])]);
 }
 
 #[test]
-fn equal_and_empty_buckets_are_not_asked_for() {
-    let mut theirs = OURS;
-    theirs[3] = 0;
-    theirs[7] = 9;
+fn equal_and_empty_buckets_are_not_requested() {
+    let mut remote = LOCAL_DIGESTS;
+    remote[3] = 0;
+    remote[7] = 9;
     let mut repair = repair(1);
-    repair.digests_came(at(0), 0, &theirs, &OURS);
+    repair.digests_received(at(0), 0, &remote, &LOCAL_DIGESTS);
     assert_eq!(requested(&repair.round(at(0), &full_table())), [(0, vec![7])]);
 }
 
 #[test]
 fn a_request_without_an_answer_is_made_to_another_after_two_silences() {
-    let mut theirs = OURS;
-    theirs[7] = 9;
+    let mut remote = LOCAL_DIGESTS;
+    remote[7] = 9;
     let mut repair = repair(2);
-    repair.digests_came(at(0), 0, &theirs, &OURS);
-    repair.digests_came(at(1_999), 1, &theirs, &OURS);
+    repair.digests_received(at(0), 0, &remote, &LOCAL_DIGESTS);
+    repair.digests_received(at(1_999), 1, &remote, &LOCAL_DIGESTS);
     assert_eq!(requested(&repair.round(at(1_999), &full_table())), [(0, vec![7])]);
-    repair.digests_came(at(2_000), 1, &theirs, &OURS);
+    repair.digests_received(at(2_000), 1, &remote, &LOCAL_DIGESTS);
     assert_eq!(requested(&repair.round(at(2_000), &full_table())), [(1, vec![7])]);
 }
 
--- a/crates/membership/tests/unit/spreading.rs
+++ b/crates/membership/tests/unit/spreading.rs
@@ -1,4 +1,4 @@
-//! Who is told which register, how often, and under which allowance.
+//! Which registers are sent to which neighbours, how often, and under which allowance.
 
 use super::*;
 use crate::register::{MemberRegister, Register};
@@ -26,8 +26,8 @@
     registers
 }
 
-/// The positions that are told something in the next round.
-fn told(spreading: &mut Spreading) -> Vec<usize> {
+/// The positions that are sent something in the next round.
+fn recipients(spreading: &mut Spreading) -> Vec<usize> {
     let messages = spreading.round(START, &full_table());
     messages.into_iter().map(|(position, _)| position).collect()
 }
@@ -41,7 +41,7 @@
     let overlay = overlay();
     let mut spreading = Spreading::new(START, ME, &overlay);
     spreading.own_changed();
-    assert_eq!(told(&mut spreading).len(), overlay.neighbours(ME).len());
+    assert_eq!(recipients(&mut spreading).len(), overlay.neighbours(ME).len());
     assert!(!spreading.has_work());
 }
 
@@ -50,18 +50,18 @@
     let overlay = overlay();
     let mut spreading = Spreading::new(START, ME, &overlay);
     let relays = relay_positions(&spreading);
-    assert!((RELAYS..overlay.neighbours(ME).len()).contains(&relays.len()), "{relays:?}");
+    assert!((MAX_RELAYS..overlay.neighbours(ME).len()).contains(&relays.len()), "{relays:?}");
     spreading.pass_on(7, relays[0]);
-    assert_eq!(told(&mut spreading), relays[1..]);
+    assert_eq!(recipients(&mut spreading), relays[1..]);
 }
 
 #[test]
-fn what_a_neighbour_has_told_meanwhile_is_not_told_to_it() {
+fn a_register_that_a_neighbour_sent_meanwhile_is_not_sent_back() {
     let mut spreading = Spreading::new(START, ME, &overlay());
     let relays = relay_positions(&spreading);
     spreading.pass_on(7, relays[0]);
     spreading.known_by(relays[1], 7);
-    assert_eq!(told(&mut spreading), relays[2..]);
+    assert_eq!(recipients(&mut spreading), relays[2..]);
 }
 
 #[test]
@@ -76,8 +76,8 @@
             let chosen = relays(&overlay, member, unheard);
             let edges = overlay.neighbours(member).iter().zip(overlay.mirrored(member)).enumerate();
             for (position, (neighbour, mirrored)) in edges {
-                let is_chosen_there = relays(&overlay, *neighbour, unheard) >> mirrored & 1;
-                assert_eq!(chosen >> position & 1, is_chosen_there);
+                let is_chosen_remotely = relays(&overlay, *neighbour, unheard) >> mirrored & 1;
+                assert_eq!(chosen >> position & 1, is_chosen_remotely);
                 is_one_sided |= chosen != first_heard(&overlay, member, &unheard);
             }
         }
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_relay_that_takes_the_place_of_another_is_told_what_was_recent() {
+fn a_replacement_relay_is_sent_recent_registers() {
     let overlay = overlay();
     let mut spreading = Spreading::new(START, ME, &overlay);
     let before = relay_positions(&spreading);
@@ -101,27 +101,27 @@
     let messages = spreading.round(START, &full_table());
     assert!(
         messages.iter().all(|(position, _)| *position != lost),
-        "one that is not heard is told others' news"
+        "registers of others were sent to a neighbour that is not heard"
     );
     for position in added {
-        let (_, message) = messages.iter().find(|(to, _)| *to == position).expect("it is told");
+        let (_, message) = messages.iter().find(|(to, _)| *to == position).expect("a message to the relay");
         let members: Vec<MemberIndex> = registers(message).iter().map(|entry| entry.member).collect();
         assert_eq!(members, [20, 30]);
     }
 }
 
 #[test]
-fn one_that_is_no_relay_any_more_is_still_told_the_own_register() {
+fn a_previous_relay_is_still_sent_the_own_register() {
     let overlay = overlay();
     let mut spreading = Spreading::new(START, ME, &overlay);
     let lost = relay_positions(&spreading)[0];
     spreading.own_changed();
     spreading.choose_relays(&overlay, |member| if member == ME { 1 << lost } else { 0 }, Vec::new);
-    assert!(told(&mut spreading).contains(&lost));
+    assert!(recipients(&mut spreading).contains(&lost));
 }
 
 #[test]
-fn the_allowance_is_kept_and_all_neighbours_have_their_turn() {
+fn the_allowance_holds_and_all_neighbours_are_served() {
     let overlay = overlay();
     let table = full_table();
     let mut spreading = Spreading::new(START, ME, &overlay);
@@ -133,7 +133,7 @@
             spreading.pass_on(member, usize::MAX);
         }
         for (position, message) in spreading.round(now, &table) {
-            assert!(registers(&message).len() <= MOST_REGISTERS);
+            assert!(registers(&message).len() <= MAX_REGISTERS);
             bytes_of_position[position] += message.encode().len();
         }
         now += Duration::from_millis(50);
@@ -147,22 +147,22 @@
 }
 
 #[test]
-fn each_register_has_its_turn_while_those_before_it_change_again() {
+fn each_register_is_sent_while_earlier_ones_change_again() {
     let overlay = overlay();
     let table = full_table();
     let mut spreading = Spreading::new(START, ME, &overlay);
     let relays = relay_positions(&spreading);
     (0..MEMBERS as MemberIndex).for_each(|member| spreading.pass_on(member, usize::MAX));
-    let mut told = MemberSet::empty(MEMBERS);
+    let mut sent_members = MemberSet::empty(MEMBERS);
     for _ in 0..4 {
         for (position, message) in spreading.round(START, &table) {
             if position == relays[0] {
                 registers(&message).iter().for_each(|entry| {
-                    told.insert(entry.member);
+                    sent_members.insert(entry.member);
                 });
             }
         }
         (0..MEMBERS as MemberIndex).for_each(|member| spreading.pass_on(member, usize::MAX));
     }
-    assert_eq!(told.iter().count(), MEMBERS);
+    assert_eq!(sent_members.iter().count(), MEMBERS);
 }
--- a/crates/scale/src/limits.rs
+++ b/crates/scale/src/limits.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use lotussaddle_membership::MOST_NEIGHBOURS;
+use lotussaddle_membership::MAX_NEIGHBOURS;
 use rustix::process::{Resource, getrlimit};
 
 use crate::plan::{Bounds, Bytes, Mode, ScalePlan};
@@ -66,7 +66,7 @@
 
     fn in_virtual_time(plan: &ScalePlan, members: u64, links: u64) -> Self {
         let played = (plan.warm_up + plan.duration).as_secs_f64();
-        let neighbours = members.saturating_sub(1).min(MOST_NEIGHBOURS as u64);
+        let neighbours = members.saturating_sub(1).min(MAX_NEIGHBOURS as u64);
         let heartbeats = (members * neighbours) as f64 * HEARTBEATS_A_SECOND * played;
         let memory = PROCESS_MEMORY + members * MEMBER_MEMORY + 2 * links * VIRTUAL_LINK_END_MEMORY;
         Self {
