--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -32,7 +32,7 @@
 
 /// The membership of one fleet as one of its members sees it. A verdict is a suspicion, never a proof of death.
 pub struct Membership {
-    me: MemberIndex,
+    own_index: MemberIndex,
     overlay: Arc<Overlay>,
     timing: Timing,
     own: OwnState,
@@ -48,25 +48,25 @@
 }
 
 impl Membership {
-    /// The membership of `me`, which is a member of the overlay, at its start. All neighbours count as heard `now`, nobody is gone.
+    /// The membership of `own_index`, which is a member of the overlay, at its start. All neighbours count as heard `now`, nobody is gone.
     ///
     /// # Panics
-    /// If `me` is beyond the list or the silence is too short to be divided into rounds.
-    pub fn new(now: Duration, me: MemberIndex, overlay: Arc<Overlay>, timing: Timing) -> Self {
-        assert!(usize::from(me) < overlay.members(), "member {me} is not in the list");
+    /// If `own_index` is beyond the list or the silence is too short to be divided into rounds.
+    pub fn new(now: Duration, own_index: MemberIndex, overlay: Arc<Overlay>, timing: Timing) -> Self {
+        assert!(usize::from(own_index) < overlay.members(), "member {own_index} is not in the list");
         assert!(!timing.round().is_zero(), "the silence is too short");
-        let neighbours = overlay.neighbours(me).len();
+        let neighbours = overlay.neighbours(own_index).len();
         Self {
-            me,
+            own_index,
             timing,
             own: OwnState::default(),
             table: RegisterTable::new(now, overlay.members()),
             neighbour_monitor: NeighbourMonitor::new(now, neighbours, timing),
-            spreading: Spreading::new(now, me, &overlay),
+            spreading: Spreading::new(now, own_index, &overlay),
             repair: Repair::new(now, neighbours, timing.silence),
             view: View::new(overlay.members()),
             search_is_due: true,
-            next_heartbeat: now + phase(me, timing.heartbeat()),
+            next_heartbeat: now + phase(own_index, timing.heartbeat()),
             next_round: now,
             overlay,
         }
@@ -85,7 +85,7 @@
     /// Records that a frame of a neighbour was received; a sender that is not a neighbour is ignored.
     pub fn frame_received(&mut self, now: Duration, neighbour: MemberIndex) {
         self.neighbour_monitor.active(now);
-        if let Some(position) = self.overlay.position(self.me, neighbour) {
+        if let Some(position) = self.overlay.position(self.own_index, neighbour) {
             self.neighbour_monitor.frame_received(now, position);
         }
     }
@@ -95,7 +95,8 @@
     pub fn received(
         &mut self, now: Duration, from: MemberIndex, message: &Message,
     ) -> Result<Vec<MemberIndex>, MessageError> {
-        let position = self.overlay.position(self.me, from).ok_or(MessageError::NotANeighbour(from))?;
+        let position =
+            self.overlay.position(self.own_index, from).ok_or(MessageError::NotANeighbour(from))?;
         check::message(&self.overlay, message)?;
         self.neighbour_monitor.active(now);
         self.neighbour_monitor.frame_received(now, position);
@@ -117,7 +118,7 @@
             messages.extend(self.spreading.round(now, &self.table));
             messages.extend(self.repair.round(now, &self.table));
         }
-        let neighbours = self.overlay.neighbours(self.me);
+        let neighbours = self.overlay.neighbours(self.own_index);
         messages.into_iter().map(|(position, message)| (neighbours[position], message)).collect()
     }
 
@@ -149,7 +150,7 @@
     /// Whether a neighbour is not reported as unheard; false for one that is no neighbour.
     pub fn hears(&self, neighbour: MemberIndex) -> bool {
         self.overlay
-            .position(self.me, neighbour)
+            .position(self.own_index, neighbour)
             .is_some_and(|position| self.neighbour_monitor.hears(position))
     }
 
@@ -209,13 +210,13 @@
         match self.table.merge(now, member, register) {
             Merge::Older => false,
             Merge::Equal => {
-                self.spreading.known_by(position, member);
+                self.spreading.cancel_relay(position, member);
                 false
             }
             Merge::Replaced(before) => {
-                self.spreading.known_by(position, member);
+                self.spreading.cancel_relay(position, member);
                 if origin == RegisterSource::Flood || before.is_known() {
-                    self.spreading.pass_on(member, position);
+                    self.spreading.schedule_relay(member, position);
                 }
                 self.replaced(member, &before, &register)
             }
@@ -225,7 +226,7 @@
     fn replaced(&mut self, member: MemberIndex, before: &Register, register: &Register) -> bool {
         self.search_is_due |= before.unheard != register.unheard;
         let is_restarted = before.incarnation != register.incarnation;
-        if let Some(position) = self.overlay.position(self.me, member).filter(|_| is_restarted) {
+        if let Some(position) = self.overlay.position(self.own_index, member).filter(|_| is_restarted) {
             self.neighbour_monitor.restarted(position);
         }
         is_restarted || before.caught_up != register.caught_up
@@ -240,7 +241,7 @@
 
     /// Publishes a new own register if the table differs from the own state and has no later incarnation.
     fn refresh_own_register(&mut self, now: Duration) {
-        let known = *self.table.get(self.me);
+        let known = *self.table.get(self.own_index);
         let OwnState { incarnation, caught_up } = self.own;
         let unheard = self.neighbour_monitor.unheard();
         let is_current =
@@ -251,14 +252,14 @@
         let is_first = known.incarnation < incarnation;
         let sequence = if is_first { 1 } else { known.sequence.saturating_add(1) };
         let register = Register { incarnation, sequence, unheard, caught_up };
-        if let Merge::Replaced(_) = self.table.merge(now, self.me, register) {
+        if let Merge::Replaced(_) = self.table.merge(now, self.own_index, register) {
             self.spreading.own_changed();
         }
     }
 
     fn heartbeats(&self) -> Vec<(usize, Message)> {
         let digest = self.table.digest();
-        let neighbours = self.overlay.neighbours(self.me).len();
+        let neighbours = self.overlay.neighbours(self.own_index).len();
         (0..neighbours).map(|position| (position, Message::Heartbeat { digest })).collect()
     }
 
@@ -271,18 +272,18 @@
             return;
         }
         self.search_is_due = false;
-        let Self { me, overlay, table, neighbour_monitor, view, spreading, timing, .. } = self;
+        let Self { own_index, overlay, table, neighbour_monitor, view, spreading, timing, .. } = self;
         let own = neighbour_monitor.unheard();
-        let unheard = |member| if member == *me { own } else { table.get(member).unheard };
-        view.search(overlay, *me, unheard);
+        let unheard = |member| if member == *own_index { own } else { table.get(member).unheard };
+        view.search(overlay, *own_index, unheard);
         let recent = || table.replaced_within(now, timing.recent());
         spreading.choose_relays(overlay, unheard, recent);
     }
 }
 
 /// A pseudo-random offset within the period, so that members started together do not send together.
-fn phase(me: MemberIndex, period: Duration) -> Duration {
+fn phase(own_index: MemberIndex, period: Duration) -> Duration {
     const STEPS: u64 = 1024;
-    let step = mix(u64::from(me)) % STEPS;
+    let step = mix(u64::from(own_index)) % STEPS;
     period.mul_f64(step as f64 / STEPS as f64)
 }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -6,7 +6,7 @@
 /// The maximum number of registers in one message.
 pub const MAX_REGISTERS: usize = 80;
 
-/// The maximum number of buckets that are asked for in one message.
+/// The maximum number of buckets requested in one message.
 pub const MAX_REQUESTED_BUCKETS: usize = 2;
 
 /// The maximum number of bucket digests in one message: those of the largest fleet.
@@ -24,7 +24,7 @@
     Registers(Vec<MemberRegister>),
     /// The digests of the sender's buckets, all of them in order.
     BucketDigests(Vec<u32>),
-    /// The sender asks for these buckets.
+    /// The sender requests these buckets.
     BucketRequest(Vec<u16>),
     /// The answer to a request.
     Bucket {
--- a/crates/membership/src/repair.rs
+++ b/crates/membership/src/repair.rs
@@ -1,4 +1,4 @@
-//! Repair: where the digest in a neighbour's heartbeats differs for the silence, bucket digests are sent, and the other side asks for
+//! Repair: where the digest in a neighbour's heartbeats differs for the silence, bucket digests are sent, and the other side requests
 //! buckets that differ. Its allowance of bytes is its own, so that a flood and a repair do not starve each other.
 
 use std::time::Duration;
@@ -24,10 +24,10 @@
     differs_since: Option<Duration>,
     digests_sent_at: Option<Duration>,
     digests_are_due: bool,
-    /// Buckets that this neighbour was asked for, or is to be.
+    /// Buckets requested, or to be requested, from this neighbour.
     requests: Vec<Request>,
     request_is_due: bool,
-    /// Buckets that this neighbour has asked for.
+    /// Buckets that this neighbour has requested.
     to_serve: Vec<u16>,
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl Repair {
-    /// No neighbour is known to differ.
+    /// Starts with no neighbour known to differ.
     pub(crate) fn new(now: Duration, neighbours: usize, silence: Duration) -> Self {
         Self {
             silence,
--- a/crates/membership/src/spreading.rs
+++ b/crates/membership/src/spreading.rs
@@ -9,20 +9,20 @@
 use crate::overlay::Overlay;
 use crate::register_table::RegisterTable;
 
-/// How many of the neighbours that a member hears it passes registers on to.
-const MAX_RELAYS: usize = 4;
+/// The number of heard neighbours to which a member relays registers; it also relays to neighbours that chose it.
+const RELAY_NEIGHBOURS: usize = 4;
 
 const BYTES_PER_SECOND: u32 = 4_500;
 const BURST_BYTES: u32 = 28_000;
 
 /// The registers that are still to be sent to each neighbour.
 pub(crate) struct Spreading {
-    me: MemberIndex,
+    own_index: MemberIndex,
     /// For each neighbour, the members whose registers are to be sent to it.
     pending: Vec<MemberSet>,
     /// For each neighbour, where the next message starts in the list, so that each register is sent eventually.
     cursors: Vec<MemberIndex>,
-    /// One bit for each neighbour that others' registers are passed on to.
+    /// One bit for each neighbour to which registers of others are relayed.
     relays: u16,
     /// The neighbour that is served first in the next round.
     first: usize,
@@ -31,13 +31,13 @@
 
 impl Spreading {
     /// Starts with no registers to send.
-    pub(crate) fn new(now: Duration, me: MemberIndex, overlay: &Overlay) -> Self {
-        let neighbours = overlay.neighbours(me).len();
+    pub(crate) fn new(now: Duration, own_index: MemberIndex, overlay: &Overlay) -> Self {
+        let neighbours = overlay.neighbours(own_index).len();
         Self {
-            me,
+            own_index,
             pending: vec![MemberSet::empty(overlay.members()); neighbours],
-            cursors: vec![me; neighbours],
-            relays: relays(overlay, me, |_| 0),
+            cursors: vec![own_index; neighbours],
+            relays: relays(overlay, own_index, |_| 0),
             first: 0,
             allowance: Allowance::new(now, BYTES_PER_SECOND, BURST_BYTES),
         }
@@ -46,13 +46,13 @@
     /// Schedules the changed own register for all neighbours.
     pub(crate) fn own_changed(&mut self) {
         for position in 0..self.pending.len() {
-            self.pending[position].insert(self.me);
-            self.cursors[position] = self.me;
+            self.pending[position].insert(self.own_index);
+            self.cursors[position] = self.own_index;
         }
     }
 
     /// Schedules a register received from a neighbour for all other relays.
-    pub(crate) fn pass_on(&mut self, member: MemberIndex, from: usize) {
+    pub(crate) fn schedule_relay(&mut self, member: MemberIndex, from: usize) {
         for position in 0..self.pending.len() {
             if position != from && self.is_relay(position) {
                 self.pending[position].insert(member);
@@ -61,7 +61,7 @@
     }
 
     /// Cancels sending a register that the neighbour is known to have.
-    pub(crate) fn known_by(&mut self, position: usize, member: MemberIndex) {
+    pub(crate) fn cancel_relay(&mut self, position: usize, member: MemberIndex) {
         self.pending[position].remove(member);
     }
 
@@ -70,7 +70,7 @@
         &mut self, overlay: &Overlay, unheard: impl Fn(MemberIndex) -> u16,
         recent: impl FnOnce() -> Vec<MemberIndex>,
     ) {
-        let chosen = relays(overlay, self.me, unheard);
+        let chosen = relays(overlay, self.own_index, unheard);
         let added = chosen & !self.relays;
         let removed = self.relays & !chosen;
         self.relays = chosen;
@@ -125,10 +125,10 @@
     }
 
     fn retain_own_register(&mut self, position: usize) {
-        let had_own = self.pending[position].contains(self.me);
+        let had_own = self.pending[position].contains(self.own_index);
         self.pending[position].clear();
         if had_own {
-            self.pending[position].insert(self.me);
+            self.pending[position].insert(self.own_index);
         }
     }
 
@@ -137,11 +137,11 @@
     }
 }
 
-/// One bit for each neighbour that `me` passes registers on to: the first few that it hears, and those of whose first few it is one.
-/// Both ends of an edge work this out alike.
-fn relays(overlay: &Overlay, me: MemberIndex, unheard: impl Fn(MemberIndex) -> u16) -> u16 {
-    let chosen_locally = first_heard(overlay, me, &unheard);
-    let edges = overlay.neighbours(me).iter().zip(overlay.mirrored(me)).enumerate();
+/// One bit for each neighbour that `own_index` relays registers to: the first few that it hears, and those of whose first few it is one.
+/// Both ends of an edge compute the same result.
+fn relays(overlay: &Overlay, own_index: MemberIndex, unheard: impl Fn(MemberIndex) -> u16) -> u16 {
+    let chosen_locally = first_heard(overlay, own_index, &unheard);
+    let edges = overlay.neighbours(own_index).iter().zip(overlay.mirrored(own_index)).enumerate();
     edges.fold(chosen_locally, |bits, (position, (neighbour, mirrored))| {
         let is_chosen_remotely = first_heard(overlay, *neighbour, &unheard) >> mirrored & 1;
         bits | is_chosen_remotely << position
@@ -155,7 +155,7 @@
     let whole = edges.filter(|(position, (neighbour, mirrored))| {
         reported >> position & 1 == 0 && unheard(**neighbour) >> **mirrored & 1 == 0
     });
-    whole.take(MAX_RELAYS).fold(0, |bits, (position, _)| bits | 1 << position)
+    whole.take(RELAY_NEIGHBOURS).fold(0, |bits, (position, _)| bits | 1 << position)
 }
 
 #[cfg(test)]
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -38,12 +38,12 @@
         self.version
     }
 
-    /// Searches the members that are joined to `me`; `unheard` gives the bits that a member reports.
+    /// Searches the members that are joined to `own_index`; `unheard` gives the bits that a member reports.
     pub(crate) fn search(
-        &mut self, overlay: &Overlay, me: MemberIndex, unheard: impl Fn(MemberIndex) -> u16,
+        &mut self, overlay: &Overlay, own_index: MemberIndex, unheard: impl Fn(MemberIndex) -> u16,
     ) {
         let members = overlay.members();
-        let (joined, joined_count) = component(overlay, me, unheard);
+        let (joined, joined_count) = component(overlay, own_index, unheard);
         let has_majority = joined_count * 2 > members;
         let mut gone = MemberSet::empty(members);
         if has_majority {
--- a/crates/membership/tests/memory.rs
+++ b/crates/membership/tests/memory.rs
@@ -10,7 +10,7 @@
 const MEMBERS: usize = 4_100;
 const MAX_MEMBER_BYTES: usize = 200_000;
 const MAX_OVERLAY_BYTES: usize = 200_000;
-const ME: MemberIndex = 17;
+const OWN_INDEX: MemberIndex = 17;
 
 static IN_USE: AtomicUsize = AtomicUsize::new(0);
 static MAX_IN_USE: AtomicUsize = AtomicUsize::new(0);
@@ -42,14 +42,14 @@
 
 /// A neighbour sends registers of all members, whole buckets of digests that differ, and asks for buckets.
 fn fill(member: &mut Membership, now: Duration, incarnation: u64) {
-    let from = member.overlay().neighbours(ME)[0];
+    let from = member.overlay().neighbours(OWN_INDEX)[0];
     for start in (0..MEMBERS).step_by(50) {
         let members = (start..(start + 50).min(MEMBERS)).map(|index| index as MemberIndex);
         let register = Register { incarnation, sequence: 1, unheard: 0, caught_up: true };
         let entries = members.map(|member| MemberRegister { member, register }).collect();
         member.received(now, from, &Message::Registers(entries)).expect("it is valid");
     }
-    for neighbour in member.overlay().neighbours(ME).to_vec() {
+    for neighbour in member.overlay().neighbours(OWN_INDEX).to_vec() {
         let digests = Message::BucketDigests(vec![7; MEMBERS.div_ceil(64)]);
         member.received(now, neighbour, &digests).expect("it is valid");
         member.received(now, neighbour, &Message::BucketRequest(vec![1, 2])).expect("it is valid");
@@ -64,7 +64,8 @@
     let of_overlay = in_use() - before;
     let before = in_use();
     MAX_IN_USE.store(before, Ordering::Relaxed);
-    let mut member = Membership::new(Duration::ZERO, ME, overlay, Timing { silence: Duration::from_secs(1) });
+    let mut member =
+        Membership::new(Duration::ZERO, OWN_INDEX, overlay, Timing { silence: Duration::from_secs(1) });
     member.set_self(Duration::ZERO, 1 << 24, true);
     for round in 0..100u64 {
         let now = Duration::from_millis(round * 200);
--- a/crates/membership/tests/unit/spreading.rs
+++ b/crates/membership/tests/unit/spreading.rs
@@ -4,7 +4,7 @@
 use crate::register::{MemberRegister, Register};
 
 const MEMBERS: usize = 300;
-const ME: MemberIndex = 40;
+const OWN_INDEX: MemberIndex = 40;
 const START: Duration = Duration::from_secs(10);
 
 fn overlay() -> Overlay {
@@ -39,28 +39,28 @@
 #[test]
 fn the_own_register_goes_to_all_neighbours() {
     let overlay = overlay();
-    let mut spreading = Spreading::new(START, ME, &overlay);
+    let mut spreading = Spreading::new(START, OWN_INDEX, &overlay);
     spreading.own_changed();
-    assert_eq!(recipients(&mut spreading).len(), overlay.neighbours(ME).len());
+    assert_eq!(recipients(&mut spreading).len(), overlay.neighbours(OWN_INDEX).len());
     assert!(!spreading.has_work());
 }
 
 #[test]
 fn others_registers_go_to_the_relays_and_not_back() {
     let overlay = overlay();
-    let mut spreading = Spreading::new(START, ME, &overlay);
+    let mut spreading = Spreading::new(START, OWN_INDEX, &overlay);
     let relays = relay_positions(&spreading);
-    assert!((MAX_RELAYS..overlay.neighbours(ME).len()).contains(&relays.len()), "{relays:?}");
-    spreading.pass_on(7, relays[0]);
+    assert!((RELAY_NEIGHBOURS..overlay.neighbours(OWN_INDEX).len()).contains(&relays.len()), "{relays:?}");
+    spreading.schedule_relay(7, relays[0]);
     assert_eq!(recipients(&mut spreading), relays[1..]);
 }
 
 #[test]
 fn a_register_that_a_neighbour_sent_meanwhile_is_not_sent_back() {
-    let mut spreading = Spreading::new(START, ME, &overlay());
+    let mut spreading = Spreading::new(START, OWN_INDEX, &overlay());
     let relays = relay_positions(&spreading);
-    spreading.pass_on(7, relays[0]);
-    spreading.known_by(relays[1], 7);
+    spreading.schedule_relay(7, relays[0]);
+    spreading.cancel_relay(relays[1], 7);
     assert_eq!(recipients(&mut spreading), relays[2..]);
 }
 
@@ -88,11 +88,11 @@
 #[test]
 fn a_replacement_relay_is_sent_recent_registers() {
     let overlay = overlay();
-    let mut spreading = Spreading::new(START, ME, &overlay);
+    let mut spreading = Spreading::new(START, OWN_INDEX, &overlay);
     let before = relay_positions(&spreading);
     let lost = before[0];
-    spreading.pass_on(9, before[1]);
-    let unheard = |member| if member == ME { 1 << lost } else { 0 };
+    spreading.schedule_relay(9, before[1]);
+    let unheard = |member| if member == OWN_INDEX { 1 << lost } else { 0 };
     spreading.choose_relays(&overlay, unheard, || vec![20, 30]);
     let added: Vec<usize> =
         relay_positions(&spreading).into_iter().filter(|position| !before.contains(position)).collect();
@@ -113,10 +113,10 @@
 #[test]
 fn a_previous_relay_is_still_sent_the_own_register() {
     let overlay = overlay();
-    let mut spreading = Spreading::new(START, ME, &overlay);
+    let mut spreading = Spreading::new(START, OWN_INDEX, &overlay);
     let lost = relay_positions(&spreading)[0];
     spreading.own_changed();
-    spreading.choose_relays(&overlay, |member| if member == ME { 1 << lost } else { 0 }, Vec::new);
+    spreading.choose_relays(&overlay, |member| if member == OWN_INDEX { 1 << lost } else { 0 }, Vec::new);
     assert!(recipients(&mut spreading).contains(&lost));
 }
 
@@ -124,13 +124,13 @@
 fn the_allowance_holds_and_all_neighbours_are_served() {
     let overlay = overlay();
     let table = full_table();
-    let mut spreading = Spreading::new(START, ME, &overlay);
+    let mut spreading = Spreading::new(START, OWN_INDEX, &overlay);
     let relays = relay_positions(&spreading);
     let mut bytes_of_position = vec![0; spreading.pending.len()];
     let mut now = START;
     for _ in 0..600 {
         for member in 0..MEMBERS as MemberIndex {
-            spreading.pass_on(member, usize::MAX);
+            spreading.schedule_relay(member, usize::MAX);
         }
         for (position, message) in spreading.round(now, &table) {
             assert!(registers(&message).len() <= MAX_REGISTERS);
@@ -150,9 +150,9 @@
 fn each_register_is_sent_while_earlier_ones_change_again() {
     let overlay = overlay();
     let table = full_table();
-    let mut spreading = Spreading::new(START, ME, &overlay);
+    let mut spreading = Spreading::new(START, OWN_INDEX, &overlay);
     let relays = relay_positions(&spreading);
-    (0..MEMBERS as MemberIndex).for_each(|member| spreading.pass_on(member, usize::MAX));
+    (0..MEMBERS as MemberIndex).for_each(|member| spreading.schedule_relay(member, usize::MAX));
     let mut sent_members = MemberSet::empty(MEMBERS);
     for _ in 0..4 {
         for (position, message) in spreading.round(START, &table) {
@@ -162,7 +162,7 @@
                 });
             }
         }
-        (0..MEMBERS as MemberIndex).for_each(|member| spreading.pass_on(member, usize::MAX));
+        (0..MEMBERS as MemberIndex).for_each(|member| spreading.schedule_relay(member, usize::MAX));
     }
     assert_eq!(sent_members.iter().count(), MEMBERS);
 }
