--- a/crates/fleet/src/membership_view.rs
+++ b/crates/fleet/src/membership_view.rs
@@ -87,7 +87,7 @@
         if let Some(known) = self.members.get_mut(usize::from(member)) {
             known.last_frame = now;
         }
-        self.membership.heard(now, member);
+        self.membership.frame_received(now, member);
     }
 
     /// A message of the membership protocol came from a member. Returns the members whose state changed.
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -120,7 +120,7 @@
     /// The overlay of neighbours, the same for all members with the same list.
     ///
     /// # Panics
-    /// If there are no members, or more than [`lotussaddle_membership::MOST_MEMBERS`].
+    /// If there are no members, or more than [`lotussaddle_membership::MAX_MEMBERS`].
     pub fn overlay(&self) -> Arc<Overlay> {
         let seed = digest(&[self.members.join("\n").as_bytes()]);
         let overlay = Overlay::new(self.members.len(), seed);
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,12 +1,12 @@
-//! The membership state machine: it is told the time and what comes from neighbours, and says what is to be sent to them.
+//! The membership state machine: it takes the current time and messages from neighbours, and returns the messages to send.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use crate::MemberIndex;
 use crate::check;
-use crate::hearing::Hearing;
 use crate::message::{Message, MessageError};
+use crate::neighbour_monitor::NeighbourMonitor;
 use crate::overlay::Overlay;
 use crate::random::mix;
 use crate::register::{MemberRegister, Register};
@@ -16,28 +16,28 @@
 use crate::timing::Timing;
 use crate::view::View;
 
-/// What a member says of itself, apart from whom it hears.
+/// The state that a member publishes of itself, apart from the neighbours that it does not hear.
 #[derive(Clone, Copy, Debug, Default)]
 struct OwnState {
     incarnation: u64,
     caught_up: bool,
 }
 
-/// How a register came, which decides whether it is passed on.
+/// How a register was received; this decides whether it is relayed.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Origin {
+enum RegisterSource {
     Flood,
     Repair,
 }
 
 /// The membership of one fleet as one of its members sees it. A verdict is a suspicion, never a proof of death.
 pub struct Membership {
-    me: MemberIndex,
+    own_index: MemberIndex,
     overlay: Arc<Overlay>,
     timing: Timing,
     own: OwnState,
     table: RegisterTable,
-    hearing: Hearing,
+    neighbour_monitor: NeighbourMonitor,
     spreading: Spreading,
     repair: Repair,
     view: View,
@@ -48,25 +48,25 @@
 }
 
 impl Membership {
-    /// The membership of `me`, which is a member of the overlay, at its start. All neighbours count as heard `now`, nobody is gone.
+    /// The membership of `own_index`, which is a member of the overlay, at its start. All neighbours count as heard `now`, nobody is gone.
     ///
     /// # Panics
-    /// If `me` is beyond the list or the silence is too short to be divided into rounds.
-    pub fn new(now: Duration, me: MemberIndex, overlay: Arc<Overlay>, timing: Timing) -> Self {
-        assert!(usize::from(me) < overlay.members(), "member {me} is not in the list");
+    /// If `own_index` is beyond the list or the silence is too short to be divided into rounds.
+    pub fn new(now: Duration, own_index: MemberIndex, overlay: Arc<Overlay>, timing: Timing) -> Self {
+        assert!(usize::from(own_index) < overlay.members(), "member {own_index} is not in the list");
         assert!(!timing.round().is_zero(), "the silence is too short");
-        let neighbours = overlay.neighbours(me).len();
+        let neighbours = overlay.neighbours(own_index).len();
         Self {
-            me,
+            own_index,
             timing,
             own: OwnState::default(),
             table: RegisterTable::new(now, overlay.members()),
-            hearing: Hearing::new(now, neighbours, timing),
-            spreading: Spreading::new(now, me, &overlay),
+            neighbour_monitor: NeighbourMonitor::new(now, neighbours, timing),
+            spreading: Spreading::new(now, own_index, &overlay),
             repair: Repair::new(now, neighbours, timing.silence),
             view: View::new(overlay.members()),
             search_is_due: true,
-            next_heartbeat: now + phase(me, timing.heartbeat()),
+            next_heartbeat: now + phase(own_index, timing.heartbeat()),
             next_round: now,
             overlay,
         }
@@ -82,33 +82,34 @@
         self.refresh_own_register(now);
     }
 
-    /// Any frame of a neighbour came; one that is no neighbour is ignored.
-    pub fn heard(&mut self, now: Duration, neighbour: MemberIndex) {
-        self.hearing.active(now);
-        if let Some(position) = self.overlay.position(self.me, neighbour) {
-            self.hearing.heard(now, position);
+    /// Records that a frame of a neighbour was received; a sender that is not a neighbour is ignored.
+    pub fn frame_received(&mut self, now: Duration, neighbour: MemberIndex) {
+        self.neighbour_monitor.active(now);
+        if let Some(position) = self.overlay.position(self.own_index, neighbour) {
+            self.neighbour_monitor.frame_received(now, position);
         }
     }
 
-    /// A message of a neighbour came. Gives the members whose incarnation or `caught_up` is new here. A message that is refused
+    /// Applies a message of a neighbour. Returns the members whose incarnation or `caught_up` has changed. A message that is refused
     /// changes nothing.
     pub fn received(
         &mut self, now: Duration, from: MemberIndex, message: &Message,
     ) -> Result<Vec<MemberIndex>, MessageError> {
-        let position = self.overlay.position(self.me, from).ok_or(MessageError::NotANeighbour(from))?;
+        let position =
+            self.overlay.position(self.own_index, from).ok_or(MessageError::NotANeighbour(from))?;
         check::message(&self.overlay, message)?;
-        self.hearing.active(now);
-        self.hearing.heard(now, position);
+        self.neighbour_monitor.active(now);
+        self.neighbour_monitor.frame_received(now, position);
         Ok(self.apply(now, position, message))
     }
 
-    /// What is to be sent at this time, and to whom. To be called at [`Membership::next_due`], and sooner after a message.
+    /// Returns the messages to send now, with their recipients. Call it at [`Membership::next_due`], and sooner after a message.
     pub fn tick(&mut self, now: Duration) -> Vec<(MemberIndex, Message)> {
-        self.hearing.active(now);
+        self.neighbour_monitor.active(now);
         let mut messages = Vec::new();
         if now >= self.next_heartbeat {
             self.next_heartbeat = now + self.timing.heartbeat();
-            self.review_hearing(now);
+            self.review_neighbours(now);
             messages.extend(self.heartbeats());
         }
         if now >= self.next_round && self.has_work() {
@@ -117,7 +118,7 @@
             messages.extend(self.spreading.round(now, &self.table));
             messages.extend(self.repair.round(now, &self.table));
         }
-        let neighbours = self.overlay.neighbours(self.me);
+        let neighbours = self.overlay.neighbours(self.own_index);
         messages.into_iter().map(|(position, message)| (neighbours[position], message)).collect()
     }
 
@@ -148,7 +149,9 @@
 
     /// Whether a neighbour is not reported as unheard; false for one that is no neighbour.
     pub fn hears(&self, neighbour: MemberIndex) -> bool {
-        self.overlay.position(self.me, neighbour).is_some_and(|position| self.hearing.hears(position))
+        self.overlay
+            .position(self.own_index, neighbour)
+            .is_some_and(|position| self.neighbour_monitor.hears(position))
     }
 
     /// The latest register of a member that is known here. One of this member with a later incarnation than it was given means that
@@ -174,9 +177,9 @@
                 self.repair.compared(now, position, *digest == self.table.digest());
                 Vec::new()
             }
-            Message::Registers(registers) => self.merge_all(now, position, registers, Origin::Flood),
+            Message::Registers(registers) => self.merge_all(now, position, registers, RegisterSource::Flood),
             Message::BucketDigests(digests) => {
-                self.repair.digests_came(now, position, digests, &self.table.bucket_digests());
+                self.repair.digests_received(now, position, digests, &self.table.bucket_digests());
                 Vec::new()
             }
             Message::BucketRequest(buckets) => {
@@ -185,13 +188,13 @@
             }
             Message::Bucket { bucket, registers } => {
                 self.repair.answered(position, *bucket);
-                self.merge_all(now, position, registers, Origin::Repair)
+                self.merge_all(now, position, registers, RegisterSource::Repair)
             }
         }
     }
 
     fn merge_all(
-        &mut self, now: Duration, position: usize, registers: &[MemberRegister], origin: Origin,
+        &mut self, now: Duration, position: usize, registers: &[MemberRegister], origin: RegisterSource,
     ) -> Vec<MemberIndex> {
         let changed = registers.iter().filter(|entry| self.merge(now, position, entry, origin));
         let changed = changed.map(|entry| entry.member).collect();
@@ -200,18 +203,20 @@
     }
 
     /// Merges a register; true: the incarnation or `caught_up` of its member is new.
-    fn merge(&mut self, now: Duration, position: usize, entry: &MemberRegister, origin: Origin) -> bool {
+    fn merge(
+        &mut self, now: Duration, position: usize, entry: &MemberRegister, origin: RegisterSource,
+    ) -> bool {
         let MemberRegister { member, register } = *entry;
         match self.table.merge(now, member, register) {
             Merge::Older => false,
             Merge::Equal => {
-                self.spreading.known_by(position, member);
+                self.spreading.cancel_relay(position, member);
                 false
             }
             Merge::Replaced(before) => {
-                self.spreading.known_by(position, member);
-                if origin == Origin::Flood || before.is_known() {
-                    self.spreading.pass_on(member, position);
+                self.spreading.cancel_relay(position, member);
+                if origin == RegisterSource::Flood || before.is_known() {
+                    self.spreading.schedule_relay(member, position);
                 }
                 self.replaced(member, &before, &register)
             }
@@ -221,40 +226,40 @@
     fn replaced(&mut self, member: MemberIndex, before: &Register, register: &Register) -> bool {
         self.search_is_due |= before.unheard != register.unheard;
         let is_restarted = before.incarnation != register.incarnation;
-        if let Some(position) = self.overlay.position(self.me, member).filter(|_| is_restarted) {
-            self.hearing.restarted(position);
+        if let Some(position) = self.overlay.position(self.own_index, member).filter(|_| is_restarted) {
+            self.neighbour_monitor.restarted(position);
         }
         is_restarted || before.caught_up != register.caught_up
     }
 
-    fn review_hearing(&mut self, now: Duration) {
-        if self.hearing.review(now) {
+    fn review_neighbours(&mut self, now: Duration) {
+        if self.neighbour_monitor.review(now) {
             self.search_is_due = true;
             self.refresh_own_register(now);
         }
     }
 
-    /// Says anew what this member says of itself, if the table has something else and no later incarnation.
+    /// Publishes a new own register if the table differs from the own state and has no later incarnation.
     fn refresh_own_register(&mut self, now: Duration) {
-        let known = *self.table.get(self.me);
+        let known = *self.table.get(self.own_index);
         let OwnState { incarnation, caught_up } = self.own;
-        let unheard = self.hearing.unheard();
-        let is_said =
+        let unheard = self.neighbour_monitor.unheard();
+        let is_current =
             known.incarnation == incarnation && known.unheard == unheard && known.caught_up == caught_up;
-        if incarnation == 0 || is_said {
+        if incarnation == 0 || is_current {
             return;
         }
         let is_first = known.incarnation < incarnation;
         let sequence = if is_first { 1 } else { known.sequence.saturating_add(1) };
         let register = Register { incarnation, sequence, unheard, caught_up };
-        if let Merge::Replaced(_) = self.table.merge(now, self.me, register) {
+        if let Merge::Replaced(_) = self.table.merge(now, self.own_index, register) {
             self.spreading.own_changed();
         }
     }
 
     fn heartbeats(&self) -> Vec<(usize, Message)> {
         let digest = self.table.digest();
-        let neighbours = self.overlay.neighbours(self.me).len();
+        let neighbours = self.overlay.neighbours(self.own_index).len();
         (0..neighbours).map(|position| (position, Message::Heartbeat { digest })).collect()
     }
 
@@ -267,18 +272,18 @@
             return;
         }
         self.search_is_due = false;
-        let Self { me, overlay, table, hearing, view, spreading, timing, .. } = self;
-        let own = hearing.unheard();
-        let unheard = |member| if member == *me { own } else { table.get(member).unheard };
-        view.search(overlay, *me, unheard);
+        let Self { own_index, overlay, table, neighbour_monitor, view, spreading, timing, .. } = self;
+        let own = neighbour_monitor.unheard();
+        let unheard = |member| if member == *own_index { own } else { table.get(member).unheard };
+        view.search(overlay, *own_index, unheard);
         let recent = || table.replaced_within(now, timing.recent());
         spreading.choose_relays(overlay, unheard, recent);
     }
 }
 
-/// A share of the period, so that members that start at once do not send at once.
-fn phase(me: MemberIndex, period: Duration) -> Duration {
+/// A pseudo-random offset within the period, so that members started together do not send together.
+fn phase(own_index: MemberIndex, period: Duration) -> Duration {
     const STEPS: u64 = 1024;
-    let step = mix(u64::from(me)) % STEPS;
+    let step = mix(u64::from(own_index)) % STEPS;
     period.mul_f64(step as f64 / STEPS as f64)
 }
