--- a/crates/fleet/src/member/background.rs
+++ b/crates/fleet/src/member/background.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lotussaddle_chores::ChoreId;
+use lotussaddle_chores::TaskId;
 use lotussaddle_replica::fingerprint;
 
 use super::Member;
@@ -11,27 +11,27 @@
 
 /// Copies forgotten, or looked at for orphans, in one slice.
 pub(super) const SLICE: usize = 2048;
-pub(super) const FORGET: ChoreId = ChoreId(0);
-pub(super) const LOOK: ChoreId = ChoreId(1);
-pub(super) const PIECES: ChoreId = ChoreId(2);
-pub(super) const REPAIR: ChoreId = ChoreId(3);
+pub(super) const FORGET: TaskId = TaskId(0);
+pub(super) const LOOK: TaskId = TaskId(1);
+pub(super) const PIECES: TaskId = TaskId(2);
+pub(super) const REPAIR: TaskId = TaskId(3);
 
 impl Member {
-    pub(super) fn want_chores(&mut self) {
+    pub(super) fn update_pending_tasks(&mut self) {
         let now = self.now;
         let forget = self.book.next_due().is_some_and(|due| due <= now);
-        self.chores.wanted(now, FORGET, forget, None);
-        self.chores.wanted(now, LOOK, self.look_from.is_some(), None);
-        self.chores.wanted(now, PIECES, !self.wants_pieces.is_empty(), None);
-        self.chores.wanted(now, REPAIR, !self.repairs.is_empty(), None);
+        self.tasks.set_pending(now, FORGET, forget, None);
+        self.tasks.set_pending(now, LOOK, self.look_from.is_some(), None);
+        self.tasks.set_pending(now, PIECES, !self.wants_pieces.is_empty(), None);
+        self.tasks.set_pending(now, REPAIR, !self.repairs.is_empty(), None);
     }
 
     /// Does one slice of what may wait, if there is any: true, and [`Member::worked`] is to be told how long it took.
-    pub fn work(&mut self, now: Duration, pressed: bool, effects: &mut dyn Effects) -> Option<ChoreId> {
+    pub fn work(&mut self, now: Duration, pressed: bool, effects: &mut dyn Effects) -> Option<TaskId> {
         self.now = now;
-        self.want_chores();
-        let slice = self.chores.next(now, pressed)?;
-        match slice.chore {
+        self.update_pending_tasks();
+        let slice = self.tasks.next_slice(now, pressed)?;
+        match slice.task {
             FORGET => {
                 let gone = self.book.expire(now, SLICE);
                 self.counts.forgotten += gone.len() as u64;
@@ -49,18 +49,18 @@
                 }
             }
         }
-        Some(slice.chore)
+        Some(slice.task)
     }
 
     /// A slice that [`Member::work`] did took so long.
-    pub fn worked(&mut self, now: Duration, chore: ChoreId, took: Duration) {
-        let more = match chore {
+    pub fn worked(&mut self, now: Duration, task: TaskId, took: Duration) {
+        let more = match task {
             FORGET => self.book.next_due().is_some_and(|due| due <= now),
             LOOK => self.look_from.is_some(),
             PIECES => !self.wants_pieces.is_empty(),
             _ => !self.repairs.is_empty(),
         };
-        self.chores.done(now, chore, FRAME, took, more);
+        self.tasks.slice_completed(now, task, FRAME, took, more);
     }
 
     fn look_for_orphans(&mut self) {
--- a/crates/fleet/src/member/mod.rs
+++ b/crates/fleet/src/member/mod.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::{DialogueId, ServerId};
-use lotussaddle_chores::{Budget, Chores};
+use lotussaddle_chores::{BackgroundTasks, Budget};
 use lotussaddle_replica::{ReplicaLimits, ReplicaTable};
 use lotussaddle_trunk::{Cursor, Owner, PeerMessage};
 
@@ -87,7 +87,7 @@
     tickets: u64,
     /// Core servers to which a link is up.
     cores: BTreeSet<ServerId>,
-    chores: Chores,
+    tasks: BackgroundTasks,
     look_from: Option<u64>,
     wants_pieces: VecDeque<(u16, Cursor)>,
     repairs: RepairQueue,
@@ -108,9 +108,9 @@
             plan.group(),
             ReplicaLimits { max_replicas: plan.most, retention: plan.forget },
         );
-        let mut chores = Chores::new(Budget::default());
-        for (chore, priority) in [(FORGET, 1), (LOOK, 2), (PIECES, 3), (REPAIR, 1)] {
-            chores.add(chore, priority);
+        let mut tasks = BackgroundTasks::new(Budget::default());
+        for (task, priority) in [(FORGET, 1), (LOOK, 2), (PIECES, 3), (REPAIR, 1)] {
+            tasks.add(task, priority);
         }
         let known = stored.life.map(|life| (life, stored.count));
         let mut lives = Lives::new(me, members, known, stored.asked, chance);
@@ -156,7 +156,7 @@
             away: None,
             tickets: 0,
             cores: BTreeSet::new(),
-            chores,
+            tasks,
             look_from: None,
             wants_pieces: VecDeque::new(),
             repairs: RepairQueue::default(),
--- a/crates/fleet/src/member/timers.rs
+++ b/crates/fleet/src/member/timers.rs
@@ -28,7 +28,7 @@
             self.confirmations.next_due(),
             self.takeovers.next_due(),
             self.duties.as_ref().map(Duties::next_due),
-            self.chores.due(false),
+            self.tasks.next_due(false),
             Some(self.look_at),
             Some(self.compare_at),
         ];
@@ -62,7 +62,7 @@
             self.compare_at = now + self.plan.compare_every;
             self.compare();
         }
-        self.want_chores();
+        self.update_pending_tasks();
     }
 
     fn send_membership(&mut self, effects: &mut dyn Effects) {
--- a/crates/store/benches/store.rs
+++ b/crates/store/benches/store.rs
@@ -250,7 +250,12 @@
             ),
             (
                 "without a budget",
-                Budget { slice: Duration::from_secs(5), share: 1.0, bytes: 1e12, patience: Duration::ZERO },
+                Budget {
+                    slice_duration: Duration::from_secs(5),
+                    time_share: 1.0,
+                    bytes_per_second: 1e12,
+                    max_wait: Duration::ZERO,
+                },
                 Plan { least: 1 << 20, space: 1.2, snapshot: 1 << 20, ..Plan::default() },
             ),
         ] {
--- a/crates/store/src/keeper.rs
+++ b/crates/store/src/keeper.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
-use lotussaddle_chores::{Budget, ChoreId, Chores};
+use lotussaddle_chores::{BackgroundTasks, Budget, TaskId};
 
 use crate::disk::Disk;
 use crate::plan::Group;
@@ -43,7 +43,7 @@
         let (to, waiting) = bounded(orders);
         let thread = thread::Builder::new().name("store".into()).stack_size(STACK).spawn(move || {
             let begun = Instant::now();
-            run(store, &group, Chores::new(budget), &waiting, &clock, || begun.elapsed());
+            run(store, &group, BackgroundTasks::new(budget), &waiting, &clock, || begun.elapsed());
         })?;
         Ok(Self { to: Some(to), thread: Some(thread) })
     }
@@ -74,36 +74,43 @@
     }
 }
 
-fn chore(work: Work) -> ChoreId {
-    ChoreId(work as u32)
+fn task_id(work: Work) -> TaskId {
+    TaskId(work as u32)
 }
 
 fn run<D: Disk>(
-    mut store: Store<D>, group: &Group, mut chores: Chores, waiting: &Receiver<Order>,
+    mut store: Store<D>, group: &Group, mut tasks: BackgroundTasks, waiting: &Receiver<Order>,
     clock: &impl Fn() -> Duration, elapsed: impl Fn() -> Duration,
 ) {
     // Room first: without it nothing can be written at all.
-    chores.add(chore(Work::Compact), 2);
-    chores.add(chore(Work::Snapshot), 1);
-    chores.add(chore(Work::Flush), 3);
+    tasks.add(task_id(Work::Compact), 2);
+    tasks.add(task_id(Work::Snapshot), 1);
+    tasks.add(task_id(Work::Flush), 3);
     loop {
-        let wait = chores.due(false).map_or(Duration::from_secs(3600), |due| due.saturating_sub(elapsed()));
+        let wait =
+            tasks.next_due(false).map_or(Duration::from_secs(3600), |due| due.saturating_sub(elapsed()));
         match waiting.recv_timeout(wait) {
             Ok(first) => commit(&mut store, group, first, waiting, clock()),
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => break,
         }
         for work in Work::ALL {
-            chores.wanted(elapsed(), chore(work), store.wants(work), None);
+            tasks.set_pending(elapsed(), task_id(work), store.wants(work), None);
         }
         // One slice between two groups at most, so that nobody is held up by more.
-        if let Some(slice) = chores.next(elapsed(), !waiting.is_empty()) {
-            let work = Work::ALL.into_iter().find(|work| chore(*work) == slice.chore).expect("added above");
+        if let Some(slice) = tasks.next_slice(elapsed(), !waiting.is_empty()) {
+            let work = Work::ALL.into_iter().find(|work| task_id(*work) == slice.task).expect("added above");
             let begun = elapsed();
             // What fails is said by the next write; it is not tried again before something changes.
             let done = store.work_on(clock(), work, slice.bytes);
             let more = done.is_ok() && store.wants(work);
-            chores.done(elapsed(), slice.chore, done.unwrap_or(slice.bytes), elapsed() - begun, more);
+            tasks.slice_completed(
+                elapsed(),
+                slice.task,
+                done.unwrap_or(slice.bytes),
+                elapsed() - begun,
+                more,
+            );
         }
     }
     let _ = store.seal();
