--- a/crates/serve/src/records.rs
+++ b/crates/serve/src/records.rs
@@ -8,7 +8,7 @@
 use lotussaddle::interface::DialogueId;
 use lotussaddle_chores::Budget;
 use lotussaddle_fleet::{Save, Stored};
-use lotussaddle_store::{Batch, Group, Keeper, Mode, Plan, RealDisk, Store};
+use lotussaddle_store::{Batch, Group, Mode, Plan, RealDisk, Store, StoreThread};
 use lotussaddle_trunk::{Frame, decode_replica};
 
 use crate::sheet::StoreSheet;
@@ -39,7 +39,7 @@
 }
 
 pub struct Records {
-    keeper: Keeper,
+    keeper: StoreThread,
     mode: Mode,
     remember_for: Duration,
     next: u64,
@@ -115,8 +115,9 @@
             let read = store.each(wall.now(), |table, key, found| take(table, key, &found.value));
             read.with_context(|| format!("store {folder}"))
         })?;
-        let keeper = Keeper::begin(store, Group::default(), Budget::default(), QUEUE, move || wall.now())
-            .context("no thread for the store")?;
+        let keeper =
+            StoreThread::spawn(store, Group::default(), Budget::default(), QUEUE, move || wall.now())
+                .context("no thread for the store")?;
         let (told, made) = unbounded();
         Ok((Self { keeper, mode: sheet.mode, remember_for, next: 0, wall, told }, found, made))
     }
--- a/crates/store/benches/store.rs
+++ b/crates/store/benches/store.rs
@@ -29,7 +29,7 @@
 }
 
 /// Writers that each wait for their acknowledgement before the next.
-fn writers(keeper: &Arc<Keeper>, mode: Mode, writers: u64, seconds: f64) -> (f64, Histogram<u64>) {
+fn writers(keeper: &Arc<StoreThread>, mode: Mode, writers: u64, seconds: f64) -> (f64, Histogram<u64>) {
     let count = Arc::new(AtomicU64::new(0));
     let begun = Instant::now();
     let threads: Vec<_> = (0..writers)
@@ -67,7 +67,7 @@
             for count in [1, 8, 64] {
                 let folder = tempfile::tempdir().expect("a folder");
                 let store = open(folder.path(), Plan::default());
-                let keeper = Keeper::begin(store, Group::default(), Budget::default(), 4096, || NOW)
+                let keeper = StoreThread::spawn(store, Group::default(), Budget::default(), 4096, || NOW)
                     .expect("a thread");
                 let keeper = Arc::new(keeper);
                 let (rate, times) = writers(&keeper, mode, count, 1.5);
@@ -157,16 +157,16 @@
             let mut store = open(folder.path(), plan.clone());
             fill(&mut store, count);
             while with
-                && store.wants(Work::Snapshot)
+                && store.has_pending(Work::Snapshot)
                 && store.work_on(NOW, Work::Snapshot, 1 << 24).expect("done") > 1
             {}
             if with {
-                while store.wants(Work::Snapshot) {
+                while store.has_pending(Work::Snapshot) {
                     let before = store.stats().figures.since_snapshot;
                     store.work_on(NOW, Work::Snapshot, 1 << 24).expect("done");
                     if before == 0
                         && store.stats().figures.since_snapshot == 0
-                        && !store.wants(Work::Snapshot)
+                        && !store.has_pending(Work::Snapshot)
                     {
                         break;
                     }
@@ -190,7 +190,7 @@
         let mut store = open(folder.path(), Plan::default());
         for _ in 0..rounds {
             fill(&mut store, 10_000);
-            while store.wants_work() {
+            while store.has_pending_work() {
                 store.work(NOW, 1 << 20).expect("done");
             }
         }
@@ -263,7 +263,7 @@
             let mut store = open(folder.path(), plan);
             fill(&mut store, 200_000);
             fill(&mut store, 100_000);
-            let keeper = Keeper::begin(store, Group::default(), budget, 4096, || NOW).expect("a thread");
+            let keeper = StoreThread::spawn(store, Group::default(), budget, 4096, || NOW).expect("a thread");
             let (rate, times) = writers(&Arc::new(keeper), Mode::Synced, 8, 3.0);
             line(name, 8, rate, &times);
         }
--- a/crates/store/src/check.rs
+++ b/crates/store/src/check.rs
@@ -1,4 +1,4 @@
-//! Looks at a store that nobody has open, and changes nothing.
+//! Read-only check of a store that is not open.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::store::{Damage, StoreError};
 use crate::worth::{self, Worth};
 
-/// What a look at all files found.
+/// Result of checking all files.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Report {
     pub segments: usize,
@@ -16,14 +16,14 @@
     pub frames: u64,
     pub puts: u64,
     pub deletes: u64,
-    /// A torn end, which opening would cut off: nothing that was promised.
+    /// A torn end, which opening would truncate; it holds no acknowledged synced data.
     pub torn: Option<Damage>,
     pub damage: Vec<Damage>,
-    /// Snapshots that cannot be read; the log is read in their place.
+    /// Unreadable snapshots; the log is read instead.
     pub bad_snapshots: Vec<String>,
 }
 
-/// One operation of the log, to be shown.
+/// One operation of the log, for display.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shown {
     pub file: String,
@@ -36,7 +36,7 @@
     pub expires: Option<Duration>,
 }
 
-/// Reads every byte of every file and shows each operation.
+/// Reads all files completely and passes each operation to `each`.
 pub fn look(disk: &mut impl Disk, mut each: impl FnMut(Shown)) -> Result<Report, StoreError> {
     disk.lock().map_err(|error| match error.kind() {
         std::io::ErrorKind::WouldBlock => StoreError::Locked,
@@ -62,7 +62,7 @@
         let (mut goes_on, mut unreadable, mut frames) = (false, None, 0);
         let worth = worth::judge(&bytes, *number, 0, is_last, |at, frame| {
             frames += 1;
-            goes_on = worth::names_next(&frame, *number);
+            goes_on = worth::names_next_segment(&frame, *number);
             let Some(ops) = format::ops(frame.ops) else {
                 unreadable.get_or_insert(at);
                 return;
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,4 +1,4 @@
-//! The few things that the store asks of a file system.
+//! File system operations that the store uses.
 
 use std::collections::HashMap;
 use std::fs::{File, OpenOptions};
@@ -6,18 +6,18 @@
 use std::os::unix::fs::FileExt;
 use std::path::PathBuf;
 
-/// One folder of files, named without a path. A write may be in the file after it returns and gone after power is
-/// lost; `sync` makes a file's contents last, `sync_names` which files there are.
+/// One folder of files, named without a path. A completed write may be lost in a power failure; `sync` makes a file's
+/// contents durable, `sync_names` the folder's entries.
 pub trait Disk {
-    /// Keeps a second opener out, for as long as this lives.
+    /// Excludes a second opener for the lifetime of this value.
     fn lock(&mut self) -> io::Result<()>;
     fn names(&mut self) -> io::Result<Vec<String>>;
     fn len(&mut self, name: &str) -> io::Result<u64>;
-    /// Makes an empty file; one that is there is an error.
+    /// Creates an empty file; fails if it exists.
     fn create(&mut self, name: &str) -> io::Result<()>;
     /// Adds to the end of a file. After an error any part of it may have been added.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Fills the buffer from this place on.
+    /// Fills the buffer from offset `at`.
     fn read(&mut self, name: &str, at: u64, buffer: &mut [u8]) -> io::Result<()>;
     fn truncate(&mut self, name: &str, len: u64) -> io::Result<()>;
     fn sync(&mut self, name: &str) -> io::Result<()>;
@@ -37,18 +37,18 @@
 const LOCK: &str = "lock";
 
 impl RealDisk {
-    /// The folder is made where it is missing.
+    /// Opens the folder, creating it if it is missing.
     pub fn open(folder: impl Into<PathBuf>) -> io::Result<Self> {
         let folder = folder.into();
         std::fs::create_dir_all(&folder)?;
-        // The folder's own name lasts only with its parent.
+        // The folder's own entry is durable only once its parent is synced.
         if let Some(parent) = folder.parent().filter(|p| !p.as_os_str().is_empty()) {
             File::open(parent)?.sync_all()?;
         }
         Ok(Self { folder, files: HashMap::new(), lock: None, read_only: false })
     }
 
-    /// To look at a store; nothing is made or changed.
+    /// Opens the folder for inspection; nothing is created or changed.
     pub fn read_only(folder: impl Into<PathBuf>) -> Self {
         Self { folder: folder.into(), files: HashMap::new(), lock: None, read_only: true }
     }
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -20,7 +20,7 @@
 
 pub const HEAD: u64 = 18;
 const MAGIC: &[u8; 4] = b"LSTR";
-/// Length and checksum.
+/// Bytes of length and checksum.
 pub const FRAME: u64 = 8;
 /// Segment, offset, what lasts, time.
 const PREFACE: usize = 32;
@@ -43,7 +43,7 @@
     bytes
 }
 
-/// What is wrong with a head.
+/// Reason why a head is invalid.
 pub enum BadHead {
     /// Not whole, or not a head.
     Unreadable,
@@ -115,7 +115,7 @@
     out.extend(key);
 }
 
-/// A frame of these operations for this place.
+/// Encodes a frame with these operations for a location.
 pub fn frame(segment: u64, offset: u64, lasts: u64, time: Duration, ops: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(FRAME as usize + PREFACE + ops.len());
     bytes.extend(((PREFACE + ops.len()) as u32).to_le_bytes());
--- a/crates/store/src/index.rs
+++ b/crates/store/src/index.rs
@@ -1,13 +1,13 @@
-//! Where the newest record of each key stands.
+//! In-memory index of the newest record of each key.
 //!
-//! Made for the job: 24 bytes a key whatever its length, in one open-addressed table of fingerprints and places; the
-//! key itself is on disk, and whoever looks one up checks it there. Two keys with one fingerprint stand side by side.
+//! An open-addressed table of fingerprints and locations takes 24 bytes per key, whatever the length of the key. The key
+//! itself is on disk, where a look-up verifies it. Keys with equal fingerprints have separate entries.
 
 use std::hash::{BuildHasher, Hasher};
 
 use siphasher::sip::SipHasher13;
 
-/// Where an operation stands: its segment, its offset there, its length.
+/// Location of an operation: segment, offset and length in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Place {
     pub segment: u64,
@@ -17,7 +17,7 @@
 
 #[derive(Clone, Copy)]
 struct Slot {
-    /// Never 0 where a place stands.
+    /// 0 only in an empty slot.
     print: u64,
     place: Place,
 }
@@ -30,13 +30,13 @@
     used: usize,
 }
 
-/// In so many parts, by the top bits of the fingerprint: a part grows, and goes into a snapshot, by itself, so that no
-/// one step is as long as the whole.
+/// Number of shards, chosen by the top bits of the fingerprint. Each shard grows and is written to a snapshot by itself,
+/// so that no single step takes as long as the whole index.
 pub const SHARDS: usize = 256;
 
 pub struct Index {
     shards: Vec<Shard>,
-    /// The store's own: nobody outside can choose keys that fall together. Snapshots keep them.
+    /// Hash key of this store, so that outsiders cannot choose colliding keys. Snapshots contain it.
     pub secret: (u64, u64),
 }
 
@@ -73,7 +73,7 @@
         self.len() == 0
     }
 
-    /// All places under a fingerprint; nearly always one or none.
+    /// All locations with a fingerprint; nearly always one or none.
     pub fn places(&self, print: u64) -> impl Iterator<Item = Place> {
         self.shards[shard_of(print)].places(print)
     }
@@ -82,7 +82,7 @@
         self.shards[shard_of(print)].add(print, place);
     }
 
-    /// Makes room in an empty part for so many.
+    /// Allocates capacity for `count` entries in an empty shard.
     pub fn reserve(&mut self, shard: usize, count: usize) {
         self.shards[shard].slots = vec![EMPTY; (count * 4 / 3 + 1).next_power_of_two().max(8)];
     }
@@ -91,18 +91,18 @@
         self.shards[shard_of(print)].remove(print, place)
     }
 
-    /// All fingerprints and places.
+    /// All fingerprints and locations.
     pub fn all(&self) -> impl Iterator<Item = (u64, Place)> {
         (0..SHARDS).flat_map(|shard| self.shard(shard))
     }
 
-    /// Those of one part.
+    /// Fingerprints and locations of one shard.
     pub fn shard(&self, shard: usize) -> impl Iterator<Item = (u64, Place)> {
         let slots = self.shards[shard].slots.iter();
         slots.filter(|slot| slot.print != 0).map(|slot| (slot.print, slot.place))
     }
 
-    /// Bytes in memory.
+    /// Size in memory, in bytes.
     pub fn size(&self) -> usize {
         self.shards.iter().map(|shard| shard.slots.len() * std::mem::size_of::<Slot>()).sum()
     }
@@ -150,7 +150,7 @@
 
     fn remove(&mut self, print: u64, place: Place) -> bool {
         let Some(mut hole) = self.find(print, place) else { return false };
-        // Those behind move up, so that no grave is left to walk over.
+        // Later entries are shifted back, so that no tombstone is needed.
         let mut at = hole;
         loop {
             at = (at + 1) & self.mask();
--- a/crates/store/src/keeper.rs
+++ b/crates/store/src/keeper.rs
@@ -1,7 +1,7 @@
-//! A thread that owns a store: many writers, one sync for all that wait, background work in between.
+//! A thread that owns a store: it commits waiting writes with one sync and runs background work in between.
 //!
-//! Nobody who writes waits for the disk: an order goes into a bounded channel, and what came of it comes back by a call
-//! on the keeper's thread. A full channel refuses the order at once.
+//! Writers do not wait for the disk: a request enters a bounded channel, and a callback on the store's thread reports the
+//! result. A full channel rejects the request at once.
 
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
@@ -15,7 +15,7 @@
 
 const STACK: usize = 256 * 1024;
 
-/// What came of a write: made as its mode says, or not, and why.
+/// Result of a write: completed as its mode requires, or the reason of the failure.
 pub type Outcome = Result<(), String>;
 
 type Done = Box<dyn FnOnce(Outcome) + Send>;
@@ -29,14 +29,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Busy;
 
-pub struct Keeper {
+pub struct StoreThread {
     to: Option<Sender<Order>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Keeper {
-    /// Takes a store over. `clock` gives the store's time; `orders` is how many may wait.
-    pub fn begin<D: Disk + Send + 'static>(
+impl StoreThread {
+    /// Starts a thread for a store. `clock` gives the store's time; `orders` is the capacity of the request queue.
+    pub fn spawn<D: Disk + Send + 'static>(
         store: Store<D>, group: Group, budget: Budget, orders: usize,
         clock: impl Fn() -> Duration + Send + 'static,
     ) -> std::io::Result<Self> {
@@ -48,7 +48,7 @@
         Ok(Self { to: Some(to), thread: Some(thread) })
     }
 
-    /// Orders a write; never waits.
+    /// Requests a write without blocking.
     pub fn write(
         &self, batch: Batch, mode: Mode, done: impl FnOnce(Outcome) + Send + 'static,
     ) -> Result<(), Busy> {
@@ -56,7 +56,7 @@
         self.to.as_ref().ok_or(Busy)?.try_send(order).map_err(|_| Busy)
     }
 
-    /// How things stand, and why no more writes are taken if so. Waits for what was ordered before.
+    /// Returns the statistics, and the reason if writes are rejected. Waits for earlier requests.
     pub fn stats(&self) -> Option<(Stats, Option<String>)> {
         let (to, answer) = bounded(1);
         self.to.as_ref()?.send(Order::Stats(to)).ok()?;
@@ -64,8 +64,8 @@
     }
 }
 
-impl Drop for Keeper {
-    /// What was ordered is done, and the store sealed.
+impl Drop for StoreThread {
+    /// Completes the requests in the queue and seals the store.
     fn drop(&mut self) {
         self.to = None;
         if let Some(thread) = self.thread.take() {
@@ -82,7 +82,7 @@
     mut store: Store<D>, group: &Group, mut tasks: BackgroundTasks, waiting: &Receiver<Order>,
     clock: &impl Fn() -> Duration, elapsed: impl Fn() -> Duration,
 ) {
-    // Room first: without it nothing can be written at all.
+    // Compaction outranks snapshots: without free space nothing can be written.
     tasks.add(task_id(Work::Compact), 2);
     tasks.add(task_id(Work::Snapshot), 1);
     tasks.add(task_id(Work::Flush), 3);
@@ -95,15 +95,15 @@
             Err(RecvTimeoutError::Disconnected) => break,
         }
         for work in Work::ALL {
-            tasks.set_pending(elapsed(), task_id(work), store.wants(work), None);
+            tasks.set_pending(elapsed(), task_id(work), store.has_pending(work), None);
         }
-        // One slice between two groups at most, so that nobody is held up by more.
+        // At most one slice runs between two groups of writes, which limits their delay.
         if let Some(slice) = tasks.next_slice(elapsed(), !waiting.is_empty()) {
             let work = Work::ALL.into_iter().find(|work| task_id(*work) == slice.task).expect("added above");
             let begun = elapsed();
-            // What fails is said by the next write; it is not tried again before something changes.
+            // The next write reports a failure; the work is not retried before the state changes.
             let done = store.work_on(clock(), work, slice.bytes);
-            let more = done.is_ok() && store.wants(work);
+            let more = done.is_ok() && store.has_pending(work);
             tasks.slice_completed(
                 elapsed(),
                 slice.task,
@@ -116,7 +116,7 @@
     let _ = store.seal();
 }
 
-/// Writes all that waits, syncs once if one of them asked for it, and tells each what came of it.
+/// Writes the waiting batches, syncs once if any requires it, and reports each result.
 fn commit<D: Disk>(
     store: &mut Store<D>, group: &Group, first: Order, waiting: &Receiver<Order>, now: Duration,
 ) {
@@ -137,7 +137,7 @@
     let all: Vec<&Batch> = writes.iter().map(|(batch, ..)| batch).collect();
     let mut outcomes: Vec<Outcome> = match store.write_all(now, &all) {
         Ok(()) => vec![Ok(()); writes.len()],
-        // One that cannot be written must not take the others with it.
+        // One batch that cannot be written must not make the others fail.
         Err(_) => all.iter().map(|batch| store.write(now, batch).map_err(|e| e.to_string())).collect(),
     };
     let syncs =
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,11 +1,11 @@
-//! A small store that lasts: what an edge proxy must still know after a crash.
+//! Durable key-value store for the state that an edge proxy needs after a crash.
 //!
-//! A log of segments holds checksummed batches, each whole or absent; an index in memory leads to the newest record of
-//! each key; snapshots of the index make reopening fast; compaction takes the oldest segment, copies what is live
-//! to the end and removes it. All file access goes through [`Disk`]; nothing here reads a clock: time is brought.
+//! The log consists of segments of checksummed batches, each applied completely or not at all. An in-memory index locates
+//! the newest record of each key, and snapshots of the index make reopening fast. Compaction copies the live records of
+//! the oldest segment to the end of the log and removes it. All file access goes through [`Disk`]; the caller supplies the time.
 //!
-//! What an acknowledged write survives is said by its [`Mode`]. A failed sync is never tried again as if nothing had
-//! happened: the store takes no more writes and says so; it goes on reading. Start reading at [`Store`].
+//! [`Mode`] states what an acknowledged write survives. A failed sync is never retried, because a later sync could report
+//! success for lost data: the store rejects further writes and continues to serve reads. Start reading at [`Store`].
 
 mod check;
 mod disk;
@@ -22,7 +22,7 @@
 pub use disk::{Disk, RealDisk};
 pub use format::{MAX_BATCH, MAX_KEY, MAX_TABLE, MAX_VALUE, VERSION};
 pub use index::{Index, Place};
-pub use keeper::{Busy, Keeper, Outcome};
+pub use keeper::{Busy, Outcome, StoreThread};
 pub use plan::{Figures, Group, Plan};
 pub use sim::{Faults, SimDisk};
 pub use store::{Batch, Damage, Found, Mode, Stats, Store, StoreError, Work};
--- a/crates/store/src/plan.rs
+++ b/crates/store/src/plan.rs
@@ -1,4 +1,4 @@
-//! What to do when: rotate, compact, take a snapshot. No I/O and no clock.
+//! Decides when to rotate, compact and take a snapshot, without I/O or clock.
 
 /// The store's own limits.
 #[derive(Clone, Debug, PartialEq)]
@@ -30,7 +30,7 @@
     }
 }
 
-/// How many writes go together.
+/// Limits of a group commit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Group {
     pub writes: usize,
@@ -50,7 +50,7 @@
     }
 }
 
-/// How things stand.
+/// Figures on which the decisions are based.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Figures {
     /// Bytes of all segments, and of the records in them that are live.
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -13,9 +13,9 @@
 const MAGIC: &[u8; 4] = b"LSNP";
 const VERSION: u16 = 1;
 
-/// A snapshot that could be read.
+/// A decoded snapshot.
 pub struct Snapshot {
-    /// What follows this place of the log is to be gone through.
+    /// Segment from which the log is to be replayed.
     pub segment: u64,
     pub offset: u64,
     pub floor: u64,
@@ -36,7 +36,7 @@
     out.extend(number.to_le_bytes());
 }
 
-/// How a snapshot file begins.
+/// Encodes the head of a snapshot file.
 pub fn head(
     at: (u64, u64), floor: u64, time: Duration, segments: &BTreeMap<u64, Segment>, index: &Index,
 ) -> Vec<u8> {
@@ -54,7 +54,7 @@
     out
 }
 
-/// One part of the index.
+/// Encodes one shard of the index.
 pub fn part(index: &Index, shard: usize) -> Vec<u8> {
     let mut out = Vec::new();
     put(&mut out, index.shard(shard).count() as u64);
@@ -66,7 +66,7 @@
     out
 }
 
-/// None where it is not whole: the log has it all, and is read instead.
+/// Reads a snapshot; returns `None` if it is damaged, as the log contains the same data.
 pub fn read(bytes: &[u8]) -> Option<Snapshot> {
     let (body, sum) = bytes.split_at_checked(bytes.len().checked_sub(4)?)?;
     let whole = crc32c::crc32c(body) == u32::from_le_bytes(sum.try_into().ok()?);
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,4 +1,4 @@
-//! The store: writing, reading, reopening, and work that may wait.
+//! The store: writing, reading, recovery and background work.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -16,13 +16,13 @@
 /// What an acknowledged write survives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// The process being killed; not the machine losing power.
+    /// Survives the end of the process, but not a power failure.
     Written,
-    /// Power lost, too: it has been synced.
+    /// Synced: survives a power failure.
     Synced,
 }
 
-/// Where a store is damaged.
+/// A place where a store is damaged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Damage {
     pub file: String,
@@ -57,7 +57,7 @@
     StoreError::Damaged(Damage { file, offset: 0, what: "the segment is missing".into() })
 }
 
-/// Changes that are made together or not at all.
+/// Changes that are applied atomically.
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
     ops: Vec<u8>,
@@ -101,7 +101,7 @@
         self.ops.len()
     }
 
-    /// Two batches made one, which is whole or absent as such.
+    /// Appends another batch; the result is applied atomically.
     pub fn join(&mut self, other: &Self) {
         self.wrong = self.wrong.or(other.wrong);
         if self.ops.len() + other.ops.len() > MAX_BATCH {
@@ -112,7 +112,7 @@
     }
 }
 
-/// A record as it is found.
+/// A stored record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Found {
     pub value: Vec<u8>,
@@ -124,7 +124,7 @@
     pub len: u64,
     /// Bytes of operations in it that are still the newest of their keys.
     pub live: u64,
-    /// In microseconds: by then all that was put into it has expired; all ones: never.
+    /// Time in microseconds by which all records put into it have expired; all ones if never.
     pub until: u64,
 }
 
@@ -138,14 +138,14 @@
     pub replayed: u64,
 }
 
-/// Work that may wait.
+/// Kinds of background work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Work {
-    /// A snapshot keeps reopening short.
+    /// Writes a snapshot, which shortens reopening.
     Snapshot,
-    /// Room, and with it expiry: what has expired is not copied.
+    /// Frees disk space; expired records are not copied.
     Compact,
-    /// What was only written is made to last by and by, so that a sync never finds much to do.
+    /// Syncs written data in the background, so that a requested sync has little to write.
     Flush,
 }
 
@@ -153,21 +153,21 @@
     pub const ALL: [Self; 3] = [Self::Snapshot, Self::Compact, Self::Flush];
 }
 
-/// Compaction of the oldest segment, under way.
-struct Moving {
+/// Compaction of the oldest segment in progress.
+struct Compaction {
     segment: u64,
     bytes: Vec<u8>,
-    /// The next frame to look at, and the operation in it.
+    /// Offset of the next frame to process.
     at: u64,
 }
 
-/// A snapshot being written.
-struct Writing {
+/// A snapshot in progress.
+struct SnapshotInProgress {
     name: String,
-    /// The next part of the index.
+    /// The index shard to write next.
     shard: usize,
     sum: u32,
-    /// The log up to here must last before the snapshot may be believed.
+    /// Segment and offset up to which the log must be synced before the snapshot is valid.
     needs: (u64, u64),
 }
 
@@ -176,24 +176,24 @@
     plan: Plan,
     index: Index,
     segments: BTreeMap<u64, Segment>,
-    /// The segment that is written to.
+    /// Number of the segment that is written to.
     last: u64,
-    /// How much of it lasts.
+    /// Bytes of the active segment that are synced.
     lasts: u64,
     floor: u64,
-    /// The latest time it has seen; a clock that goes back does not bring anything back to life.
+    /// The latest time supplied; a clock that goes backwards does not revive expired records.
     time: Duration,
     closed: Option<String>,
     since_snapshot: u64,
     next_snapshot: u64,
-    moving: Option<Moving>,
-    writing: Option<Writing>,
+    moving: Option<Compaction>,
+    writing: Option<SnapshotInProgress>,
     replayed: u64,
 }
 
 impl<D: Disk> Store<D> {
-    /// Opens a store, makes a new one where there is none, and mends what a crash left half done. What was promised
-    /// and cannot be read is refused, with its place.
+    /// Opens a store, or creates it if absent, and completes or reverts operations that a crash interrupted. Returns an
+    /// error with the location if acknowledged data cannot be read.
     pub fn open(mut disk: D, plan: Plan) -> Result<Self> {
         disk.lock().map_err(|error| match error.kind() {
             io::ErrorKind::WouldBlock => StoreError::Locked,
@@ -242,11 +242,11 @@
                 break;
             }
         }
-        // The newest segment may have been begun and never used.
+        // The newest segment may have been created and never used.
         while let Some(last) = there.last().copied() {
             let (worth, frames, _) = self.look(last, if last == from.0 { from.1 } else { 0 })?;
             let empty = worth == Worth::Unborn || frames == 0 && worth == Worth::Whole;
-            // Once the one before it has named it, it lasts, used or not; so does one that a snapshot knows.
+            // A segment that its predecessor names or a snapshot refers to is durable, used or not.
             let before = there.len() > 1 && (!there.contains(&(last - 1)) || self.look(last - 1, 0)?.2);
             let named = before || last == from.0 && from.1 > 0;
             if !empty || named || there.len() == 1 && worth != Worth::Unborn {
@@ -260,7 +260,8 @@
         if !snapshots.is_empty() && there.last().is_none_or(|last| *last < from.0) {
             return Err(missing(from.0));
         }
-        // A snapshot's later parts know of records that are gone through only now: they must be found to be replaced.
+        // Later shards of a snapshot refer to records replayed only now; their segments must be known, so that those
+        // records can be replaced.
         for number in &there {
             self.segments.entry(*number).or_default();
         }
@@ -268,14 +269,14 @@
             let start = if number == from.0 { from.1 } else { 0 };
             self.replay(number, start, Some(number) == there.last().copied())?;
         }
-        self.settle_floor(&there)?;
+        self.remove_obsolete_segments(&there)?;
         self.count_live();
         self.last = there.last().copied().unwrap_or_default();
         if there.is_empty() {
             self.begin_segment(self.floor)?;
         } else {
-            // What was read is what others will be promised: it must last before anything follows it. The one before
-            // may have been killed between its last word and the sync of that.
+            // Data that was read will be served, so it must be synced before new writes. The previous process may have
+            // been killed between writing the last frame of the preceding segment and syncing it.
             for number in there.iter().rev().take(2).filter(|number| **number >= self.floor) {
                 let name = format::segment_name(*number);
                 at("sync", &name, self.disk.sync(&name))?;
@@ -286,7 +287,7 @@
         Ok(())
     }
 
-    /// What a segment is worth as the last one, how many frames it has, and whether it names the next.
+    /// Returns the condition of a segment as the last one, its number of frames, and whether it names its successor.
     fn look(&mut self, number: u64, from: u64) -> Result<(Worth, usize, bool)> {
         let name = format::segment_name(number);
         if at("list", "its files", self.disk.names())?.iter().all(|known| *known != name) {
@@ -296,13 +297,13 @@
         let (mut frames, mut goes_on) = (0, false);
         let worth = worth::judge(&bytes, number, from, true, |_, frame| {
             frames += 1;
-            goes_on = worth::names_next(&frame, number);
+            goes_on = worth::names_next_segment(&frame, number);
         });
         Ok((worth, frames, goes_on))
     }
 
-    /// Segments that are needed no more go; one that is needed and missing is damage.
-    fn settle_floor(&mut self, there: &[u64]) -> Result<()> {
+    /// Removes segments below the minimum; returns an error if a required segment is missing.
+    fn remove_obsolete_segments(&mut self, there: &[u64]) -> Result<()> {
         let floor = self.floor;
         for number in there.iter().copied().filter(|number| *number < floor) {
             let name = format::segment_name(number);
@@ -318,7 +319,7 @@
         absent.filter(|_| !there.is_empty() || floor > 0).map_or(Ok(()), |number| Err(missing(number)))
     }
 
-    /// A snapshot's parts are of different moments, so that only the whole index tells what is live.
+    /// Recounts live bytes from the whole index, because the shards of a snapshot date from different times.
     fn count_live(&mut self) {
         let first = self.segments.first_key_value().map_or(0, |(number, _)| *number);
         let last = self.segments.last_key_value().map_or(0, |(number, _)| *number);
@@ -361,7 +362,7 @@
             Worth::Newer { version } => return Err(StoreError::Newer { file: name, found: version }),
             Worth::Unborn => return damaged(0, "its head cannot be read"),
         }
-        let goes_on = frames.last().is_some_and(|(_, frame)| worth::names_next(frame, number));
+        let goes_on = frames.last().is_some_and(|(_, frame)| worth::names_next_segment(frame, number));
         if !goes_on && !is_last {
             return damaged(bytes.len() as u64, "it ends without naming the next segment");
         }
@@ -383,11 +384,11 @@
         Ok(())
     }
 
-    /// Brings the index up to an operation that stands in the log.
+    /// Applies a logged operation to the index.
     fn apply(&mut self, op: &Op, place: Place) -> Result<()> {
         match op {
             Op::Put { table, key, expires, .. } => {
-                self.forget(table, key)?;
+                self.remove_from_index(table, key)?;
                 let print = self.index.print(table, key);
                 self.index.add(print, place);
                 let segment = self.segments.entry(place.segment).or_default();
@@ -395,15 +396,15 @@
                 let until = expires.map_or(u64::MAX, |t| t.as_micros() as u64);
                 segment.until = segment.until.max(until);
             }
-            Op::Delete { table, key } => self.forget(table, key)?,
+            Op::Delete { table, key } => self.remove_from_index(table, key)?,
             Op::Floor { segment } => self.floor = self.floor.max(*segment),
             Op::Next { .. } => {}
         }
         Ok(())
     }
 
-    /// The record of a key is not the newest any more.
-    fn forget(&mut self, table: &str, key: &[u8]) -> Result<()> {
+    /// Removes the record of a key from the index.
+    fn remove_from_index(&mut self, table: &str, key: &[u8]) -> Result<()> {
         let print = self.index.print(table, key);
         if let Some(place) = self.find(print, table, key)? {
             self.index.remove(print, place);
@@ -414,11 +415,11 @@
         Ok(())
     }
 
-    /// Where the record of a key stands.
+    /// Finds the location of the record of a key.
     fn find(&mut self, print: u64, table: &str, key: &[u8]) -> Result<Option<Place>> {
         let places: Vec<Place> = self.index.places(print).collect();
         for place in places {
-            // A snapshot may know of a segment that is gone since; it is forgotten when the floor is settled.
+            // A snapshot may refer to a segment removed since; recovery drops such entries later.
             if !self.segments.contains_key(&place.segment) {
                 continue;
             }
@@ -468,7 +469,7 @@
         }
     }
 
-    /// All records that are live, in no order: table, key, record.
+    /// Visits all live records in no order: table, key, record.
     pub fn each(&mut self, now: Duration, mut each: impl FnMut(&str, &[u8], Found)) -> Result<()> {
         self.time = self.time.max(now);
         let places: Vec<Place> = self.index.all().map(|(_, place)| place).collect();
@@ -529,7 +530,7 @@
         self.append(&[&batch.ops])
     }
 
-    /// Several batches in one write, each whole or absent by itself; on an error none of them is there.
+    /// Writes several batches at once, each atomic by itself; on an error none of them is applied.
     pub fn write_all(&mut self, now: Duration, batches: &[&Batch]) -> Result<()> {
         self.time = self.time.max(now);
         if let Some(wrong) = batches.iter().find_map(|batch| batch.wrong) {
@@ -554,7 +555,7 @@
         }
         let name = format::segment_name(self.last);
         if let Err(error) = self.disk.append(&name, &bytes) {
-            // Part of it may be there: it must not stand before what comes next.
+            // A partial write must not precede the next frame.
             if let Err(worse) = self.disk.truncate(&name, begin) {
                 self.closed = Some(format!("{name} could not be cut after a write that failed: {worse}"));
             }
@@ -566,7 +567,7 @@
         for (at, ops) in frames {
             for (offset, len, op) in format::ops(ops).expect("made here") {
                 let offset = (at + OPS_AT + offset) as u32;
-                // Former records are read, to be sure whose they are: one that cannot be read is found here.
+                // Replaced records are read to verify their keys; an unreadable one is detected here.
                 self.apply(&op, Place { segment: self.last, offset, len: len as u32 })?;
             }
         }
@@ -577,8 +578,8 @@
         self.closed.as_ref().map_or(Ok(()), |why| Err(StoreError::Closed(why.clone())))
     }
 
-    /// Makes all that was written last. When it fails nobody knows what lasts, and asking again would be told that
-    /// all is well: the store takes no more writes.
+    /// Syncs everything written. After a failure it is unknown what is durable, and a second sync could report success
+    /// wrongly, so the store rejects further writes.
     pub fn sync(&mut self) -> Result<()> {
         self.is_open()?;
         let name = format::segment_name(self.last);
@@ -591,7 +592,7 @@
     }
 
     fn rotate(&mut self) -> Result<()> {
-        // A segment before the last is whole: that is how rot in it is told from a torn end.
+        // Every segment before the last is fully synced; that distinguishes corruption in it from a torn end.
         self.sync()?;
         self.begin_segment(self.last + 1)
     }
@@ -600,7 +601,7 @@
         let name = format::segment_name(number);
         let made = self.disk.create(&name).and_then(|()| self.disk.append(&name, &format::head(number)));
         if let Err(error) = made {
-            // Half begun it would make the one before it seem whole.
+            // A partly created segment would make its predecessor appear complete.
             if let Err(worse) = self.disk.remove(&name)
                 && worse.kind() != io::ErrorKind::NotFound
             {
@@ -622,7 +623,8 @@
         Ok(())
     }
 
-    /// The last word of a segment, when the next one lasts and before it is used.
+    /// Writes the last frame of the active segment, which names the next one. The next segment is synced by then and
+    /// not yet in use.
     fn name_next(&mut self, number: u64) -> Result<()> {
         let begin = self.segments[&self.last].len;
         let mut ops = Vec::new();
@@ -630,7 +632,7 @@
         let frame = format::frame(self.last, begin, self.lasts, self.time, &ops);
         let name = format::segment_name(self.last);
         if let Err(error) = self.disk.append(&name, &frame) {
-            // No room for it, say: the next segment is taken back, and this one goes on.
+            // For example with the disk full: removes the next segment and continues with this one.
             let new = format::segment_name(number);
             let undone = self.disk.truncate(&name, begin).and_then(|()| self.disk.remove(&new));
             if let Err(worse) = undone.and_then(|()| self.disk.sync_names()) {
@@ -647,17 +649,18 @@
         Ok(())
     }
 
-    /// Says in the log how much of it lasts, so that rot at its end is told from a torn end; for a pause or the end.
+    /// Records the synced length in the log, so that corruption at its end can be told from a torn end. Called before
+    /// a pause or on closing.
     pub fn seal(&mut self) -> Result<()> {
         self.sync()?;
         self.append(&[&[]])?;
         self.sync()
     }
 
-    // Work that may wait
+    // Background work
 
-    /// Is there something of this to be done in the background?
-    pub fn wants(&self, work: Work) -> bool {
+    /// Whether background work of this kind is pending.
+    pub fn has_pending(&self, work: Work) -> bool {
         let figures = self.figures();
         let wanted = match work {
             Work::Compact => self.moving.is_some() || self.plan.compacts(&figures),
@@ -667,19 +670,19 @@
         wanted && self.closed.is_none()
     }
 
-    pub fn wants_work(&self) -> bool {
-        Work::ALL.iter().any(|work| self.wants(*work))
+    pub fn has_pending_work(&self) -> bool {
+        Work::ALL.iter().any(|work| self.has_pending(*work))
     }
 
-    /// Does some of it, about so many bytes; tells how many.
+    /// Performs about `budget` bytes of one kind of work and returns the bytes processed.
     pub fn work_on(&mut self, now: Duration, work: Work, budget: usize) -> Result<usize> {
         self.time = self.time.max(now);
         self.is_open()?;
-        if !self.wants(work) {
+        if !self.has_pending(work) {
             return Ok(0);
         }
         match work {
-            Work::Snapshot if self.writing.is_some() => self.go_on_writing(budget),
+            Work::Snapshot if self.writing.is_some() => self.continue_snapshot(budget),
             Work::Snapshot => self.begin_snapshot(),
             Work::Flush => {
                 let bytes = self.segments[&self.last].len - self.lasts;
@@ -690,22 +693,22 @@
                     let (number, _) = self.segments.first_key_value().expect("it counts them");
                     let segment = *number;
                     let bytes = self.read_all(&format::segment_name(segment))?;
-                    self.moving = Some(Moving { segment, bytes, at: HEAD });
+                    self.moving = Some(Compaction { segment, bytes, at: HEAD });
                 }
-                self.go_on_moving(budget)
+                self.continue_compaction(budget)
             }
         }
     }
 
-    /// Does some of whatever there is.
+    /// Performs part of the first kind of work that is pending.
     pub fn work(&mut self, now: Duration, budget: usize) -> Result<usize> {
-        match Work::ALL.into_iter().find(|work| self.wants(*work)) {
+        match Work::ALL.into_iter().find(|work| self.has_pending(*work)) {
             Some(work) => self.work_on(now, work, budget),
             None => Ok(0),
         }
     }
 
-    /// Compacts until nothing is to be gained, whatever the plan says.
+    /// Compacts all full segments and writes a snapshot, whatever the plan says.
     pub fn compact(&mut self, now: Duration) -> Result<()> {
         self.time = self.time.max(now);
         if self.segments[&self.last].len > HEAD {
@@ -716,18 +719,18 @@
             let (number, _) = self.segments.first_key_value().expect("it is there");
             let segment = *number;
             let bytes = self.read_all(&format::segment_name(segment))?;
-            self.moving = Some(Moving { segment, bytes, at: HEAD });
-            self.go_on_moving(usize::MAX)?;
+            self.moving = Some(Compaction { segment, bytes, at: HEAD });
+            self.continue_compaction(usize::MAX)?;
         }
         self.begin_snapshot()?;
         while self.writing.is_some() {
-            self.go_on_writing(1 << 20)?;
+            self.continue_snapshot(1 << 20)?;
         }
         Ok(())
     }
 
-    /// Copies what is live to the end, frame by frame; then the segment is needed no more.
-    fn go_on_moving(&mut self, budget: usize) -> Result<usize> {
+    /// Copies live records to the end of the log frame by frame, then removes the segment.
+    fn continue_compaction(&mut self, budget: usize) -> Result<usize> {
         let Some(mut moving) = self.moving.take() else { return Ok(0) };
         let mut batch = Vec::new();
         let mut done = 0;
@@ -773,7 +776,7 @@
         let mut floor = Vec::new();
         format::floor(&mut floor, moving.segment + 1);
         self.append(&[&floor])?;
-        // The copies and the floor last before the original goes.
+        // The copies and the new minimum are synced before the original is removed.
         self.sync()?;
         self.segments.remove(&moving.segment);
         let name = format::segment_name(moving.segment);
@@ -785,16 +788,16 @@
         let here = (self.last, self.segments[&self.last].len);
         let bytes = snapshot::head(here, self.floor, self.time, &self.segments, &self.index);
         let name = format!("{}.new", snapshot::name(self.next_snapshot));
-        let _ = self.disk.remove(&name); // Left by one that failed.
+        let _ = self.disk.remove(&name); // Left over from a failed attempt.
         at("create", &name, self.disk.create(&name))?;
         self.since_snapshot = 0;
-        let writing = Writing { name, shard: 0, sum: 0, needs: here };
+        let writing = SnapshotInProgress { name, shard: 0, sum: 0, needs: here };
         self.add_to_snapshot(writing, &bytes).map(|()| bytes.len())
     }
 
-    /// Goes on with it; one that fails can be done without, and is begun anew when more has been written.
-    fn add_to_snapshot(&mut self, mut writing: Writing, bytes: &[u8]) -> Result<()> {
-        // Synced bit by bit, so that the last sync is not as long as the whole.
+    /// Appends to the snapshot in progress. A failed snapshot is dispensable and is restarted after more writes.
+    fn add_to_snapshot(&mut self, mut writing: SnapshotInProgress, bytes: &[u8]) -> Result<()> {
+        // Synced in steps, so that the last sync stays short.
         let added = self.disk.append(&writing.name, bytes).and_then(|()| self.disk.sync(&writing.name));
         if let Err(error) = added {
             let _ = self.disk.remove(&writing.name);
@@ -806,7 +809,7 @@
         Ok(())
     }
 
-    fn go_on_writing(&mut self, budget: usize) -> Result<usize> {
+    fn continue_snapshot(&mut self, budget: usize) -> Result<usize> {
         let Some(mut writing) = self.writing.take() else { return Ok(0) };
         let mut bytes = Vec::new();
         while writing.shard < SHARDS && bytes.len() < budget.max(1) {
@@ -817,14 +820,14 @@
             let done = bytes.len();
             return self.add_to_snapshot(writing, &bytes).map(|()| done);
         }
-        // A snapshot must never know of what the log may lose: its parts were taken while writes went on.
+        // Shards were captured during writes; a snapshot must not refer to log data that may still be lost.
         if writing.needs.0 == self.last && writing.needs.1 > self.lasts {
             self.sync()?;
         }
         self.finish_snapshot(&writing).map(|()| 1)
     }
 
-    fn finish_snapshot(&mut self, writing: &Writing) -> Result<()> {
+    fn finish_snapshot(&mut self, writing: &SnapshotInProgress) -> Result<()> {
         let number = self.next_snapshot;
         let name = snapshot::name(number);
         let ended = self.disk.append(&writing.name, &writing.sum.to_le_bytes());
@@ -840,7 +843,7 @@
         Ok(())
     }
 
-    /// Gives the disk back, as a process that ends does: nothing is made to last.
+    /// Returns the disk without syncing, as at the end of the process.
     pub fn into_disk(self) -> D {
         self.disk
     }
--- a/crates/store/src/worth.rs
+++ b/crates/store/src/worth.rs
@@ -1,25 +1,24 @@
-//! What bytes found on disk are worth. No I/O: a segment's bytes come in, a verdict comes out.
+//! Assesses the condition of a segment from its bytes, without I/O.
 //!
-//! Two things look alike: a tail that was being written when power went, and rot in what had long been written. The
-//! first is dropped, the second refused. They are told apart by what is known to last: every frame says how much of its
-//! segment had been synced when it was written, and a segment is synced whole, with a last frame that names the next, before
-//! the next one is used: one that ends without was cut. A place that
-//! was known to last and cannot be read is rot. Beyond it nothing was promised, and since a disk may keep later writes
-//! and lose earlier ones, whole frames that follow a torn one are dropped with it.
+//! A tail that was being written during a power failure is truncated; corruption of synced data is an error. The two are
+//! told apart by the synced length: every frame states how much of its segment was synced when it was written, and a
+//! segment is fully synced, with a last frame that names the next, before the next one is used; without that frame it
+//! was truncated. Unreadable data within the synced length is corruption. Beyond it nothing is guaranteed, and since a
+//! disk may retain later writes and lose earlier ones, intact frames after a torn one are dropped with it.
 
 use crate::format::{self, BadHead, HEAD};
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Worth {
-    /// Whole to its end.
+    /// Intact to its end.
     Whole,
-    /// Whole up to here; what follows was never promised and is to be cut off.
+    /// Intact up to `at`; later data was never acknowledged as synced and is to be truncated.
     Torn { at: u64 },
-    /// What was promised cannot be read, here.
+    /// Synced data at `at` cannot be read.
     Rotten { at: u64 },
     /// Written by a newer version.
     Newer { version: u16 },
-    /// Not even its head was promised: as if it were not there.
+    /// Its head was never synced; the segment counts as absent.
     Unborn,
 }
 
@@ -33,13 +32,13 @@
         Err(BadHead::Newer(version)) => return Worth::Newer { version },
         // A segment is used only after its head was synced: frames tell a rotten head from an unborn one.
         Err(BadHead::Unreadable) => {
-            let promised = !is_last || promised_beyond(bytes, segment, HEAD) >= HEAD;
+            let promised = !is_last || max_synced_length(bytes, segment, HEAD) >= HEAD;
             return if promised { Worth::Rotten { at: 0 } } else { Worth::Unborn };
         }
     }
     let mut at = from.max(HEAD);
     if at > bytes.len() as u64 {
-        return Worth::Rotten { at: bytes.len() as u64 }; // A snapshot is taken of what lasts.
+        return Worth::Rotten { at: bytes.len() as u64 }; // Snapshots cover synced data only.
     }
     while (at as usize) < bytes.len() {
         match format::read_frame(&bytes[at as usize..], segment, at) {
@@ -49,7 +48,7 @@
                 at += len;
             }
             None => {
-                let rotten = !is_last || promised_beyond(bytes, segment, at) > at;
+                let rotten = !is_last || max_synced_length(bytes, segment, at) > at;
                 return if rotten { Worth::Rotten { at } } else { Worth::Torn { at } };
             }
         }
@@ -57,14 +56,14 @@
     Worth::Whole
 }
 
-/// The frame that a segment ends with, once the log has gone on.
-pub fn names_next(frame: &format::Frame, segment: u64) -> bool {
+/// Whether this frame names the next segment, as the last frame of a completed segment does.
+pub fn names_next_segment(frame: &format::Frame, segment: u64) -> bool {
     let ops = format::ops(frame.ops).unwrap_or_default();
     ops.iter().any(|(_, _, op)| *op == format::Op::Next { segment: segment + 1 })
 }
 
-/// The most that any frame found beyond this place says to last.
-fn promised_beyond(bytes: &[u8], segment: u64, from: u64) -> u64 {
+/// The greatest synced length stated by any frame at or after `from`.
+fn max_synced_length(bytes: &[u8], segment: u64, from: u64) -> u64 {
     let mut most = 0;
     let mut at = from;
     while (at as usize) < bytes.len() {
--- a/crates/store/tests/crashes.rs
+++ b/crates/store/tests/crashes.rs
@@ -95,7 +95,7 @@
             synced = written;
         }
         let mut left = 20;
-        while store.wants_work() && left > 0 {
+        while store.has_pending_work() && left > 0 {
             if store.work(NOW, 500).is_err() {
                 break;
             }
@@ -434,7 +434,7 @@
                 Batch::default().put("answered", &n.to_le_bytes(), Some(now + second * 10), b"stands"),
             )
             .unwrap();
-        while store.wants_work() {
+        while store.has_pending_work() {
             store.work(now, 1000).unwrap();
         }
         let then = n.saturating_sub(20);
@@ -616,7 +616,7 @@
 fn the_keeper_acknowledges_what_is_there() {
     let folder = tempfile::tempdir().unwrap();
     let store = Store::open(RealDisk::open(folder.path()).unwrap(), plan()).unwrap();
-    let keeper = Keeper::begin(store, Group::default(), Default::default(), 64, || NOW).unwrap();
+    let keeper = StoreThread::spawn(store, Group::default(), Default::default(), 64, || NOW).unwrap();
     let (told, done) = crossbeam_channel::unbounded();
     let (mut ordered, mut busy) = (0u32, 0u32);
     for n in 0..3000u32 {
