--- a/crates/sheet/src/lib.rs
+++ b/crates/sheet/src/lib.rs
@@ -1,8 +1,8 @@
-//! KDL sheets, read with all their mistakes at once, each with line and column.
+//! KDL configuration files, read so that all errors are reported at once with line and column.
 //!
-//! A [`Block`] is asked for what it should hold; what is missing, wrong or not asked for is noted as a mistake
-//! and reading goes on with a stand-in value, so that one look finds everything. Nothing read from a sheet may be
-//! used before [`Sheet::finish`] has found no mistake. Start reading at [`Sheet`].
+//! Callers request the expected values from a [`Block`]. Missing, invalid and unrequested values are recorded as errors,
+//! and reading continues with a substitute value, so that one pass finds all of them. Values must not be used before
+//! [`Sheet::finish`] has returned without errors. Start reading at [`Sheet`].
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -12,15 +12,16 @@
 
 use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue};
 
-/// Bytes of a sheet, at most.
+/// Maximum size of a configuration file in bytes.
 pub const MAX_SHEET: usize = 512 * 1024;
-/// Mistakes that are told of one sheet.
-const TOLD: usize = 1000;
-/// The parser calls itself for each mistake that it passes over, and takes up to 525 bytes of stack for a byte of text
-/// (measured, release build; twice as much is kept for others). Pages that it does not reach cost nothing.
-const STACK_PER_BYTE: usize = 2048;
-const STACK: usize = 2 * 1024 * 1024;
-
+/// Maximum number of errors reported for one file.
+const MAX_REPORTED_ERRORS: usize = 1000;
+/// The parser recurses for each error that it skips and takes up to 525 bytes of stack per byte of text in a release
+/// build; the rest is a margin for other builds. Stack pages that are never touched cost nothing.
+const STACK_BYTES_PER_TEXT_BYTE: usize = 2048;
+const BASE_STACK_BYTES: usize = 2 * 1024 * 1024;
+
+/// An error in a configuration file. Line and column count from 1.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Mistake {
     pub line: usize,
@@ -28,7 +29,7 @@
     pub what: String,
 }
 
-/// All that is wrong with a sheet, in the order of its lines.
+/// All errors in a configuration file, in line order.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct Mistakes {
     pub file: String,
@@ -37,21 +38,21 @@
 
 impl fmt::Display for Mistakes {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        for (place, mistake) in self.all.iter().enumerate() {
-            let end = if place > 0 { "\n" } else { "" };
+        for (index, mistake) in self.all.iter().enumerate() {
+            let end = if index > 0 { "\n" } else { "" };
             write!(f, "{end}{}:{}:{}: {}", self.file, mistake.line, mistake.column, mistake.what)?;
         }
         Ok(())
     }
 }
 
-/// Blocks or comments within each other, at most: the parser goes into each by a call of itself.
-const DEEPEST: usize = 64;
+/// Maximum nesting of blocks or comments; the parser recurses into each.
+const MAX_NESTING_DEPTH: usize = 64;
 
-/// Parses on a thread whose stack suits the text: the parser's depth is up to whoever wrote it.
+/// Parses on a thread whose stack is sized by the text, because the text determines the parser's recursion depth.
 fn parse(text: &str) -> Result<Result<KdlDocument, kdl::KdlError>, String> {
     std::thread::scope(|scope| {
-        let stack = STACK + STACK_PER_BYTE * text.len();
+        let stack = BASE_STACK_BYTES + STACK_BYTES_PER_TEXT_BYTE * text.len();
         let work = || KdlDocument::parse(text);
         let thread =
             std::thread::Builder::new().name("sheet".into()).stack_size(stack).spawn_scoped(scope, work);
@@ -61,30 +62,35 @@
     })
 }
 
-/// Where a text nests too deep, or takes back what takes back: the parser's time grows without bound by that. It does not know strings: braces in them count too, and a sheet has no use for so many.
-fn too_deep(text: &str) -> Option<usize> {
+/// Offset at which blocks, comments or consecutive slashdashes exceed the maximum nesting, for which the parser's time
+/// grows without bound. Braces within strings count too; a configuration file has no use for that many.
+fn find_excessive_nesting(text: &str) -> Option<usize> {
     let (mut blocks, mut comments) = (0usize, 0usize);
-    let mut taken_back = 0;
+    let mut consecutive_slashdashes = 0;
     let bytes = text.as_bytes();
     for (offset, byte) in bytes.iter().enumerate() {
         match (byte, bytes.get(offset + 1)) {
             (b'{' | b'(', _) => blocks += 1,
             (b'}' | b')', _) => blocks = blocks.saturating_sub(1),
-            (b'/', Some(b'-')) => taken_back += 1,
+            (b'/', Some(b'-')) => consecutive_slashdashes += 1,
             (b'/', Some(b'*')) => comments += 1,
             (b'*', Some(b'/')) => comments = comments.saturating_sub(1),
             _ => {}
         }
         if byte.is_ascii_alphanumeric() {
-            taken_back = 0;
+            consecutive_slashdashes = 0;
         }
-        if blocks > DEEPEST || comments > DEEPEST || taken_back > DEEPEST {
+        if blocks > MAX_NESTING_DEPTH
+            || comments > MAX_NESTING_DEPTH
+            || consecutive_slashdashes > MAX_NESTING_DEPTH
+        {
             return Some(offset);
         }
     }
     None
 }
 
+/// A configuration file being read.
 pub struct Sheet {
     file: String,
     text: String,
@@ -92,7 +98,7 @@
     mistakes: RefCell<Vec<Mistake>>,
 }
 
-fn place(text: &str, offset: usize) -> (usize, usize) {
+fn line_and_column(text: &str, offset: usize) -> (usize, usize) {
     let before = &text[..text.floor_char_boundary(offset)];
     let line = before.matches('\n').count() + 1;
     let column = before.rsplit('\n').next().unwrap_or_default().chars().count() + 1;
@@ -100,6 +106,7 @@
 }
 
 impl Sheet {
+    /// Reads and parses a file.
     pub fn load(path: &std::path::Path) -> Result<Self, Mistakes> {
         let file = path.display().to_string();
         let unread = |what: String| {
@@ -114,21 +121,25 @@
         Self::read(&file, &text)
     }
 
+    /// Parses a text; `file` is its name in error messages.
     pub fn read(file: &str, text: &str) -> Result<Self, Mistakes> {
         let only = |offset: usize, what: String| {
-            let (line, column) = place(text, offset);
+            let (line, column) = line_and_column(text, offset);
             Mistakes { file: file.into(), all: vec![Mistake { line, column, what }] }
         };
         if text.len() > MAX_SHEET {
             return Err(only(0, format!("{} bytes, over the {MAX_SHEET} allowed", text.len())));
         }
-        if let Some(offset) = too_deep(text) {
-            return Err(only(offset, format!("braces or comments within each other, over {DEEPEST} deep")));
+        if let Some(offset) = find_excessive_nesting(text) {
+            return Err(only(
+                offset,
+                format!("braces or comments within each other, over {MAX_NESTING_DEPTH} deep"),
+            ));
         }
         let document = parse(text).map_err(|why| only(0, why))?.map_err(|error| {
             let mut all = Vec::new();
-            for diagnostic in error.diagnostics.iter().take(TOLD) {
-                let (line, column) = place(text, diagnostic.span.offset());
+            for diagnostic in error.diagnostics.iter().take(MAX_REPORTED_ERRORS) {
+                let (line, column) = line_and_column(text, diagnostic.span.offset());
                 let what = diagnostic.message.clone().or_else(|| diagnostic.label.clone());
                 all.push(Mistake { line, column, what: what.unwrap_or_else(|| "is no KDL".into()) });
             }
@@ -139,8 +150,9 @@
         Ok(Self { file: file.into(), text: text.into(), document, mistakes: RefCell::default() })
     }
 
+    /// The top-level block.
     pub fn root(&self) -> Block<'_> {
-        Block { sheet: self, nodes: self.document.nodes(), offset: 0, asked: RefCell::default() }
+        Block { sheet: self, nodes: self.document.nodes(), offset: 0, known_names: RefCell::default() }
     }
 
     /// The text as it was read.
@@ -148,7 +160,7 @@
         &self.text
     }
 
-    /// Done reading: no mistake, or all of them.
+    /// Ends reading and returns all recorded errors, if any.
     pub fn finish(self) -> Result<(), Mistakes> {
         let mut all = self.mistakes.into_inner();
         all.sort();
@@ -157,23 +169,23 @@
     }
 
     pub fn wrong(&self, offset: usize, what: impl Into<String>) {
-        if self.mistakes.borrow().len() >= TOLD {
-            return; // It is refused for the others.
+        if self.mistakes.borrow().len() >= MAX_REPORTED_ERRORS {
+            return; // The errors already recorded reject the file.
         }
-        let (line, column) = place(&self.text, offset);
+        let (line, column) = line_and_column(&self.text, offset);
         self.mistakes.borrow_mut().push(Mistake { line, column, what: what.into() });
     }
 }
 
-/// Nodes between braces, or a whole sheet.
+/// The nodes between braces, or of a whole file.
 pub struct Block<'a> {
     sheet: &'a Sheet,
     nodes: &'a [KdlNode],
     offset: usize,
-    asked: RefCell<BTreeSet<String>>,
+    known_names: RefCell<BTreeSet<String>>,
 }
 
-/// One node: its arguments, its named values, its block.
+/// One node with its arguments, properties and block.
 #[derive(Clone, Copy)]
 pub struct Node<'a> {
     sheet: &'a Sheet,
@@ -183,7 +195,7 @@
 impl<'a> Block<'a> {
     /// All nodes of this name.
     pub fn many(&self, name: &str) -> Vec<Node<'a>> {
-        self.asked.borrow_mut().insert(name.into());
+        self.known_names.borrow_mut().insert(name.into());
         let sheet = self.sheet;
         let named = self.nodes.iter().filter(|node| node.name().value() == name);
         named.map(|node| Node { sheet, node }).collect()
@@ -205,7 +217,7 @@
         found
     }
 
-    /// The one value of a node, where it is there.
+    /// Reads the value of a node; returns the default if it is absent and `fallback` if it is invalid.
     fn value<T>(
         &self, name: &str, default: Option<T>, fallback: T, read: impl Fn(Node<'a>) -> Option<T>,
     ) -> T {
@@ -218,25 +230,25 @@
     }
 
     pub fn whole(&self, name: &str, within: RangeInclusive<u64>, default: Option<u64>) -> u64 {
-        let least = *within.start();
-        self.value(name, default, least, |node| node.whole(0, within.clone()))
+        let minimum = *within.start();
+        self.value(name, default, minimum, |node| node.whole(0, within.clone()))
     }
 
     pub fn real(&self, name: &str, within: RangeInclusive<f64>, default: Option<f64>) -> f64 {
-        let least = *within.start();
-        self.value(name, default, least, |node| node.real(0, within.clone()))
+        let minimum = *within.start();
+        self.value(name, default, minimum, |node| node.real(0, within.clone()))
     }
 
-    /// Written with its unit: "250us", "800ms", "1.5s", "2m".
+    /// A duration with its unit: "250us", "800ms", "1.5s", "2m".
     pub fn time(&self, name: &str, within: RangeInclusive<Duration>, default: Option<Duration>) -> Duration {
-        let least = *within.start();
-        self.value(name, default, least, |node| node.time(0, within.clone()))
+        let minimum = *within.start();
+        self.value(name, default, minimum, |node| node.time(0, within.clone()))
     }
 
     pub fn flag(&self, name: &str, default: Option<bool>) -> bool {
         self.value(name, default, false, |node| match node.argument(0)? {
             KdlValue::Bool(flag) => Some(*flag),
-            _ => node.none(0, "#true or #false"),
+            _ => node.type_error(0, "#true or #false"),
         })
     }
 
@@ -244,15 +256,15 @@
         self.sheet.wrong(self.offset, what);
     }
 
-    /// A text, if it is there, without a word on anything else: the block is read later, or again.
+    /// Returns a text if present and records no errors, for blocks that are read later or again.
     pub fn peek(self, name: &str) -> Option<String> {
         let node = self.nodes.iter().find(|node| node.name().value() == name);
         let text = node.and_then(|node| node.get(0)).and_then(|value| value.as_string()).map(String::from);
-        self.asked.borrow_mut().extend(self.nodes.iter().map(|node| node.name().value().to_string()));
+        self.known_names.borrow_mut().extend(self.nodes.iter().map(|node| node.name().value().to_string()));
         text
     }
 
-    /// The names that stand here, asked for or not.
+    /// All nodes with their names, requested or not.
     pub fn names(&self) -> Vec<(&'a str, Node<'a>)> {
         let sheet = self.sheet;
         self.nodes.iter().map(|node| (node.name().value(), Node { sheet, node })).collect()
@@ -260,14 +272,14 @@
 }
 
 impl Drop for Block<'_> {
-    /// What nobody asked for is probably a slip of the pen.
+    /// Reports nodes that were never requested, which are probably misspelt.
     fn drop(&mut self) {
-        let asked = self.asked.borrow();
-        for node in self.nodes.iter().filter(|node| !asked.contains(node.name().value())) {
-            let known = if asked.is_empty() {
+        let known_names = self.known_names.borrow();
+        for node in self.nodes.iter().filter(|node| !known_names.contains(node.name().value())) {
+            let known = if known_names.is_empty() {
                 String::new()
             } else {
-                let known: Vec<&str> = asked.iter().map(String::as_str).collect();
+                let known: Vec<&str> = known_names.iter().map(String::as_str).collect();
                 format!(" (known here: {})", known.join(", "))
             };
             let what = format!("{} is not known{known}", node.name().value());
@@ -289,80 +301,80 @@
         self.node.entries().iter()
     }
 
-    fn entry(&self, place: usize) -> Option<&'a KdlEntry> {
-        self.entries().filter(|entry| entry.name().is_none()).nth(place)
+    fn entry(&self, index: usize) -> Option<&'a KdlEntry> {
+        self.entries().filter(|entry| entry.name().is_none()).nth(index)
     }
 
     pub fn arguments(&self) -> usize {
         self.entries().filter(|entry| entry.name().is_none()).count()
     }
 
-    fn argument(&self, place: usize) -> Option<&'a KdlValue> {
-        let entry = self.entry(place);
+    fn argument(&self, index: usize) -> Option<&'a KdlValue> {
+        let entry = self.entry(index);
         if entry.is_none() {
             self.wrong(format!("{} wants a value", self.name()));
         }
         entry.map(|entry| entry.value())
     }
 
-    fn none<T>(&self, place: usize, wanted: &str) -> Option<T> {
-        let offset = self.entry(place).map_or(self.node.span().offset(), |entry| entry.span().offset());
+    fn type_error<T>(&self, index: usize, wanted: &str) -> Option<T> {
+        let offset = self.entry(index).map_or(self.node.span().offset(), |entry| entry.span().offset());
         self.sheet.wrong(offset, format!("{} wants {wanted}", self.name()));
         None
     }
 
-    pub fn text(&self, place: usize) -> Option<String> {
-        match self.argument(place)?.as_string() {
-            Some("") | None => self.none(place, "a text"),
+    pub fn text(&self, index: usize) -> Option<String> {
+        match self.argument(index)?.as_string() {
+            Some("") | None => self.type_error(index, "a text"),
             Some(text) => Some(text.into()),
         }
     }
 
-    pub fn whole(&self, place: usize, within: RangeInclusive<u64>) -> Option<u64> {
-        let value = self.argument(place)?.as_integer().and_then(|v| u64::try_from(v).ok());
+    pub fn whole(&self, index: usize, within: RangeInclusive<u64>) -> Option<u64> {
+        let value = self.argument(index)?.as_integer().and_then(|v| u64::try_from(v).ok());
         let wanted = format!("a whole number from {} to {}", within.start(), within.end());
-        value.filter(|v| within.contains(v)).or_else(|| self.none(place, &wanted))
+        value.filter(|v| within.contains(v)).or_else(|| self.type_error(index, &wanted))
     }
 
-    pub fn real(&self, place: usize, within: RangeInclusive<f64>) -> Option<f64> {
-        let value = self.argument(place)?;
+    pub fn real(&self, index: usize, within: RangeInclusive<f64>) -> Option<f64> {
+        let value = self.argument(index)?;
         let value = value.as_float().or(value.as_integer().map(|v| v as f64));
         let wanted = format!("a number from {} to {}", within.start(), within.end());
-        value.filter(|v| within.contains(v)).or_else(|| self.none(place, &wanted))
+        value.filter(|v| within.contains(v)).or_else(|| self.type_error(index, &wanted))
     }
 
-    pub fn time(&self, place: usize, within: RangeInclusive<Duration>) -> Option<Duration> {
-        let value = self.argument(place)?.as_string().and_then(span);
+    pub fn time(&self, index: usize, within: RangeInclusive<Duration>) -> Option<Duration> {
+        let value = self.argument(index)?.as_string().and_then(span);
         let wanted =
             format!("a time from {:?} to {:?}, such as \"800ms\" or \"1.5s\"", within.start(), within.end());
-        value.filter(|v| within.contains(v)).or_else(|| self.none(place, &wanted))
+        value.filter(|v| within.contains(v)).or_else(|| self.type_error(index, &wanted))
     }
 
-    /// A named value of the node itself, as in `product "till" gain=6`.
+    /// A property of the node, as in `product "till" gain=6`.
     pub fn named(&self, name: &str) -> Option<&'a KdlValue> {
         self.entries().find(|e| e.name().is_some_and(|n| n.value() == name)).map(|e| e.value())
     }
 
-    /// No mistake has been found in it so far.
+    /// Whether no error has been recorded in this node so far.
     pub fn is_right(&self) -> bool {
         let span = self.node.span();
         let (from, to) = (span.offset(), span.offset() + span.len());
-        let (from, to) = (place(&self.sheet.text, from), place(&self.sheet.text, to));
+        let (from, to) = (line_and_column(&self.sheet.text, from), line_and_column(&self.sheet.text, to));
         !self.sheet.mistakes.borrow().iter().any(|m| (from..=to).contains(&(m.line, m.column)))
     }
 
-    /// What stands between its braces, as it was written.
+    /// Source text between its braces.
     pub fn source(&self) -> String {
         self.node.children().map(ToString::to_string).unwrap_or_default()
     }
 
     pub fn block(&self) -> Block<'a> {
         let nodes = self.node.children().map(|c| c.nodes()).unwrap_or_default();
-        Block { sheet: self.sheet, nodes, offset: self.node.span().offset(), asked: RefCell::default() }
+        Block { sheet: self.sheet, nodes, offset: self.node.span().offset(), known_names: RefCell::default() }
     }
 }
 
-/// A time with its unit.
+/// Parses a duration with its unit; returns `None` if it is invalid.
 pub fn span(text: &str) -> Option<Duration> {
     let unit = text.find(|c: char| c.is_ascii_alphabetic())?;
     let (figure, unit) = text.split_at(unit);
@@ -378,7 +390,7 @@
     Duration::try_from_secs_f64((figure * scale * 1e6).round() / 1e6).ok()
 }
 
-/// How a time is written in a sheet; `span` reads it back.
+/// Formats a duration for a configuration file; `span` parses it.
 pub fn spelled(time: Duration) -> String {
     let micros = time.as_micros();
     match micros {
@@ -396,7 +408,7 @@
     const S: Duration = Duration::from_secs(1);
 
     #[test]
-    fn all_mistakes_are_told_at_once_with_their_places() {
+    fn all_errors_are_reported_with_their_positions() {
         let text = "listen 5\nlimits {\n  links 0\n  linsk 3\n}\npromised \"800\"\nlisten \"b\"\n";
         let sheet = Sheet::read("edge.kdl", text).unwrap();
         {
@@ -407,9 +419,9 @@
             let limits = root.need("limits").unwrap().block();
             limits.whole("links", 1..=10, None);
         }
-        let said = sheet.finish().unwrap_err().to_string();
+        let message = sheet.finish().unwrap_err().to_string();
         assert_eq!(
-            said,
+            message,
             "edge.kdl:1:1: share is missing\n\
              edge.kdl:1:8: listen wants a text\n\
              edge.kdl:3:9: links wants a whole number from 1 to 10\n\
@@ -420,35 +432,35 @@
     }
 
     #[test]
-    fn what_is_no_kdl_is_told_with_its_place() {
+    fn invalid_kdl_is_reported_with_its_position() {
         let error = Sheet::read("day.kdl", "a {\n  b 1\n").err().unwrap();
         assert!(error.all.iter().all(|m| m.line >= 1) && !error.all.is_empty(), "{error}");
     }
 
-    /// Each of these ended the process with an overflown stack, or took minutes.
+    /// Each of these texts made the parser overflow the stack or run for minutes.
     #[test]
-    fn what_has_no_end_is_told_with_its_place() {
+    fn unbounded_nesting_is_reported_with_its_position() {
         let repeated = [
             "a {", "/*", "(", "/-", "/- ", "/-/**/", "a=", "a= ", "a=\n", "a }\n", "a ]\n", "(a)", "\"\"\"",
             "\"\n",
         ];
         for piece in repeated {
             let error = Sheet::read("x.kdl", &piece.repeat(8_000)).err().expect("it is no sheet");
-            assert!(!error.all.is_empty() && error.all.len() <= TOLD, "{piece}");
+            assert!(!error.all.is_empty() && error.all.len() <= MAX_REPORTED_ERRORS, "{piece}");
         }
         let deep = |count: usize| "a {\n".repeat(count) + &"}\n".repeat(count);
         assert!(Sheet::read("x.kdl", &deep(60)).is_ok() && Sheet::read("x.kdl", &deep(5_000)).is_err());
         let error = Sheet::read("x.kdl", &deep(100)).err().unwrap();
         assert_eq!(error.to_string(), "x.kdl:65:3: braces or comments within each other, over 64 deep");
-        // Mistakes of one's own are bounded too.
+        // Errors recorded by the reader are limited too.
         let sheet = Sheet::read("x.kdl", &"a\n".repeat(50_000)).unwrap();
         drop(sheet.root());
-        assert_eq!(sheet.finish().unwrap_err().all.len(), TOLD);
+        assert_eq!(sheet.finish().unwrap_err().all.len(), MAX_REPORTED_ERRORS);
         assert!(Sheet::read("x.kdl", &" ".repeat(MAX_SHEET + 1)).is_err());
     }
 
     #[test]
-    fn times_are_read_with_their_units() {
+    fn times_are_parsed_with_units() {
         for (text, micros) in [("250us", 250), ("1.5s", 1_500_000), ("2m", 120_000_000), ("800 ms", 800_000)]
         {
             assert_eq!(span(text), Some(Duration::from_micros(micros)), "{text}");
