--- a/crates/cli/src/fleets.rs
+++ b/crates/cli/src/fleets.rs
@@ -10,7 +10,7 @@
 use clap::{Args, Subcommand};
 use lotussaddle::interface::DialogueId;
 use lotussaddle_replica::Replica;
-use lotussaddle_store::{RealDisk, look};
+use lotussaddle_store::{RealDisk, inspect};
 use lotussaddle_trunk::{Decoder, Frame, Hello, Message, PeerMessage, Role};
 use serde_json::Value;
 
@@ -176,7 +176,7 @@
 fn from_store(folder: &Path, what: &FleetCommand) -> Result<Value> {
     let place = || format!("store {}", folder.display());
     let mut live = BTreeMap::<(String, Vec<u8>), Vec<u8>>::new();
-    let report = look(&mut RealDisk::read_only(folder), |op| {
+    let report = inspect(&mut RealDisk::read_only(folder), |op| {
         let key = (op.table.to_string(), op.key.to_vec());
         match op.what.as_str() {
             "put" => drop(live.insert(key, op.value.to_vec())),
--- a/crates/cli/src/stores.rs
+++ b/crates/cli/src/stores.rs
@@ -5,7 +5,7 @@
 
 use anyhow::{Context, Result};
 use clap::ValueEnum;
-use lotussaddle_store::{Plan, RealDisk, Report, Store, StoreError, look};
+use lotussaddle_store::{Plan, RealDisk, Report, Store, StoreError, inspect};
 
 use crate::Failed;
 
@@ -29,7 +29,7 @@
     let place = || format!("store {}", folder.display());
     if let StoreCommand::Compact = what {
         // Looked at first, so that nothing is made of a folder that is none.
-        told(look(&mut RealDisk::read_only(folder), |_| ()).with_context(place)?, false)?;
+        told(inspect(&mut RealDisk::read_only(folder), |_| ()).with_context(place)?, false)?;
         let disk = RealDisk::open(folder).with_context(place)?;
         let mut store = Store::open(disk, Plan::default()).with_context(place)?;
         let before = store.stats().figures.written;
@@ -39,7 +39,7 @@
     }
     let mut failed = None;
     let mut live = std::collections::BTreeMap::<String, (u64, u64)>::new();
-    let report = look(&mut RealDisk::read_only(folder), |op| {
+    let report = inspect(&mut RealDisk::read_only(folder), |op| {
         if let StoreCommand::Dump = what {
             let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
             let line = serde_json::json!({
--- a/crates/serve/src/records.rs
+++ b/crates/serve/src/records.rs
@@ -39,7 +39,7 @@
 }
 
 pub struct Records {
-    keeper: StoreThread,
+    store_thread: StoreThread,
     mode: Mode,
     remember_for: Duration,
     next: u64,
@@ -115,11 +115,11 @@
             let read = store.each(wall.now(), |table, key, found| take(table, key, &found.value));
             read.with_context(|| format!("store {folder}"))
         })?;
-        let keeper =
+        let store_thread =
             StoreThread::spawn(store, Group::default(), Budget::default(), QUEUE, move || wall.now())
                 .context("no thread for the store")?;
         let (told, made) = unbounded();
-        Ok((Self { keeper, mode: sheet.mode, remember_for, next: 0, wall, told }, found, made))
+        Ok((Self { store_thread, mode: sheet.mode, remember_for, next: 0, wall, told }, found, made))
     }
 
     /// Orders the record of an answer; none where the store is too far behind.
@@ -162,6 +162,6 @@
     fn order(&mut self, batch: Batch, order: Order) -> bool {
         let told = self.told.clone();
         let done = move |outcome| drop(told.send((order, outcome)));
-        self.keeper.write(batch, self.mode, done).is_ok()
+        self.store_thread.write(batch, self.mode, done).is_ok()
     }
 }
--- a/crates/store/benches/store.rs
+++ b/crates/store/benches/store.rs
@@ -1,4 +1,4 @@
-//! What the store costs and what it saves. `cargo bench -p lotussaddle-store --bench store`; a word behind `--` runs one
+//! Time and space benchmarks of the store. `cargo bench -p lotussaddle-store --bench store`; an argument after `--` selects one
 //! part: writes, reads, reopen, space, chores.
 
 use std::collections::{BTreeMap, HashMap};
@@ -28,13 +28,13 @@
     batch
 }
 
-/// Writers that each wait for their acknowledgement before the next.
-fn writers(keeper: &Arc<StoreThread>, mode: Mode, writers: u64, seconds: f64) -> (f64, Histogram<u64>) {
+/// Writers that each wait for an acknowledgement before the next write.
+fn writers(store_thread: &Arc<StoreThread>, mode: Mode, writers: u64, seconds: f64) -> (f64, Histogram<u64>) {
     let count = Arc::new(AtomicU64::new(0));
     let begun = Instant::now();
     let threads: Vec<_> = (0..writers)
         .map(|_| {
-            let (keeper, count) = (keeper.clone(), count.clone());
+            let (store_thread, count) = (store_thread.clone(), count.clone());
             std::thread::spawn(move || {
                 let mut times = histogram();
                 let (told, done) = crossbeam_channel::bounded(1);
@@ -42,7 +42,9 @@
                     let at = Instant::now();
                     let told = told.clone();
                     let n = count.fetch_add(1, Ordering::Relaxed);
-                    keeper.write(record(n), mode, move |outcome| drop(told.send(outcome))).expect("room");
+                    store_thread
+                        .write(record(n), mode, move |outcome| drop(told.send(outcome)))
+                        .expect("room");
                     done.recv().expect("told").expect("written");
                     times.saturating_record(at.elapsed().as_micros().max(1) as u64);
                 }
@@ -67,10 +69,11 @@
             for count in [1, 8, 64] {
                 let folder = tempfile::tempdir().expect("a folder");
                 let store = open(folder.path(), Plan::default());
-                let keeper = StoreThread::spawn(store, Group::default(), Budget::default(), 4096, || NOW)
-                    .expect("a thread");
-                let keeper = Arc::new(keeper);
-                let (rate, times) = writers(&keeper, mode, count, 1.5);
+                let store_thread =
+                    StoreThread::spawn(store, Group::default(), Budget::default(), 4096, || NOW)
+                        .expect("a thread");
+                let store_thread = Arc::new(store_thread);
+                let (rate, times) = writers(&store_thread, mode, count, 1.5);
                 line(name, count, rate, &times);
             }
         }
@@ -111,8 +114,8 @@
                 looks.len() as f64 / begun.elapsed().as_secs_f64() / 1e6
             };
             let mut index = Index::default();
-            (0..count).for_each(|n| index.add(index.print("answered", &key(n)), place(n)));
-            let ours = rate(&|key| index.places(index.print("answered", key)).next().is_some());
+            (0..count).for_each(|n| index.add(index.fingerprint("answered", &key(n)), place(n)));
+            let ours = rate(&|key| index.places(index.fingerprint("answered", key)).next().is_some());
             let size = index.size() as f64 / count as f64;
             println!("{count:>8} made for it {ours:>8.2} {size:>6.1}");
             let map: HashMap<Vec<u8>, Place> = (0..count).map(|n| (key(n), place(n))).collect();
@@ -263,8 +266,9 @@
             let mut store = open(folder.path(), plan);
             fill(&mut store, 200_000);
             fill(&mut store, 100_000);
-            let keeper = StoreThread::spawn(store, Group::default(), budget, 4096, || NOW).expect("a thread");
-            let (rate, times) = writers(&Arc::new(keeper), Mode::Synced, 8, 3.0);
+            let store_thread =
+                StoreThread::spawn(store, Group::default(), budget, 4096, || NOW).expect("a thread");
+            let (rate, times) = writers(&Arc::new(store_thread), Mode::Synced, 8, 3.0);
             line(name, 8, rate, &times);
         }
     }
--- a/crates/store/src/check.rs
+++ b/crates/store/src/check.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
+use crate::condition::{self, SegmentCondition};
 use crate::disk::Disk;
 use crate::format::{self, OPS_AT, Op};
 use crate::snapshot;
 use crate::store::{Damage, StoreError};
-use crate::worth::{self, Worth};
 
 /// Result of checking all files.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -25,7 +25,7 @@
 
 /// One operation of the log, for display.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Shown {
+pub struct LoggedOperation {
     pub file: String,
     pub offset: u64,
     pub time: Duration,
@@ -37,7 +37,7 @@
 }
 
 /// Reads all files completely and passes each operation to `each`.
-pub fn look(disk: &mut impl Disk, mut each: impl FnMut(Shown)) -> Result<Report, StoreError> {
+pub fn inspect(disk: &mut impl Disk, mut each: impl FnMut(LoggedOperation)) -> Result<Report, StoreError> {
     disk.lock().map_err(|error| match error.kind() {
         std::io::ErrorKind::WouldBlock => StoreError::Locked,
         _ => StoreError::Disk { what: "there is no store here".into(), error },
@@ -51,24 +51,24 @@
     let mut numbers: Vec<u64> = names.iter().filter_map(|name| format::segment_number(name)).collect();
     numbers.sort_unstable();
     let mut before: Option<(u64, bool)> = None;
-    for (place, number) in numbers.iter().enumerate() {
+    for (position, number) in numbers.iter().enumerate() {
         let name = format::segment_name(*number);
         let len = disk.len(&name).map_err(failed(&name))?;
         let mut bytes = vec![0; len as usize];
         disk.read(&name, 0, &mut bytes).map_err(failed(&name))?;
         report.segments += 1;
         report.bytes += len;
-        let is_last = place + 1 == numbers.len();
-        let (mut goes_on, mut unreadable, mut frames) = (false, None, 0);
-        let worth = worth::judge(&bytes, *number, 0, is_last, |at, frame| {
+        let is_last = position + 1 == numbers.len();
+        let (mut names_successor, mut unreadable, mut frames) = (false, None, 0);
+        let condition = condition::assess(&bytes, *number, 0, is_last, |at, frame| {
             frames += 1;
-            goes_on = worth::names_next_segment(&frame, *number);
+            names_successor = condition::names_next_segment(&frame, *number);
             let Some(ops) = format::ops(frame.ops) else {
                 unreadable.get_or_insert(at);
                 return;
             };
             for (offset, _, op) in ops {
-                let mut shown = Shown {
+                let mut operation = LoggedOperation {
                     file: name.clone(),
                     offset: at + OPS_AT + offset,
                     time: frame.time,
@@ -81,17 +81,19 @@
                 match op {
                     Op::Put { table, key, expires, value } => {
                         report.puts += 1;
-                        (shown.what, shown.table) = ("put".into(), table.into());
-                        (shown.key, shown.value, shown.expires) = (key.to_vec(), value.to_vec(), expires);
+                        (operation.what, operation.table) = ("put".into(), table.into());
+                        (operation.key, operation.value, operation.expires) =
+                            (key.to_vec(), value.to_vec(), expires);
                     }
                     Op::Delete { table, key } => {
                         report.deletes += 1;
-                        (shown.what, shown.table, shown.key) = ("delete".into(), table.into(), key.to_vec());
+                        (operation.what, operation.table, operation.key) =
+                            ("delete".into(), table.into(), key.to_vec());
                     }
-                    Op::Floor { segment } => shown.what = format!("floor {segment:016x}"),
-                    Op::Next { segment } => shown.what = format!("next {segment:016x}"),
+                    Op::MinSegment { segment } => operation.what = format!("floor {segment:016x}"),
+                    Op::Next { segment } => operation.what = format!("next {segment:016x}"),
                 }
-                each(shown);
+                each(operation);
             }
         });
         report.frames += frames;
@@ -111,28 +113,28 @@
         if let Some(at) = unreadable {
             damaged(at, "its checksum holds and its operations cannot be read");
         }
-        match worth {
-            Worth::Whole => {}
-            Worth::Torn { at } => {
+        match condition {
+            SegmentCondition::Intact => {}
+            SegmentCondition::Torn { at } => {
                 report.torn = Some(Damage { file: name.clone(), offset: at, what: "a torn end".into() });
             }
-            Worth::Unborn => {
+            SegmentCondition::Uninitialized => {
                 report.torn =
                     Some(Damage { file: name.clone(), offset: 0, what: "begun and not born".into() });
             }
-            Worth::Rotten { at } => damaged(at, "what was written there cannot be read"),
-            Worth::Newer { version } => {
+            SegmentCondition::Corrupt { at } => damaged(at, "what was written there cannot be read"),
+            SegmentCondition::Newer { version } => {
                 return Err(StoreError::Newer { file: name, found: version });
             }
         }
-        if is_last && goes_on {
+        if is_last && names_successor {
             report.damage.push(Damage {
                 file: format::segment_name(number + 1),
                 offset: 0,
                 what: "the segment is missing".into(),
             });
         }
-        before = Some((*number, goes_on));
+        before = Some((*number, names_successor));
     }
     for name in names.iter().filter(|name| snapshot::number(name).is_some()) {
         let len = disk.len(name).map_err(failed(name))?;
--- a/crates/store/src/worth.rs
+++ b/crates/store/src/condition.rs
@@ -9,36 +9,40 @@
 use crate::format::{self, BadHead, HEAD};
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Worth {
+pub enum SegmentCondition {
     /// Intact to its end.
-    Whole,
+    Intact,
     /// Intact up to `at`; later data was never acknowledged as synced and is to be truncated.
     Torn { at: u64 },
     /// Synced data at `at` cannot be read.
-    Rotten { at: u64 },
+    Corrupt { at: u64 },
     /// Written by a newer version.
     Newer { version: u16 },
     /// Its head was never synced; the segment counts as absent.
-    Unborn,
+    Uninitialized,
 }
 
 /// Goes through a segment from an offset on (its head, or where a snapshot ends) and shows each whole frame with its
 /// offset, up to where its worth ends.
-pub fn judge<'a>(
+pub fn assess<'a>(
     bytes: &'a [u8], segment: u64, from: u64, is_last: bool, mut each: impl FnMut(u64, format::Frame<'a>),
-) -> Worth {
+) -> SegmentCondition {
     match format::read_head(bytes, segment) {
         Ok(()) => {}
-        Err(BadHead::Newer(version)) => return Worth::Newer { version },
+        Err(BadHead::Newer(version)) => return SegmentCondition::Newer { version },
         // A segment is used only after its head was synced: frames tell a rotten head from an unborn one.
         Err(BadHead::Unreadable) => {
             let promised = !is_last || max_synced_length(bytes, segment, HEAD) >= HEAD;
-            return if promised { Worth::Rotten { at: 0 } } else { Worth::Unborn };
+            return if promised {
+                SegmentCondition::Corrupt { at: 0 }
+            } else {
+                SegmentCondition::Uninitialized
+            };
         }
     }
     let mut at = from.max(HEAD);
     if at > bytes.len() as u64 {
-        return Worth::Rotten { at: bytes.len() as u64 }; // Snapshots cover synced data only.
+        return SegmentCondition::Corrupt { at: bytes.len() as u64 }; // Snapshots cover synced data only.
     }
     while (at as usize) < bytes.len() {
         match format::read_frame(&bytes[at as usize..], segment, at) {
@@ -49,11 +53,11 @@
             }
             None => {
                 let rotten = !is_last || max_synced_length(bytes, segment, at) > at;
-                return if rotten { Worth::Rotten { at } } else { Worth::Torn { at } };
+                return if rotten { SegmentCondition::Corrupt { at } } else { SegmentCondition::Torn { at } };
             }
         }
     }
-    Worth::Whole
+    SegmentCondition::Intact
 }
 
 /// Whether this frame names the next segment, as the last frame of a completed segment does.
@@ -64,16 +68,16 @@
 
 /// The greatest synced length stated by any frame at or after `from`.
 fn max_synced_length(bytes: &[u8], segment: u64, from: u64) -> u64 {
-    let mut most = 0;
+    let mut max_len = 0;
     let mut at = from;
     while (at as usize) < bytes.len() {
         match format::read_frame(&bytes[at as usize..], segment, at) {
             Some(frame) => {
-                most = most.max(frame.lasts);
+                max_len = max_len.max(frame.synced_len);
                 at += frame.len;
             }
             None => at += 1,
         }
     }
-    most
+    max_len
 }
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -66,28 +66,28 @@
 pub enum Op<'a> {
     Put { table: &'a str, key: &'a [u8], expires: Option<Duration>, value: &'a [u8] },
     Delete { table: &'a str, key: &'a [u8] },
-    Floor { segment: u64 },
+    MinSegment { segment: u64 },
     Next { segment: u64 },
 }
 
-fn sealed(out: &mut Vec<u8>, from: usize) {
+fn append_checksum(out: &mut Vec<u8>, from: usize) {
     let sum = crc32c::crc32c(&out[from..]);
     out.extend(sum.to_le_bytes());
 }
 
-pub fn floor(out: &mut Vec<u8>, segment: u64) {
-    bare(out, 3, segment);
+pub fn min_segment(out: &mut Vec<u8>, segment: u64) {
+    put_segment_op(out, 3, segment);
 }
 
 pub fn next(out: &mut Vec<u8>, segment: u64) {
-    bare(out, 4, segment);
+    put_segment_op(out, 4, segment);
 }
 
-fn bare(out: &mut Vec<u8>, tag: u8, segment: u64) {
+fn put_segment_op(out: &mut Vec<u8>, tag: u8, segment: u64) {
     let from = out.len();
     out.push(tag);
     out.extend(segment.to_le_bytes());
-    sealed(out, from);
+    append_checksum(out, from);
 }
 
 pub fn put(out: &mut Vec<u8>, table: &str, key: &[u8], expires: Option<Duration>, value: &[u8]) {
@@ -98,14 +98,14 @@
     out.extend(expires.to_le_bytes());
     out.extend((value.len() as u32).to_le_bytes());
     out.extend(value);
-    sealed(out, from);
+    append_checksum(out, from);
 }
 
 pub fn delete(out: &mut Vec<u8>, table: &str, key: &[u8]) {
     let from = out.len();
     out.push(2);
     name(out, table, key);
-    sealed(out, from);
+    append_checksum(out, from);
 }
 
 fn name(out: &mut Vec<u8>, table: &str, key: &[u8]) {
@@ -116,13 +116,13 @@
 }
 
 /// Encodes a frame with these operations for a location.
-pub fn frame(segment: u64, offset: u64, lasts: u64, time: Duration, ops: &[u8]) -> Vec<u8> {
+pub fn frame(segment: u64, offset: u64, synced_len: u64, time: Duration, ops: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(FRAME as usize + PREFACE + ops.len());
     bytes.extend(((PREFACE + ops.len()) as u32).to_le_bytes());
     bytes.extend([0; 4]);
     bytes.extend(segment.to_le_bytes());
     bytes.extend(offset.to_le_bytes());
-    bytes.extend(lasts.to_le_bytes());
+    bytes.extend(synced_len.to_le_bytes());
     bytes.extend((time.as_micros() as u64).to_le_bytes());
     bytes.extend(ops);
     let sum = sum(&bytes);
@@ -138,7 +138,7 @@
 /// A whole frame: its bytes, what it says lasts, its operations.
 pub struct Frame<'a> {
     pub len: u64,
-    pub lasts: u64,
+    pub synced_len: u64,
     pub time: Duration,
     pub ops: &'a [u8],
 }
@@ -157,8 +157,8 @@
     if sum(whole) != u32::from_le_bytes(whole[4..8].try_into().ok()?) {
         return None;
     }
-    let (lasts, time) = (number(24), Duration::from_micros(number(32)));
-    Some(Frame { len: whole.len() as u64, lasts, time, ops: &whole[OPS_AT as usize..] })
+    let (synced_len, time) = (number(24), Duration::from_micros(number(32)));
+    Some(Frame { len: whole.len() as u64, synced_len, time, ops: &whole[OPS_AT as usize..] })
 }
 
 /// Where the operations of a frame begin, from its own beginning.
@@ -184,18 +184,18 @@
 
 /// The operation at the beginning of these bytes, and what follows it; none where its checksum does not hold.
 pub fn op(bytes: &[u8]) -> Option<(Op<'_>, &[u8])> {
-    let (op, rest) = bare_op(bytes)?;
+    let (op, rest) = read_op_body(bytes)?;
     let (sum, after) = take(rest, 4)?;
     let whole = crc32c::crc32c(&bytes[..bytes.len() - rest.len()]);
     (whole == u32::from_le_bytes(sum.try_into().ok()?)).then_some((op, after))
 }
 
-fn bare_op(bytes: &[u8]) -> Option<(Op<'_>, &[u8])> {
+fn read_op_body(bytes: &[u8]) -> Option<(Op<'_>, &[u8])> {
     let (tag, rest) = take(bytes, 1)?;
     if tag[0] == 3 || tag[0] == 4 {
         let (segment, rest) = take(rest, 8)?;
         let segment = u64::from_le_bytes(segment.try_into().ok()?);
-        let op = if tag[0] == 3 { Op::Floor { segment } } else { Op::Next { segment } };
+        let op = if tag[0] == 3 { Op::MinSegment { segment } } else { Op::Next { segment } };
         return Some((op, rest));
     }
     let (len, rest) = take(rest, 1)?;
@@ -262,7 +262,7 @@
     fn a_frame_is_one_only_where_it_was_written() {
         let bytes = frame(3, 100, 50, Duration::from_secs(9), &[]);
         let found = read_frame(&bytes, 3, 100).expect("it stands here");
-        assert_eq!((found.lasts, found.time, found.ops.len()), (50, Duration::from_secs(9), 0));
+        assert_eq!((found.synced_len, found.time, found.ops.len()), (50, Duration::from_secs(9), 0));
         assert!(read_frame(&bytes, 4, 100).is_none() && read_frame(&bytes, 3, 101).is_none());
         assert!(read_frame(&bytes[..bytes.len() - 1], 3, 100).is_none());
     }
@@ -272,12 +272,12 @@
         let mut bytes = Vec::new();
         put(&mut bytes, "t", b"k", Some(Duration::from_secs(5)), b"v");
         delete(&mut bytes, "u", b"");
-        floor(&mut bytes, 7);
+        min_segment(&mut bytes, 7);
         next(&mut bytes, 8);
         let all = ops(&bytes).expect("they are whole");
         assert_eq!(all.len(), 4);
         assert_eq!(all[1].2, Op::Delete { table: "u", key: b"" });
-        assert_eq!((&all[2].2, &all[3].2), (&Op::Floor { segment: 7 }, &Op::Next { segment: 8 }));
+        assert_eq!((&all[2].2, &all[3].2), (&Op::MinSegment { segment: 7 }, &Op::Next { segment: 8 }));
         for (at, len, found) in &all {
             let alone = &bytes[*at as usize..(*at + *len) as usize];
             assert_eq!(op(alone), Some((found.clone(), &[][..])));
--- a/crates/store/src/index.rs
+++ b/crates/store/src/index.rs
@@ -18,11 +18,11 @@
 #[derive(Clone, Copy)]
 struct Slot {
     /// 0 only in an empty slot.
-    print: u64,
+    fingerprint: u64,
     place: Place,
 }
 
-const EMPTY: Slot = Slot { print: 0, place: Place { segment: 0, offset: 0, len: 0 } };
+const EMPTY: Slot = Slot { fingerprint: 0, place: Place { segment: 0, offset: 0, len: 0 } };
 
 /// One part of the index: an open-addressed table.
 struct Shard {
@@ -47,8 +47,8 @@
     }
 }
 
-fn shard_of(print: u64) -> usize {
-    (print >> 56) as usize
+fn shard_of(fingerprint: u64) -> usize {
+    (fingerprint >> 56) as usize
 }
 
 impl Index {
@@ -57,7 +57,7 @@
         Self { shards, secret }
     }
 
-    pub fn print(&self, table: &str, key: &[u8]) -> u64 {
+    pub fn fingerprint(&self, table: &str, key: &[u8]) -> u64 {
         let mut hasher = SipHasher13::new_with_keys(self.secret.0, self.secret.1);
         hasher.write(table.as_bytes());
         hasher.write_u8(0xff);
@@ -74,12 +74,12 @@
     }
 
     /// All locations with a fingerprint; nearly always one or none.
-    pub fn places(&self, print: u64) -> impl Iterator<Item = Place> {
-        self.shards[shard_of(print)].places(print)
+    pub fn places(&self, fingerprint: u64) -> impl Iterator<Item = Place> {
+        self.shards[shard_of(fingerprint)].places(fingerprint)
     }
 
-    pub fn add(&mut self, print: u64, place: Place) {
-        self.shards[shard_of(print)].add(print, place);
+    pub fn add(&mut self, fingerprint: u64, place: Place) {
+        self.shards[shard_of(fingerprint)].add(fingerprint, place);
     }
 
     /// Allocates capacity for `count` entries in an empty shard.
@@ -87,8 +87,8 @@
         self.shards[shard].slots = vec![EMPTY; (count * 4 / 3 + 1).next_power_of_two().max(8)];
     }
 
-    pub fn remove(&mut self, print: u64, place: Place) -> bool {
-        self.shards[shard_of(print)].remove(print, place)
+    pub fn remove(&mut self, fingerprint: u64, place: Place) -> bool {
+        self.shards[shard_of(fingerprint)].remove(fingerprint, place)
     }
 
     /// All fingerprints and locations.
@@ -99,7 +99,7 @@
     /// Fingerprints and locations of one shard.
     pub fn shard(&self, shard: usize) -> impl Iterator<Item = (u64, Place)> {
         let slots = self.shards[shard].slots.iter();
-        slots.filter(|slot| slot.print != 0).map(|slot| (slot.print, slot.place))
+        slots.filter(|slot| slot.fingerprint != 0).map(|slot| (slot.fingerprint, slot.place))
     }
 
     /// Size in memory, in bytes.
@@ -113,34 +113,36 @@
         self.slots.len() - 1
     }
 
-    fn places(&self, print: u64) -> impl Iterator<Item = Place> {
-        let start = print as usize & self.mask();
+    fn places(&self, fingerprint: u64) -> impl Iterator<Item = Place> {
+        let start = fingerprint as usize & self.mask();
         let all = (0..self.slots.len()).map(move |step| &self.slots[(start + step) & self.mask()]);
-        all.take_while(|slot| slot.print != 0).filter(move |slot| slot.print == print).map(|slot| slot.place)
+        all.take_while(|slot| slot.fingerprint != 0)
+            .filter(move |slot| slot.fingerprint == fingerprint)
+            .map(|slot| slot.place)
     }
 
-    fn add(&mut self, print: u64, place: Place) {
+    fn add(&mut self, fingerprint: u64, place: Place) {
         if (self.used + 1) * 4 > self.slots.len() * 3 {
             let wider = vec![EMPTY; self.slots.len() * 2];
             let former = std::mem::replace(&mut self.slots, wider);
-            former.into_iter().filter(|slot| slot.print != 0).for_each(|slot| self.put(slot));
+            former.into_iter().filter(|slot| slot.fingerprint != 0).for_each(|slot| self.put(slot));
         }
-        self.put(Slot { print, place });
+        self.put(Slot { fingerprint, place });
         self.used += 1;
     }
 
     fn put(&mut self, slot: Slot) {
-        let mut at = slot.print as usize & self.mask();
-        while self.slots[at].print != 0 {
+        let mut at = slot.fingerprint as usize & self.mask();
+        while self.slots[at].fingerprint != 0 {
             at = (at + 1) & self.mask();
         }
         self.slots[at] = slot;
     }
 
-    fn find(&self, print: u64, place: Place) -> Option<usize> {
-        let mut at = print as usize & self.mask();
-        while self.slots[at].print != 0 {
-            if self.slots[at].print == print && self.slots[at].place == place {
+    fn find(&self, fingerprint: u64, place: Place) -> Option<usize> {
+        let mut at = fingerprint as usize & self.mask();
+        while self.slots[at].fingerprint != 0 {
+            if self.slots[at].fingerprint == fingerprint && self.slots[at].place == place {
                 return Some(at);
             }
             at = (at + 1) & self.mask();
@@ -148,17 +150,17 @@
         None
     }
 
-    fn remove(&mut self, print: u64, place: Place) -> bool {
-        let Some(mut hole) = self.find(print, place) else { return false };
+    fn remove(&mut self, fingerprint: u64, place: Place) -> bool {
+        let Some(mut hole) = self.find(fingerprint, place) else { return false };
         // Later entries are shifted back, so that no tombstone is needed.
         let mut at = hole;
         loop {
             at = (at + 1) & self.mask();
             let slot = self.slots[at];
-            if slot.print == 0 {
+            if slot.fingerprint == 0 {
                 break;
             }
-            let home = slot.print as usize & self.mask();
+            let home = slot.fingerprint as usize & self.mask();
             let reaches = (at.wrapping_sub(home) & self.mask()) >= (at.wrapping_sub(hole) & self.mask());
             if reaches {
                 self.slots[hole] = slot;
@@ -184,21 +186,21 @@
         let (mut index, mut plain) = (Index::new((1, 2)), std::collections::BTreeSet::new());
         for step in 0..60_000u32 {
             // Few homes, so that runs grow long and wrap.
-            let print = (rng.random_range(0..3u64) << 56) + rng.random_range(1..40u64) * 7;
+            let fingerprint = (rng.random_range(0..3u64) << 56) + rng.random_range(1..40u64) * 7;
             let place = Place { segment: rng.random_range(0..3), offset: rng.random_range(0..4), len: 1 };
             let grows = step / 10_000 % 2 == 0;
             if rng.random_range(0..10) < if grows { 7 } else { 3 } {
-                if plain.insert((print, place)) {
-                    index.add(print, place);
+                if plain.insert((fingerprint, place)) {
+                    index.add(fingerprint, place);
                 }
             } else {
-                assert_eq!(index.remove(print, place), plain.remove(&(print, place)));
+                assert_eq!(index.remove(fingerprint, place), plain.remove(&(fingerprint, place)));
             }
             if step % 97 == 0 {
-                let mut there: Vec<Place> = index.places(print).collect();
+                let mut there: Vec<Place> = index.places(fingerprint).collect();
                 there.sort();
                 let wanted: Vec<Place> =
-                    plain.iter().filter(|(p, _)| *p == print).map(|(_, at)| *at).collect();
+                    plain.iter().filter(|(p, _)| *p == fingerprint).map(|(_, at)| *at).collect();
                 assert_eq!(there, wanted);
                 assert_eq!(index.len(), plain.len());
             }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -8,22 +8,22 @@
 //! success for lost data: the store rejects further writes and continues to serve reads. Start reading at [`Store`].
 
 mod check;
+mod condition;
 mod disk;
 mod format;
 mod index;
-mod keeper;
 mod plan;
 mod sim;
 mod snapshot;
 mod store;
-mod worth;
+mod thread;
 
-pub use check::{Report, Shown, look};
+pub use check::{LoggedOperation, Report, inspect};
+pub use condition::SegmentCondition;
 pub use disk::{Disk, RealDisk};
 pub use format::{MAX_BATCH, MAX_KEY, MAX_TABLE, MAX_VALUE, VERSION};
 pub use index::{Index, Place};
-pub use keeper::{Busy, Outcome, StoreThread};
 pub use plan::{Figures, Group, Plan};
 pub use sim::{Faults, SimDisk};
 pub use store::{Batch, Damage, Found, Mode, Stats, Store, StoreError, Work};
-pub use worth::Worth;
+pub use thread::{Busy, Outcome, StoreThread};
--- a/crates/store/src/plan.rs
+++ b/crates/store/src/plan.rs
@@ -3,17 +3,17 @@
 /// The store's own limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// A segment that has grown beyond this is closed and another begun, in bytes.
+    /// Segment size in bytes at which a new segment is begun.
     pub segment: u64,
-    /// Compaction begins when the log is so many times what is live ...
+    /// Compaction begins when the log exceeds this multiple of the live data
     pub space: f64,
-    /// ... and at least so large, in bytes.
+    /// and is larger than this, in bytes.
     pub least: u64,
-    /// A snapshot is taken when so many bytes were written since the last, and no fewer than are live.
+    /// A snapshot is taken after more than this many bytes, and more than half the live bytes, were written since the last.
     pub snapshot: u64,
-    /// Bytes that were written and not synced are synced in the background beyond this.
+    /// Unsynced bytes above which a sync runs in the background.
     pub unsynced: u64,
-    /// What a new store's index is keyed by; none: drawn from the system. Fixed, a store is the same each time.
+    /// Hash key of a new store's index; `None` draws it from the system. A fixed key makes a store reproducible.
     pub secret: Option<(u64, u64)>,
 }
 
@@ -44,7 +44,7 @@
 }
 
 impl Group {
-    /// What waits beyond this goes with the next one, so that the first of a group is not held up by the last.
+    /// Whether a group is full. Further writes join the next group, which limits the delay of the first write of this one.
     pub fn is_full(&self, writes: usize, bytes: usize) -> bool {
         writes >= self.writes || bytes >= self.bytes
     }
@@ -64,8 +64,8 @@
 }
 
 impl Plan {
-    /// The oldest segment is taken: all of it may be dead, which costs nothing to see, and a deletion in it can
-    /// never be needed again, since nothing older is left that it would hide.
+    /// Whether to compact the oldest segment. It may hold no live data, which is cheap to detect, and its deletions are
+    /// obsolete, because no older record is left that they would hide.
     pub fn compacts(&self, figures: &Figures) -> bool {
         let crowded =
             figures.written as f64 > figures.live as f64 * self.space && figures.written > self.least;
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -1,4 +1,4 @@
-//! A disk that fails as disks do, by seed.
+//! Simulated disk with faults that a seed reproduces.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -8,36 +8,36 @@
 
 use crate::disk::Disk;
 
-/// What goes wrong. Steps are counted over all operations that change something.
+/// Faults to inject. Steps count all modifying operations.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Power goes before this step, or in the middle of a write.
+    /// Power fails before this step or in the middle of its write.
     pub power_at: Option<u64>,
     /// These steps fail; a write that fails leaves part of itself.
     pub fail_at: BTreeSet<u64>,
-    /// Bytes that the disk holds.
+    /// Capacity of the disk in bytes; unlimited if `None`.
     pub room: Option<u64>,
 }
 
 #[derive(Clone, Default)]
 struct File {
     now: Vec<u8>,
-    /// What is there when power comes back, as of the last sync.
+    /// Contents as of the last sync, which survive a power failure.
     lasting: Vec<u8>,
 }
 
-/// Files in memory. After power is lost every operation fails until `restart`.
+/// Files in memory. After a power failure every operation fails until `restart`.
 #[derive(Clone)]
 pub struct SimDisk {
     files: BTreeMap<String, File>,
-    /// Which names last, and what each stood for.
+    /// Synced folder entries and the file that each referred to.
     names: BTreeMap<String, File>,
     pub faults: Faults,
     pub steps: u64,
     rng: Pcg64Mcg,
     out: bool,
     locked: bool,
-    /// Whether a sync of the folder does anything: to show what its absence costs.
+    /// Whether a sync of the folder has an effect; `false` shows the consequences of omitting it.
     pub syncs_names: bool,
 }
 
@@ -59,15 +59,15 @@
         }
     }
 
-    /// The process ends and another one starts; what it wrote is there.
+    /// Simulates a process restart; written data survives.
     pub fn restart(&mut self) {
         (self.out, self.locked) = (false, false);
         self.faults = Faults::default();
         self.steps = 0;
     }
 
-    /// Power is lost and comes back. What was not synced is there or not, by pieces, in no order; names that were
-    /// not synced are as they were or as they became, each by itself.
+    /// Simulates a power failure and a restart. Unsynced data survives in part and in no order; each unsynced folder
+    /// entry independently has its old or new state.
     pub fn lose_power(&mut self) {
         let rng = &mut self.rng;
         let mut after = BTreeMap::new();
@@ -90,7 +90,7 @@
         self.restart();
     }
 
-    /// Pieces of what was written since the last sync, some there, some not.
+    /// Contents after a power failure, with part of the data written since the last sync.
     fn torn(file: &File, rng: &mut Pcg64Mcg) -> Vec<u8> {
         let common = file.now.iter().zip(&file.lasting).take_while(|(a, b)| a == b).count();
         if common == file.now.len() && common == file.lasting.len() {
@@ -100,12 +100,12 @@
             0 => file.lasting.clone(),
             1 => file.now.clone(),
             2 => {
-                // Cut at any byte.
+                // Truncated at any byte.
                 let end = rng.random_range(common..=file.now.len());
                 file.now[..end].to_vec()
             }
             _ => {
-                // Its length is there and some pages of it are not.
+                // The length survived and some pages did not.
                 let mut contents = file.now.clone();
                 let page = rng.random_range(1..64usize);
                 let mut at = common;
@@ -121,7 +121,7 @@
         }
     }
 
-    /// A step that changes something.
+    /// Counts a modifying operation; returns whether it is to fail.
     fn step(&mut self) -> io::Result<bool> {
         if self.out {
             return Err(broken("power is out"));
@@ -138,7 +138,7 @@
         self.out
     }
 
-    /// The bytes of a file, to be looked at or spoilt.
+    /// Current contents of a file.
     pub fn contents(&self, name: &str) -> Option<&[u8]> {
         self.files.get(name).map(|file| file.now.as_slice())
     }
@@ -239,7 +239,7 @@
         let file = self.file(name)?;
         file.lasting = file.now.clone();
         let file = file.clone();
-        // A name that lasts stands for this file's contents.
+        // A synced folder entry refers to this file's new contents.
         if let Some(known) = self.names.get_mut(name) {
             *known = file;
         }
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -18,7 +18,7 @@
     /// Segment from which the log is to be replayed.
     pub segment: u64,
     pub offset: u64,
-    pub floor: u64,
+    pub min_segment: u64,
     pub time: Duration,
     pub segments: BTreeMap<u64, Segment>,
     pub index: Index,
@@ -38,11 +38,11 @@
 
 /// Encodes the head of a snapshot file.
 pub fn head(
-    at: (u64, u64), floor: u64, time: Duration, segments: &BTreeMap<u64, Segment>, index: &Index,
+    at: (u64, u64), min_segment: u64, time: Duration, segments: &BTreeMap<u64, Segment>, index: &Index,
 ) -> Vec<u8> {
     let mut out = MAGIC.to_vec();
     out.extend(VERSION.to_le_bytes());
-    for number in [at.0, at.1, floor, time.as_micros() as u64, index.secret.0, index.secret.1] {
+    for number in [at.0, at.1, min_segment, time.as_micros() as u64, index.secret.0, index.secret.1] {
         put(&mut out, number);
     }
     put(&mut out, segments.len() as u64);
@@ -58,8 +58,8 @@
 pub fn part(index: &Index, shard: usize) -> Vec<u8> {
     let mut out = Vec::new();
     put(&mut out, index.shard(shard).count() as u64);
-    for (print, place) in index.shard(shard) {
-        put(&mut out, print);
+    for (fingerprint, place) in index.shard(shard) {
+        put(&mut out, fingerprint);
         put(&mut out, place.segment);
         put(&mut out, u64::from(place.offset) | u64::from(place.len) << 32);
     }
@@ -75,7 +75,7 @@
     }
     let mut rest = body[6..].chunks_exact(8).map(|n| u64::from_le_bytes(n.try_into().expect("eight bytes")));
     let mut next = || rest.next();
-    let (segment, offset, floor, time) = (next()?, next()?, next()?, Duration::from_micros(next()?));
+    let (segment, offset, min_segment, time) = (next()?, next()?, next()?, Duration::from_micros(next()?));
     let mut index = Index::new((next()?, next()?));
     let mut segments = BTreeMap::new();
     for _ in 0..next()? {
@@ -89,9 +89,9 @@
         }
         index.reserve(shard, count as usize);
         for _ in 0..count {
-            let (print, segment, rest) = (next()?, next()?, next()?);
-            index.add(print, Place { segment, offset: rest as u32, len: (rest >> 32) as u32 });
+            let (fingerprint, segment, rest) = (next()?, next()?, next()?);
+            index.add(fingerprint, Place { segment, offset: rest as u32, len: (rest >> 32) as u32 });
         }
     }
-    Some(Snapshot { segment, offset, floor, time, segments, index })
+    Some(Snapshot { segment, offset, min_segment, time, segments, index })
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -6,12 +6,12 @@
 
 use thiserror::Error;
 
+use crate::condition::{self, SegmentCondition};
 use crate::disk::Disk;
 use crate::format::{self, HEAD, MAX_BATCH, MAX_KEY, MAX_TABLE, MAX_VALUE, OPS_AT, Op};
 use crate::index::{Index, Place, SHARDS};
 use crate::plan::{Figures, Plan};
 use crate::snapshot::{self, Snapshot};
-use crate::worth::{self, Worth};
 
 /// What an acknowledged write survives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -61,13 +61,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
     ops: Vec<u8>,
-    wrong: Option<&'static str>,
+    error: Option<&'static str>,
 }
 
 impl Batch {
     pub fn put(&mut self, table: &str, key: &[u8], expires: Option<Duration>, value: &[u8]) -> &mut Self {
         self.check(table, key, value.len());
-        if self.wrong.is_none() {
+        if self.error.is_none() {
             format::put(&mut self.ops, table, key, expires, value);
         }
         self
@@ -75,7 +75,7 @@
 
     pub fn delete(&mut self, table: &str, key: &[u8]) -> &mut Self {
         self.check(table, key, 0);
-        if self.wrong.is_none() {
+        if self.error.is_none() {
             format::delete(&mut self.ops, table, key);
         }
         self
@@ -83,13 +83,13 @@
 
     fn check(&mut self, table: &str, key: &[u8], value: usize) {
         if table.is_empty() || table.len() > MAX_TABLE {
-            self.wrong = Some("a table's name has 1 to 32 bytes");
+            self.error = Some("a table's name has 1 to 32 bytes");
         } else if key.len() > MAX_KEY {
-            self.wrong = Some("a key has 1024 bytes at most");
+            self.error = Some("a key has 1024 bytes at most");
         } else if value > MAX_VALUE {
-            self.wrong = Some("a value has a MiB at most");
+            self.error = Some("a value has a MiB at most");
         } else if self.ops.len() + table.len() + key.len() + value + 64 > MAX_BATCH {
-            self.wrong = Some("a batch has 4 MiB at most");
+            self.error = Some("a batch has 4 MiB at most");
         }
     }
 
@@ -103,9 +103,9 @@
 
     /// Appends another batch; the result is applied atomically.
     pub fn join(&mut self, other: &Self) {
-        self.wrong = self.wrong.or(other.wrong);
+        self.error = self.error.or(other.error);
         if self.ops.len() + other.ops.len() > MAX_BATCH {
-            self.wrong = self.wrong.or(Some("a batch has 4 MiB at most"));
+            self.error = self.error.or(Some("a batch has 4 MiB at most"));
         } else {
             self.ops.extend_from_slice(&other.ops);
         }
@@ -168,7 +168,7 @@
     shard: usize,
     sum: u32,
     /// Segment and offset up to which the log must be synced before the snapshot is valid.
-    needs: (u64, u64),
+    required_sync: (u64, u64),
 }
 
 pub struct Store<D> {
@@ -177,17 +177,17 @@
     index: Index,
     segments: BTreeMap<u64, Segment>,
     /// Number of the segment that is written to.
-    last: u64,
+    active_segment: u64,
     /// Bytes of the active segment that are synced.
-    lasts: u64,
-    floor: u64,
+    synced_len: u64,
+    min_segment: u64,
     /// The latest time supplied; a clock that goes backwards does not revive expired records.
     time: Duration,
     closed: Option<String>,
     since_snapshot: u64,
     next_snapshot: u64,
-    moving: Option<Compaction>,
-    writing: Option<SnapshotInProgress>,
+    compaction: Option<Compaction>,
+    snapshot_in_progress: Option<SnapshotInProgress>,
     replayed: u64,
 }
 
@@ -209,15 +209,15 @@
             plan,
             index,
             segments: BTreeMap::new(),
-            last: 0,
-            lasts: 0,
-            floor: 0,
+            active_segment: 0,
+            synced_len: 0,
+            min_segment: 0,
             time: Duration::ZERO,
             closed: None,
             since_snapshot: 0,
             next_snapshot: 0,
-            moving: None,
-            writing: None,
+            compaction: None,
+            snapshot_in_progress: None,
             replayed: 0,
         };
         store.recover(&names)?;
@@ -225,8 +225,8 @@
     }
 
     fn recover(&mut self, names: &[String]) -> Result<()> {
-        let mut there: Vec<u64> = names.iter().filter_map(|name| format::segment_number(name)).collect();
-        there.sort_unstable();
+        let mut existing: Vec<u64> = names.iter().filter_map(|name| format::segment_number(name)).collect();
+        existing.sort_unstable();
         let mut from = (0, 0);
         let mut snapshots: Vec<u64> = names.iter().filter_map(|name| snapshot::number(name)).collect();
         snapshots.sort_unstable();
@@ -234,89 +234,95 @@
         for number in snapshots.iter().rev() {
             let bytes = self.read_all(&snapshot::name(*number))?;
             if let Some(found) = snapshot::read(&bytes) {
-                let Snapshot { segment, offset, floor, time, segments, index } = found;
-                (self.floor, self.time, self.index) = (floor, time, index);
+                let Snapshot { segment, offset, min_segment, time, segments, index } = found;
+                (self.min_segment, self.time, self.index) = (min_segment, time, index);
                 self.segments = segments;
-                self.segments.retain(|number, _| there.contains(number));
+                self.segments.retain(|number, _| existing.contains(number));
                 from = (segment, offset);
                 break;
             }
         }
         // The newest segment may have been created and never used.
-        while let Some(last) = there.last().copied() {
-            let (worth, frames, _) = self.look(last, if last == from.0 { from.1 } else { 0 })?;
-            let empty = worth == Worth::Unborn || frames == 0 && worth == Worth::Whole;
+        while let Some(last) = existing.last().copied() {
+            let (condition, frames, _) =
+                self.inspect_segment(last, if last == from.0 { from.1 } else { 0 })?;
+            let empty = condition == SegmentCondition::Uninitialized
+                || frames == 0 && condition == SegmentCondition::Intact;
             // A segment that its predecessor names or a snapshot refers to is durable, used or not.
-            let before = there.len() > 1 && (!there.contains(&(last - 1)) || self.look(last - 1, 0)?.2);
+            let before = existing.len() > 1
+                && (!existing.contains(&(last - 1)) || self.inspect_segment(last - 1, 0)?.2);
             let named = before || last == from.0 && from.1 > 0;
-            if !empty || named || there.len() == 1 && worth != Worth::Unborn {
+            if !empty || named || existing.len() == 1 && condition != SegmentCondition::Uninitialized {
                 break;
             }
             let name = format::segment_name(last);
             at("remove", &name, self.disk.remove(&name))?;
             at("sync", "the folder", self.disk.sync_names())?;
-            there.pop();
+            existing.pop();
         }
-        if !snapshots.is_empty() && there.last().is_none_or(|last| *last < from.0) {
+        if !snapshots.is_empty() && existing.last().is_none_or(|last| *last < from.0) {
             return Err(missing(from.0));
         }
         // Later shards of a snapshot refer to records replayed only now; their segments must be known, so that those
         // records can be replaced.
-        for number in &there {
+        for number in &existing {
             self.segments.entry(*number).or_default();
         }
-        for number in there.iter().copied().filter(|number| *number >= from.0) {
+        for number in existing.iter().copied().filter(|number| *number >= from.0) {
             let start = if number == from.0 { from.1 } else { 0 };
-            self.replay(number, start, Some(number) == there.last().copied())?;
+            self.replay(number, start, Some(number) == existing.last().copied())?;
         }
-        self.remove_obsolete_segments(&there)?;
+        self.remove_obsolete_segments(&existing)?;
         self.count_live();
-        self.last = there.last().copied().unwrap_or_default();
-        if there.is_empty() {
-            self.begin_segment(self.floor)?;
+        self.active_segment = existing.last().copied().unwrap_or_default();
+        if existing.is_empty() {
+            self.begin_segment(self.min_segment)?;
         } else {
             // Data that was read will be served, so it must be synced before new writes. The previous process may have
             // been killed between writing the last frame of the preceding segment and syncing it.
-            for number in there.iter().rev().take(2).filter(|number| **number >= self.floor) {
+            for number in existing.iter().rev().take(2).filter(|number| **number >= self.min_segment) {
                 let name = format::segment_name(*number);
                 at("sync", &name, self.disk.sync(&name))?;
             }
             at("sync", "the folder", self.disk.sync_names())?;
-            self.lasts = self.segments.get(&self.last).map_or(0, |segment| segment.len);
+            self.synced_len = self.segments.get(&self.active_segment).map_or(0, |segment| segment.len);
         }
         Ok(())
     }
 
     /// Returns the condition of a segment as the last one, its number of frames, and whether it names its successor.
-    fn look(&mut self, number: u64, from: u64) -> Result<(Worth, usize, bool)> {
+    fn inspect_segment(&mut self, number: u64, from: u64) -> Result<(SegmentCondition, usize, bool)> {
         let name = format::segment_name(number);
         if at("list", "its files", self.disk.names())?.iter().all(|known| *known != name) {
             return Err(missing(number));
         }
         let bytes = self.read_all(&name)?;
-        let (mut frames, mut goes_on) = (0, false);
-        let worth = worth::judge(&bytes, number, from, true, |_, frame| {
+        let (mut frames, mut names_successor) = (0, false);
+        let condition = condition::assess(&bytes, number, from, true, |_, frame| {
             frames += 1;
-            goes_on = worth::names_next_segment(&frame, number);
+            names_successor = condition::names_next_segment(&frame, number);
         });
-        Ok((worth, frames, goes_on))
+        Ok((condition, frames, names_successor))
     }
 
     /// Removes segments below the minimum; returns an error if a required segment is missing.
-    fn remove_obsolete_segments(&mut self, there: &[u64]) -> Result<()> {
-        let floor = self.floor;
-        for number in there.iter().copied().filter(|number| *number < floor) {
+    fn remove_obsolete_segments(&mut self, existing: &[u64]) -> Result<()> {
+        let min_segment = self.min_segment;
+        for number in existing.iter().copied().filter(|number| *number < min_segment) {
             let name = format::segment_name(number);
             at("remove", &name, self.disk.remove(&name))?;
         }
-        let dead: Vec<(u64, Place)> = self.index.all().filter(|(_, place)| place.segment < floor).collect();
-        for (print, place) in dead {
-            self.index.remove(print, place);
+        let dead: Vec<(u64, Place)> =
+            self.index.all().filter(|(_, place)| place.segment < min_segment).collect();
+        for (fingerprint, place) in dead {
+            self.index.remove(fingerprint, place);
         }
-        self.segments.retain(|number, _| *number >= floor);
-        let last = there.last().copied().unwrap_or(floor);
-        let absent = (floor..=last).find(|number| !there.contains(number));
-        absent.filter(|_| !there.is_empty() || floor > 0).map_or(Ok(()), |number| Err(missing(number)))
+        self.segments.retain(|number, _| *number >= min_segment);
+        let last = existing.last().copied().unwrap_or(min_segment);
+        let absent = (min_segment..=last).find(|number| !existing.contains(number));
+        absent
+            .filter(|_| !existing.is_empty() || min_segment > 0)
+            .map_or(Ok(()), |number| Err(missing(number)))
     }
 
     /// Recounts live bytes from the whole index, because the shards of a snapshot date from different times.
@@ -348,25 +354,29 @@
         let segment = self.segments.entry(number).or_default();
         segment.len = segment.len.max(HEAD);
         let mut frames = Vec::new();
-        let worth = worth::judge(&bytes, number, from, is_last, |at, frame| frames.push((at, frame)));
+        let condition =
+            condition::assess(&bytes, number, from, is_last, |at, frame| frames.push((at, frame)));
         let damaged = |offset: u64, what: &str| {
             Err(StoreError::Damaged(Damage { file: name.clone(), offset, what: what.into() }))
         };
-        match worth {
-            Worth::Whole => {}
-            Worth::Torn { at: end } => {
+        match condition {
+            SegmentCondition::Intact => {}
+            SegmentCondition::Torn { at: end } => {
                 at("cut", &name, self.disk.truncate(&name, end))?;
                 at("sync", &name, self.disk.sync(&name))?;
             }
-            Worth::Rotten { at } => return damaged(at, "what was written there cannot be read"),
-            Worth::Newer { version } => return Err(StoreError::Newer { file: name, found: version }),
-            Worth::Unborn => return damaged(0, "its head cannot be read"),
+            SegmentCondition::Corrupt { at } => return damaged(at, "what was written there cannot be read"),
+            SegmentCondition::Newer { version } => {
+                return Err(StoreError::Newer { file: name, found: version });
+            }
+            SegmentCondition::Uninitialized => return damaged(0, "its head cannot be read"),
         }
-        let goes_on = frames.last().is_some_and(|(_, frame)| worth::names_next_segment(frame, number));
-        if !goes_on && !is_last {
+        let names_successor =
+            frames.last().is_some_and(|(_, frame)| condition::names_next_segment(frame, number));
+        if !names_successor && !is_last {
             return damaged(bytes.len() as u64, "it ends without naming the next segment");
         }
-        if goes_on && is_last {
+        if names_successor && is_last {
             return Err(missing(number + 1));
         }
         for (at, frame) in frames {
@@ -389,15 +399,15 @@
         match op {
             Op::Put { table, key, expires, .. } => {
                 self.remove_from_index(table, key)?;
-                let print = self.index.print(table, key);
-                self.index.add(print, place);
+                let fingerprint = self.index.fingerprint(table, key);
+                self.index.add(fingerprint, place);
                 let segment = self.segments.entry(place.segment).or_default();
                 segment.live += u64::from(place.len);
                 let until = expires.map_or(u64::MAX, |t| t.as_micros() as u64);
                 segment.until = segment.until.max(until);
             }
             Op::Delete { table, key } => self.remove_from_index(table, key)?,
-            Op::Floor { segment } => self.floor = self.floor.max(*segment),
+            Op::MinSegment { segment } => self.min_segment = self.min_segment.max(*segment),
             Op::Next { .. } => {}
         }
         Ok(())
@@ -405,9 +415,9 @@
 
     /// Removes the record of a key from the index.
     fn remove_from_index(&mut self, table: &str, key: &[u8]) -> Result<()> {
-        let print = self.index.print(table, key);
-        if let Some(place) = self.find(print, table, key)? {
-            self.index.remove(print, place);
+        let fingerprint = self.index.fingerprint(table, key);
+        if let Some(place) = self.find(fingerprint, table, key)? {
+            self.index.remove(fingerprint, place);
             if let Some(segment) = self.segments.get_mut(&place.segment) {
                 segment.live = segment.live.saturating_sub(u64::from(place.len));
             }
@@ -416,8 +426,8 @@
     }
 
     /// Finds the location of the record of a key.
-    fn find(&mut self, print: u64, table: &str, key: &[u8]) -> Result<Option<Place>> {
-        let places: Vec<Place> = self.index.places(print).collect();
+    fn find(&mut self, fingerprint: u64, table: &str, key: &[u8]) -> Result<Option<Place>> {
+        let places: Vec<Place> = self.index.places(fingerprint).collect();
         for place in places {
             // A snapshot may refer to a segment removed since; recovery drops such entries later.
             if !self.segments.contains_key(&place.segment) {
@@ -457,8 +467,8 @@
     /// The newest record of a key, unless it was deleted or has expired.
     pub fn get(&mut self, now: Duration, table: &str, key: &[u8]) -> Result<Option<Found>> {
         self.time = self.time.max(now);
-        let print = self.index.print(table, key);
-        let Some(place) = self.find(print, table, key)? else { return Ok(None) };
+        let fingerprint = self.index.fingerprint(table, key);
+        let Some(place) = self.find(fingerprint, table, key)? else { return Ok(None) };
         let bytes = self.read_op(place)?;
         match format::op(&bytes) {
             Some((Op::Put { expires, value, .. }, _)) => {
@@ -490,7 +500,7 @@
             records: self.index.len(),
             figures: self.figures(),
             index_bytes: self.index.size(),
-            next_segment: self.last + 1,
+            next_segment: self.active_segment + 1,
             replayed: self.replayed,
         }
     }
@@ -521,8 +531,8 @@
     /// Writes a batch: it survives the process from now on, and power after the next `sync` that succeeds.
     pub fn write(&mut self, now: Duration, batch: &Batch) -> Result<()> {
         self.time = self.time.max(now);
-        if let Some(wrong) = batch.wrong {
-            return Err(StoreError::TooLarge(wrong));
+        if let Some(error) = batch.error {
+            return Err(StoreError::TooLarge(error));
         }
         if batch.is_empty() {
             return Ok(());
@@ -533,27 +543,27 @@
     /// Writes several batches at once, each atomic by itself; on an error none of them is applied.
     pub fn write_all(&mut self, now: Duration, batches: &[&Batch]) -> Result<()> {
         self.time = self.time.max(now);
-        if let Some(wrong) = batches.iter().find_map(|batch| batch.wrong) {
-            return Err(StoreError::TooLarge(wrong));
+        if let Some(error) = batches.iter().find_map(|batch| batch.error) {
+            return Err(StoreError::TooLarge(error));
         }
         let all: Vec<&[u8]> = batches.iter().filter(|b| !b.is_empty()).map(|b| b.ops.as_slice()).collect();
         if all.is_empty() { Ok(()) } else { self.append(&all) }
     }
 
     fn append(&mut self, all: &[&[u8]]) -> Result<()> {
-        self.is_open()?;
-        if self.plan.rotates(self.segments[&self.last].len) {
+        self.check_writable()?;
+        if self.plan.rotates(self.segments[&self.active_segment].len) {
             self.rotate()?;
         }
-        let begin = self.segments[&self.last].len;
+        let begin = self.segments[&self.active_segment].len;
         let mut bytes = Vec::new();
         let mut frames = Vec::with_capacity(all.len());
         for ops in all {
             let at = begin + bytes.len() as u64;
             frames.push((at, *ops));
-            bytes.extend(format::frame(self.last, at, self.lasts, self.time, ops));
+            bytes.extend(format::frame(self.active_segment, at, self.synced_len, self.time, ops));
         }
-        let name = format::segment_name(self.last);
+        let name = format::segment_name(self.active_segment);
         if let Err(error) = self.disk.append(&name, &bytes) {
             // A partial write must not precede the next frame.
             if let Err(worse) = self.disk.truncate(&name, begin) {
@@ -561,40 +571,40 @@
             }
             return Err(StoreError::Disk { what: format!("cannot write to {name}"), error });
         }
-        let segment = self.segments.get_mut(&self.last).expect("it is written to");
+        let segment = self.segments.get_mut(&self.active_segment).expect("it is written to");
         segment.len += bytes.len() as u64;
         self.since_snapshot += bytes.len() as u64;
         for (at, ops) in frames {
             for (offset, len, op) in format::ops(ops).expect("made here") {
                 let offset = (at + OPS_AT + offset) as u32;
                 // Replaced records are read to verify their keys; an unreadable one is detected here.
-                self.apply(&op, Place { segment: self.last, offset, len: len as u32 })?;
+                self.apply(&op, Place { segment: self.active_segment, offset, len: len as u32 })?;
             }
         }
         Ok(())
     }
 
-    fn is_open(&self) -> Result<()> {
+    fn check_writable(&self) -> Result<()> {
         self.closed.as_ref().map_or(Ok(()), |why| Err(StoreError::Closed(why.clone())))
     }
 
     /// Syncs everything written. After a failure it is unknown what is durable, and a second sync could report success
     /// wrongly, so the store rejects further writes.
     pub fn sync(&mut self) -> Result<()> {
-        self.is_open()?;
-        let name = format::segment_name(self.last);
+        self.check_writable()?;
+        let name = format::segment_name(self.active_segment);
         if let Err(error) = self.disk.sync(&name) {
             self.closed = Some(format!("{name} could not be synced: {error}"));
             return Err(StoreError::Disk { what: format!("cannot sync {name}"), error });
         }
-        self.lasts = self.segments[&self.last].len;
+        self.synced_len = self.segments[&self.active_segment].len;
         Ok(())
     }
 
     fn rotate(&mut self) -> Result<()> {
         // Every segment before the last is fully synced; that distinguishes corruption in it from a torn end.
         self.sync()?;
-        self.begin_segment(self.last + 1)
+        self.begin_segment(self.active_segment + 1)
     }
 
     fn begin_segment(&mut self, number: u64) -> Result<()> {
@@ -610,27 +620,27 @@
             }
             return Err(StoreError::Disk { what: format!("cannot begin {name}"), error });
         }
-        let lasts = self.disk.sync(&name).and_then(|()| self.disk.sync_names());
-        if let Err(error) = lasts {
+        let synced = self.disk.sync(&name).and_then(|()| self.disk.sync_names());
+        if let Err(error) = synced {
             self.closed = Some(format!("{name} could not be synced: {error}"));
             return Err(StoreError::Disk { what: format!("cannot sync {name}"), error });
         }
-        if self.segments.contains_key(&self.last) {
+        if self.segments.contains_key(&self.active_segment) {
             self.name_next(number)?;
         }
         self.segments.insert(number, Segment { len: HEAD, ..Segment::default() });
-        (self.last, self.lasts) = (number, HEAD);
+        (self.active_segment, self.synced_len) = (number, HEAD);
         Ok(())
     }
 
     /// Writes the last frame of the active segment, which names the next one. The next segment is synced by then and
     /// not yet in use.
     fn name_next(&mut self, number: u64) -> Result<()> {
-        let begin = self.segments[&self.last].len;
+        let begin = self.segments[&self.active_segment].len;
         let mut ops = Vec::new();
         format::next(&mut ops, number);
-        let frame = format::frame(self.last, begin, self.lasts, self.time, &ops);
-        let name = format::segment_name(self.last);
+        let frame = format::frame(self.active_segment, begin, self.synced_len, self.time, &ops);
+        let name = format::segment_name(self.active_segment);
         if let Err(error) = self.disk.append(&name, &frame) {
             // For example with the disk full: removes the next segment and continues with this one.
             let new = format::segment_name(number);
@@ -644,7 +654,7 @@
             self.closed = Some(format!("{name} could not be ended: {error}"));
             return Err(StoreError::Disk { what: format!("cannot end {name}"), error });
         }
-        let segment = self.segments.get_mut(&self.last).expect("it was looked up");
+        let segment = self.segments.get_mut(&self.active_segment).expect("it was looked up");
         segment.len += frame.len() as u64;
         Ok(())
     }
@@ -663,9 +673,9 @@
     pub fn has_pending(&self, work: Work) -> bool {
         let figures = self.figures();
         let wanted = match work {
-            Work::Compact => self.moving.is_some() || self.plan.compacts(&figures),
-            Work::Snapshot => self.writing.is_some() || self.plan.takes_snapshot(&figures),
-            Work::Flush => self.plan.flushes(self.segments[&self.last].len - self.lasts),
+            Work::Compact => self.compaction.is_some() || self.plan.compacts(&figures),
+            Work::Snapshot => self.snapshot_in_progress.is_some() || self.plan.takes_snapshot(&figures),
+            Work::Flush => self.plan.flushes(self.segments[&self.active_segment].len - self.synced_len),
         };
         wanted && self.closed.is_none()
     }
@@ -677,23 +687,23 @@
     /// Performs about `budget` bytes of one kind of work and returns the bytes processed.
     pub fn work_on(&mut self, now: Duration, work: Work, budget: usize) -> Result<usize> {
         self.time = self.time.max(now);
-        self.is_open()?;
+        self.check_writable()?;
         if !self.has_pending(work) {
             return Ok(0);
         }
         match work {
-            Work::Snapshot if self.writing.is_some() => self.continue_snapshot(budget),
+            Work::Snapshot if self.snapshot_in_progress.is_some() => self.continue_snapshot(budget),
             Work::Snapshot => self.begin_snapshot(),
             Work::Flush => {
-                let bytes = self.segments[&self.last].len - self.lasts;
+                let bytes = self.segments[&self.active_segment].len - self.synced_len;
                 self.sync().map(|()| bytes as usize)
             }
             Work::Compact => {
-                if self.moving.is_none() {
+                if self.compaction.is_none() {
                     let (number, _) = self.segments.first_key_value().expect("it counts them");
                     let segment = *number;
                     let bytes = self.read_all(&format::segment_name(segment))?;
-                    self.moving = Some(Compaction { segment, bytes, at: HEAD });
+                    self.compaction = Some(Compaction { segment, bytes, at: HEAD });
                 }
                 self.continue_compaction(budget)
             }
@@ -711,19 +721,19 @@
     /// Compacts all full segments and writes a snapshot, whatever the plan says.
     pub fn compact(&mut self, now: Duration) -> Result<()> {
         self.time = self.time.max(now);
-        if self.segments[&self.last].len > HEAD {
+        if self.segments[&self.active_segment].len > HEAD {
             self.rotate()?;
         }
-        let end = self.last;
+        let end = self.active_segment;
         while self.segments.first_key_value().is_some_and(|(number, _)| *number < end) {
             let (number, _) = self.segments.first_key_value().expect("it is there");
             let segment = *number;
             let bytes = self.read_all(&format::segment_name(segment))?;
-            self.moving = Some(Compaction { segment, bytes, at: HEAD });
+            self.compaction = Some(Compaction { segment, bytes, at: HEAD });
             self.continue_compaction(usize::MAX)?;
         }
         self.begin_snapshot()?;
-        while self.writing.is_some() {
+        while self.snapshot_in_progress.is_some() {
             self.continue_snapshot(1 << 20)?;
         }
         Ok(())
@@ -731,67 +741,69 @@
 
     /// Copies live records to the end of the log frame by frame, then removes the segment.
     fn continue_compaction(&mut self, budget: usize) -> Result<usize> {
-        let Some(mut moving) = self.moving.take() else { return Ok(0) };
+        let Some(mut compaction) = self.compaction.take() else { return Ok(0) };
         let mut batch = Vec::new();
         let mut done = 0;
-        while (moving.at as usize) < moving.bytes.len() && done < budget {
-            let Some(frame) =
-                format::read_frame(&moving.bytes[moving.at as usize..], moving.segment, moving.at)
-            else {
+        while (compaction.at as usize) < compaction.bytes.len() && done < budget {
+            let Some(frame) = format::read_frame(
+                &compaction.bytes[compaction.at as usize..],
+                compaction.segment,
+                compaction.at,
+            ) else {
                 return Err(StoreError::Damaged(Damage {
-                    file: format::segment_name(moving.segment),
-                    offset: moving.at,
+                    file: format::segment_name(compaction.segment),
+                    offset: compaction.at,
                     what: "what was written there cannot be read".into(),
                 }));
             };
             for (offset, len, op) in format::ops(frame.ops).unwrap_or_default() {
-                let offset = (moving.at + OPS_AT + offset) as u32;
-                let place = Place { segment: moving.segment, offset, len: len as u32 };
+                let offset = (compaction.at + OPS_AT + offset) as u32;
+                let place = Place { segment: compaction.segment, offset, len: len as u32 };
                 if let Op::Put { table, key, expires, value } = op {
-                    let print = self.index.print(table, key);
-                    let is_newest = self.index.places(print).any(|known| known == place);
+                    let fingerprint = self.index.fingerprint(table, key);
+                    let is_newest = self.index.places(fingerprint).any(|known| known == place);
                     if is_newest && expires.is_none_or(|expires| expires > self.time) {
                         if batch.len() + len as usize > MAX_BATCH {
                             self.append(&[&std::mem::take(&mut batch)])?;
                         }
                         format::put(&mut batch, table, key, expires, value);
                     } else if is_newest {
-                        self.index.remove(print, place);
-                        if let Some(segment) = self.segments.get_mut(&moving.segment) {
+                        self.index.remove(fingerprint, place);
+                        if let Some(segment) = self.segments.get_mut(&compaction.segment) {
                             segment.live = segment.live.saturating_sub(len);
                         }
                     }
                 }
             }
             done += frame.len as usize;
-            moving.at += frame.len;
+            compaction.at += frame.len;
         }
         if !batch.is_empty() {
             self.append(&[&batch])?;
         }
-        if (moving.at as usize) < moving.bytes.len() {
-            self.moving = Some(moving);
+        if (compaction.at as usize) < compaction.bytes.len() {
+            self.compaction = Some(compaction);
             return Ok(done);
         }
-        let mut floor = Vec::new();
-        format::floor(&mut floor, moving.segment + 1);
-        self.append(&[&floor])?;
+        let mut min_segment = Vec::new();
+        format::min_segment(&mut min_segment, compaction.segment + 1);
+        self.append(&[&min_segment])?;
         // The copies and the new minimum are synced before the original is removed.
         self.sync()?;
-        self.segments.remove(&moving.segment);
-        let name = format::segment_name(moving.segment);
+        self.segments.remove(&compaction.segment);
+        let name = format::segment_name(compaction.segment);
         at("remove", &name, self.disk.remove(&name))?;
         Ok(done.max(1))
     }
 
     fn begin_snapshot(&mut self) -> Result<usize> {
-        let here = (self.last, self.segments[&self.last].len);
-        let bytes = snapshot::head(here, self.floor, self.time, &self.segments, &self.index);
+        let here = (self.active_segment, self.segments[&self.active_segment].len);
+        let bytes = snapshot::head(here, self.min_segment, self.time, &self.segments, &self.index);
         let name = format!("{}.new", snapshot::name(self.next_snapshot));
         let _ = self.disk.remove(&name); // Left over from a failed attempt.
         at("create", &name, self.disk.create(&name))?;
         self.since_snapshot = 0;
-        let writing = SnapshotInProgress { name, shard: 0, sum: 0, needs: here };
+        let writing = SnapshotInProgress { name, shard: 0, sum: 0, required_sync: here };
         self.add_to_snapshot(writing, &bytes).map(|()| bytes.len())
     }
 
@@ -804,13 +816,13 @@
             return Err(StoreError::Disk { what: format!("cannot write {}", writing.name), error });
         }
         writing.sum = crc32c::crc32c_append(writing.sum, bytes);
-        writing.needs = (self.last, self.segments[&self.last].len);
-        self.writing = Some(writing);
+        writing.required_sync = (self.active_segment, self.segments[&self.active_segment].len);
+        self.snapshot_in_progress = Some(writing);
         Ok(())
     }
 
     fn continue_snapshot(&mut self, budget: usize) -> Result<usize> {
-        let Some(mut writing) = self.writing.take() else { return Ok(0) };
+        let Some(mut writing) = self.snapshot_in_progress.take() else { return Ok(0) };
         let mut bytes = Vec::new();
         while writing.shard < SHARDS && bytes.len() < budget.max(1) {
             bytes.extend(snapshot::part(&self.index, writing.shard));
@@ -821,7 +833,7 @@
             return self.add_to_snapshot(writing, &bytes).map(|()| done);
         }
         // Shards were captured during writes; a snapshot must not refer to log data that may still be lost.
-        if writing.needs.0 == self.last && writing.needs.1 > self.lasts {
+        if writing.required_sync.0 == self.active_segment && writing.required_sync.1 > self.synced_len {
             self.sync()?;
         }
         self.finish_snapshot(&writing).map(|()| 1)
@@ -831,9 +843,9 @@
         let number = self.next_snapshot;
         let name = snapshot::name(number);
         let ended = self.disk.append(&writing.name, &writing.sum.to_le_bytes());
-        let lasts = ended.and_then(|()| self.disk.sync(&writing.name));
-        let lasts = lasts.and_then(|()| self.disk.rename(&writing.name, &name));
-        at("finish", &name, lasts.and_then(|()| self.disk.sync_names()))?;
+        let synced = ended.and_then(|()| self.disk.sync(&writing.name));
+        let synced = synced.and_then(|()| self.disk.rename(&writing.name, &name));
+        at("finish", &name, synced.and_then(|()| self.disk.sync_names()))?;
         self.next_snapshot += 1;
         for former in at("list", "its files", self.disk.names())? {
             if snapshot::number(&former).is_some_and(|former| former < number) {
--- a/crates/store/tests/crashes.rs
+++ b/crates/store/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Crashes at every byte and every step, rot at every bit, and faults by seed, against a plain map.
+//! Crashes at every byte and step, corruption of every bit and seeded faults, compared with a map as the model.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,7 +16,7 @@
 
 type Model = BTreeMap<Vec<u8>, Vec<u8>>;
 
-/// What a store holds, table by table.
+/// Contents of a store, table by table.
 fn contents(store: &mut Store<SimDisk>) -> Model {
     let mut all = Model::new();
     let each = |table: &str, key: &[u8], found: Found| {
@@ -76,8 +76,8 @@
     }
 }
 
-/// Runs a workload until it ends or the disk does. Gives the models after each change that was begun, and how many of
-/// them were acknowledged as written, and as synced.
+/// Runs a workload until it ends or the disk fails. Appends the model after each change begun to `models` and returns
+/// how many changes were acknowledged as written and as synced.
 fn run(store: &mut Store<SimDisk>, changes: &[Change], models: &mut Vec<Model>) -> (usize, usize) {
     let (mut written, mut synced) = (models.len() - 1, models.len() - 1);
     for change in changes {
@@ -105,7 +105,7 @@
     (written, synced)
 }
 
-/// Opens what a crash left: it must hold one of the models, no older than what was promised.
+/// Reopens a store after a crash: its contents must equal one of the models, none older than the acknowledged one.
 fn check(disk: SimDisk, models: &[Model], promised: usize, what: &str) -> SimDisk {
     let mut store = Store::open(disk, plan()).unwrap_or_else(|error| panic!("{what}: {error}"));
     let found = contents(&mut store);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn the_newest_is_read_and_survives_reopening() {
+fn the_newest_record_is_read_and_survives_reopening() {
     let mut store = Store::open(SimDisk::new(1), plan()).unwrap();
     let mut models = vec![Model::new()];
     run(&mut store, &workload(1, 300), &mut models);
@@ -138,10 +138,10 @@
     }
 }
 
-/// Power goes before every step that a workload takes, rotation, compaction and snapshots included; what was not
+/// Power fails before every step that a workload takes, rotation, compaction and snapshots included; what was not
 /// synced comes back in several ways.
 #[test]
-fn power_lost_at_every_step() {
+fn recovers_from_power_loss_at_every_step() {
     let changes = workload(2, 60);
     let steps = {
         let mut store = Store::open(SimDisk::new(0), plan()).unwrap();
@@ -169,9 +169,9 @@
     }
 }
 
-/// The process is killed at every step: what was written is there, synced or not.
+/// The process is killed at every step: written data survives, synced or not.
 #[test]
-fn killed_at_every_step() {
+fn recovers_from_a_kill_at_every_step() {
     let changes = workload(3, 60);
     for at in 0..400 {
         let mut disk = SimDisk::new(at);
@@ -185,9 +185,9 @@
     }
 }
 
-/// Power goes during the recovery, and during the recovery of that.
+/// Power fails during recovery, and again during the next recovery.
 #[test]
-fn power_lost_during_recovery_and_again() {
+fn recovers_from_power_loss_during_recovery() {
     let changes = workload(4, 60);
     let mut pairs = 0;
     for first in (5..300).step_by(7) {
@@ -216,9 +216,9 @@
     assert!(pairs > 500);
 }
 
-/// After a crash and a reopening the store goes on, and crashes again.
+/// The store is used after a crash and a reopening, and crashes again.
 #[test]
-fn two_lives_and_two_crashes() {
+fn recovers_from_two_successive_crashes() {
     let (one, two) = (workload(5, 40), workload(6, 40));
     for first in (3..250).step_by(11) {
         for second in (3..200).step_by(13) {
@@ -256,7 +256,7 @@
 
 /// The last segment is cut at every byte: each change is whole or absent. Others cut are damage, and named.
 #[test]
-fn files_cut_at_every_byte() {
+fn detects_files_truncated_at_every_byte() {
     let mut store = Store::open(SimDisk::new(8), plan()).unwrap();
     let mut models = vec![Model::new()];
     // Nothing synced but by rotation, and no work in the background: cuts are torn writes, not broken promises.
@@ -300,9 +300,9 @@
     assert!(torn > 50 && refused > 500 && seen.len() > 1, "{torn} torn, {refused} refused, {seen:?}");
 }
 
-/// Every single bit of a store's files is flipped: never a wrong value, never one lost in silence.
+/// Every bit of a store's files is flipped in turn: no wrong value is returned and no loss goes undetected.
 #[test]
-fn every_bit_flipped() {
+fn detects_every_flipped_bit() {
     let (disk, models) = sealed(9, 40);
     let wanted = models.last().unwrap();
     let names = disk.all_names();
@@ -341,8 +341,8 @@
     assert!(refused > 1000 && harmless > 1000, "{refused} refused, {harmless} harmless or found on reading");
 }
 
-/// Operations fail at random: what was refused is not there, what was acknowledged is, and after a failed sync the
-/// store takes nothing more.
+/// Operations fail at random: rejected writes are absent, acknowledged ones are present, and after a failed sync the
+/// store rejects writes.
 #[test]
 fn failing_operations_by_seed() {
     let (mut closed, mut failed) = (0, 0);
@@ -390,7 +390,7 @@
     let mut store = Store::open(disk, plan()).unwrap();
     store.write(NOW, Batch::default().put("t", b"k", None, b"w")).unwrap();
     assert!(matches!(store.sync(), Err(StoreError::Disk { .. })));
-    // The disk would say now that all is well.
+    // The disk would now report success.
     assert!(matches!(store.sync(), Err(StoreError::Closed(_))));
     let again = store.write(NOW, Batch::default().put("t", b"k", None, b"x"));
     assert!(matches!(again, Err(StoreError::Closed(_))));
@@ -398,7 +398,7 @@
 }
 
 #[test]
-fn a_full_disk_leaves_it_readable_and_it_goes_on_with_room() {
+fn a_full_disk_stays_readable_and_accepts_writes_after_space_is_freed() {
     for room in (700..2600).step_by(37) {
         let mut disk = SimDisk::new(room);
         disk.faults.room = Some(room);
@@ -423,7 +423,7 @@
 }
 
 #[test]
-fn what_expires_goes_without_being_copied_and_a_clock_that_goes_back_does_not_bring_it_back() {
+fn expired_records_are_not_copied_and_not_revived_by_a_clock_that_goes_backwards() {
     let mut store = Store::open(SimDisk::new(1), plan()).unwrap();
     let second = Duration::from_secs(1);
     for n in 0..200u32 {
@@ -592,7 +592,7 @@
     }
 }
 
-/// Far more on disk than is held in memory.
+/// The data on disk far exceeds the index in memory.
 #[test]
 fn a_store_a_thousand_times_its_index() {
     let folder = tempfile::tempdir().unwrap();
@@ -611,12 +611,12 @@
     assert_eq!(store.get(NOW, "t", &1199u64.to_le_bytes()).unwrap().unwrap().value, value(1199));
 }
 
-/// Many writers through one thread, on a real disk: all that was acknowledged is there.
+/// Many writes through one thread on a real disk: all acknowledged data is stored.
 #[test]
-fn the_keeper_acknowledges_what_is_there() {
+fn store_thread_acknowledges_only_stored_writes() {
     let folder = tempfile::tempdir().unwrap();
     let store = Store::open(RealDisk::open(folder.path()).unwrap(), plan()).unwrap();
-    let keeper = StoreThread::spawn(store, Group::default(), Default::default(), 64, || NOW).unwrap();
+    let store_thread = StoreThread::spawn(store, Group::default(), Default::default(), 64, || NOW).unwrap();
     let (told, done) = crossbeam_channel::unbounded();
     let (mut ordered, mut busy) = (0u32, 0u32);
     for n in 0..3000u32 {
@@ -624,7 +624,7 @@
         batch.put("t", &n.to_le_bytes(), None, &n.to_le_bytes());
         let told = told.clone();
         let mode = if n % 50 == 0 { Mode::Synced } else { Mode::Written };
-        match keeper.write(batch, mode, move |outcome| told.send((n, outcome)).unwrap()) {
+        match store_thread.write(batch, mode, move |outcome| told.send((n, outcome)).unwrap()) {
             Ok(()) => ordered += 1,
             Err(Busy) => {
                 busy += 1;
@@ -635,16 +635,16 @@
     let mut too_large = Batch::default();
     too_large.put("", b"k", None, b"v");
     let told_too = told.clone();
-    while keeper.write(too_large.clone(), Mode::Written, {
+    while store_thread.write(too_large.clone(), Mode::Written, {
         let told = told_too.clone();
         move |outcome| told.send((u32::MAX, outcome)).unwrap()
     }) == Err(Busy)
     {
         std::thread::yield_now();
     }
-    let (stats, closed) = keeper.stats().unwrap();
+    let (stats, closed) = store_thread.stats().unwrap();
     assert!(stats.records as u32 == ordered && closed.is_none(), "{stats:?}, {ordered} ordered, {busy} busy");
-    drop(keeper);
+    drop(store_thread);
     let outcomes: Vec<(u32, Outcome)> = done.try_iter().collect();
     assert_eq!(outcomes.len() as u32, ordered + 1);
     let mut store = Store::open(RealDisk::open(folder.path()).unwrap(), plan()).unwrap();
