--- a/crates/store/src/condition.rs
+++ b/crates/store/src/condition.rs
@@ -8,6 +8,7 @@
 
 use crate::format::{self, BadHead, HEAD};
 
+/// Condition of a segment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SegmentCondition {
     /// Intact to its end.
@@ -22,15 +23,15 @@
     Uninitialized,
 }
 
-/// Goes through a segment from an offset on (its head, or where a snapshot ends) and shows each whole frame with its
-/// offset, up to where its worth ends.
+/// Scans a segment from an offset (its head, or the end of a snapshot) and passes each intact frame with its offset to
+/// `each`, up to the first invalid one.
 pub fn assess<'a>(
     bytes: &'a [u8], segment: u64, from: u64, is_last: bool, mut each: impl FnMut(u64, format::Frame<'a>),
 ) -> SegmentCondition {
     match format::read_head(bytes, segment) {
         Ok(()) => {}
         Err(BadHead::Newer(version)) => return SegmentCondition::Newer { version },
-        // A segment is used only after its head was synced: frames tell a rotten head from an unborn one.
+        // A segment is used only after its head was synced, so frames show that a bad head is corrupt, not uninitialized.
         Err(BadHead::Unreadable) => {
             let promised = !is_last || max_synced_length(bytes, segment, HEAD) >= HEAD;
             return if promised {
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -1,28 +1,33 @@
-//! Bytes on disk.
+//! Encoding of segment files. All numbers are little-endian.
 //!
-//! A segment is a head and frames. The head: `LSTR`, version (u16), segment number (u64), CRC-32C of these (u32).
-//! A frame: length of its body (u32), CRC-32C (u32) over that length and the body, body. A body: its place in the log
-//! (segment u64, offset u64, so that a frame that lies where it was not written is none), how much of this segment was
-//! known to last when it was written (u64), the store's time (u64 microseconds), then operations: a tag (1 put, 2
-//! delete, 3 floor, 4 next); for put and delete table (u8 length) and key (u16 length); for a put when it expires (u64
-//! microseconds, all ones for never) and the value (u32 length); for a floor a segment number (u64): older ones are
-//! needed no more; for a next one, too: the log goes on there, and nothing follows here; last the CRC-32C (u32) of the operation, so that one can be read by itself. All numbers
-//! little-endian. A frame without operations is a seal: it only says what lasts.
+//! A segment consists of a head and frames. Head: `LSTR`, version (u16), segment number (u64), CRC-32C of these (u32).
+//! Frame: length of the body (u32), CRC-32C (u32) over that length and the body, body. Body: location in the log
+//! (segment u64, offset u64, so that a frame at another location is invalid), the length of this segment known to be
+//! synced when the frame was written (u64), the store's time (u64 microseconds), then operations. Operation: a tag (1 put,
+//! 2 delete, 3 minimum segment, 4 next segment); for put and delete the table (u8 length) and key (u16 length); for a put
+//! the expiry (u64 microseconds, all ones for never) and the value (u32 length); for a minimum segment its number (u64),
+//! below which segments are obsolete; for a next segment its number (u64), where the log continues, with nothing after it
+//! in this segment; last the CRC-32C (u32) of the operation, so that it can be read by itself. A frame without operations
+//! is a seal: it only records the synced length.
 
 use std::time::Duration;
 
+/// Version of the segment format.
 pub const VERSION: u16 = 1;
+/// Maximum length of a table name in bytes.
 pub const MAX_TABLE: usize = 32;
+/// Maximum length of a key in bytes.
 pub const MAX_KEY: usize = 1024;
+/// Maximum length of a value in bytes.
 pub const MAX_VALUE: usize = 1024 * 1024;
-/// Bytes of one batch.
+/// Maximum size of a batch in bytes.
 pub const MAX_BATCH: usize = 4 * 1024 * 1024;
 
 pub const HEAD: u64 = 18;
 const MAGIC: &[u8; 4] = b"LSTR";
 /// Bytes of length and checksum.
 pub const FRAME: u64 = 8;
-/// Segment, offset, what lasts, time.
+/// Bytes of segment, offset, synced length and time.
 const PREFACE: usize = 32;
 const NEVER: u64 = u64::MAX;
 
@@ -45,7 +50,7 @@
 
 /// Reason why a head is invalid.
 pub enum BadHead {
-    /// Not whole, or not a head.
+    /// Truncated, or not a head.
     Unreadable,
     Newer(u16),
 }
@@ -61,7 +66,7 @@
     if whole && bytes[6..14] == number.to_le_bytes() { Ok(()) } else { Err(BadHead::Unreadable) }
 }
 
-/// One operation, and where its value stands in the frame's body.
+/// One logged operation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Op<'a> {
     Put { table: &'a str, key: &'a [u8], expires: Option<Duration>, value: &'a [u8] },
@@ -130,12 +135,12 @@
     bytes
 }
 
-/// Over the length too: a changed length must not make another frame of it.
+/// Checksum of a frame. It covers the length, so that a changed length invalidates the frame.
 fn sum(frame: &[u8]) -> u32 {
     crc32c::crc32c_append(crc32c::crc32c(&frame[..4]), &frame[8..])
 }
 
-/// A whole frame: its bytes, what it says lasts, its operations.
+/// A valid frame: its size in bytes, the synced length it states, its time and its operations.
 pub struct Frame<'a> {
     pub len: u64,
     pub synced_len: u64,
@@ -143,7 +148,7 @@
     pub ops: &'a [u8],
 }
 
-/// The frame at this offset of a segment whose bytes from there on are given; none where none stands.
+/// Decodes the frame at an offset of a segment from the bytes that start there; `None` if there is no valid frame.
 pub fn read_frame(bytes: &[u8], segment: u64, offset: u64) -> Option<Frame<'_>> {
     let len = u32::from_le_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
     if !(PREFACE..=PREFACE + MAX_BATCH).contains(&len) {
@@ -161,11 +166,11 @@
     Some(Frame { len: whole.len() as u64, synced_len, time, ops: &whole[OPS_AT as usize..] })
 }
 
-/// Where the operations of a frame begin, from its own beginning.
+/// Offset of the operations within a frame.
 pub const OPS_AT: u64 = FRAME + PREFACE as u64;
 
-/// Each operation with where it begins and how long it is. A frame whose checksum holds and whose operations cannot be
-/// read was written by something else: the rest is not guessed at.
+/// Decodes operations with their offsets and lengths. Returns `None` if any is invalid: a frame with a valid checksum and
+/// invalid operations was written by other software, so the rest is not interpreted.
 pub fn ops(mut bytes: &[u8]) -> Option<Vec<(u64, u64, Op<'_>)>> {
     let all = bytes.len();
     let mut found = Vec::new();
@@ -182,7 +187,7 @@
     bytes.split_at_checked(n)
 }
 
-/// The operation at the beginning of these bytes, and what follows it; none where its checksum does not hold.
+/// Decodes the first operation and returns the remaining bytes; `None` if its checksum does not match.
 pub fn op(bytes: &[u8]) -> Option<(Op<'_>, &[u8])> {
     let (op, rest) = read_op_body(bytes)?;
     let (sum, after) = take(rest, 4)?;
--- a/crates/store/src/index.rs
+++ b/crates/store/src/index.rs
@@ -34,6 +34,7 @@
 /// so that no single step takes as long as the whole index.
 pub const SHARDS: usize = 256;
 
+/// The index of a store.
 pub struct Index {
     shards: Vec<Shard>,
     /// Hash key of this store, so that outsiders cannot choose colliding keys. Snapshots contain it.
@@ -57,6 +58,7 @@
         Self { shards, secret }
     }
 
+    /// Keyed hash of a table and key; never 0.
     pub fn fingerprint(&self, table: &str, key: &[u8]) -> u64 {
         let mut hasher = SipHasher13::new_with_keys(self.secret.0, self.secret.1);
         hasher.write(table.as_bytes());
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -26,4 +26,4 @@
 pub use plan::{Figures, Group, Plan};
 pub use sim::{Faults, SimDisk};
 pub use store::{Batch, Damage, Found, Mode, Stats, Store, StoreError, Work};
-pub use thread::{Busy, Outcome, StoreThread};
+pub use thread::{Outcome, QueueFull, StoreThread};
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -1,8 +1,7 @@
-//! The index as it was from a place of the log on, in one checksummed file: reopening reads that and the log behind it.
+//! Snapshots of the index in one checksummed file: reopening reads the snapshot and replays the log after it.
 //!
-//! It is written part by part while writes go on: each part of the index is as it was when it was its turn. That is enough,
-//! since a key is in one part only, and what happened to it after the place named at the head is in the log and is
-//! gone through again.
+//! A snapshot is written shard by shard during writes, so each shard dates from the time it was encoded. That suffices,
+//! because each key belongs to one shard, and all changes after the location in the head are replayed from the log.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -30,6 +30,7 @@
     pub what: String,
 }
 
+/// Why an operation of a store failed.
 #[derive(Debug, Error)]
 pub enum StoreError {
     #[error("{}: damaged at byte {}: {}", .0.file, .0.offset, .0.what)]
@@ -65,6 +66,7 @@
 }
 
 impl Batch {
+    /// Adds a record; an invalid size is reported when the batch is written.
     pub fn put(&mut self, table: &str, key: &[u8], expires: Option<Duration>, value: &[u8]) -> &mut Self {
         self.check(table, key, value.len());
         if self.error.is_none() {
@@ -73,6 +75,7 @@
         self
     }
 
+    /// Adds the deletion of a record.
     pub fn delete(&mut self, table: &str, key: &[u8]) -> &mut Self {
         self.check(table, key, 0);
         if self.error.is_none() {
@@ -97,6 +100,7 @@
         self.ops.is_empty()
     }
 
+    /// Size of the operations in bytes.
     pub fn size(&self) -> usize {
         self.ops.len()
     }
@@ -171,6 +175,7 @@
     required_sync: (u64, u64),
 }
 
+/// A store on a [`Disk`].
 pub struct Store<D> {
     disk: D,
     plan: Plan,
@@ -495,6 +500,7 @@
         Ok(())
     }
 
+    /// Current statistics.
     pub fn stats(&self) -> Stats {
         Stats {
             records: self.index.len(),
@@ -680,6 +686,7 @@
         wanted && self.closed.is_none()
     }
 
+    /// Whether any background work is pending.
     pub fn has_pending_work(&self) -> bool {
         Work::ALL.iter().any(|work| self.has_pending(*work))
     }
--- a/crates/store/src/thread.rs
+++ b/crates/store/src/thread.rs
@@ -13,53 +13,55 @@
 use crate::plan::Group;
 use crate::store::{Batch, Mode, Stats, Store, Work};
 
-const STACK: usize = 256 * 1024;
+const STACK_BYTES: usize = 256 * 1024;
 
 /// Result of a write: completed as its mode requires, or the reason of the failure.
 pub type Outcome = Result<(), String>;
 
-type Done = Box<dyn FnOnce(Outcome) + Send>;
+type CompletionCallback = Box<dyn FnOnce(Outcome) + Send>;
 
-enum Order {
-    Write { batch: Batch, mode: Mode, done: Done },
+enum Request {
+    Write { batch: Batch, mode: Mode, done: CompletionCallback },
     Stats(Sender<(Stats, Option<String>)>),
 }
 
 /// The channel to the store is full, or its thread is gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Busy;
+pub struct QueueFull;
 
+/// Handle to a thread that owns a store. Dropping it completes the queue and seals the store.
 pub struct StoreThread {
-    to: Option<Sender<Order>>,
+    sender: Option<Sender<Request>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl StoreThread {
-    /// Starts a thread for a store. `clock` gives the store's time; `orders` is the capacity of the request queue.
+    /// Starts a thread for a store. `clock` gives the store's time; `queue_capacity` is the capacity of the request queue.
     pub fn spawn<D: Disk + Send + 'static>(
-        store: Store<D>, group: Group, budget: Budget, orders: usize,
+        store: Store<D>, group: Group, budget: Budget, queue_capacity: usize,
         clock: impl Fn() -> Duration + Send + 'static,
     ) -> std::io::Result<Self> {
-        let (to, waiting) = bounded(orders);
-        let thread = thread::Builder::new().name("store".into()).stack_size(STACK).spawn(move || {
-            let begun = Instant::now();
-            run(store, &group, BackgroundTasks::new(budget), &waiting, &clock, || begun.elapsed());
-        })?;
-        Ok(Self { to: Some(to), thread: Some(thread) })
+        let (sender, requests) = bounded(queue_capacity);
+        let thread =
+            thread::Builder::new().name("store".into()).stack_size(STACK_BYTES).spawn(move || {
+                let started = Instant::now();
+                run(store, &group, BackgroundTasks::new(budget), &requests, &clock, || started.elapsed());
+            })?;
+        Ok(Self { sender: Some(sender), thread: Some(thread) })
     }
 
     /// Requests a write without blocking.
     pub fn write(
         &self, batch: Batch, mode: Mode, done: impl FnOnce(Outcome) + Send + 'static,
-    ) -> Result<(), Busy> {
-        let order = Order::Write { batch, mode, done: Box::new(done) };
-        self.to.as_ref().ok_or(Busy)?.try_send(order).map_err(|_| Busy)
+    ) -> Result<(), QueueFull> {
+        let request = Request::Write { batch, mode, done: Box::new(done) };
+        self.sender.as_ref().ok_or(QueueFull)?.try_send(request).map_err(|_| QueueFull)
     }
 
     /// Returns the statistics, and the reason if writes are rejected. Waits for earlier requests.
     pub fn stats(&self) -> Option<(Stats, Option<String>)> {
-        let (to, answer) = bounded(1);
-        self.to.as_ref()?.send(Order::Stats(to)).ok()?;
+        let (sender, answer) = bounded(1);
+        self.sender.as_ref()?.send(Request::Stats(sender)).ok()?;
         answer.recv().ok()
     }
 }
@@ -67,7 +69,7 @@
 impl Drop for StoreThread {
     /// Completes the requests in the queue and seals the store.
     fn drop(&mut self) {
-        self.to = None;
+        self.sender = None;
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
@@ -79,7 +81,7 @@
 }
 
 fn run<D: Disk>(
-    mut store: Store<D>, group: &Group, mut tasks: BackgroundTasks, waiting: &Receiver<Order>,
+    mut store: Store<D>, group: &Group, mut tasks: BackgroundTasks, requests: &Receiver<Request>,
     clock: &impl Fn() -> Duration, elapsed: impl Fn() -> Duration,
 ) {
     // Compaction outranks snapshots: without free space nothing can be written.
@@ -89,8 +91,8 @@
     loop {
         let wait =
             tasks.next_due(false).map_or(Duration::from_secs(3600), |due| due.saturating_sub(elapsed()));
-        match waiting.recv_timeout(wait) {
-            Ok(first) => commit(&mut store, group, first, waiting, clock()),
+        match requests.recv_timeout(wait) {
+            Ok(first) => commit(&mut store, group, first, requests, clock()),
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => break,
         }
@@ -98,9 +100,9 @@
             tasks.set_pending(elapsed(), task_id(work), store.has_pending(work), None);
         }
         // At most one slice runs between two groups of writes, which limits their delay.
-        if let Some(slice) = tasks.next_slice(elapsed(), !waiting.is_empty()) {
+        if let Some(slice) = tasks.next_slice(elapsed(), !requests.is_empty()) {
             let work = Work::ALL.into_iter().find(|work| task_id(*work) == slice.task).expect("added above");
-            let begun = elapsed();
+            let started = elapsed();
             // The next write reports a failure; the work is not retried before the state changes.
             let done = store.work_on(clock(), work, slice.bytes);
             let more = done.is_ok() && store.has_pending(work);
@@ -108,7 +110,7 @@
                 elapsed(),
                 slice.task,
                 done.unwrap_or(slice.bytes),
-                elapsed() - begun,
+                elapsed() - started,
                 more,
             );
         }
@@ -118,21 +120,21 @@
 
 /// Writes the waiting batches, syncs once if any requires it, and reports each result.
 fn commit<D: Disk>(
-    store: &mut Store<D>, group: &Group, first: Order, waiting: &Receiver<Order>, now: Duration,
+    store: &mut Store<D>, group: &Group, first: Request, requests: &Receiver<Request>, now: Duration,
 ) {
-    let mut writes: Vec<(Batch, Mode, Done)> = Vec::new();
-    let mut asked = Vec::new();
+    let mut writes: Vec<(Batch, Mode, CompletionCallback)> = Vec::new();
+    let mut stats_replies = Vec::new();
     let mut bytes = 0;
     let mut next = Some(first);
-    while let Some(order) = next {
-        match order {
-            Order::Write { batch, mode, done } => {
+    while let Some(request) = next {
+        match request {
+            Request::Write { batch, mode, done } => {
                 bytes += batch.size();
                 writes.push((batch, mode, done));
             }
-            Order::Stats(to) => asked.push(to),
+            Request::Stats(sender) => stats_replies.push(sender),
         }
-        next = if group.is_full(writes.len(), bytes) { None } else { waiting.try_recv().ok() };
+        next = if group.is_full(writes.len(), bytes) { None } else { requests.try_recv().ok() };
     }
     let all: Vec<&Batch> = writes.iter().map(|(batch, ..)| batch).collect();
     let mut outcomes: Vec<Outcome> = match store.write_all(now, &all) {
@@ -140,9 +142,9 @@
         // One batch that cannot be written must not make the others fail.
         Err(_) => all.iter().map(|batch| store.write(now, batch).map_err(|e| e.to_string())).collect(),
     };
-    let syncs =
+    let needs_sync =
         writes.iter().zip(&outcomes).any(|((_, mode, _), outcome)| *mode == Mode::Synced && outcome.is_ok());
-    if syncs && let Err(error) = store.sync() {
+    if needs_sync && let Err(error) = store.sync() {
         for ((_, mode, _), outcome) in writes.iter().zip(&mut outcomes) {
             if *mode == Mode::Synced && outcome.is_ok() {
                 *outcome = Err(error.to_string());
@@ -152,7 +154,7 @@
     for ((_, _, done), outcome) in writes.into_iter().zip(outcomes) {
         done(outcome);
     }
-    for to in asked {
-        let _ = to.send((store.stats(), store.closed().map(String::from)));
+    for sender in stats_replies {
+        let _ = sender.send((store.stats(), store.closed().map(String::from)));
     }
 }
--- a/crates/store/tests/crashes.rs
+++ b/crates/store/tests/crashes.rs
@@ -626,7 +626,7 @@
         let mode = if n % 50 == 0 { Mode::Synced } else { Mode::Written };
         match store_thread.write(batch, mode, move |outcome| told.send((n, outcome)).unwrap()) {
             Ok(()) => ordered += 1,
-            Err(Busy) => {
+            Err(QueueFull) => {
                 busy += 1;
                 std::thread::yield_now();
             }
@@ -638,7 +638,7 @@
     while store_thread.write(too_large.clone(), Mode::Written, {
         let told = told_too.clone();
         move |outcome| told.send((u32::MAX, outcome)).unwrap()
-    }) == Err(Busy)
+    }) == Err(QueueFull)
     {
         std::thread::yield_now();
     }
