--- a/crates/sheet/src/lib.rs
+++ b/crates/sheet/src/lib.rs
@@ -168,6 +168,7 @@
         if all.is_empty() { Ok(()) } else { Err(Mistakes { file: self.file, all }) }
     }
 
+    /// Records an error at this position.
     pub fn wrong(&self, offset: usize, what: impl Into<String>) {
         if self.mistakes.borrow().len() >= MAX_REPORTED_ERRORS {
             return; // The errors already recorded reject the file.
@@ -201,6 +202,7 @@
         named.map(|node| Node { sheet, node }).collect()
     }
 
+    /// Returns the node of this name if present; a second one is an error.
     pub fn maybe(&self, name: &str) -> Option<Node<'a>> {
         let all = self.many(name);
         for again in all.iter().skip(1) {
@@ -209,6 +211,7 @@
         all.first().copied()
     }
 
+    /// Returns the node of this name; its absence is an error.
     pub fn need(&self, name: &str) -> Option<Node<'a>> {
         let found = self.maybe(name);
         if found.is_none() {
@@ -225,15 +228,18 @@
         node.map_or(default, read).unwrap_or(fallback)
     }
 
+    /// Reads a non-empty text.
     pub fn text(&self, name: &str, default: Option<&str>) -> String {
         self.value(name, default.map(String::from), String::new(), |node| node.text(0))
     }
 
+    /// Reads an integer within bounds.
     pub fn whole(&self, name: &str, within: RangeInclusive<u64>, default: Option<u64>) -> u64 {
         let minimum = *within.start();
         self.value(name, default, minimum, |node| node.whole(0, within.clone()))
     }
 
+    /// Reads a number within bounds.
     pub fn real(&self, name: &str, within: RangeInclusive<f64>, default: Option<f64>) -> f64 {
         let minimum = *within.start();
         self.value(name, default, minimum, |node| node.real(0, within.clone()))
@@ -245,6 +251,7 @@
         self.value(name, default, minimum, |node| node.time(0, within.clone()))
     }
 
+    /// Reads a boolean.
     pub fn flag(&self, name: &str, default: Option<bool>) -> bool {
         self.value(name, default, false, |node| match node.argument(0)? {
             KdlValue::Bool(flag) => Some(*flag),
@@ -252,6 +259,7 @@
         })
     }
 
+    /// Records an error at this position.
     pub fn wrong(&self, what: impl Into<String>) {
         self.sheet.wrong(self.offset, what);
     }
@@ -293,6 +301,7 @@
         self.node.name().value()
     }
 
+    /// Records an error at this position.
     pub fn wrong(&self, what: impl Into<String>) {
         self.sheet.wrong(self.node.span().offset(), what);
     }
@@ -305,6 +314,7 @@
         self.entries().filter(|entry| entry.name().is_none()).nth(index)
     }
 
+    /// Number of positional arguments.
     pub fn arguments(&self) -> usize {
         self.entries().filter(|entry| entry.name().is_none()).count()
     }
@@ -323,6 +333,7 @@
         None
     }
 
+    /// Reads a non-empty text.
     pub fn text(&self, index: usize) -> Option<String> {
         match self.argument(index)?.as_string() {
             Some("") | None => self.type_error(index, "a text"),
@@ -330,12 +341,14 @@
         }
     }
 
+    /// Reads an integer within bounds.
     pub fn whole(&self, index: usize, within: RangeInclusive<u64>) -> Option<u64> {
         let value = self.argument(index)?.as_integer().and_then(|v| u64::try_from(v).ok());
         let wanted = format!("a whole number from {} to {}", within.start(), within.end());
         value.filter(|v| within.contains(v)).or_else(|| self.type_error(index, &wanted))
     }
 
+    /// Reads a number within bounds.
     pub fn real(&self, index: usize, within: RangeInclusive<f64>) -> Option<f64> {
         let value = self.argument(index)?;
         let value = value.as_float().or(value.as_integer().map(|v| v as f64));
@@ -368,6 +381,7 @@
         self.node.children().map(ToString::to_string).unwrap_or_default()
     }
 
+    /// The block of this node; empty if it has none.
     pub fn block(&self) -> Block<'a> {
         let nodes = self.node.children().map(|c| c.nodes()).unwrap_or_default();
         Block { sheet: self.sheet, nodes, offset: self.node.span().offset(), known_names: RefCell::default() }
--- a/crates/store/benches/store.rs
+++ b/crates/store/benches/store.rs
@@ -156,7 +156,7 @@
     for count in [10_000u64, 1_000_000, 10_000_000] {
         for with in [false, true] {
             let folder = tempfile::tempdir().expect("a folder");
-            let plan = Plan { snapshot: if with { 1 } else { u64::MAX }, ..Plan::default() };
+            let plan = Plan { min_snapshot_bytes: if with { 1 } else { u64::MAX }, ..Plan::default() };
             let mut store = open(folder.path(), plan.clone());
             fill(&mut store, count);
             while with
@@ -245,11 +245,20 @@
     println!("commits of 8 writers, synced, while 10^5 records are overwritten: a second, ms p50 p99 most");
     for _ in 0..3 {
         for (name, budget, plan) in [
-            ("no compaction", Budget::default(), Plan { space: 1e9, snapshot: u64::MAX, ..Plan::default() }),
+            (
+                "no compaction",
+                Budget::default(),
+                Plan { max_log_to_live_ratio: 1e9, min_snapshot_bytes: u64::MAX, ..Plan::default() },
+            ),
             (
                 "with the budget",
                 Budget::default(),
-                Plan { least: 1 << 20, space: 1.2, snapshot: 1 << 20, ..Plan::default() },
+                Plan {
+                    min_compaction_bytes: 1 << 20,
+                    max_log_to_live_ratio: 1.2,
+                    min_snapshot_bytes: 1 << 20,
+                    ..Plan::default()
+                },
             ),
             (
                 "without a budget",
@@ -259,7 +268,12 @@
                     bytes_per_second: 1e12,
                     max_wait: Duration::ZERO,
                 },
-                Plan { least: 1 << 20, space: 1.2, snapshot: 1 << 20, ..Plan::default() },
+                Plan {
+                    min_compaction_bytes: 1 << 20,
+                    max_log_to_live_ratio: 1.2,
+                    min_snapshot_bytes: 1 << 20,
+                    ..Plan::default()
+                },
             ),
         ] {
             let folder = tempfile::tempdir().expect("a folder");
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -23,6 +23,7 @@
 /// Maximum size of a batch in bytes.
 pub const MAX_BATCH: usize = 4 * 1024 * 1024;
 
+/// Size of a segment head in bytes.
 pub const HEAD: u64 = 18;
 const MAGIC: &[u8; 4] = b"LSTR";
 /// Bytes of length and checksum.
@@ -31,14 +32,17 @@
 const PREFACE: usize = 32;
 const NEVER: u64 = u64::MAX;
 
+/// File name of a segment.
 pub fn segment_name(number: u64) -> String {
     format!("log-{number:016x}")
 }
 
+/// Number of a segment from its file name; `None` for other files.
 pub fn segment_number(name: &str) -> Option<u64> {
     u64::from_str_radix(name.strip_prefix("log-").filter(|n| n.len() == 16)?, 16).ok()
 }
 
+/// Encodes the head of a segment.
 pub fn head(number: u64) -> Vec<u8> {
     let mut bytes = MAGIC.to_vec();
     bytes.extend(VERSION.to_le_bytes());
@@ -55,6 +59,7 @@
     Newer(u16),
 }
 
+/// Checks the head of a segment.
 pub fn read_head(bytes: &[u8], number: u64) -> Result<(), BadHead> {
     let bytes = bytes.get(..HEAD as usize).ok_or(BadHead::Unreadable)?;
     let sum = u32::from_le_bytes(bytes[14..].try_into().expect("four bytes"));
@@ -80,10 +85,12 @@
     out.extend(sum.to_le_bytes());
 }
 
+/// Appends an operation that makes all segments below this one obsolete.
 pub fn min_segment(out: &mut Vec<u8>, segment: u64) {
     put_segment_op(out, 3, segment);
 }
 
+/// Appends an operation that names the next segment.
 pub fn next(out: &mut Vec<u8>, segment: u64) {
     put_segment_op(out, 4, segment);
 }
@@ -95,6 +102,7 @@
     append_checksum(out, from);
 }
 
+/// Appends a put operation.
 pub fn put(out: &mut Vec<u8>, table: &str, key: &[u8], expires: Option<Duration>, value: &[u8]) {
     let from = out.len();
     out.push(1);
@@ -106,6 +114,7 @@
     append_checksum(out, from);
 }
 
+/// Appends a delete operation.
 pub fn delete(out: &mut Vec<u8>, table: &str, key: &[u8]) {
     let from = out.len();
     out.push(2);
--- a/crates/store/src/index.rs
+++ b/crates/store/src/index.rs
@@ -67,10 +67,12 @@
         hasher.finish().max(1)
     }
 
+    /// Number of entries.
     pub fn len(&self) -> usize {
         self.shards.iter().map(|shard| shard.used).sum()
     }
 
+    /// Whether the index has no entries.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -80,6 +82,7 @@
         self.shards[shard_of(fingerprint)].places(fingerprint)
     }
 
+    /// Adds an entry.
     pub fn add(&mut self, fingerprint: u64, place: Place) {
         self.shards[shard_of(fingerprint)].add(fingerprint, place);
     }
@@ -89,6 +92,7 @@
         self.shards[shard].slots = vec![EMPTY; (count * 4 / 3 + 1).next_power_of_two().max(8)];
     }
 
+    /// Removes an entry; returns whether it was present.
     pub fn remove(&mut self, fingerprint: u64, place: Place) -> bool {
         self.shards[shard_of(fingerprint)].remove(fingerprint, place)
     }
--- a/crates/store/src/plan.rs
+++ b/crates/store/src/plan.rs
@@ -4,15 +4,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     /// Segment size in bytes at which a new segment is begun.
-    pub segment: u64,
+    pub max_segment_bytes: u64,
     /// Compaction begins when the log exceeds this multiple of the live data
-    pub space: f64,
+    pub max_log_to_live_ratio: f64,
     /// and is larger than this, in bytes.
-    pub least: u64,
+    pub min_compaction_bytes: u64,
     /// A snapshot is taken after more than this many bytes, and more than half the live bytes, were written since the last.
-    pub snapshot: u64,
+    pub min_snapshot_bytes: u64,
     /// Unsynced bytes above which a sync runs in the background.
-    pub unsynced: u64,
+    pub max_unsynced_bytes: u64,
     /// Hash key of a new store's index; `None` draws it from the system. A fixed key makes a store reproducible.
     pub secret: Option<(u64, u64)>,
 }
@@ -20,11 +20,11 @@
 impl Default for Plan {
     fn default() -> Self {
         Self {
-            segment: 4 << 20,
-            space: 1.7,
-            least: 8 << 20,
-            snapshot: 16 << 20,
-            unsynced: 256 << 10,
+            max_segment_bytes: 4 << 20,
+            max_log_to_live_ratio: 1.7,
+            min_compaction_bytes: 8 << 20,
+            min_snapshot_bytes: 16 << 20,
+            max_unsynced_bytes: 256 << 10,
             secret: None,
         }
     }
@@ -67,21 +67,24 @@
     /// Whether to compact the oldest segment. It may hold no live data, which is cheap to detect, and its deletions are
     /// obsolete, because no older record is left that they would hide.
     pub fn compacts(&self, figures: &Figures) -> bool {
-        let crowded =
-            figures.written as f64 > figures.live as f64 * self.space && figures.written > self.least;
-        figures.segments > 1 && (figures.oldest_live == 0 || crowded)
+        let exceeds_space_limit = figures.written as f64 > figures.live as f64 * self.max_log_to_live_ratio
+            && figures.written > self.min_compaction_bytes;
+        figures.segments > 1 && (figures.oldest_live == 0 || exceeds_space_limit)
     }
 
+    /// Whether to write a snapshot.
     pub fn takes_snapshot(&self, figures: &Figures) -> bool {
-        figures.since_snapshot > self.snapshot.max(figures.live / 2)
+        figures.since_snapshot > self.min_snapshot_bytes.max(figures.live / 2)
     }
 
+    /// Whether to sync in the background, given the unsynced bytes.
     pub fn flushes(&self, unsynced: u64) -> bool {
-        unsynced > self.unsynced
+        unsynced > self.max_unsynced_bytes
     }
 
+    /// Whether to begin a new segment, given the size of the active one.
     pub fn rotates(&self, segment: u64) -> bool {
-        segment >= self.segment
+        segment >= self.max_segment_bytes
     }
 }
 
@@ -89,11 +92,17 @@
 mod tests {
     use super::*;
 
-    const PLAN: Plan =
-        Plan { segment: 100, space: 2.0, least: 50, snapshot: 1000, unsynced: 10, secret: None };
+    const PLAN: Plan = Plan {
+        max_segment_bytes: 100,
+        max_log_to_live_ratio: 2.0,
+        min_compaction_bytes: 50,
+        min_snapshot_bytes: 1000,
+        max_unsynced_bytes: 10,
+        secret: None,
+    };
 
     #[test]
-    fn the_oldest_goes_when_it_is_dead_or_room_is_short() {
+    fn the_oldest_segment_is_compacted_when_dead_or_when_space_is_short() {
         let figures = |written, live, segments, oldest_live| Figures {
             written,
             live,
@@ -107,7 +116,7 @@
             (figures(300, 140, 3, 50), true),
             (figures(300, 299, 3, 0), true),
             (figures(49, 1, 2, 1), false),
-            // The one that is written to is never taken.
+            // The active segment is never compacted.
             (figures(300, 0, 1, 0), false),
         ] {
             assert_eq!(PLAN.compacts(&figures), compacts, "{figures:?}");
@@ -115,7 +124,7 @@
     }
 
     #[test]
-    fn a_snapshot_is_not_taken_more_often_than_it_is_worth() {
+    fn a_snapshot_is_taken_only_after_enough_writes() {
         let figures = |live, since_snapshot| Figures { live, since_snapshot, ..Figures::default() };
         assert!(!PLAN.takes_snapshot(&figures(0, 1000)) && PLAN.takes_snapshot(&figures(0, 1001)));
         assert!(!PLAN.takes_snapshot(&figures(10_000, 5000)) && PLAN.takes_snapshot(&figures(10_000, 5001)));
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -134,6 +134,7 @@
         Ok(self.faults.fail_at.contains(&self.steps))
     }
 
+    /// Whether power has failed.
     pub fn is_out(&self) -> bool {
         self.out
     }
@@ -143,12 +144,14 @@
         self.files.get(name).map(|file| file.now.as_slice())
     }
 
+    /// Replaces the contents of a file, also after a power failure.
     pub fn spoil(&mut self, name: &str, contents: Vec<u8>) {
         let file = File { now: contents.clone(), lasting: contents };
         self.files.insert(name.into(), file.clone());
         self.names.insert(name.into(), file);
     }
 
+    /// Names of all files.
     pub fn all_names(&self) -> Vec<String> {
         self.files.keys().cloned().collect()
     }
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -23,10 +23,12 @@
     pub index: Index,
 }
 
+/// File name of a snapshot.
 pub fn name(number: u64) -> String {
     format!("snap-{number:016x}")
 }
 
+/// Number of a snapshot from its file name; `None` for other files.
 pub fn number(name: &str) -> Option<u64> {
     u64::from_str_radix(name.strip_prefix("snap-").filter(|n| n.len() == 16)?, 16).ok()
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -96,6 +96,7 @@
         }
     }
 
+    /// Whether the batch holds no operations.
     pub fn is_empty(&self) -> bool {
         self.ops.is_empty()
     }
--- a/crates/store/tests/crashes.rs
+++ b/crates/store/tests/crashes.rs
@@ -11,7 +11,14 @@
 
 /// Small segments, so that a short workload rotates, compacts and takes snapshots.
 fn plan() -> Plan {
-    Plan { segment: 600, space: 2.0, least: 1500, snapshot: 1500, unsynced: 300, secret: Some((1, 2)) }
+    Plan {
+        max_segment_bytes: 600,
+        max_log_to_live_ratio: 2.0,
+        min_compaction_bytes: 1500,
+        min_snapshot_bytes: 1500,
+        max_unsynced_bytes: 300,
+        secret: Some((1, 2)),
+    }
 }
 
 type Model = BTreeMap<Vec<u8>, Vec<u8>>;
@@ -26,10 +33,10 @@
     all
 }
 
-/// A step of a workload: some changes that go together.
+/// A step of a workload: changes applied atomically.
 #[derive(Clone, Debug)]
 struct Change {
-    /// The last says that it has expired already, so that nobody is to see it.
+    /// Key, value, and whether the record has already expired and must not be visible.
     puts: Vec<(u8, Vec<u8>, bool)>,
     deletes: Vec<u8>,
     synced: bool,
@@ -110,7 +117,7 @@
     let mut store = Store::open(disk, plan()).unwrap_or_else(|error| panic!("{what}: {error}"));
     let found = contents(&mut store);
     let place = models.iter().rposition(|model| *model == found);
-    let place = place.unwrap_or_else(|| panic!("{what}: a state that never was: {found:?}"));
+    let place = place.unwrap_or_else(|| panic!("{what}: a state that never existed: {found:?}"));
     assert!(
         place >= promised || models[promised..].contains(&found),
         "{what}: state {place}, promised {promised}"
@@ -159,7 +166,7 @@
                     let (_, synced) = run(&mut store, &changes, &mut models);
                     (store.into_disk(), synced)
                 }
-                // Its first segment could not be made; nothing was promised.
+                // The first segment could not be created; no write was acknowledged.
                 Err(_) => continue,
             };
             let mut disk = disk;
@@ -259,7 +266,7 @@
 fn detects_files_truncated_at_every_byte() {
     let mut store = Store::open(SimDisk::new(8), plan()).unwrap();
     let mut models = vec![Model::new()];
-    // Nothing synced but by rotation, and no work in the background: cuts are torn writes, not broken promises.
+    // Only rotation syncs and no background work runs, so truncations are torn writes and not lost synced data.
     for change in workload(8, 40) {
         let mut next = models.last().unwrap().clone();
         model_after(&mut next, &change);
@@ -283,12 +290,12 @@
                     let found = contents(&mut store);
                     let place = models.iter().rposition(|model| *model == found);
                     seen.insert(
-                        place.unwrap_or_else(|| panic!("{name} cut at {cut}: a state that never was")),
+                        place.unwrap_or_else(|| panic!("{name} cut at {cut}: a state that never existed")),
                     );
                     torn += 1;
                 }
                 Err(StoreError::Damaged(damage)) => {
-                    // The head of the last one was promised when the one before it named it.
+                    // The head of the last segment is guaranteed once its predecessor names it.
                     assert!(*name != last || cut < 18, "{name} cut at {cut}: {damage:?}");
                     assert!(damage.file == *name && damage.offset <= cut as u64, "{damage:?}");
                     refused += 1;
@@ -358,7 +365,10 @@
             let was_closed = store.closed().is_some();
             match store.write(NOW, &batch(&change)) {
                 Ok(()) => {
-                    assert!(!was_closed || batch(&change).is_empty(), "a write after it closed");
+                    assert!(
+                        !was_closed || batch(&change).is_empty(),
+                        "a write succeeded after the store closed"
+                    );
                     model_after(&mut model, &change);
                     models.push(model.clone());
                 }
@@ -476,7 +486,7 @@
         match Store::open(disk, plan()) {
             Err(StoreError::Damaged(damage)) => assert!(damage.what.contains("missing"), "{damage:?}"),
             Err(other) => panic!("{name}: {other}"),
-            Ok(_) => panic!("{name} is missing and nobody noticed"),
+            Ok(_) => panic!("{name} is missing and was not detected"),
         }
     }
 }
@@ -518,8 +528,8 @@
             ..Default::default()
         })]
 
-        /// Any order of writes, syncs, work, kills, losses of power and failures: the store holds what the model
-        /// holds, or after a loss a state between what was promised and what was written.
+        /// For any order of writes, syncs, background work, kills, power failures and faults the store equals the model,
+        /// or after a power failure a state between the last acknowledged and the last written one.
         #[test]
         fn any_sequence_agrees_with_the_model(acts in proptest::collection::vec(act(), 1..120), seed in any::<u64>()) {
             let mut store = Store::open(SimDisk::new(seed), plan()).unwrap();
