--- a/crates/store/benches/store.rs
+++ b/crates/store/benches/store.rs
@@ -63,7 +63,7 @@
 }
 
 fn writes() {
-    println!("acknowledged writes: writers, a second, ms p50 p99 most");
+    println!("acknowledged writes: writers, writes per second, ms p50 p99 max");
     for _ in 0..3 {
         for (name, mode) in [("written", Mode::Written), ("synced", Mode::Synced)] {
             for count in [1, 8, 64] {
@@ -85,8 +85,8 @@
             file.write_all(&[7; 100]).and_then(|()| file.sync_data()).expect("synced");
             times.saturating_record(at.elapsed().as_micros().max(1) as u64);
         }
-        line("one sync a record", 1, times.len() as f64 / begun.elapsed().as_secs_f64(), &times);
-        // Ten thousand records of 40 bytes, written anew for each, synced, renamed.
+        line("one sync per record", 1, times.len() as f64 / begun.elapsed().as_secs_f64(), &times);
+        // A file of 10,000 records of 40 bytes is rewritten, synced and renamed for each write.
         let (mut times, begun) = (histogram(), Instant::now());
         while begun.elapsed().as_secs_f64() < 1.5 {
             let at = Instant::now();
@@ -102,7 +102,7 @@
 }
 
 fn reads() {
-    println!("index look-ups: records, millions a second, bytes a record");
+    println!("index look-ups: records, millions per second, bytes per record");
     let key = |n: u64| format!("gateway-17-{n}").into_bytes();
     for count in [10_000u64, 1_000_000] {
         for _ in 0..3 {
@@ -119,14 +119,14 @@
             let size = index.size() as f64 / count as f64;
             println!("{count:>8} made for it {ours:>8.2} {size:>6.1}");
             let map: HashMap<Vec<u8>, Place> = (0..count).map(|n| (key(n), place(n))).collect();
-            // Key, its heap block and its 24 bytes of header, place, control byte, at the table's fill.
+            // Key, its heap block and 24-byte header, location and control byte, divided by the table's load factor.
             let size = map.capacity() as f64 * 8.0 / 7.0 * 41.0 / count as f64 + 32.0;
             println!("{count:>8} hash map    {:>8.2} {size:>6.1}", rate(&|key| map.contains_key(key)));
             let map: BTreeMap<Vec<u8>, Place> = (0..count).map(|n| (key(n), place(n))).collect();
             println!("{count:>8} ordered map {:>8.2}", rate(&|key| map.contains_key(key)));
         }
     }
-    println!("whole reads through the store, thousands a second");
+    println!("complete reads through the store, thousands per second");
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = open(folder.path(), Plan::default());
     fill(&mut store, 1_000_000);
@@ -187,7 +187,7 @@
             }
         }
     }
-    println!("10^4 live records, overwritten so often: ms, MiB of log read, MiB in all");
+    println!("10^4 live records, by rounds of overwriting: ms, MiB of log read, MiB in total");
     for rounds in [1u64, 10, 100] {
         let folder = tempfile::tempdir().expect("a folder");
         let mut store = open(folder.path(), Plan::default());
@@ -242,7 +242,9 @@
 }
 
 fn chores() {
-    println!("commits of 8 writers, synced, while 10^5 records are overwritten: a second, ms p50 p99 most");
+    println!(
+        "commits of 8 writers, synced, while 10^5 records are overwritten: commits per second, ms p50 p99 max"
+    );
     for _ in 0..3 {
         for (name, budget, plan) in [
             (
--- a/crates/store/tests/crashes.rs
+++ b/crates/store/tests/crashes.rs
@@ -113,14 +113,14 @@
 }
 
 /// Reopens a store after a crash: its contents must equal one of the models, none older than the acknowledged one.
-fn check(disk: SimDisk, models: &[Model], promised: usize, what: &str) -> SimDisk {
+fn check(disk: SimDisk, models: &[Model], acknowledged: usize, what: &str) -> SimDisk {
     let mut store = Store::open(disk, plan()).unwrap_or_else(|error| panic!("{what}: {error}"));
     let found = contents(&mut store);
     let place = models.iter().rposition(|model| *model == found);
     let place = place.unwrap_or_else(|| panic!("{what}: a state that never existed: {found:?}"));
     assert!(
-        place >= promised || models[promised..].contains(&found),
-        "{what}: state {place}, promised {promised}"
+        place >= acknowledged || models[acknowledged..].contains(&found),
+        "{what}: state {place}, acknowledged {acknowledged}"
     );
     store.into_disk()
 }
@@ -360,7 +360,7 @@
         let mut store = Store::open(disk, plan()).unwrap();
         let mut model = Model::new();
         let mut models = vec![model.clone()];
-        let mut promised = 0;
+        let mut acknowledged = 0;
         for change in workload(seed, 60) {
             let was_closed = store.closed().is_some();
             match store.write(NOW, &batch(&change)) {
@@ -375,7 +375,7 @@
                 Err(_) => failed += 1,
             }
             if change.synced && store.sync().is_ok() {
-                promised = models.len() - 1;
+                acknowledged = models.len() - 1;
             }
             let _ = store.work(NOW, 200);
             if store.closed().is_none() {
@@ -385,7 +385,7 @@
         closed += usize::from(store.closed().is_some());
         let mut disk = store.into_disk();
         disk.lose_power();
-        check(disk, &models, promised, &format!("faults, seed {seed}"));
+        check(disk, &models, acknowledged, &format!("faults, seed {seed}"));
     }
     assert!(closed > 20 && failed > 100, "{closed} closed, {failed} writes failed");
 }
@@ -496,7 +496,7 @@
     use proptest::prelude::*;
 
     #[derive(Clone, Debug)]
-    enum Act {
+    enum Action {
         Write(u64),
         Sync,
         Work(usize),
@@ -507,16 +507,16 @@
         Clock(u64),
     }
 
-    fn act() -> impl Strategy<Value = Act> {
+    fn action() -> impl Strategy<Value = Action> {
         prop_oneof![
-            8 => any::<u64>().prop_map(Act::Write),
-            3 => Just(Act::Sync),
-            4 => (1usize..800).prop_map(Act::Work),
-            1 => Just(Act::Seal),
-            1 => Just(Act::Kill),
-            1 => Just(Act::LosePower),
-            1 => (0u64..12).prop_map(Act::FailAfter),
-            1 => (0u64..5).prop_map(Act::Clock),
+            8 => any::<u64>().prop_map(Action::Write),
+            3 => Just(Action::Sync),
+            4 => (1usize..800).prop_map(Action::Work),
+            1 => Just(Action::Seal),
+            1 => Just(Action::Kill),
+            1 => Just(Action::LosePower),
+            1 => (0u64..12).prop_map(Action::FailAfter),
+            1 => (0u64..5).prop_map(Action::Clock),
         ]
     }
 
@@ -531,13 +531,13 @@
         /// For any order of writes, syncs, background work, kills, power failures and faults the store equals the model,
         /// or after a power failure a state between the last acknowledged and the last written one.
         #[test]
-        fn any_sequence_agrees_with_the_model(acts in proptest::collection::vec(act(), 1..120), seed in any::<u64>()) {
+        fn any_sequence_agrees_with_the_model(actions in proptest::collection::vec(action(), 1..120), seed in any::<u64>()) {
             let mut store = Store::open(SimDisk::new(seed), plan()).unwrap();
             let mut models = vec![Model::new()];
-            let mut promised = 0;
-            for act in acts {
-                match act {
-                    Act::Write(seed) => {
+            let mut acknowledged = 0;
+            for action in actions {
+                match action {
+                    Action::Write(seed) => {
                         let change = workload(seed, 1).remove(0);
                         if store.write(NOW, &batch(&change)).is_ok() {
                             let mut next = models.last().unwrap().clone();
@@ -545,24 +545,24 @@
                             models.push(next);
                         }
                     }
-                    Act::Sync => {
+                    Action::Sync => {
                         if store.sync().is_ok() {
-                            promised = models.len() - 1;
+                            acknowledged = models.len() - 1;
                         }
                     }
-                    Act::Work(bytes) => {
+                    Action::Work(bytes) => {
                         let _ = store.work(NOW, bytes);
                     }
-                    Act::Seal => {
+                    Action::Seal => {
                         if store.seal().is_ok() {
-                            promised = models.len() - 1;
+                            acknowledged = models.len() - 1;
                         }
                     }
-                    Act::FailAfter(steps) => {
+                    Action::FailAfter(steps) => {
                         let mut disk = store.into_disk();
                         disk.restart();
                         store = Store::open(disk, plan()).unwrap();
-                        promised = models.len() - 1; // Opening makes what it found last.
+                        acknowledged = models.len() - 1; // Opening syncs the data that it found.
                         let mut disk = store.into_disk();
                         disk.restart();
                         disk.faults.fail_at = [steps + 5].into();
@@ -574,23 +574,23 @@
                             }
                         };
                     }
-                    Act::Kill => {
+                    Action::Kill => {
                         let mut disk = store.into_disk();
                         disk.restart();
                         store = Store::open(disk, plan()).unwrap();
-                        promised = models.len() - 1;
+                        acknowledged = models.len() - 1;
                     }
-                    Act::LosePower => {
+                    Action::LosePower => {
                         let mut disk = store.into_disk();
                         disk.lose_power();
                         store = Store::open(disk, plan()).unwrap();
                         let found = contents(&mut store);
                         let place = models.iter().rposition(|model| *model == found);
-                        prop_assert!(place.is_some_and(|place| place >= promised || models[promised..].contains(&found)));
+                        prop_assert!(place.is_some_and(|place| place >= acknowledged || models[acknowledged..].contains(&found)));
                         models = vec![found];
-                        promised = 0;
+                        acknowledged = 0;
                     }
-                    Act::Clock(back) => {
+                    Action::Clock(back) => {
                         let _ = store.get(NOW.saturating_sub(Duration::from_secs(back)), "t", b"none");
                     }
                 }
@@ -628,14 +628,14 @@
     let store = Store::open(RealDisk::open(folder.path()).unwrap(), plan()).unwrap();
     let store_thread = StoreThread::spawn(store, Group::default(), Default::default(), 64, || NOW).unwrap();
     let (told, done) = crossbeam_channel::unbounded();
-    let (mut ordered, mut busy) = (0u32, 0u32);
+    let (mut requested, mut busy) = (0u32, 0u32);
     for n in 0..3000u32 {
         let mut batch = Batch::default();
         batch.put("t", &n.to_le_bytes(), None, &n.to_le_bytes());
         let told = told.clone();
         let mode = if n % 50 == 0 { Mode::Synced } else { Mode::Written };
         match store_thread.write(batch, mode, move |outcome| told.send((n, outcome)).unwrap()) {
-            Ok(()) => ordered += 1,
+            Ok(()) => requested += 1,
             Err(QueueFull) => {
                 busy += 1;
                 std::thread::yield_now();
@@ -653,10 +653,13 @@
         std::thread::yield_now();
     }
     let (stats, closed) = store_thread.stats().unwrap();
-    assert!(stats.records as u32 == ordered && closed.is_none(), "{stats:?}, {ordered} ordered, {busy} busy");
+    assert!(
+        stats.records as u32 == requested && closed.is_none(),
+        "{stats:?}, {requested} requested, {busy} busy"
+    );
     drop(store_thread);
     let outcomes: Vec<(u32, Outcome)> = done.try_iter().collect();
-    assert_eq!(outcomes.len() as u32, ordered + 1);
+    assert_eq!(outcomes.len() as u32, requested + 1);
     let mut store = Store::open(RealDisk::open(folder.path()).unwrap(), plan()).unwrap();
     for (n, outcome) in outcomes {
         if n == u32::MAX {
