--- a/crates/store/src/condition.rs
+++ b/crates/store/src/condition.rs
@@ -33,8 +33,8 @@
         Err(BadHead::Newer(version)) => return SegmentCondition::Newer { version },
         // A segment is used only after its head was synced, so frames show that a bad head is corrupt, not uninitialized.
         Err(BadHead::Unreadable) => {
-            let promised = !is_last || max_synced_length(bytes, segment, HEAD) >= HEAD;
-            return if promised {
+            let was_synced = !is_last || max_synced_length(bytes, segment, HEAD) >= HEAD;
+            return if was_synced {
                 SegmentCondition::Corrupt { at: 0 }
             } else {
                 SegmentCondition::Uninitialized
