--- a/crates/fleet/src/member/background.rs
+++ b/crates/fleet/src/member/background.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lotussaddle_chores::ChoreId;
+use lotussaddle_chores::TaskId;
 use lotussaddle_replica::fingerprint;
 
 use super::Member;
@@ -11,29 +11,29 @@
 
 /// Maximum number of replicas expired, or checked for orphans, in one slice.
 pub(super) const REPLICAS_PER_SLICE: usize = 2048;
-pub(super) const EXPIRE_REPLICAS: ChoreId = ChoreId(0);
-pub(super) const SCAN_FOR_ORPHANS: ChoreId = ChoreId(1);
-pub(super) const SEND_SNAPSHOT_CHUNKS: ChoreId = ChoreId(2);
-pub(super) const REPAIR_REPLICAS: ChoreId = ChoreId(3);
+pub(super) const EXPIRE_REPLICAS: TaskId = TaskId(0);
+pub(super) const SCAN_FOR_ORPHANS: TaskId = TaskId(1);
+pub(super) const SEND_SNAPSHOT_CHUNKS: TaskId = TaskId(2);
+pub(super) const REPAIR_REPLICAS: TaskId = TaskId(3);
 
 impl Member {
     pub(super) fn request_background_tasks(&mut self) {
         let now = self.now;
         let forget = self.replica_table.next_due().is_some_and(|due| due <= now);
-        self.chores.wanted(now, EXPIRE_REPLICAS, forget, None);
-        self.chores.wanted(now, SCAN_FOR_ORPHANS, self.orphan_scan_from.is_some(), None);
-        self.chores.wanted(now, SEND_SNAPSHOT_CHUNKS, !self.snapshot_requests.is_empty(), None);
-        self.chores.wanted(now, REPAIR_REPLICAS, !self.repairs.is_empty(), None);
+        self.tasks.set_pending(now, EXPIRE_REPLICAS, forget, None);
+        self.tasks.set_pending(now, SCAN_FOR_ORPHANS, self.orphan_scan_from.is_some(), None);
+        self.tasks.set_pending(now, SEND_SNAPSHOT_CHUNKS, !self.snapshot_requests.is_empty(), None);
+        self.tasks.set_pending(now, REPAIR_REPLICAS, !self.repairs.is_empty(), None);
     }
 
     /// Does one slice of background work, if any is pending; `Some`: report its duration to [`Member::background_slice_done`].
     pub fn run_background_slice(
         &mut self, now: Duration, pressed: bool, effects: &mut dyn Effects,
-    ) -> Option<ChoreId> {
+    ) -> Option<TaskId> {
         self.now = now;
         self.request_background_tasks();
-        let slice = self.chores.next(now, pressed)?;
-        match slice.chore {
+        let slice = self.tasks.next_slice(now, pressed)?;
+        match slice.task {
             EXPIRE_REPLICAS => {
                 let gone = self.replica_table.expire(now, REPLICAS_PER_SLICE);
                 self.counts.forgotten += gone.len() as u64;
@@ -51,18 +51,18 @@
                 }
             }
         }
-        Some(slice.chore)
+        Some(slice.task)
     }
 
     /// Records how long a slice of [`Member::run_background_slice`] took.
-    pub fn background_slice_done(&mut self, now: Duration, chore: ChoreId, took: Duration) {
-        let more = match chore {
+    pub fn background_slice_done(&mut self, now: Duration, task: TaskId, took: Duration) {
+        let more = match task {
             EXPIRE_REPLICAS => self.replica_table.next_due().is_some_and(|due| due <= now),
             SCAN_FOR_ORPHANS => self.orphan_scan_from.is_some(),
             SEND_SNAPSHOT_CHUNKS => !self.snapshot_requests.is_empty(),
             _ => !self.repairs.is_empty(),
         };
-        self.chores.done(now, chore, MAX_FRAME_BYTES, took, more);
+        self.tasks.slice_completed(now, task, MAX_FRAME_BYTES, took, more);
     }
 
     fn scan_for_orphans(&mut self) {
--- a/crates/fleet/src/member/mod.rs
+++ b/crates/fleet/src/member/mod.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 
 use lotussaddle::interface::{DialogueId, ServerId};
-use lotussaddle_chores::{Budget, Chores};
+use lotussaddle_chores::{BackgroundTasks, Budget};
 use lotussaddle_replica::{ReplicaLimits, ReplicaTable};
 use lotussaddle_trunk::{Cursor, Owner, PeerMessage};
 
@@ -87,7 +87,7 @@
     last_ticket: u64,
     /// Core servers with an open link.
     connected_cores: BTreeSet<ServerId>,
-    chores: Chores,
+    tasks: BackgroundTasks,
     orphan_scan_from: Option<u64>,
     snapshot_requests: VecDeque<(u16, Cursor)>,
     repairs: RepairQueue,
@@ -108,11 +108,11 @@
             plan.group(),
             ReplicaLimits { max_replicas: plan.max_replicas, retention: plan.retention },
         );
-        let mut chores = Chores::new(Budget::default());
-        for (chore, priority) in
+        let mut tasks = BackgroundTasks::new(Budget::default());
+        for (task, priority) in
             [(EXPIRE_REPLICAS, 1), (SCAN_FOR_ORPHANS, 2), (SEND_SNAPSHOT_CHUNKS, 3), (REPAIR_REPLICAS, 1)]
         {
-            chores.add(chore, priority);
+            tasks.add(task, priority);
         }
         let known = stored.incarnation.map(|incarnation| (incarnation, stored.write_count));
         let mut lives = IncarnationTracker::new(me, members, known, stored.proposed_incarnation, chance);
@@ -169,7 +169,7 @@
             min_time_since_previous_incarnation: None,
             last_ticket: 0,
             connected_cores: BTreeSet::new(),
-            chores,
+            tasks,
             orphan_scan_from: None,
             snapshot_requests: VecDeque::new(),
             repairs: RepairQueue::default(),
--- a/crates/fleet/src/member/timers.rs
+++ b/crates/fleet/src/member/timers.rs
@@ -28,7 +28,7 @@
             self.confirmations.next_due(),
             self.takeovers.next_due(),
             self.duties.as_ref().map(Duties::next_due),
-            self.chores.due(false),
+            self.tasks.next_due(false),
             Some(self.next_check_at),
             Some(self.next_comparison_at),
         ];
--- a/crates/serve/src/records.rs
+++ b/crates/serve/src/records.rs
@@ -8,7 +8,7 @@
 use lotussaddle::interface::DialogueId;
 use lotussaddle_chores::Budget;
 use lotussaddle_fleet::{Save, Stored};
-use lotussaddle_store::{Batch, Group, Keeper, Mode, Plan, RealDisk, Store};
+use lotussaddle_store::{Batch, Group, Mode, Plan, RealDisk, Store, StoreThread};
 use lotussaddle_trunk::{Frame, decode_replica};
 
 use crate::sheet::StoreSheet;
@@ -39,7 +39,7 @@
 }
 
 pub struct Records {
-    keeper: Keeper,
+    store_thread: StoreThread,
     mode: Mode,
     remember_for: Duration,
     next: u64,
@@ -115,10 +115,11 @@
             let read = store.each(wall.now(), |table, key, found| take(table, key, &found.value));
             read.with_context(|| format!("store {folder}"))
         })?;
-        let keeper = Keeper::begin(store, Group::default(), Budget::default(), QUEUE, move || wall.now())
-            .context("no thread for the store")?;
+        let store_thread =
+            StoreThread::spawn(store, Group::default(), Budget::default(), QUEUE, move || wall.now())
+                .context("no thread for the store")?;
         let (told, made) = unbounded();
-        Ok((Self { keeper, mode: sheet.mode, remember_for, next: 0, wall, told }, found, made))
+        Ok((Self { store_thread, mode: sheet.mode, remember_for, next: 0, wall, told }, found, made))
     }
 
     /// Orders the record of an answer; none where the store is too far behind.
@@ -161,6 +162,6 @@
     fn order(&mut self, batch: Batch, order: Order) -> bool {
         let told = self.told.clone();
         let done = move |outcome| drop(told.send((order, outcome)));
-        self.keeper.write(batch, self.mode, done).is_ok()
+        self.store_thread.write(batch, self.mode, done).is_ok()
     }
 }
--- a/crates/store/benches/store.rs
+++ b/crates/store/benches/store.rs
@@ -1,4 +1,4 @@
-//! What the store costs and what it saves. `cargo bench -p lotussaddle-store --bench store`; a word behind `--` runs one
+//! Time and space benchmarks of the store. `cargo bench -p lotussaddle-store --bench store`; an argument after `--` selects one
 //! part: writes, reads, reopen, space, chores.
 
 use std::collections::{BTreeMap, HashMap};
@@ -28,13 +28,13 @@
     batch
 }
 
-/// Writers that each wait for their acknowledgement before the next.
-fn writers(keeper: &Arc<Keeper>, mode: Mode, writers: u64, seconds: f64) -> (f64, Histogram<u64>) {
+/// Writers that each wait for an acknowledgement before the next write.
+fn writers(store_thread: &Arc<StoreThread>, mode: Mode, writers: u64, seconds: f64) -> (f64, Histogram<u64>) {
     let count = Arc::new(AtomicU64::new(0));
     let begun = Instant::now();
     let threads: Vec<_> = (0..writers)
         .map(|_| {
-            let (keeper, count) = (keeper.clone(), count.clone());
+            let (store_thread, count) = (store_thread.clone(), count.clone());
             std::thread::spawn(move || {
                 let mut times = histogram();
                 let (told, done) = crossbeam_channel::bounded(1);
@@ -42,7 +42,9 @@
                     let at = Instant::now();
                     let told = told.clone();
                     let n = count.fetch_add(1, Ordering::Relaxed);
-                    keeper.write(record(n), mode, move |outcome| drop(told.send(outcome))).expect("room");
+                    store_thread
+                        .write(record(n), mode, move |outcome| drop(told.send(outcome)))
+                        .expect("room");
                     done.recv().expect("told").expect("written");
                     times.saturating_record(at.elapsed().as_micros().max(1) as u64);
                 }
@@ -61,16 +63,17 @@
 }
 
 fn writes() {
-    println!("acknowledged writes: writers, a second, ms p50 p99 most");
+    println!("acknowledged writes: writers, writes per second, ms p50 p99 max");
     for _ in 0..3 {
         for (name, mode) in [("written", Mode::Written), ("synced", Mode::Synced)] {
             for count in [1, 8, 64] {
                 let folder = tempfile::tempdir().expect("a folder");
                 let store = open(folder.path(), Plan::default());
-                let keeper = Keeper::begin(store, Group::default(), Budget::default(), 4096, || NOW)
-                    .expect("a thread");
-                let keeper = Arc::new(keeper);
-                let (rate, times) = writers(&keeper, mode, count, 1.5);
+                let store_thread =
+                    StoreThread::spawn(store, Group::default(), Budget::default(), 4096, || NOW)
+                        .expect("a thread");
+                let store_thread = Arc::new(store_thread);
+                let (rate, times) = writers(&store_thread, mode, count, 1.5);
                 line(name, count, rate, &times);
             }
         }
@@ -82,8 +85,8 @@
             file.write_all(&[7; 100]).and_then(|()| file.sync_data()).expect("synced");
             times.saturating_record(at.elapsed().as_micros().max(1) as u64);
         }
-        line("one sync a record", 1, times.len() as f64 / begun.elapsed().as_secs_f64(), &times);
-        // Ten thousand records of 40 bytes, written anew for each, synced, renamed.
+        line("one sync per record", 1, times.len() as f64 / begun.elapsed().as_secs_f64(), &times);
+        // A file of 10,000 records of 40 bytes is rewritten, synced and renamed for each write.
         let (mut times, begun) = (histogram(), Instant::now());
         while begun.elapsed().as_secs_f64() < 1.5 {
             let at = Instant::now();
@@ -99,7 +102,7 @@
 }
 
 fn reads() {
-    println!("index look-ups: records, millions a second, bytes a record");
+    println!("index look-ups: records, millions per second, bytes per record");
     let key = |n: u64| format!("gateway-17-{n}").into_bytes();
     for count in [10_000u64, 1_000_000] {
         for _ in 0..3 {
@@ -111,19 +114,19 @@
                 looks.len() as f64 / begun.elapsed().as_secs_f64() / 1e6
             };
             let mut index = Index::default();
-            (0..count).for_each(|n| index.add(index.print("answered", &key(n)), place(n)));
-            let ours = rate(&|key| index.places(index.print("answered", key)).next().is_some());
+            (0..count).for_each(|n| index.add(index.fingerprint("answered", &key(n)), place(n)));
+            let ours = rate(&|key| index.places(index.fingerprint("answered", key)).next().is_some());
             let size = index.size() as f64 / count as f64;
             println!("{count:>8} made for it {ours:>8.2} {size:>6.1}");
             let map: HashMap<Vec<u8>, Place> = (0..count).map(|n| (key(n), place(n))).collect();
-            // Key, its heap block and its 24 bytes of header, place, control byte, at the table's fill.
+            // Key, its heap block and 24-byte header, location and control byte, divided by the table's load factor.
             let size = map.capacity() as f64 * 8.0 / 7.0 * 41.0 / count as f64 + 32.0;
             println!("{count:>8} hash map    {:>8.2} {size:>6.1}", rate(&|key| map.contains_key(key)));
             let map: BTreeMap<Vec<u8>, Place> = (0..count).map(|n| (key(n), place(n))).collect();
             println!("{count:>8} ordered map {:>8.2}", rate(&|key| map.contains_key(key)));
         }
     }
-    println!("whole reads through the store, thousands a second");
+    println!("complete reads through the store, thousands per second");
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = open(folder.path(), Plan::default());
     fill(&mut store, 1_000_000);
@@ -153,20 +156,20 @@
     for count in [10_000u64, 1_000_000, 10_000_000] {
         for with in [false, true] {
             let folder = tempfile::tempdir().expect("a folder");
-            let plan = Plan { snapshot: if with { 1 } else { u64::MAX }, ..Plan::default() };
+            let plan = Plan { min_snapshot_bytes: if with { 1 } else { u64::MAX }, ..Plan::default() };
             let mut store = open(folder.path(), plan.clone());
             fill(&mut store, count);
             while with
-                && store.wants(Work::Snapshot)
+                && store.has_pending(Work::Snapshot)
                 && store.work_on(NOW, Work::Snapshot, 1 << 24).expect("done") > 1
             {}
             if with {
-                while store.wants(Work::Snapshot) {
+                while store.has_pending(Work::Snapshot) {
                     let before = store.stats().figures.since_snapshot;
                     store.work_on(NOW, Work::Snapshot, 1 << 24).expect("done");
                     if before == 0
                         && store.stats().figures.since_snapshot == 0
-                        && !store.wants(Work::Snapshot)
+                        && !store.has_pending(Work::Snapshot)
                     {
                         break;
                     }
@@ -184,13 +187,13 @@
             }
         }
     }
-    println!("10^4 live records, overwritten so often: ms, MiB of log read, MiB in all");
+    println!("10^4 live records, by rounds of overwriting: ms, MiB of log read, MiB in total");
     for rounds in [1u64, 10, 100] {
         let folder = tempfile::tempdir().expect("a folder");
         let mut store = open(folder.path(), Plan::default());
         for _ in 0..rounds {
             fill(&mut store, 10_000);
-            while store.wants_work() {
+            while store.has_pending_work() {
                 store.work(NOW, 1 << 20).expect("done");
             }
         }
@@ -239,27 +242,49 @@
 }
 
 fn chores() {
-    println!("commits of 8 writers, synced, while 10^5 records are overwritten: a second, ms p50 p99 most");
+    println!(
+        "commits of 8 writers, synced, while 10^5 records are overwritten: commits per second, ms p50 p99 max"
+    );
     for _ in 0..3 {
         for (name, budget, plan) in [
-            ("no compaction", Budget::default(), Plan { space: 1e9, snapshot: u64::MAX, ..Plan::default() }),
+            (
+                "no compaction",
+                Budget::default(),
+                Plan { max_log_to_live_ratio: 1e9, min_snapshot_bytes: u64::MAX, ..Plan::default() },
+            ),
             (
                 "with the budget",
                 Budget::default(),
-                Plan { least: 1 << 20, space: 1.2, snapshot: 1 << 20, ..Plan::default() },
+                Plan {
+                    min_compaction_bytes: 1 << 20,
+                    max_log_to_live_ratio: 1.2,
+                    min_snapshot_bytes: 1 << 20,
+                    ..Plan::default()
+                },
             ),
             (
                 "without a budget",
-                Budget { slice: Duration::from_secs(5), share: 1.0, bytes: 1e12, patience: Duration::ZERO },
-                Plan { least: 1 << 20, space: 1.2, snapshot: 1 << 20, ..Plan::default() },
+                Budget {
+                    slice_duration: Duration::from_secs(5),
+                    time_share: 1.0,
+                    bytes_per_second: 1e12,
+                    max_wait: Duration::ZERO,
+                },
+                Plan {
+                    min_compaction_bytes: 1 << 20,
+                    max_log_to_live_ratio: 1.2,
+                    min_snapshot_bytes: 1 << 20,
+                    ..Plan::default()
+                },
             ),
         ] {
             let folder = tempfile::tempdir().expect("a folder");
             let mut store = open(folder.path(), plan);
             fill(&mut store, 200_000);
             fill(&mut store, 100_000);
-            let keeper = Keeper::begin(store, Group::default(), budget, 4096, || NOW).expect("a thread");
-            let (rate, times) = writers(&Arc::new(keeper), Mode::Synced, 8, 3.0);
+            let store_thread =
+                StoreThread::spawn(store, Group::default(), budget, 4096, || NOW).expect("a thread");
+            let (rate, times) = writers(&Arc::new(store_thread), Mode::Synced, 8, 3.0);
             line(name, 8, rate, &times);
         }
     }
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -1,39 +1,48 @@
-//! Bytes on disk.
+//! Encoding of segment files. All numbers are little-endian.
 //!
-//! A segment is a head and frames. The head: `LSTR`, version (u16), segment number (u64), CRC-32C of these (u32).
-//! A frame: length of its body (u32), CRC-32C (u32) over that length and the body, body. A body: its place in the log
-//! (segment u64, offset u64, so that a frame that lies where it was not written is none), how much of this segment was
-//! known to last when it was written (u64), the store's time (u64 microseconds), then operations: a tag (1 put, 2
-//! delete, 3 floor, 4 next); for put and delete table (u8 length) and key (u16 length); for a put when it expires (u64
-//! microseconds, all ones for never) and the value (u32 length); for a floor a segment number (u64): older ones are
-//! needed no more; for a next one, too: the log goes on there, and nothing follows here; last the CRC-32C (u32) of the operation, so that one can be read by itself. All numbers
-//! little-endian. A frame without operations is a seal: it only says what lasts.
+//! A segment consists of a head and frames. Head: `LSTR`, version (u16), segment number (u64), CRC-32C of these (u32).
+//! Frame: length of the body (u32), CRC-32C (u32) over that length and the body, body. Body: location in the log
+//! (segment u64, offset u64, so that a frame at another location is invalid), the length of this segment known to be
+//! synced when the frame was written (u64), the store's time (u64 microseconds), then operations. Operation: a tag (1 put,
+//! 2 delete, 3 minimum segment, 4 next segment); for put and delete the table (u8 length) and key (u16 length); for a put
+//! the expiry (u64 microseconds, all ones for never) and the value (u32 length); for a minimum segment its number (u64),
+//! below which segments are obsolete; for a next segment its number (u64), where the log continues, with nothing after it
+//! in this segment; last the CRC-32C (u32) of the operation, so that it can be read by itself. A frame without operations
+//! is a seal: it only records the synced length.
 
 use std::time::Duration;
 
+/// Version of the segment format.
 pub const VERSION: u16 = 1;
+/// Maximum length of a table name in bytes.
 pub const MAX_TABLE: usize = 32;
+/// Maximum length of a key in bytes.
 pub const MAX_KEY: usize = 1024;
+/// Maximum length of a value in bytes.
 pub const MAX_VALUE: usize = 1024 * 1024;
-/// Bytes of one batch.
+/// Maximum size of a batch in bytes.
 pub const MAX_BATCH: usize = 4 * 1024 * 1024;
 
+/// Size of a segment head in bytes.
 pub const HEAD: u64 = 18;
 const MAGIC: &[u8; 4] = b"LSTR";
-/// Length and checksum.
+/// Bytes of length and checksum.
 pub const FRAME: u64 = 8;
-/// Segment, offset, what lasts, time.
+/// Bytes of segment, offset, synced length and time.
 const PREFACE: usize = 32;
 const NEVER: u64 = u64::MAX;
 
+/// File name of a segment.
 pub fn segment_name(number: u64) -> String {
     format!("log-{number:016x}")
 }
 
+/// Number of a segment from its file name; `None` for other files.
 pub fn segment_number(name: &str) -> Option<u64> {
     u64::from_str_radix(name.strip_prefix("log-").filter(|n| n.len() == 16)?, 16).ok()
 }
 
+/// Encodes the head of a segment.
 pub fn head(number: u64) -> Vec<u8> {
     let mut bytes = MAGIC.to_vec();
     bytes.extend(VERSION.to_le_bytes());
@@ -43,13 +52,14 @@
     bytes
 }
 
-/// What is wrong with a head.
+/// Reason why a head is invalid.
 pub enum BadHead {
-    /// Not whole, or not a head.
+    /// Truncated, or not a head.
     Unreadable,
     Newer(u16),
 }
 
+/// Checks the head of a segment.
 pub fn read_head(bytes: &[u8], number: u64) -> Result<(), BadHead> {
     let bytes = bytes.get(..HEAD as usize).ok_or(BadHead::Unreadable)?;
     let sum = u32::from_le_bytes(bytes[14..].try_into().expect("four bytes"));
@@ -61,35 +71,38 @@
     if whole && bytes[6..14] == number.to_le_bytes() { Ok(()) } else { Err(BadHead::Unreadable) }
 }
 
-/// One operation, and where its value stands in the frame's body.
+/// One logged operation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Op<'a> {
     Put { table: &'a str, key: &'a [u8], expires: Option<Duration>, value: &'a [u8] },
     Delete { table: &'a str, key: &'a [u8] },
-    Floor { segment: u64 },
+    MinSegment { segment: u64 },
     Next { segment: u64 },
 }
 
-fn sealed(out: &mut Vec<u8>, from: usize) {
+fn append_checksum(out: &mut Vec<u8>, from: usize) {
     let sum = crc32c::crc32c(&out[from..]);
     out.extend(sum.to_le_bytes());
 }
 
-pub fn floor(out: &mut Vec<u8>, segment: u64) {
-    bare(out, 3, segment);
+/// Appends an operation that makes all segments below this one obsolete.
+pub fn min_segment(out: &mut Vec<u8>, segment: u64) {
+    put_segment_op(out, 3, segment);
 }
 
+/// Appends an operation that names the next segment.
 pub fn next(out: &mut Vec<u8>, segment: u64) {
-    bare(out, 4, segment);
+    put_segment_op(out, 4, segment);
 }
 
-fn bare(out: &mut Vec<u8>, tag: u8, segment: u64) {
+fn put_segment_op(out: &mut Vec<u8>, tag: u8, segment: u64) {
     let from = out.len();
     out.push(tag);
     out.extend(segment.to_le_bytes());
-    sealed(out, from);
+    append_checksum(out, from);
 }
 
+/// Appends a put operation.
 pub fn put(out: &mut Vec<u8>, table: &str, key: &[u8], expires: Option<Duration>, value: &[u8]) {
     let from = out.len();
     out.push(1);
@@ -98,14 +111,15 @@
     out.extend(expires.to_le_bytes());
     out.extend((value.len() as u32).to_le_bytes());
     out.extend(value);
-    sealed(out, from);
+    append_checksum(out, from);
 }
 
+/// Appends a delete operation.
 pub fn delete(out: &mut Vec<u8>, table: &str, key: &[u8]) {
     let from = out.len();
     out.push(2);
     name(out, table, key);
-    sealed(out, from);
+    append_checksum(out, from);
 }
 
 fn name(out: &mut Vec<u8>, table: &str, key: &[u8]) {
@@ -115,14 +129,14 @@
     out.extend(key);
 }
 
-/// A frame of these operations for this place.
-pub fn frame(segment: u64, offset: u64, lasts: u64, time: Duration, ops: &[u8]) -> Vec<u8> {
+/// Encodes a frame with these operations for a location.
+pub fn frame(segment: u64, offset: u64, synced_len: u64, time: Duration, ops: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(FRAME as usize + PREFACE + ops.len());
     bytes.extend(((PREFACE + ops.len()) as u32).to_le_bytes());
     bytes.extend([0; 4]);
     bytes.extend(segment.to_le_bytes());
     bytes.extend(offset.to_le_bytes());
-    bytes.extend(lasts.to_le_bytes());
+    bytes.extend(synced_len.to_le_bytes());
     bytes.extend((time.as_micros() as u64).to_le_bytes());
     bytes.extend(ops);
     let sum = sum(&bytes);
@@ -130,20 +144,20 @@
     bytes
 }
 
-/// Over the length too: a changed length must not make another frame of it.
+/// Checksum of a frame. It covers the length, so that a changed length invalidates the frame.
 fn sum(frame: &[u8]) -> u32 {
     crc32c::crc32c_append(crc32c::crc32c(&frame[..4]), &frame[8..])
 }
 
-/// A whole frame: its bytes, what it says lasts, its operations.
+/// A valid frame: its size in bytes, the synced length it states, its time and its operations.
 pub struct Frame<'a> {
     pub len: u64,
-    pub lasts: u64,
+    pub synced_len: u64,
     pub time: Duration,
     pub ops: &'a [u8],
 }
 
-/// The frame at this offset of a segment whose bytes from there on are given; none where none stands.
+/// Decodes the frame at an offset of a segment from the bytes that start there; `None` if there is no valid frame.
 pub fn read_frame(bytes: &[u8], segment: u64, offset: u64) -> Option<Frame<'_>> {
     let len = u32::from_le_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
     if !(PREFACE..=PREFACE + MAX_BATCH).contains(&len) {
@@ -157,15 +171,15 @@
     if sum(whole) != u32::from_le_bytes(whole[4..8].try_into().ok()?) {
         return None;
     }
-    let (lasts, time) = (number(24), Duration::from_micros(number(32)));
-    Some(Frame { len: whole.len() as u64, lasts, time, ops: &whole[OPS_AT as usize..] })
+    let (synced_len, time) = (number(24), Duration::from_micros(number(32)));
+    Some(Frame { len: whole.len() as u64, synced_len, time, ops: &whole[OPS_AT as usize..] })
 }
 
-/// Where the operations of a frame begin, from its own beginning.
+/// Offset of the operations within a frame.
 pub const OPS_AT: u64 = FRAME + PREFACE as u64;
 
-/// Each operation with where it begins and how long it is. A frame whose checksum holds and whose operations cannot be
-/// read was written by something else: the rest is not guessed at.
+/// Decodes operations with their offsets and lengths. Returns `None` if any is invalid: a frame with a valid checksum and
+/// invalid operations was written by other software, so the rest is not interpreted.
 pub fn ops(mut bytes: &[u8]) -> Option<Vec<(u64, u64, Op<'_>)>> {
     let all = bytes.len();
     let mut found = Vec::new();
@@ -182,20 +196,20 @@
     bytes.split_at_checked(n)
 }
 
-/// The operation at the beginning of these bytes, and what follows it; none where its checksum does not hold.
+/// Decodes the first operation and returns the remaining bytes; `None` if its checksum does not match.
 pub fn op(bytes: &[u8]) -> Option<(Op<'_>, &[u8])> {
-    let (op, rest) = bare_op(bytes)?;
+    let (op, rest) = read_op_body(bytes)?;
     let (sum, after) = take(rest, 4)?;
     let whole = crc32c::crc32c(&bytes[..bytes.len() - rest.len()]);
     (whole == u32::from_le_bytes(sum.try_into().ok()?)).then_some((op, after))
 }
 
-fn bare_op(bytes: &[u8]) -> Option<(Op<'_>, &[u8])> {
+fn read_op_body(bytes: &[u8]) -> Option<(Op<'_>, &[u8])> {
     let (tag, rest) = take(bytes, 1)?;
     if tag[0] == 3 || tag[0] == 4 {
         let (segment, rest) = take(rest, 8)?;
         let segment = u64::from_le_bytes(segment.try_into().ok()?);
-        let op = if tag[0] == 3 { Op::Floor { segment } } else { Op::Next { segment } };
+        let op = if tag[0] == 3 { Op::MinSegment { segment } } else { Op::Next { segment } };
         return Some((op, rest));
     }
     let (len, rest) = take(rest, 1)?;
@@ -262,7 +276,7 @@
     fn a_frame_is_one_only_where_it_was_written() {
         let bytes = frame(3, 100, 50, Duration::from_secs(9), &[]);
         let found = read_frame(&bytes, 3, 100).expect("it stands here");
-        assert_eq!((found.lasts, found.time, found.ops.len()), (50, Duration::from_secs(9), 0));
+        assert_eq!((found.synced_len, found.time, found.ops.len()), (50, Duration::from_secs(9), 0));
         assert!(read_frame(&bytes, 4, 100).is_none() && read_frame(&bytes, 3, 101).is_none());
         assert!(read_frame(&bytes[..bytes.len() - 1], 3, 100).is_none());
     }
@@ -272,12 +286,12 @@
         let mut bytes = Vec::new();
         put(&mut bytes, "t", b"k", Some(Duration::from_secs(5)), b"v");
         delete(&mut bytes, "u", b"");
-        floor(&mut bytes, 7);
+        min_segment(&mut bytes, 7);
         next(&mut bytes, 8);
         let all = ops(&bytes).expect("they are whole");
         assert_eq!(all.len(), 4);
         assert_eq!(all[1].2, Op::Delete { table: "u", key: b"" });
-        assert_eq!((&all[2].2, &all[3].2), (&Op::Floor { segment: 7 }, &Op::Next { segment: 8 }));
+        assert_eq!((&all[2].2, &all[3].2), (&Op::MinSegment { segment: 7 }, &Op::Next { segment: 8 }));
         for (at, len, found) in &all {
             let alone = &bytes[*at as usize..(*at + *len) as usize];
             assert_eq!(op(alone), Some((found.clone(), &[][..])));
--- a/crates/store/src/index.rs
+++ b/crates/store/src/index.rs
@@ -1,13 +1,13 @@
-//! Where the newest record of each key stands.
+//! In-memory index of the newest record of each key.
 //!
-//! Made for the job: 24 bytes a key whatever its length, in one open-addressed table of fingerprints and places; the
-//! key itself is on disk, and whoever looks one up checks it there. Two keys with one fingerprint stand side by side.
+//! An open-addressed table of fingerprints and locations takes 24 bytes per key, whatever the length of the key. The key
+//! itself is on disk, where a look-up verifies it. Keys with equal fingerprints have separate entries.
 
 use std::hash::{BuildHasher, Hasher};
 
 use siphasher::sip::SipHasher13;
 
-/// Where an operation stands: its segment, its offset there, its length.
+/// Location of an operation: segment, offset and length in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Place {
     pub segment: u64,
@@ -17,12 +17,12 @@
 
 #[derive(Clone, Copy)]
 struct Slot {
-    /// Never 0 where a place stands.
-    print: u64,
+    /// 0 only in an empty slot.
+    fingerprint: u64,
     place: Place,
 }
 
-const EMPTY: Slot = Slot { print: 0, place: Place { segment: 0, offset: 0, len: 0 } };
+const EMPTY: Slot = Slot { fingerprint: 0, place: Place { segment: 0, offset: 0, len: 0 } };
 
 /// One part of the index: an open-addressed table.
 struct Shard {
@@ -30,13 +30,14 @@
     used: usize,
 }
 
-/// In so many parts, by the top bits of the fingerprint: a part grows, and goes into a snapshot, by itself, so that no
-/// one step is as long as the whole.
+/// Number of shards, chosen by the top bits of the fingerprint. Each shard grows and is written to a snapshot by itself,
+/// so that no single step takes as long as the whole index.
 pub const SHARDS: usize = 256;
 
+/// The index of a store.
 pub struct Index {
     shards: Vec<Shard>,
-    /// The store's own: nobody outside can choose keys that fall together. Snapshots keep them.
+    /// Hash key of this store, so that outsiders cannot choose colliding keys. Snapshots contain it.
     pub secret: (u64, u64),
 }
 
@@ -47,8 +48,8 @@
     }
 }
 
-fn shard_of(print: u64) -> usize {
-    (print >> 56) as usize
+fn shard_of(fingerprint: u64) -> usize {
+    (fingerprint >> 56) as usize
 }
 
 impl Index {
@@ -57,7 +58,8 @@
         Self { shards, secret }
     }
 
-    pub fn print(&self, table: &str, key: &[u8]) -> u64 {
+    /// Keyed hash of a table and key; never 0.
+    pub fn fingerprint(&self, table: &str, key: &[u8]) -> u64 {
         let mut hasher = SipHasher13::new_with_keys(self.secret.0, self.secret.1);
         hasher.write(table.as_bytes());
         hasher.write_u8(0xff);
@@ -65,44 +67,48 @@
         hasher.finish().max(1)
     }
 
+    /// Number of entries.
     pub fn len(&self) -> usize {
         self.shards.iter().map(|shard| shard.used).sum()
     }
 
+    /// Whether the index has no entries.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// All places under a fingerprint; nearly always one or none.
-    pub fn places(&self, print: u64) -> impl Iterator<Item = Place> {
-        self.shards[shard_of(print)].places(print)
+    /// All locations with a fingerprint; nearly always one or none.
+    pub fn places(&self, fingerprint: u64) -> impl Iterator<Item = Place> {
+        self.shards[shard_of(fingerprint)].places(fingerprint)
     }
 
-    pub fn add(&mut self, print: u64, place: Place) {
-        self.shards[shard_of(print)].add(print, place);
+    /// Adds an entry.
+    pub fn add(&mut self, fingerprint: u64, place: Place) {
+        self.shards[shard_of(fingerprint)].add(fingerprint, place);
     }
 
-    /// Makes room in an empty part for so many.
+    /// Allocates capacity for `count` entries in an empty shard.
     pub fn reserve(&mut self, shard: usize, count: usize) {
         self.shards[shard].slots = vec![EMPTY; (count * 4 / 3 + 1).next_power_of_two().max(8)];
     }
 
-    pub fn remove(&mut self, print: u64, place: Place) -> bool {
-        self.shards[shard_of(print)].remove(print, place)
+    /// Removes an entry; returns whether it was present.
+    pub fn remove(&mut self, fingerprint: u64, place: Place) -> bool {
+        self.shards[shard_of(fingerprint)].remove(fingerprint, place)
     }
 
-    /// All fingerprints and places.
+    /// All fingerprints and locations.
     pub fn all(&self) -> impl Iterator<Item = (u64, Place)> {
         (0..SHARDS).flat_map(|shard| self.shard(shard))
     }
 
-    /// Those of one part.
+    /// Fingerprints and locations of one shard.
     pub fn shard(&self, shard: usize) -> impl Iterator<Item = (u64, Place)> {
         let slots = self.shards[shard].slots.iter();
-        slots.filter(|slot| slot.print != 0).map(|slot| (slot.print, slot.place))
+        slots.filter(|slot| slot.fingerprint != 0).map(|slot| (slot.fingerprint, slot.place))
     }
 
-    /// Bytes in memory.
+    /// Size in memory, in bytes.
     pub fn size(&self) -> usize {
         self.shards.iter().map(|shard| shard.slots.len() * std::mem::size_of::<Slot>()).sum()
     }
@@ -113,34 +119,36 @@
         self.slots.len() - 1
     }
 
-    fn places(&self, print: u64) -> impl Iterator<Item = Place> {
-        let start = print as usize & self.mask();
+    fn places(&self, fingerprint: u64) -> impl Iterator<Item = Place> {
+        let start = fingerprint as usize & self.mask();
         let all = (0..self.slots.len()).map(move |step| &self.slots[(start + step) & self.mask()]);
-        all.take_while(|slot| slot.print != 0).filter(move |slot| slot.print == print).map(|slot| slot.place)
+        all.take_while(|slot| slot.fingerprint != 0)
+            .filter(move |slot| slot.fingerprint == fingerprint)
+            .map(|slot| slot.place)
     }
 
-    fn add(&mut self, print: u64, place: Place) {
+    fn add(&mut self, fingerprint: u64, place: Place) {
         if (self.used + 1) * 4 > self.slots.len() * 3 {
             let wider = vec![EMPTY; self.slots.len() * 2];
             let former = std::mem::replace(&mut self.slots, wider);
-            former.into_iter().filter(|slot| slot.print != 0).for_each(|slot| self.put(slot));
+            former.into_iter().filter(|slot| slot.fingerprint != 0).for_each(|slot| self.put(slot));
         }
-        self.put(Slot { print, place });
+        self.put(Slot { fingerprint, place });
         self.used += 1;
     }
 
     fn put(&mut self, slot: Slot) {
-        let mut at = slot.print as usize & self.mask();
-        while self.slots[at].print != 0 {
+        let mut at = slot.fingerprint as usize & self.mask();
+        while self.slots[at].fingerprint != 0 {
             at = (at + 1) & self.mask();
         }
         self.slots[at] = slot;
     }
 
-    fn find(&self, print: u64, place: Place) -> Option<usize> {
-        let mut at = print as usize & self.mask();
-        while self.slots[at].print != 0 {
-            if self.slots[at].print == print && self.slots[at].place == place {
+    fn find(&self, fingerprint: u64, place: Place) -> Option<usize> {
+        let mut at = fingerprint as usize & self.mask();
+        while self.slots[at].fingerprint != 0 {
+            if self.slots[at].fingerprint == fingerprint && self.slots[at].place == place {
                 return Some(at);
             }
             at = (at + 1) & self.mask();
@@ -148,17 +156,17 @@
         None
     }
 
-    fn remove(&mut self, print: u64, place: Place) -> bool {
-        let Some(mut hole) = self.find(print, place) else { return false };
-        // Those behind move up, so that no grave is left to walk over.
+    fn remove(&mut self, fingerprint: u64, place: Place) -> bool {
+        let Some(mut hole) = self.find(fingerprint, place) else { return false };
+        // Later entries are shifted back, so that no tombstone is needed.
         let mut at = hole;
         loop {
             at = (at + 1) & self.mask();
             let slot = self.slots[at];
-            if slot.print == 0 {
+            if slot.fingerprint == 0 {
                 break;
             }
-            let home = slot.print as usize & self.mask();
+            let home = slot.fingerprint as usize & self.mask();
             let reaches = (at.wrapping_sub(home) & self.mask()) >= (at.wrapping_sub(hole) & self.mask());
             if reaches {
                 self.slots[hole] = slot;
@@ -184,21 +192,21 @@
         let (mut index, mut plain) = (Index::new((1, 2)), std::collections::BTreeSet::new());
         for step in 0..60_000u32 {
             // Few homes, so that runs grow long and wrap.
-            let print = (rng.random_range(0..3u64) << 56) + rng.random_range(1..40u64) * 7;
+            let fingerprint = (rng.random_range(0..3u64) << 56) + rng.random_range(1..40u64) * 7;
             let place = Place { segment: rng.random_range(0..3), offset: rng.random_range(0..4), len: 1 };
             let grows = step / 10_000 % 2 == 0;
             if rng.random_range(0..10) < if grows { 7 } else { 3 } {
-                if plain.insert((print, place)) {
-                    index.add(print, place);
+                if plain.insert((fingerprint, place)) {
+                    index.add(fingerprint, place);
                 }
             } else {
-                assert_eq!(index.remove(print, place), plain.remove(&(print, place)));
+                assert_eq!(index.remove(fingerprint, place), plain.remove(&(fingerprint, place)));
             }
             if step % 97 == 0 {
-                let mut there: Vec<Place> = index.places(print).collect();
+                let mut there: Vec<Place> = index.places(fingerprint).collect();
                 there.sort();
                 let wanted: Vec<Place> =
-                    plain.iter().filter(|(p, _)| *p == print).map(|(_, at)| *at).collect();
+                    plain.iter().filter(|(p, _)| *p == fingerprint).map(|(_, at)| *at).collect();
                 assert_eq!(there, wanted);
                 assert_eq!(index.len(), plain.len());
             }
--- a/crates/store/tests/crashes.rs
+++ b/crates/store/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Crashes at every byte and every step, rot at every bit, and faults by seed, against a plain map.
+//! Crashes at every byte and step, corruption of every bit and seeded faults, compared with a map as the model.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,12 +11,19 @@
 
 /// Small segments, so that a short workload rotates, compacts and takes snapshots.
 fn plan() -> Plan {
-    Plan { segment: 600, space: 2.0, least: 1500, snapshot: 1500, unsynced: 300, secret: Some((1, 2)) }
+    Plan {
+        max_segment_bytes: 600,
+        max_log_to_live_ratio: 2.0,
+        min_compaction_bytes: 1500,
+        min_snapshot_bytes: 1500,
+        max_unsynced_bytes: 300,
+        secret: Some((1, 2)),
+    }
 }
 
 type Model = BTreeMap<Vec<u8>, Vec<u8>>;
 
-/// What a store holds, table by table.
+/// Contents of a store, table by table.
 fn contents(store: &mut Store<SimDisk>) -> Model {
     let mut all = Model::new();
     let each = |table: &str, key: &[u8], found: Found| {
@@ -26,10 +33,10 @@
     all
 }
 
-/// A step of a workload: some changes that go together.
+/// A step of a workload: changes applied atomically.
 #[derive(Clone, Debug)]
 struct Change {
-    /// The last says that it has expired already, so that nobody is to see it.
+    /// Key, value, and whether the record has already expired and must not be visible.
     puts: Vec<(u8, Vec<u8>, bool)>,
     deletes: Vec<u8>,
     synced: bool,
@@ -76,8 +83,8 @@
     }
 }
 
-/// Runs a workload until it ends or the disk does. Gives the models after each change that was begun, and how many of
-/// them were acknowledged as written, and as synced.
+/// Runs a workload until it ends or the disk fails. Appends the model after each change begun to `models` and returns
+/// how many changes were acknowledged as written and as synced.
 fn run(store: &mut Store<SimDisk>, changes: &[Change], models: &mut Vec<Model>) -> (usize, usize) {
     let (mut written, mut synced) = (models.len() - 1, models.len() - 1);
     for change in changes {
@@ -95,7 +102,7 @@
             synced = written;
         }
         let mut left = 20;
-        while store.wants_work() && left > 0 {
+        while store.has_pending_work() && left > 0 {
             if store.work(NOW, 500).is_err() {
                 break;
             }
@@ -105,21 +112,21 @@
     (written, synced)
 }
 
-/// Opens what a crash left: it must hold one of the models, no older than what was promised.
-fn check(disk: SimDisk, models: &[Model], promised: usize, what: &str) -> SimDisk {
+/// Reopens a store after a crash: its contents must equal one of the models, none older than the acknowledged one.
+fn check(disk: SimDisk, models: &[Model], acknowledged: usize, what: &str) -> SimDisk {
     let mut store = Store::open(disk, plan()).unwrap_or_else(|error| panic!("{what}: {error}"));
     let found = contents(&mut store);
     let place = models.iter().rposition(|model| *model == found);
-    let place = place.unwrap_or_else(|| panic!("{what}: a state that never was: {found:?}"));
+    let place = place.unwrap_or_else(|| panic!("{what}: a state that never existed: {found:?}"));
     assert!(
-        place >= promised || models[promised..].contains(&found),
-        "{what}: state {place}, promised {promised}"
+        place >= acknowledged || models[acknowledged..].contains(&found),
+        "{what}: state {place}, acknowledged {acknowledged}"
     );
     store.into_disk()
 }
 
 #[test]
-fn the_newest_is_read_and_survives_reopening() {
+fn the_newest_record_is_read_and_survives_reopening() {
     let mut store = Store::open(SimDisk::new(1), plan()).unwrap();
     let mut models = vec![Model::new()];
     run(&mut store, &workload(1, 300), &mut models);
@@ -138,10 +145,10 @@
     }
 }
 
-/// Power goes before every step that a workload takes, rotation, compaction and snapshots included; what was not
+/// Power fails before every step that a workload takes, rotation, compaction and snapshots included; what was not
 /// synced comes back in several ways.
 #[test]
-fn power_lost_at_every_step() {
+fn recovers_from_power_loss_at_every_step() {
     let changes = workload(2, 60);
     let steps = {
         let mut store = Store::open(SimDisk::new(0), plan()).unwrap();
@@ -159,7 +166,7 @@
                     let (_, synced) = run(&mut store, &changes, &mut models);
                     (store.into_disk(), synced)
                 }
-                // Its first segment could not be made; nothing was promised.
+                // The first segment could not be created; no write was acknowledged.
                 Err(_) => continue,
             };
             let mut disk = disk;
@@ -169,9 +176,9 @@
     }
 }
 
-/// The process is killed at every step: what was written is there, synced or not.
+/// The process is killed at every step: written data survives, synced or not.
 #[test]
-fn killed_at_every_step() {
+fn recovers_from_a_kill_at_every_step() {
     let changes = workload(3, 60);
     for at in 0..400 {
         let mut disk = SimDisk::new(at);
@@ -185,9 +192,9 @@
     }
 }
 
-/// Power goes during the recovery, and during the recovery of that.
+/// Power fails during recovery, and again during the next recovery.
 #[test]
-fn power_lost_during_recovery_and_again() {
+fn recovers_from_power_loss_during_recovery() {
     let changes = workload(4, 60);
     let mut pairs = 0;
     for first in (5..300).step_by(7) {
@@ -216,9 +223,9 @@
     assert!(pairs > 500);
 }
 
-/// After a crash and a reopening the store goes on, and crashes again.
+/// The store is used after a crash and a reopening, and crashes again.
 #[test]
-fn two_lives_and_two_crashes() {
+fn recovers_from_two_successive_crashes() {
     let (one, two) = (workload(5, 40), workload(6, 40));
     for first in (3..250).step_by(11) {
         for second in (3..200).step_by(13) {
@@ -256,10 +263,10 @@
 
 /// The last segment is cut at every byte: each change is whole or absent. Others cut are damage, and named.
 #[test]
-fn files_cut_at_every_byte() {
+fn detects_files_truncated_at_every_byte() {
     let mut store = Store::open(SimDisk::new(8), plan()).unwrap();
     let mut models = vec![Model::new()];
-    // Nothing synced but by rotation, and no work in the background: cuts are torn writes, not broken promises.
+    // Only rotation syncs and no background work runs, so truncations are torn writes and not lost synced data.
     for change in workload(8, 40) {
         let mut next = models.last().unwrap().clone();
         model_after(&mut next, &change);
@@ -283,12 +290,12 @@
                     let found = contents(&mut store);
                     let place = models.iter().rposition(|model| *model == found);
                     seen.insert(
-                        place.unwrap_or_else(|| panic!("{name} cut at {cut}: a state that never was")),
+                        place.unwrap_or_else(|| panic!("{name} cut at {cut}: a state that never existed")),
                     );
                     torn += 1;
                 }
                 Err(StoreError::Damaged(damage)) => {
-                    // The head of the last one was promised when the one before it named it.
+                    // The head of the last segment is guaranteed once its predecessor names it.
                     assert!(*name != last || cut < 18, "{name} cut at {cut}: {damage:?}");
                     assert!(damage.file == *name && damage.offset <= cut as u64, "{damage:?}");
                     refused += 1;
@@ -300,9 +307,9 @@
     assert!(torn > 50 && refused > 500 && seen.len() > 1, "{torn} torn, {refused} refused, {seen:?}");
 }
 
-/// Every single bit of a store's files is flipped: never a wrong value, never one lost in silence.
+/// Every bit of a store's files is flipped in turn: no wrong value is returned and no loss goes undetected.
 #[test]
-fn every_bit_flipped() {
+fn detects_every_flipped_bit() {
     let (disk, models) = sealed(9, 40);
     let wanted = models.last().unwrap();
     let names = disk.all_names();
@@ -341,8 +348,8 @@
     assert!(refused > 1000 && harmless > 1000, "{refused} refused, {harmless} harmless or found on reading");
 }
 
-/// Operations fail at random: what was refused is not there, what was acknowledged is, and after a failed sync the
-/// store takes nothing more.
+/// Operations fail at random: rejected writes are absent, acknowledged ones are present, and after a failed sync the
+/// store rejects writes.
 #[test]
 fn failing_operations_by_seed() {
     let (mut closed, mut failed) = (0, 0);
@@ -353,19 +360,22 @@
         let mut store = Store::open(disk, plan()).unwrap();
         let mut model = Model::new();
         let mut models = vec![model.clone()];
-        let mut promised = 0;
+        let mut acknowledged = 0;
         for change in workload(seed, 60) {
             let was_closed = store.closed().is_some();
             match store.write(NOW, &batch(&change)) {
                 Ok(()) => {
-                    assert!(!was_closed || batch(&change).is_empty(), "a write after it closed");
+                    assert!(
+                        !was_closed || batch(&change).is_empty(),
+                        "a write succeeded after the store closed"
+                    );
                     model_after(&mut model, &change);
                     models.push(model.clone());
                 }
                 Err(_) => failed += 1,
             }
             if change.synced && store.sync().is_ok() {
-                promised = models.len() - 1;
+                acknowledged = models.len() - 1;
             }
             let _ = store.work(NOW, 200);
             if store.closed().is_none() {
@@ -375,7 +385,7 @@
         closed += usize::from(store.closed().is_some());
         let mut disk = store.into_disk();
         disk.lose_power();
-        check(disk, &models, promised, &format!("faults, seed {seed}"));
+        check(disk, &models, acknowledged, &format!("faults, seed {seed}"));
     }
     assert!(closed > 20 && failed > 100, "{closed} closed, {failed} writes failed");
 }
@@ -390,7 +400,7 @@
     let mut store = Store::open(disk, plan()).unwrap();
     store.write(NOW, Batch::default().put("t", b"k", None, b"w")).unwrap();
     assert!(matches!(store.sync(), Err(StoreError::Disk { .. })));
-    // The disk would say now that all is well.
+    // The disk would now report success.
     assert!(matches!(store.sync(), Err(StoreError::Closed(_))));
     let again = store.write(NOW, Batch::default().put("t", b"k", None, b"x"));
     assert!(matches!(again, Err(StoreError::Closed(_))));
@@ -398,7 +408,7 @@
 }
 
 #[test]
-fn a_full_disk_leaves_it_readable_and_it_goes_on_with_room() {
+fn a_full_disk_stays_readable_and_accepts_writes_after_space_is_freed() {
     for room in (700..2600).step_by(37) {
         let mut disk = SimDisk::new(room);
         disk.faults.room = Some(room);
@@ -423,7 +433,7 @@
 }
 
 #[test]
-fn what_expires_goes_without_being_copied_and_a_clock_that_goes_back_does_not_bring_it_back() {
+fn expired_records_are_not_copied_and_not_revived_by_a_clock_that_goes_backwards() {
     let mut store = Store::open(SimDisk::new(1), plan()).unwrap();
     let second = Duration::from_secs(1);
     for n in 0..200u32 {
@@ -434,7 +444,7 @@
                 Batch::default().put("answered", &n.to_le_bytes(), Some(now + second * 10), b"stands"),
             )
             .unwrap();
-        while store.wants_work() {
+        while store.has_pending_work() {
             store.work(now, 1000).unwrap();
         }
         let then = n.saturating_sub(20);
@@ -476,7 +486,7 @@
         match Store::open(disk, plan()) {
             Err(StoreError::Damaged(damage)) => assert!(damage.what.contains("missing"), "{damage:?}"),
             Err(other) => panic!("{name}: {other}"),
-            Ok(_) => panic!("{name} is missing and nobody noticed"),
+            Ok(_) => panic!("{name} is missing and was not detected"),
         }
     }
 }
@@ -486,7 +496,7 @@
     use proptest::prelude::*;
 
     #[derive(Clone, Debug)]
-    enum Act {
+    enum Action {
         Write(u64),
         Sync,
         Work(usize),
@@ -497,16 +507,16 @@
         Clock(u64),
     }
 
-    fn act() -> impl Strategy<Value = Act> {
+    fn action() -> impl Strategy<Value = Action> {
         prop_oneof![
-            8 => any::<u64>().prop_map(Act::Write),
-            3 => Just(Act::Sync),
-            4 => (1usize..800).prop_map(Act::Work),
-            1 => Just(Act::Seal),
-            1 => Just(Act::Kill),
-            1 => Just(Act::LosePower),
-            1 => (0u64..12).prop_map(Act::FailAfter),
-            1 => (0u64..5).prop_map(Act::Clock),
+            8 => any::<u64>().prop_map(Action::Write),
+            3 => Just(Action::Sync),
+            4 => (1usize..800).prop_map(Action::Work),
+            1 => Just(Action::Seal),
+            1 => Just(Action::Kill),
+            1 => Just(Action::LosePower),
+            1 => (0u64..12).prop_map(Action::FailAfter),
+            1 => (0u64..5).prop_map(Action::Clock),
         ]
     }
 
@@ -518,16 +528,16 @@
             ..Default::default()
         })]
 
-        /// Any order of writes, syncs, work, kills, losses of power and failures: the store holds what the model
-        /// holds, or after a loss a state between what was promised and what was written.
+        /// For any order of writes, syncs, background work, kills, power failures and faults the store equals the model,
+        /// or after a power failure a state between the last acknowledged and the last written one.
         #[test]
-        fn any_sequence_agrees_with_the_model(acts in proptest::collection::vec(act(), 1..120), seed in any::<u64>()) {
+        fn any_sequence_agrees_with_the_model(actions in proptest::collection::vec(action(), 1..120), seed in any::<u64>()) {
             let mut store = Store::open(SimDisk::new(seed), plan()).unwrap();
             let mut models = vec![Model::new()];
-            let mut promised = 0;
-            for act in acts {
-                match act {
-                    Act::Write(seed) => {
+            let mut acknowledged = 0;
+            for action in actions {
+                match action {
+                    Action::Write(seed) => {
                         let change = workload(seed, 1).remove(0);
                         if store.write(NOW, &batch(&change)).is_ok() {
                             let mut next = models.last().unwrap().clone();
@@ -535,24 +545,24 @@
                             models.push(next);
                         }
                     }
-                    Act::Sync => {
+                    Action::Sync => {
                         if store.sync().is_ok() {
-                            promised = models.len() - 1;
+                            acknowledged = models.len() - 1;
                         }
                     }
-                    Act::Work(bytes) => {
+                    Action::Work(bytes) => {
                         let _ = store.work(NOW, bytes);
                     }
-                    Act::Seal => {
+                    Action::Seal => {
                         if store.seal().is_ok() {
-                            promised = models.len() - 1;
+                            acknowledged = models.len() - 1;
                         }
                     }
-                    Act::FailAfter(steps) => {
+                    Action::FailAfter(steps) => {
                         let mut disk = store.into_disk();
                         disk.restart();
                         store = Store::open(disk, plan()).unwrap();
-                        promised = models.len() - 1; // Opening makes what it found last.
+                        acknowledged = models.len() - 1; // Opening syncs the data that it found.
                         let mut disk = store.into_disk();
                         disk.restart();
                         disk.faults.fail_at = [steps + 5].into();
@@ -564,23 +574,23 @@
                             }
                         };
                     }
-                    Act::Kill => {
+                    Action::Kill => {
                         let mut disk = store.into_disk();
                         disk.restart();
                         store = Store::open(disk, plan()).unwrap();
-                        promised = models.len() - 1;
+                        acknowledged = models.len() - 1;
                     }
-                    Act::LosePower => {
+                    Action::LosePower => {
                         let mut disk = store.into_disk();
                         disk.lose_power();
                         store = Store::open(disk, plan()).unwrap();
                         let found = contents(&mut store);
                         let place = models.iter().rposition(|model| *model == found);
-                        prop_assert!(place.is_some_and(|place| place >= promised || models[promised..].contains(&found)));
+                        prop_assert!(place.is_some_and(|place| place >= acknowledged || models[acknowledged..].contains(&found)));
                         models = vec![found];
-                        promised = 0;
+                        acknowledged = 0;
                     }
-                    Act::Clock(back) => {
+                    Action::Clock(back) => {
                         let _ = store.get(NOW.saturating_sub(Duration::from_secs(back)), "t", b"none");
                     }
                 }
@@ -592,7 +602,7 @@
     }
 }
 
-/// Far more on disk than is held in memory.
+/// The data on disk far exceeds the index in memory.
 #[test]
 fn a_store_a_thousand_times_its_index() {
     let folder = tempfile::tempdir().unwrap();
@@ -611,22 +621,22 @@
     assert_eq!(store.get(NOW, "t", &1199u64.to_le_bytes()).unwrap().unwrap().value, value(1199));
 }
 
-/// Many writers through one thread, on a real disk: all that was acknowledged is there.
+/// Many writes through one thread on a real disk: all acknowledged data is stored.
 #[test]
-fn the_keeper_acknowledges_what_is_there() {
+fn store_thread_acknowledges_only_stored_writes() {
     let folder = tempfile::tempdir().unwrap();
     let store = Store::open(RealDisk::open(folder.path()).unwrap(), plan()).unwrap();
-    let keeper = Keeper::begin(store, Group::default(), Default::default(), 64, || NOW).unwrap();
+    let store_thread = StoreThread::spawn(store, Group::default(), Default::default(), 64, || NOW).unwrap();
     let (told, done) = crossbeam_channel::unbounded();
-    let (mut ordered, mut busy) = (0u32, 0u32);
+    let (mut requested, mut busy) = (0u32, 0u32);
     for n in 0..3000u32 {
         let mut batch = Batch::default();
         batch.put("t", &n.to_le_bytes(), None, &n.to_le_bytes());
         let told = told.clone();
         let mode = if n % 50 == 0 { Mode::Synced } else { Mode::Written };
-        match keeper.write(batch, mode, move |outcome| told.send((n, outcome)).unwrap()) {
-            Ok(()) => ordered += 1,
-            Err(Busy) => {
+        match store_thread.write(batch, mode, move |outcome| told.send((n, outcome)).unwrap()) {
+            Ok(()) => requested += 1,
+            Err(QueueFull) => {
                 busy += 1;
                 std::thread::yield_now();
             }
@@ -635,18 +645,21 @@
     let mut too_large = Batch::default();
     too_large.put("", b"k", None, b"v");
     let told_too = told.clone();
-    while keeper.write(too_large.clone(), Mode::Written, {
+    while store_thread.write(too_large.clone(), Mode::Written, {
         let told = told_too.clone();
         move |outcome| told.send((u32::MAX, outcome)).unwrap()
-    }) == Err(Busy)
+    }) == Err(QueueFull)
     {
         std::thread::yield_now();
     }
-    let (stats, closed) = keeper.stats().unwrap();
-    assert!(stats.records as u32 == ordered && closed.is_none(), "{stats:?}, {ordered} ordered, {busy} busy");
-    drop(keeper);
+    let (stats, closed) = store_thread.stats().unwrap();
+    assert!(
+        stats.records as u32 == requested && closed.is_none(),
+        "{stats:?}, {requested} requested, {busy} busy"
+    );
+    drop(store_thread);
     let outcomes: Vec<(u32, Outcome)> = done.try_iter().collect();
-    assert_eq!(outcomes.len() as u32, ordered + 1);
+    assert_eq!(outcomes.len() as u32, requested + 1);
     let mut store = Store::open(RealDisk::open(folder.path()).unwrap(), plan()).unwrap();
     for (n, outcome) in outcomes {
         if n == u32::MAX {
