--- a/crates/fleet/src/incarnations.rs
+++ b/crates/fleet/src/incarnations.rs
@@ -18,12 +18,12 @@
 const RANDOM_BITS: u32 = 24;
 
 /// The number of the start that an incarnation counts.
-pub fn start_count(life: u64) -> u64 {
-    life >> RANDOM_BITS
+pub fn start_count(incarnation: u64) -> u64 {
+    incarnation >> RANDOM_BITS
 }
 
 struct Proposal {
-    life: u64,
+    incarnation: u64,
     granted: MemberSet,
     at: Duration,
 }
@@ -59,7 +59,7 @@
     /// No majority has agreed yet.
     Pending,
     /// A majority agrees that this incarnation is new. `fresh`: the disk's content is of the previous incarnation and complete.
-    New { life: u64, fresh: bool },
+    New { incarnation: u64, fresh: bool },
 }
 
 impl IncarnationTracker {
@@ -95,9 +95,9 @@
 
     /// Why the disk counts as older than what this member had stored, as text for the log.
     pub fn describe_stale_disk(&self) -> String {
-        let (life, write_count) = self.stored.unwrap_or_default();
+        let (incarnation, write_count) = self.stored.unwrap_or_default();
         format!(
-            "the disk has life {life} and {write_count} writes, others know of life {} and {} writes",
+            "the disk has life {incarnation} and {write_count} writes, others know of life {} and {} writes",
             self.highest_foreign, self.write_count
         )
     }
@@ -113,7 +113,7 @@
         self.reported_by.set(peer);
         self.write_count = self.write_count.max(write_count);
         // This process proposed it, and the peer granted it.
-        if self.proposal.as_ref().is_some_and(|proposed| proposed.life == highest) {
+        if self.proposal.as_ref().is_some_and(|proposed| proposed.incarnation == highest) {
             return false;
         }
         self.incarnation_seen(highest)
@@ -125,19 +125,19 @@
     }
 
     /// An incarnation of this member is known elsewhere. True: it is later than this process's, which loses its own.
-    pub fn incarnation_seen(&mut self, life: u64) -> bool {
-        self.learn_highest(life);
-        let overtaken = self.current > 0 && life > self.current;
+    pub fn incarnation_seen(&mut self, incarnation: u64) -> bool {
+        self.learn_highest(incarnation);
+        let overtaken = self.current > 0 && incarnation > self.current;
         if overtaken {
             self.abandon();
         }
         overtaken
     }
 
-    fn learn_highest(&mut self, life: u64) {
-        self.highest = self.highest.max(life);
-        if !self.own_proposals.contains(&life) {
-            self.highest_foreign = self.highest_foreign.max(life);
+    fn learn_highest(&mut self, incarnation: u64) {
+        self.highest = self.highest.max(incarnation);
+        if !self.own_proposals.contains(&incarnation) {
+            self.highest_foreign = self.highest_foreign.max(incarnation);
         }
     }
 
@@ -146,24 +146,26 @@
         if self.current > 0 || self.reported_by.len() + 1 < self.majority {
             return None;
         }
-        if let Some(proposed) = self.proposal.as_mut().filter(|proposed| proposed.life > self.highest) {
+        if let Some(proposed) = self.proposal.as_mut().filter(|proposed| proposed.incarnation > self.highest)
+        {
             if now < proposed.at + RETRY_INTERVAL {
                 return None;
             }
             proposed.at = now;
-            return Some(proposed.life);
+            return Some(proposed.incarnation);
         }
         self.random_state =
             self.random_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        let life = (start_count(self.highest) + 1) << RANDOM_BITS | self.random_state >> (64 - RANDOM_BITS);
+        let incarnation =
+            (start_count(self.highest) + 1) << RANDOM_BITS | self.random_state >> (64 - RANDOM_BITS);
         let mut granted = MemberSet::default();
         granted.set(self.self_member);
-        self.proposal = Some(Proposal { life, granted, at: now });
+        self.proposal = Some(Proposal { incarnation, granted, at: now });
         if self.own_proposals.len() >= MAX_OWN_PROPOSALS {
             self.own_proposals.remove(0);
         }
-        self.own_proposals.push(life);
-        Some(life)
+        self.own_proposals.push(incarnation);
+        Some(incarnation)
     }
 
     /// When [`IncarnationTracker::due_proposal`] may return a proposal again.
@@ -171,14 +173,14 @@
         self.proposal.as_ref().filter(|_| self.current == 0).map(|proposed| proposed.at + RETRY_INTERVAL)
     }
 
-    /// A peer whose highest known incarnation is `known` proposes `life`. Returns whether it is granted, and the highest one known.
-    pub fn proposal_received(&mut self, peer: u16, known: u64, life: u64) -> (bool, u64) {
+    /// A peer whose highest known incarnation is `known` proposes `incarnation`. Returns whether it is granted, and the highest one known.
+    pub fn proposal_received(&mut self, peer: u16, known: u64, incarnation: u64) -> (bool, u64) {
         let Some(granted) = self.granted.get_mut(usize::from(peer)) else { return (false, 0) };
-        if *granted != life && (life < *granted || life <= known) {
+        if *granted != incarnation && (incarnation < *granted || incarnation <= known) {
             return (false, known.max(*granted));
         }
-        *granted = life;
-        (true, life)
+        *granted = incarnation;
+        (true, incarnation)
     }
 
     /// The incarnation granted last to a peer, to be stored on disk; zero: none.
@@ -187,33 +189,34 @@
     }
 
     /// Restores from disk what was granted to a peer.
-    pub fn restore_granted(&mut self, peer: u16, life: u64) {
+    pub fn restore_granted(&mut self, peer: u16, incarnation: u64) {
         if let Some(granted) = self.granted.get_mut(usize::from(peer)) {
-            *granted = life.max(*granted);
+            *granted = incarnation.max(*granted);
         }
     }
 
     /// A peer has answered a proposal.
     pub fn proposal_answered(
-        &mut self, peer: u16, life: u64, granted: bool, highest: u64,
+        &mut self, peer: u16, incarnation: u64, granted: bool, highest: u64,
     ) -> ProposalOutcome {
         self.reported_by.set(peer);
         if !granted {
             self.learn_highest(highest);
             return ProposalOutcome::Pending;
         }
-        let Some(proposed) = self.proposal.as_mut().filter(|proposed| proposed.life == life) else {
+        let Some(proposed) = self.proposal.as_mut().filter(|proposed| proposed.incarnation == incarnation)
+        else {
             return ProposalOutcome::Pending;
         };
         proposed.granted.set(peer);
         if self.current > 0 || proposed.granted.len() < self.majority {
             return ProposalOutcome::Pending;
         }
-        (self.current, self.proposal) = (life, None);
+        (self.current, self.proposal) = (incarnation, None);
         let fresh = self.stored.is_some_and(|(stored, write_count)| {
             self.highest_foreign <= stored && write_count >= self.write_count
         });
-        ProposalOutcome::New { life, fresh }
+        ProposalOutcome::New { incarnation, fresh }
     }
 
     /// Gives up this incarnation for a newer one. The disk's content no longer counts as that of the previous incarnation.
--- a/crates/fleet/src/member/confirmations.rs
+++ b/crates/fleet/src/member/confirmations.rs
@@ -11,14 +11,14 @@
 use super::interface::MemberEvent;
 use crate::redial::Verdict;
 
-/// What was found of one dialogue, and is reported once it is acknowledged.
+/// The search result for a dialogue, reported once replicas have acknowledged it.
 struct Confirmation {
     ticket: u64,
-    by: Duration,
+    deadline: Duration,
     verdict: Verdict,
 }
 
-/// What was found of dialogues and waits for acknowledgements, by dialogue, by ticket and by deadline.
+/// Search results that wait for acknowledgements, by dialogue, by ticket and by deadline.
 #[derive(Default)]
 pub(super) struct Confirmations {
     pending: BTreeMap<DialogueId, Confirmation>,
@@ -36,7 +36,7 @@
     }
 
     pub(super) fn next_due(&self) -> Option<Duration> {
-        self.deadlines.first().map(|(by, _)| *by)
+        self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
     /// The dialogue whose write has this ticket.
@@ -46,29 +46,29 @@
 
     /// A dialogue whose deadline has passed.
     fn overdue(&self, now: Duration) -> Option<DialogueId> {
-        self.deadlines.first().filter(|(by, _)| *by <= now).map(|(_, id)| id.clone())
+        self.deadlines.first().filter(|(deadline, _)| *deadline <= now).map(|(_, id)| id.clone())
     }
 
-    fn insert(&mut self, id: DialogueId, ticket: u64, by: Duration, verdict: Verdict) {
+    fn insert(&mut self, id: DialogueId, ticket: u64, deadline: Duration, verdict: Verdict) {
         self.tickets.insert(ticket, id.clone());
-        self.deadlines.insert((by, id.clone()));
-        self.pending.insert(id, Confirmation { ticket, by, verdict });
+        self.deadlines.insert((deadline, id.clone()));
+        self.pending.insert(id, Confirmation { ticket, deadline, verdict });
     }
 
-    /// It is acknowledged, or nobody waits for it any more.
+    /// Removes a result that is acknowledged or no longer waited for.
     pub(super) fn remove(&mut self, id: &DialogueId) -> Option<Verdict> {
         let known = self.pending.remove(id)?;
         self.tickets.remove(&known.ticket);
-        self.deadlines.remove(&(known.by, id.clone()));
+        self.deadlines.remove(&(known.deadline, id.clone()));
         Some(known.verdict)
     }
 }
 
 impl Member {
-    /// What was found may be known to one member alone, which may die: before it is said again it is written under this owner, and
-    /// waits like any answer for its acknowledgements.
+    /// A search result may be known to a single member, which may fail: before it is reported it is written under this owner, and
+    /// waits for acknowledgements like any answer.
     pub(super) fn confirm(&mut self, id: DialogueId, verdict: Verdict) {
-        let (reached, answer) = match &verdict {
+        let (progress, answer) = match &verdict {
             Verdict::Stands { server, launch } => {
                 let stands = Answer::Stands { server: server.clone() };
                 (Progress::Stands { server: server.clone(), launch: *launch }, Some(stands))
@@ -80,17 +80,17 @@
             }
         };
         let acks = self.plan.acks_before_answer;
-        match self.write_step(&id, reached, Duration::ZERO, answer.as_ref(), self.now, acks) {
+        match self.write_step(&id, progress, Duration::ZERO, answer.as_ref(), self.now, acks) {
             None => self.events.push(MemberEvent::RedialResolved(id, verdict)),
             Some(ticket) => {
-                let by = self.now + self.plan.search_timeout;
-                self.confirmations.insert(id, ticket, by, verdict);
+                let deadline = self.now + self.plan.search_timeout;
+                self.confirmations.insert(id, ticket, deadline, verdict);
             }
         }
     }
 
-    /// Acknowledgements did not come in time: what was found is said where the configuration has answers go without, else its caller is to
-    /// come again. A line that was taken over for it waits meanwhile.
+    /// Resolves results not acknowledged in time: they are reported where the configuration permits unacknowledged answers,
+    /// else the caller is asked to retry, and a line that was taken over for it is held meanwhile.
     pub(super) fn resolve_overdue_confirmations(&mut self) {
         while let Some(id) = self.confirmations.overdue(self.now) {
             let Some(verdict) = self.confirmations.remove(&id) else { break };
@@ -104,8 +104,8 @@
             {
                 self.takeovers.hold_for_caller(self.now, &id, server, owner, launch);
             }
-            let come_back = self.plan.response_timeout;
-            self.events.push(MemberEvent::RedialResolved(id, Verdict::Unsure { retry_after: come_back }));
+            let retry_after = self.plan.response_timeout;
+            self.events.push(MemberEvent::RedialResolved(id, Verdict::Unsure { retry_after }));
         }
     }
 
--- a/crates/fleet/src/member/core_servers.rs
+++ b/crates/fleet/src/member/core_servers.rs
@@ -12,11 +12,11 @@
 use crate::duties::SWEEP;
 use crate::takeovers::{LineOwnership, TakeoverAction};
 
-/// Core servers whose lines are looked after (upper bound).
+/// Maximum number of core servers whose lines are audited.
 pub(super) const MAX_CORE_SERVERS: usize = 10_000;
 
 impl Member {
-    /// A link to a core server is up. What stands there of this member and is not held here is nobody's.
+    /// A link to a core server is up. Dialogues that stand there under this member and are not held here have no owner.
     pub fn core_up(&mut self, now: Duration, server: &ServerId) {
         self.now = now;
         if self.connected_cores.len() < MAX_CORE_SERVERS
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The link to a core server has gone.
+    /// The link to a core server has closed.
     pub fn core_down(&mut self, server: &ServerId) {
         if self.connected_cores.remove(server) {
             self.takeovers.server_lost(server);
@@ -43,36 +43,45 @@
         self.now = now;
         match audit {
             AuditMessage::Lines { serial, more, lines } => {
-                // Where all peers have forgotten an incarnation, core servers still know of it.
+                // Core servers may know of an incarnation that all peers have lost.
                 let ours =
                     lines.iter().map(|line| line.owner).filter(|owner| owner.member == self.plan.self_member);
                 if self.lives.incarnation_seen(ours.map(|owner| owner.incarnation).max().unwrap_or_default())
                 {
                     return self.later_incarnation_known(effects);
                 }
-                let (me, replica_table) = (self.plan.self_member, &self.replica_table);
-                let kept: BTreeSet<DialogueId> = lines
+                let (self_member, replica_table) = (self.plan.self_member, &self.replica_table);
+                let claimed_for_caller: BTreeSet<DialogueId> = lines
                     .iter()
                     .map(|line| line.dialogue.clone())
                     .filter(|id| self.is_claimed_for_caller(id))
                     .collect();
-                let whose = |line: &HeldLine| {
-                    if line.owner.member == me
+                let ownership_of = |line: &HeldLine| {
+                    if line.owner.member == self_member
                         && line.owner.incarnation == replica_table.incarnation()
                         && held(&line.dialogue)
                     {
                         return LineOwnership::Held;
                     }
                     let owner = replica_table.get(&line.dialogue).and_then(Replica::owner);
-                    match kept.contains(&line.dialogue) || owner.is_some_and(|owner| owner > line.owner) {
+                    match claimed_for_caller.contains(&line.dialogue)
+                        || owner.is_some_and(|owner| owner > line.owner)
+                    {
                         true => LineOwnership::Claimed,
                         false => LineOwnership::Unowned,
                     }
                 };
                 let incarnation = self.lives.current();
                 if incarnation > 0 {
-                    let actions =
-                        self.takeovers.lines_listed(now, server, serial, &lines, more, incarnation, whose);
+                    let actions = self.takeovers.lines_listed(
+                        now,
+                        server,
+                        serial,
+                        &lines,
+                        more,
+                        incarnation,
+                        ownership_of,
+                    );
                     self.do_takeover_actions(actions);
                 }
             }
@@ -96,13 +105,13 @@
         }
     }
 
-    /// A standing dialogue has ended at a core server; true: it was one that this member had taken over.
+    /// A standing dialogue has ended at a core server; returns whether this member had taken it over.
     pub fn core_ended(&mut self, now: Duration, id: &DialogueId) -> bool {
         self.now = now;
         let actions = self.takeovers.concluded(id);
-        let mine = !actions.is_empty();
+        let was_taken_over = !actions.is_empty();
         self.do_takeover_actions(actions);
-        mine
+        was_taken_over
     }
 
     /// A frame could not be sent to a core server.
@@ -111,7 +120,7 @@
         match frame {
             Frame::AuditMessage(AuditMessage::Adopt { dialogue, .. }) => {
                 let actions = self.redials.server_unreachable(dialogue);
-                self.do_redial_actions(actions); // A successor asks again by itself.
+                self.do_redial_actions(actions); // A successor retries by itself.
             }
             Frame::AuditMessage(AuditMessage::ListLines { serial, .. }) => {
                 self.takeovers.line_query_failed(*serial)
@@ -127,7 +136,7 @@
                     let duties = self.duties.as_ref().filter(|_| swept);
                     let act = duties.and_then(|duties| duties.current_action(self.now, SWEEP));
                     if duties.is_some() && act.is_none() {
-                        // The duty is another's by now.
+                        // Another member holds the duty by now.
                         self.takeovers.remove(&dialogue);
                         continue;
                     }
@@ -140,8 +149,8 @@
                 TakeoverAction::Own { dialogue, owner, server, launch } => {
                     self.counts.taken_over += 1;
                     self.replica_table.claim(self.now, &dialogue, owner, &Replica::default());
-                    let reached = Progress::Stands { server, launch };
-                    self.write_step(&dialogue, reached, Duration::ZERO, None, self.now, 0);
+                    let progress = Progress::Stands { server, launch };
+                    self.write_step(&dialogue, progress, Duration::ZERO, None, self.now, 0);
                 }
                 TakeoverAction::Release { server, dialogue, launch } => {
                     self.counts.released += 1;
@@ -151,9 +160,9 @@
                     self.replica_table.claim(self.now, &dialogue, owner, &Replica::default());
                     self.write_step(&dialogue, Progress::Ended, Duration::ZERO, None, self.now, 0);
                 }
-                TakeoverAction::ListLines { server, serial, member, life: incarnation, after } => {
-                    let what = AuditMessage::ListLines { serial, member, incarnation, after };
-                    self.events.push(MemberEvent::SendToCore(server, Frame::AuditMessage(what)));
+                TakeoverAction::ListLines { server, serial, member, incarnation, after } => {
+                    let query = AuditMessage::ListLines { serial, member, incarnation, after };
+                    self.events.push(MemberEvent::SendToCore(server, Frame::AuditMessage(query)));
                 }
             }
         }
--- a/crates/fleet/src/member/dispatch.rs
+++ b/crates/fleet/src/member/dispatch.rs
@@ -32,8 +32,8 @@
     fn peer_message_received(
         &mut self, link: PeerLink, known: &LinkInfo, peer: PeerMessage, effects: &mut dyn Effects,
     ) {
-        if let (LinkState::Operator, PeerMessage::Inquire { query: what }) = (known.state, &peer) {
-            return self.answer_inquiry(link, what, effects);
+        if let (LinkState::Operator, PeerMessage::Inquire { query }) = (known.state, &peer) {
+            return self.answer_inquiry(link, query, effects);
         }
         let Some(member) = known.member else {
             return self.close(link, "is no member", effects);
@@ -42,9 +42,9 @@
             group,
             member: place,
             incarnation,
-            known_remote_incarnation: yours,
+            known_remote_incarnation,
             saved,
-            last_seen_ago: away,
+            last_seen_ago,
         } = peer
         {
             return self.greeting_received(
@@ -53,8 +53,8 @@
                 group,
                 place,
                 incarnation,
-                (yours, saved),
-                away,
+                (known_remote_incarnation, saved),
+                last_seen_ago,
                 effects,
             );
         }
@@ -68,9 +68,9 @@
             PeerMessage::ProposeIncarnation { incarnation } => {
                 self.incarnation_proposed(link, member, incarnation, effects)
             }
-            PeerMessage::IncarnationReply { incarnation, granted: given, highest } => {
-                if let ProposalOutcome::New { life: incarnation, fresh } =
-                    self.lives.proposal_answered(member, incarnation, given, highest)
+            PeerMessage::IncarnationReply { incarnation, granted, highest } => {
+                if let ProposalOutcome::New { incarnation, fresh } =
+                    self.lives.proposal_answered(member, incarnation, granted, highest)
                 {
                     self.begin_incarnation(incarnation, fresh && self.has_neighbour_reported(), effects);
                 }
@@ -109,33 +109,32 @@
             PeerMessage::Ask { serial, dialogue, owner } => {
                 self.ask_received(member, serial, dialogue, owner)
             }
-            PeerMessage::AskReply { serial, is_authoritative: sure, higher, replica } => {
-                self.ask_reply_received(member, serial, sure, higher, replica.as_ref());
+            PeerMessage::AskReply { serial, is_authoritative, higher, replica } => {
+                self.ask_reply_received(member, serial, is_authoritative, higher, replica.as_ref());
             }
-            PeerMessage::RangeDigests { level, from, digests: sums } => {
-                self.repairs.push(member, RepairStep::RangeDigests(level, from, sums))
+            PeerMessage::RangeDigests { level, from, digests } => {
+                self.repairs.push(member, RepairStep::RangeDigests(level, from, digests))
             }
-            PeerMessage::DialogueDigests { range, fingerprints: prints } => {
-                self.repairs.push(member, RepairStep::DialogueDigests(range, prints))
+            PeerMessage::DialogueDigests { range, fingerprints } => {
+                self.repairs.push(member, RepairStep::DialogueDigests(range, fingerprints))
             }
-            PeerMessage::RequestReplicas { id_hashes: ids } => {
-                self.repairs.push(member, RepairStep::RequestReplicas(ids))
+            PeerMessage::RequestReplicas { id_hashes } => {
+                self.repairs.push(member, RepairStep::RequestReplicas(id_hashes))
             }
-            // Of another incarnation than the one that is known: it will be said again.
+            // Of an incarnation other than the known one: it will be sent again.
             PeerMessage::Acknowledge { .. }
             | PeerMessage::Resume { .. }
             | PeerMessage::SnapshotChunk { .. } => {}
-            PeerMessage::Duties { message: word } => {
+            PeerMessage::Duties { message } => {
                 let now = self.now;
-                if self.duties.as_mut().is_some_and(|duties| !duties.message_received(now, member, &word)) {
+                if self.duties.as_mut().is_some_and(|duties| !duties.message_received(now, member, &message))
+                {
                     self.close(link, "said what cannot be read about duties", effects);
                 }
             }
-            PeerMessage::CheckLines { action: act, server } => {
-                self.check_lines(member, &act, &server, effects)
-            }
-            PeerMessage::Publish { action: act, serial, order } => {
-                self.tables_order_received(member, &act, serial, order, effects)
+            PeerMessage::CheckLines { action, server } => self.check_lines(member, &action, &server, effects),
+            PeerMessage::Publish { action, serial, order } => {
+                self.tables_order_received(member, &action, serial, order, effects)
             }
             PeerMessage::Published { serial, why } => {
                 let (now, incarnation) = (self.now, self.view.incarnation(member));
@@ -146,7 +145,7 @@
             PeerMessage::PublishRequest { name } => {
                 let now = self.now;
                 self.duties.iter_mut().for_each(|duties| {
-                    let _ = duties.request_publish(now, &name); // Who asked sees by `fleet duties` what came of it.
+                    let _ = duties.request_publish(now, &name); // The requester sees the result in `fleet duties`.
                 });
             }
             PeerMessage::Fenced { duty, highest } => {
@@ -163,8 +162,8 @@
     fn membership_received(&mut self, link: PeerLink, from: u16, message: &[u8], effects: &mut dyn Effects) {
         match self.view.received(self.now, from, message) {
             Ok(changed) => {
-                let me = self.plan.self_member;
-                for member in changed.into_iter().filter(|member| *member != me) {
+                let self_member = self.plan.self_member;
+                for member in changed.into_iter().filter(|member| *member != self_member) {
                     self.apply_registered_incarnation(member, effects);
                 }
             }
--- a/crates/fleet/src/member/duty_acts.rs
+++ b/crates/fleet/src/member/duty_acts.rs
@@ -1,4 +1,4 @@
-//! Duties: acts that arrive under a fencing number, and the messages, disk writes and steps that the lease asks for.
+//! Duties: actions received under a fencing token, and the messages, disk writes and steps that the lease requires.
 
 use std::time::Duration;
 
@@ -12,12 +12,12 @@
 use crate::duties::{Duties, DutyEffect, SWEEP};
 
 impl Member {
-    /// The holder of `circuits` has this member look after its own lines at a core server.
+    /// The holder of `circuits` requests that this member check its own lines at a core server.
     pub(super) fn check_lines(
-        &mut self, member: u16, act: &DutyAction, server: &ServerId, effects: &mut dyn Effects,
+        &mut self, member: u16, action: &DutyAction, server: &ServerId, effects: &mut dyn Effects,
     ) {
-        let again = || AfterWrite::CheckLines { from: member, act: *act, server: server.clone() };
-        if !self.admits_duty_action(member, act, again, effects) {
+        let retry = || AfterWrite::CheckLines { from: member, act: *action, server: server.clone() };
+        if !self.admits_duty_action(member, action, retry, effects) {
             return;
         }
         if self.lives.current() > 0 && self.connected_cores.contains(server) {
@@ -26,15 +26,15 @@
         }
     }
 
-    /// Whether an act of a duty may be done: its number is no lower than one that was seen, and where it is new it is on disk, so that
-    /// this member refuses lower ones past its own restart.
+    /// Whether an action of a duty is admitted: its fencing token is no lower than the highest one seen, and a new one is
+    /// on disk, so that this member refuses lower ones after its own restart too.
     pub(super) fn admits_duty_action(
-        &mut self, from: u16, act: &DutyAction, again: impl Fn() -> AfterWrite, effects: &mut dyn Effects,
+        &mut self, from: u16, action: &DutyAction, retry: impl Fn() -> AfterWrite, effects: &mut dyn Effects,
     ) -> bool {
-        let Some(duties) = self.duties.as_mut().filter(|_| act.member == from) else { return false };
-        match duties.admit(act) {
+        let Some(duties) = self.duties.as_mut().filter(|_| action.member == from) else { return false };
+        match duties.admit(action) {
             Err(highest) => {
-                self.outgoing_messages.push((from, PeerMessage::Fenced { duty: act.duty, highest }));
+                self.outgoing_messages.push((from, PeerMessage::Fenced { duty: action.duty, highest }));
                 false
             }
             Ok(new) => {
@@ -42,12 +42,12 @@
                 if new {
                     self.fencing_write = self.submit_disk_write(vec![Save::FencingTokens(fence)], effects);
                 }
-                // What comes under it before it is on disk waits behind the first.
+                // Actions that arrive under the token before it is on disk wait for the same write.
                 let Some(number) = self.fencing_write.filter(|number| self.disk_writes.is_pending(*number))
                 else {
                     return true;
                 };
-                self.disk_writes.wait_for(number, [again()]);
+                self.disk_writes.wait_for(number, [retry()]);
                 false
             }
         }
@@ -55,9 +55,9 @@
 
     /// Carries out the effects of duties: messages, disk writes and actions.
     pub(super) fn settle_duties(&mut self, effects: &mut dyn Effects) {
-        let (now, me) = (self.now, self.plan.self_member);
+        let (now, self_member) = (self.now, self.plan.self_member);
         let Some(mut duties) = self.duties.take() else { return };
-        // A disk that fails leaves none, and what was on it is older than what is said from then on.
+        // A disk that fails counts as none, and its contents are older than what is sent from then on.
         self.has_disk |= effects.has_disk();
         let swept = duties.current_action(now, SWEEP).is_some();
         if swept != self.holds_sweep_duty {
@@ -71,26 +71,28 @@
             }
             for action in actions {
                 match action {
-                    DutyEffect::Send(to, word) => {
+                    DutyEffect::Send(to, message) => {
                         if let Some(link) = self.peers.link_to(to) {
                             self.send_to_link(
                                 link,
-                                Frame::PeerMessage(PeerMessage::Duties { message: word }),
+                                Frame::PeerMessage(PeerMessage::Duties { message }),
                                 effects,
                             );
                         }
                     }
-                    DutyEffect::Persist(number, kept) => {
-                        match self.submit_disk_write(vec![Save::Duties(kept)], effects) {
+                    DutyEffect::Persist(number, state) => {
+                        match self.submit_disk_write(vec![Save::Duties(state)], effects) {
                             Some(order) => duties.disk_order_issued(order, number),
-                            // Where there is no disk, memory is all that is promised; one that is too far behind promises nothing.
+                            // Without a disk, promises last as long as memory; a disk that is too far behind promises nothing.
                             None => duties.state_persisted(now, number, !self.has_disk),
                         }
                     }
-                    DutyEffect::Check(act, server) => {
-                        for member in (0..self.plan.members.len() as u16).filter(|member| *member != me) {
+                    DutyEffect::Check(action, server) => {
+                        for member in
+                            (0..self.plan.members.len() as u16).filter(|member| *member != self_member)
+                        {
                             if let Some(link) = self.peers.link_to(member) {
-                                let check = PeerMessage::CheckLines { action: act, server: server.clone() };
+                                let check = PeerMessage::CheckLines { action, server: server.clone() };
                                 self.send_to_link(link, Frame::PeerMessage(check), effects);
                             }
                         }
@@ -101,40 +103,42 @@
                 }
             }
         }
-        let heard = || -> Vec<(u16, u64)> {
-            let all =
-                (0..self.plan.members.len() as u16).filter(|member| *member == me || self.can_reach(*member));
-            let incarnation =
-                |member: u16| if member == me { self.lives.current() } else { self.view.incarnation(member) };
+        let reachable_members = || -> Vec<(u16, u64)> {
+            let all = (0..self.plan.members.len() as u16)
+                .filter(|member| *member == self_member || self.can_reach(*member));
+            let incarnation = |member: u16| {
+                if member == self_member { self.lives.current() } else { self.view.incarnation(member) }
+            };
             all.map(|member| (member, incarnation(member)))
                 .filter(|(_, incarnation)| *incarnation > 0)
                 .collect()
         };
-        let orders = duties.due_publish_orders(now, heard);
+        let orders = duties.due_publish_orders(now, reachable_members);
         self.duties = Some(duties);
-        // Others first, so that what this member does itself was seen to be ordered.
-        let (own, others): (Vec<_>, Vec<_>) = orders.into_iter().partition(|(member, ..)| *member == me);
-        for (member, act, serial, order) in others {
+        // Other members first, so that their orders are sent before this member carries out its own.
+        let (own, others): (Vec<_>, Vec<_>) =
+            orders.into_iter().partition(|(member, ..)| *member == self_member);
+        for (member, action, serial, order) in others {
             if let Some(link) = self.peers.link_to(member) {
                 self.send_to_link(
                     link,
-                    Frame::PeerMessage(PeerMessage::Publish { action: act, serial, order }),
+                    Frame::PeerMessage(PeerMessage::Publish { action, serial, order }),
                     effects,
                 );
             }
         }
-        for (_, act, serial, order) in own {
-            self.tables_order_received(me, &act, serial, order, effects);
+        for (_, action, serial, order) in own {
+            self.tables_order_received(self_member, &action, serial, order, effects);
         }
     }
 
-    /// An operator wants a duty to go to that member, or to whoever is next.
+    /// Hands a duty over to the given member, or to the next candidate, at an operator's request.
     pub(crate) fn hand_over(&mut self, duty: Duty, to: Option<u16>) {
         let now = self.now;
         self.duties.iter_mut().for_each(|duties| duties.hand_over(now, duty, to));
     }
 
-    /// An operator wants other voters.
+    /// Changes the voters at an operator's request.
     pub(crate) fn change_voters(&mut self, voters: Vec<u16>) {
         let now = self.now;
         self.duties.iter_mut().for_each(|duties| duties.change_voters(now, voters.clone()));
@@ -150,7 +154,7 @@
         self.duties.iter_mut().for_each(|duties| duties.shut_down(now));
     }
 
-    /// Whether nothing is left that other members would wait for.
+    /// Whether no duty is left to hand over to other members.
     pub fn is_shutdown_complete(&self) -> bool {
         self.duties.as_ref().is_none_or(Duties::is_shut_down)
     }
--- a/crates/fleet/src/member/incarnations.rs
+++ b/crates/fleet/src/member/incarnations.rs
@@ -13,12 +13,12 @@
 use crate::incarnations::start_count;
 use crate::peers::PeerLink;
 
-/// An overtaken process asks for an incarnation again after so long: two under one name are a mistake that only an operator mends.
+/// Delay before an overtaken process requests an incarnation again: only an operator can correct two processes under one name.
 pub(super) const DUPLICATE_NAME_BACKOFF: Duration = Duration::from_secs(60);
 
 impl Member {
-    /// A later incarnation of this member is known: of another process under its name, or of a former one that those who gave this incarnation
-    /// had forgotten. The latter is over with a new incarnation; the former is not, and the one that is overtaken twice gives way.
+    /// A later incarnation of this member is known: of another process under its name, or of a previous one that the members
+    /// that granted this incarnation had lost. A new incarnation resolves the latter but not the former; a process that is overtaken twice backs off.
     pub(super) fn later_incarnation_known(&mut self, effects: &mut dyn Effects) {
         let again =
             self.overtaken_at.replace(self.now).is_some_and(|at| self.now < at + DUPLICATE_NAME_BACKOFF);
@@ -39,7 +39,7 @@
             return;
         }
         if self.plan.members.len() == 1 && self.lives.current() == 0 {
-            return; // Nobody is there to agree, nor to keep replicas.
+            return; // There is no peer to grant it or to hold replicas.
         }
         if !self.has_majority_reported() && self.now < self.neighbour_reports_deadline {
             return;
@@ -62,14 +62,14 @@
         self.view.neighbours().iter().filter(|neighbour| self.lives.has_reported(**neighbour)).count()
     }
 
-    /// Of this member and its neighbours more than half have said what they know of its previous incarnation. Neighbours alone hear regularly
-    /// how many writes its disk has had.
+    /// Whether more than half of this member and its neighbours have reported its previous incarnation. Only neighbours
+    /// regularly receive the write count of its disk.
     fn has_majority_reported(&self) -> bool {
         let group = self.view.neighbours().len() + 1;
         self.reporting_neighbour_count() + 1 > group / 2
     }
 
-    /// A neighbour has said what it knows of this member's previous incarnation: without one nobody can tell whether its disk is old.
+    /// Whether a neighbour has reported this member's previous incarnation: without a report, a stale disk cannot be recognised.
     pub(super) fn has_neighbour_reported(&self) -> bool {
         self.reporting_neighbour_count() > 0
     }
@@ -77,12 +77,12 @@
     pub(super) fn incarnation_proposed(
         &mut self, link: PeerLink, member: u16, incarnation: u64, effects: &mut dyn Effects,
     ) {
-        let (given, highest) =
+        let (granted, highest) =
             self.lives.proposal_received(member, self.view.incarnation(member), incarnation);
-        if !given {
+        if !granted {
             self.send_to_link(
                 link,
-                Frame::PeerMessage(PeerMessage::IncarnationReply { incarnation, granted: given, highest }),
+                Frame::PeerMessage(PeerMessage::IncarnationReply { incarnation, granted, highest }),
                 effects,
             );
             return;
@@ -95,7 +95,7 @@
         } else {
             self.send_to_link(
                 link,
-                Frame::PeerMessage(PeerMessage::IncarnationReply { incarnation, granted: given, highest }),
+                Frame::PeerMessage(PeerMessage::IncarnationReply { incarnation, granted, highest }),
                 effects,
             );
         }
@@ -105,7 +105,7 @@
         let first = self.replica_table.incarnation() == 0;
         self.replicas_are_current = fresh && first;
         if !fresh && first && !self.replica_table.is_empty() {
-            // What the disk had is older than what was written in the incarnation before.
+            // The disk holds an older state than the previous incarnation wrote.
             let dropped = self.replica_table.drop_not_owned();
             let why = self.lives.describe_stale_disk();
             effects.log(&format!("{why}: its {dropped} replicas are incomplete and are dropped"));
@@ -123,8 +123,8 @@
         }
         effects.log(&format!("incarnation {} begins", start_count(incarnation)));
         self.replica_table.begin_incarnation(self.now, incarnation);
-        // What stands goes on under this incarnation: its core servers are told, or it would pass for what the former one left, or, where
-        // it was launched before this process had an incarnation, end with its link.
+        // Standing dialogues continue under this incarnation, and their core servers are notified. Otherwise they would count as
+        // left by the previous one or, where launched before this process had an incarnation, end with the link.
         let standing = self.replica_table.iter().filter_map(|(id, replica)| {
             let owner = replica
                 .owner()
@@ -141,7 +141,7 @@
             )
         });
         self.events.extend(adopts);
-        // An older replica has had fewer writes: from here on they are counted above all that were told.
+        // A stale disk has fewer writes: from here on the count continues above every reported one.
         self.disk_writes.count_from(self.lives.known_write_count());
         self.submit_disk_write(vec![Save::Incarnation(incarnation)], effects);
         for member in 0..self.plan.members.len() as u16 {
@@ -150,7 +150,7 @@
             }
             self.send_resume(member, effects);
         }
-        // A previous incarnation of this member left something behind, perhaps.
+        // A previous incarnation of this member may have left dialogues behind.
         self.takeovers.incarnation_ended(self.now, self.plan.self_member, incarnation - 1);
         self.view.set_self(self.now, incarnation, self.caught_up());
     }
--- a/crates/fleet/src/member/links.rs
+++ b/crates/fleet/src/member/links.rs
@@ -7,7 +7,7 @@
 
 use super::Member;
 use super::interface::Effects;
-use super::search::is_reached;
+use super::search::has_responsive_link;
 use crate::incarnations::start_count;
 use crate::link_liveness::LinkCheck;
 use crate::peers::{LinkInfo, LinkState, PeerLink};
@@ -49,24 +49,24 @@
     }
 
     pub(super) fn send_greeting(&mut self, link: PeerLink, member: u16, effects: &mut dyn Effects) {
-        let yours = self.view.incarnation(member).max(self.lives.granted_to(member));
+        let known_remote_incarnation = self.view.incarnation(member).max(self.lives.granted_to(member));
         // Only neighbours exchange heartbeats, so that only they can measure an absence.
-        let was_heard = self.view.incarnation(member) > 0 && self.view.is_neighbour(member);
-        let away = was_heard.then(|| self.view.time_since_frame(self.now, member));
+        let is_measured = self.view.incarnation(member) > 0 && self.view.is_neighbour(member);
+        let away = is_measured.then(|| self.view.time_since_frame(self.now, member));
         let saved = self.view.max_write_count(member);
         let (group, me, incarnation) = (self.group, self.plan.self_member, self.lives.current());
         if let Some(known) = self.peers.links.get_mut(&link) {
             known.sent_incarnation = Some(incarnation);
         }
-        let here = PeerMessage::Greeting {
+        let greeting = PeerMessage::Greeting {
             group,
             member: me,
             incarnation,
-            known_remote_incarnation: yours,
+            known_remote_incarnation,
             saved,
             last_seen_ago: away,
         };
-        self.send_to_link(link, Frame::PeerMessage(here), effects);
+        self.send_to_link(link, Frame::PeerMessage(greeting), effects);
     }
 
     /// Sends a frame, and closes a link that cannot take it, so that no frame is lost unnoticed.
@@ -130,7 +130,7 @@
 
     /// Whether messages are expected to reach a member: there is a link and the member is responsive.
     pub(super) fn can_reach(&self, member: u16) -> bool {
-        is_reached(&self.peers, &self.view, self.now, member)
+        has_responsive_link(&self.peers, &self.view, self.now, member)
     }
 
     /// A link was closed, or could not be opened.
@@ -189,7 +189,7 @@
     #[expect(clippy::too_many_arguments)]
     pub(super) fn greeting_received(
         &mut self, link: PeerLink, member: u16, group: u64, place: u16, incarnation: u64,
-        (yours, saved): (u64, u64), away: Option<Duration>, effects: &mut dyn Effects,
+        (known_remote_incarnation, saved): (u64, u64), away: Option<Duration>, effects: &mut dyn Effects,
     ) {
         if group != self.group || place != member {
             let line = format!(
@@ -199,20 +199,22 @@
             effects.log(&line);
             return self.close(link, "another group", effects);
         }
-        // A clock here that stood still while the other's went on: what is kept here may be forgotten elsewhere, and would be
-        // brought back to incarnation.
+        // The local clock stopped while the peer's went on: replicas held here may have expired elsewhere and would be
+        // restored by mistake.
         let mine = self.view.time_since_frame(self.now, member);
-        let still = away
-            .filter(|away| *away > mine + mine / 8 + CLOCK_STALL_TOLERANCE && yours == self.lives.current());
+        let clock_stall = away.filter(|away| {
+            *away > mine + mine / 8 + CLOCK_STALL_TOLERANCE
+                && known_remote_incarnation == self.lives.current()
+        });
         if self.lives.current() == 0
             && let Some(away) = away
         {
             self.min_time_since_previous_incarnation =
                 Some(self.min_time_since_previous_incarnation.map_or(away, |known| known.min(away)));
         }
-        if self.lives.peer_reported(member, yours, saved) {
+        if self.lives.peer_reported(member, known_remote_incarnation, saved) {
             self.later_incarnation_known(effects);
-        } else if still.is_some() && self.lives.current() > 0 {
+        } else if clock_stall.is_some() && self.lives.current() > 0 {
             let dropped = self.replica_table.drop_not_owned();
             effects.log(&format!(
                 "the local clock was stopped: dropped {dropped} replicas, requesting a new incarnation"
@@ -249,7 +251,7 @@
         }
         // An incarnation that began after the greeting was reported only on links that were open.
         let sent_incarnation = self.peers.links.get(&link).map(|known| known.sent_incarnation);
-        if sent_incarnation.is_some_and(|told| told != Some(self.lives.current())) {
+        if sent_incarnation.is_some_and(|announced| announced != Some(self.lives.current())) {
             self.send_greeting(link, member, effects);
         }
         self.propose_incarnation(effects);
--- a/crates/fleet/src/member/mod.rs
+++ b/crates/fleet/src/member/mod.rs
@@ -100,8 +100,8 @@
 }
 
 impl Member {
-    /// A member that starts at `now` from the state on its disk; `chance` is a random seed from the system.
-    pub fn new(now: Duration, plan: Plan, stored: Stored, chance: u64) -> Self {
+    /// A member that starts at `now` from the state on its disk; `random_seed` comes from the system.
+    pub fn new(now: Duration, plan: Plan, stored: Stored, random_seed: u64) -> Self {
         let (me, members) = (plan.self_member, plan.members.len());
         let replica_table = ReplicaTable::new(
             me,
@@ -115,7 +115,7 @@
             chores.add(chore, priority);
         }
         let known = stored.incarnation.map(|incarnation| (incarnation, stored.write_count));
-        let mut lives = IncarnationTracker::new(me, members, known, stored.proposed_incarnation, chance);
+        let mut lives = IncarnationTracker::new(me, members, known, stored.proposed_incarnation, random_seed);
         stored
             .granted_incarnations
             .iter()
@@ -129,7 +129,7 @@
                 duties,
                 plan.claim_timeout,
                 kept,
-                chance ^ 0x5bd1_e995,
+                random_seed ^ 0x5bd1_e995,
             )
         });
         let mut member = Self {
@@ -142,7 +142,7 @@
             now,
             view: MembershipView::new(now, me, plan.overlay(), plan.response_timeout),
             lives,
-            peers: Peers::new(now, me, members, chance ^ 0x9e37_79b9_7f4a_7c15),
+            peers: Peers::new(now, me, members, random_seed ^ 0x9e37_79b9_7f4a_7c15),
             replica_table,
             redials: Redials::new(
                 me,
--- a/crates/fleet/src/member/own_dialogues.rs
+++ b/crates/fleet/src/member/own_dialogues.rs
@@ -11,14 +11,14 @@
 
 impl Member {
     pub(super) fn write_step(
-        &mut self, id: &DialogueId, reached: Progress, bar: Duration, answer: Option<&Answer>,
+        &mut self, id: &DialogueId, progress: Progress, blocked_until: Duration, answer: Option<&Answer>,
         base: Duration, acks: usize,
     ) -> Option<u64> {
         self.counts.writes += 1;
         self.last_ticket += 1;
         let ticket = self.last_ticket;
         let wait = (acks > 0).then_some((ticket, acks));
-        let written = self.replica_table.write(self.now, id, reached, bar, answer, base, wait);
+        let written = self.replica_table.write(self.now, id, progress, blocked_until, answer, base, wait);
         self.changed_dialogues.insert(id.clone());
         match written {
             WriteResult::Pending => Some(ticket),
@@ -30,7 +30,7 @@
             WriteResult::Replaced(_) => {
                 self.counts.replaced += 1;
                 self.events.push(MemberEvent::OwnershipLost(id.clone()));
-                Some(ticket) // Which is never told: nothing is sent or said.
+                Some(ticket) // This ticket is never confirmed, so nothing is sent.
             }
         }
     }
@@ -51,17 +51,17 @@
         &mut self, now: Duration, id: &DialogueId, server: &ServerId, launch: LaunchNumber, until: Duration,
     ) -> Option<u64> {
         self.now = now;
-        let reached = Progress::Launched { server: server.clone(), launch };
+        let progress = Progress::Launched { server: server.clone(), launch };
         let acks = self.plan.acks_before_launch;
-        self.write_step(id, reached, until + self.plan.release_time, None, until, acks)
+        self.write_step(id, progress, until + self.plan.release_time, None, until, acks)
     }
 
-    /// A launch ended without a result; `doubt`: its core server may have set it up nevertheless.
-    pub fn launch_returned(&mut self, now: Duration, id: &DialogueId, doubt: bool) {
+    /// A launch ended without a result; `is_unresolved`: its core server may have set it up nevertheless.
+    pub fn launch_returned(&mut self, now: Duration, id: &DialogueId, is_unresolved: bool) {
         self.now = now;
         if self.replica_table.owns_dialogue(id) {
-            let bar = if doubt { now + self.plan.release_time } else { Duration::ZERO };
-            self.write_step(id, Progress::Accepted, bar, None, now, 0);
+            let blocked_until = if is_unresolved { now + self.plan.release_time } else { Duration::ZERO };
+            self.write_step(id, Progress::Accepted, blocked_until, None, now, 0);
         }
     }
 
@@ -70,12 +70,12 @@
         &mut self, now: Duration, id: &DialogueId, answer: &Answer, launch: LaunchNumber,
     ) -> Option<u64> {
         self.now = now;
-        let reached = match answer {
+        let progress = match answer {
             Answer::Stands { server } => Progress::Stands { server: server.clone(), launch },
             _ => Progress::Ended,
         };
         let acks = self.plan.acks_before_answer;
-        self.write_step(id, reached, Duration::ZERO, Some(answer), now, acks)
+        self.write_step(id, progress, Duration::ZERO, Some(answer), now, acks)
     }
 
     /// A dialogue has ended.
@@ -86,13 +86,13 @@
         }
     }
 
-    /// What launches of this dialogue bear, so that its core server knows whose it is; none where nobody is to take it over.
+    /// The owner stated in launches of this dialogue to the core server; `None` if no member is to take it over.
     pub fn owner_of(&self, id: &DialogueId) -> Option<Owner> {
         let owner = self.replica_table.get(id)?.owner()?;
         (self.lives.current() > 0 && self.replica_table.owns_dialogue(id)).then_some(owner)
     }
 
-    /// Another member now owns a dialogue of this member, and may never adopt what stands.
+    /// Another member now owns a dialogue of this member, and may never adopt its standing line.
     pub(super) fn watch_lines_of_lost_dialogue(&mut self, id: &DialogueId) {
         let Some(replica) = self.replica_table.get(id) else { return };
         let servers = replica.owner_states().iter().filter_map(|part| match &part.progress {
--- a/crates/fleet/src/member/table_orders.rs
+++ b/crates/fleet/src/member/table_orders.rs
@@ -11,7 +11,7 @@
 use super::saves::AfterWrite;
 use crate::duties::PUBLISH;
 
-/// Orders about number tables carried out at once, and remembered (upper bound); one beyond it comes again.
+/// Maximum number of number-table orders carried out at once, and of results remembered; further orders are sent again.
 const MAX_TABLES_ORDERS: usize = 64;
 
 /// An order that is being carried out.
@@ -27,7 +27,7 @@
     error: Option<Arc<str>>,
 }
 
-/// Orders about number tables: those being carried out, and what came of the last ones.
+/// Orders about number tables: those being carried out, and the latest results.
 #[derive(Default)]
 pub(super) struct TableOrders {
     running: Vec<RunningOrder>,
@@ -35,22 +35,22 @@
 }
 
 impl TableOrders {
-    /// Whether this order was carried out well, the last time.
+    /// Whether the latest attempt at this order succeeded.
     fn is_done(&self, serial: u64) -> bool {
         let last = self.finished.iter().rev().find(|order| order.serial == serial);
         last.is_some_and(|order| order.error.is_none())
     }
 
-    /// Notes who is told what comes of an order. True: it is to be carried out. An order that comes again while it is being carried
-    /// out is answered to whoever asked last; one that finds no room comes again.
+    /// Records which member gets the result of an order; returns whether to carry it out. An order repeated while it is being carried
+    /// out is answered to the latest sender; one that exceeds the limit is sent again.
     fn begin(&mut self, serial: u64, from: u16) -> bool {
         let first = !self.running.iter().any(|order| order.serial == serial);
         self.running.retain(|order| order.serial != serial);
-        let room = self.running.len() < MAX_TABLES_ORDERS;
-        if room {
+        let has_capacity = self.running.len() < MAX_TABLES_ORDERS;
+        if has_capacity {
             self.running.push(RunningOrder { serial, from });
         }
-        room && first
+        has_capacity && first
     }
 
     /// Records the result of an order; returns the member that gets it.
@@ -66,12 +66,12 @@
 }
 
 impl Member {
-    /// An order about number tables came from whoever holds `publish`, perhaps this member. It is carried out once.
+    /// An order about number tables was received from the holder of `publish`, possibly this member. It is carried out once.
     pub(super) fn tables_order_received(
-        &mut self, from: u16, act: &DutyAction, serial: u64, order: TablesOrder, effects: &mut dyn Effects,
+        &mut self, from: u16, action: &DutyAction, serial: u64, order: TablesOrder, effects: &mut dyn Effects,
     ) {
-        let again = || AfterWrite::CarryOutTablesOrder { from, act: *act, serial, order: order.clone() };
-        if !self.admits_duty_action(from, act, again, effects) {
+        let retry = || AfterWrite::CarryOutTablesOrder { from, act: *action, serial, order: order.clone() };
+        if !self.admits_duty_action(from, action, retry, effects) {
             return;
         }
         if self.table_orders.is_done(serial) {
@@ -100,16 +100,16 @@
         }
     }
 
-    /// A generation of number tables is wanted in force on all members; false: nobody is there to do it.
+    /// Requests that a generation of number tables be put in force on all members; returns false if no holder is reachable.
     pub fn publish(&mut self, now: Duration, name: &str) -> bool {
         self.now = now;
         let Some(duties) = &mut self.duties else { return false };
         match duties.holder(PUBLISH) {
             Some(holder) if holder == self.plan.self_member => duties.request_publish(now, name),
             Some(holder) => {
-                let there = self.peers.link_to(holder).is_some();
+                let is_linked = self.peers.link_to(holder).is_some();
                 self.outgoing_messages.push((holder, PeerMessage::PublishRequest { name: name.into() }));
-                there
+                is_linked
             }
             None => false,
         }
--- a/crates/fleet/src/membership_view.rs
+++ b/crates/fleet/src/membership_view.rs
@@ -97,8 +97,8 @@
     }
 
     /// Sets this member's incarnation (zero: none) and whether it has caught up, and notifies its neighbours.
-    pub fn set_self(&mut self, now: Duration, life: u64, caught_up: bool) {
-        self.membership.set_self(now, life, caught_up);
+    pub fn set_self(&mut self, now: Duration, incarnation: u64, caught_up: bool) {
+        self.membership.set_self(now, incarnation, caught_up);
     }
 
     /// The messages that are to be sent now.
@@ -130,10 +130,10 @@
     }
 
     /// An incarnation of a member has become known; true: it is a new one.
-    pub fn incarnation_learned(&mut self, member: u16, life: u64) -> bool {
+    pub fn incarnation_learned(&mut self, member: u16, incarnation: u64) -> bool {
         let Some(known) = self.members.get_mut(usize::from(member)) else { return false };
-        let new = life > known.incarnation;
-        known.incarnation = known.incarnation.max(life);
+        let new = incarnation > known.incarnation;
+        known.incarnation = known.incarnation.max(incarnation);
         new
     }
 
--- a/crates/fleet/src/redial.rs
+++ b/crates/fleet/src/redial.rs
@@ -55,7 +55,7 @@
 /// Input of a search: reachable members, and what is known at the start.
 pub struct RedialSearch<'a> {
     /// Whether a question reaches a member now; not called for this member.
-    pub reached: &'a dyn Fn(u16) -> bool,
+    pub is_reachable: &'a dyn Fn(u16) -> bool,
     /// This member is a candidate and has caught up, so that its own record counts.
     pub knows: bool,
     pub known: Replica,
@@ -74,7 +74,7 @@
     serial: u64,
     owner: Owner,
     cut_off: Duration,
-    by: Duration,
+    deadline: Duration,
     /// Members asked that have not answered yet.
     open: MemberSet,
     asked: MemberSet,
@@ -92,10 +92,10 @@
     group: ReplicaGroup,
     /// Acknowledgements that a launch waits for.
     awaited: usize,
-    within: Duration,
+    search_timeout: Duration,
     retry_after: Duration,
     release: Duration,
-    asks: HashMap<DialogueId, Search>,
+    searches: HashMap<DialogueId, Search>,
     serials: BTreeMap<u64, DialogueId>,
     deadlines: BTreeSet<(Duration, DialogueId)>,
     serial: u64,
@@ -104,17 +104,17 @@
 impl Redials {
     /// `retry_after`: the retry delay of an unresolved dialogue; `release`: the time that a launch needs at least.
     pub fn new(
-        self_member: u16, group: ReplicaGroup, awaited: usize, within: Duration, retry_after: Duration,
-        release: Duration,
+        self_member: u16, group: ReplicaGroup, awaited: usize, search_timeout: Duration,
+        retry_after: Duration, release: Duration,
     ) -> Self {
         Self {
             self_member,
             awaited: awaited.min(group.replica_count()),
             group,
-            within,
+            search_timeout,
             retry_after,
             release,
-            asks: HashMap::new(),
+            searches: HashMap::new(),
             serials: BTreeMap::new(),
             deadlines: BTreeSet::new(),
             serial: 0,
@@ -123,12 +123,12 @@
 
     /// Number of running searches.
     pub fn len(&self) -> usize {
-        self.asks.len()
+        self.searches.len()
     }
 
     /// Whether a search for this dialogue runs.
     pub fn has(&self, id: &DialogueId) -> bool {
-        self.asks.contains_key(id)
+        self.searches.contains_key(id)
     }
 
     /// Number of candidates that must answer, whoever the owner was.
@@ -141,19 +141,19 @@
         (self.group.replica_count() + 1 - self.awaited).max(self.awaited)
     }
 
-    fn has_quorum(&self, id: &DialogueId, ask: &Search) -> bool {
+    fn has_quorum(&self, id: &DialogueId, search: &Search) -> bool {
         let confirmed = |members: &mut dyn Iterator<Item = u16>| {
-            members.filter(|member| ask.confirmed.has(*member)).count()
+            members.filter(|member| search.confirmed.has(*member)).count()
         };
         let print = fingerprint(id);
         confirmed(&mut self.group.candidates(print).into_iter()) >= self.candidate_quorum()
-            || ask.found.last_writer().is_some_and(|writer| {
+            || search.found.last_writer().is_some_and(|writer| {
                 // A later claimant may have written to its own holders, of which the other members know nothing.
                 let is_own = |owner: Owner| {
-                    (owner.member, owner.incarnation) == (ask.owner.member, ask.owner.incarnation)
+                    (owner.member, owner.incarnation) == (search.owner.member, search.owner.incarnation)
                 };
                 let later =
-                    ask.found.owner_states().iter().map(|part| part.owner).filter(|owner| *owner > writer);
+                    search.found.owner_states().iter().map(|part| part.owner).filter(|owner| *owner > writer);
                 later.filter(|owner| !is_own(*owner)).chain([writer]).all(|owner| {
                     confirmed(&mut self.group.holders(print, owner.member)) >= self.holder_quorum()
                 })
@@ -162,22 +162,22 @@
 
     /// Whether no search runs.
     pub fn is_empty(&self) -> bool {
-        self.asks.is_empty()
+        self.searches.is_empty()
     }
 
     /// When [`Redials::timer_fired`] is due.
     pub fn next_due(&self) -> Option<Duration> {
-        self.deadlines.first().map(|(by, _)| *by)
+        self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
     /// Starts a search. Where too few members are reachable for a quorum, the result is unresolved at once.
     pub fn begin(&mut self, now: Duration, id: &DialogueId, begin: RedialSearch) -> Vec<RedialAction> {
         self.cancel(id);
-        let mut ask = Search {
+        let mut search = Search {
             serial: 0,
             owner: begin.owner,
             cut_off: begin.cut_off,
-            by: now + self.within,
+            deadline: now + self.search_timeout,
             open: MemberSet::default(),
             asked: MemberSet::default(),
             confirmed: MemberSet::default(),
@@ -186,14 +186,14 @@
             attempts: 0,
             phase: Phase::Asking,
         };
-        let others = ask.candidates.iter().filter(|member| **member != self.self_member);
-        let reached = others.filter(|member| (begin.reached)(**member)).count();
-        if reached + usize::from(begin.knows) < self.holder_quorum().min(self.candidate_quorum()) {
+        let others = search.candidates.iter().filter(|member| **member != self.self_member);
+        let reachable = others.filter(|member| (begin.is_reachable)(**member)).count();
+        if reachable + usize::from(begin.knows) < self.holder_quorum().min(self.candidate_quorum()) {
             return vec![self.unresolved(id)];
         }
-        let actions = self.send(id, &mut ask, begin.reached, begin.knows);
-        self.deadlines.insert((ask.by, id.clone()));
-        self.asks.insert(id.clone(), ask);
+        let actions = self.send(id, &mut search, begin.is_reachable, begin.knows);
+        self.deadlines.insert((search.deadline, id.clone()));
+        self.searches.insert(id.clone(), search);
         // This member alone may be a quorum.
         if actions.is_empty() { self.decide_if_known(now, id) } else { actions }
     }
@@ -204,30 +204,34 @@
 
     /// Asks all reachable members on behalf of the claiming owner.
     fn send(
-        &mut self, id: &DialogueId, ask: &mut Search, reached: &dyn Fn(u16) -> bool, knows: bool,
+        &mut self, id: &DialogueId, search: &mut Search, is_reachable: &dyn Fn(u16) -> bool, knows: bool,
     ) -> Vec<RedialAction> {
-        self.serials.remove(&ask.serial);
+        self.serials.remove(&search.serial);
         self.serial += 1;
-        ask.serial = self.serial;
+        search.serial = self.serial;
         self.serials.insert(self.serial, id.clone());
-        (ask.open, ask.asked, ask.confirmed) = Default::default();
+        (search.open, search.asked, search.confirmed) = Default::default();
         if knows {
-            ask.confirmed.set(self.self_member);
+            search.confirmed.set(self.self_member);
         }
         let mut actions = Vec::new();
         // The previous owner is asked too, even if it is no candidate: it may have a pending launch, which it then cancels.
-        let former = ask.found.owner().map(|owner| owner.member);
-        let also = former.filter(|member| !ask.candidates.contains(member));
-        for to in
-            ask.candidates.iter().copied().chain(also).filter(|to| *to != self.self_member && reached(*to))
+        let former = search.found.owner().map(|owner| owner.member);
+        let also = former.filter(|member| !search.candidates.contains(member));
+        for to in search
+            .candidates
+            .iter()
+            .copied()
+            .chain(also)
+            .filter(|to| *to != self.self_member && is_reachable(*to))
         {
-            ask.open.set(to);
-            ask.asked.set(to);
+            search.open.set(to);
+            search.asked.set(to);
             actions.push(RedialAction::Ask {
                 to,
-                serial: ask.serial,
+                serial: search.serial,
                 dialogue: id.clone(),
-                owner: ask.owner,
+                owner: search.owner,
             });
         }
         actions
@@ -236,88 +240,94 @@
     /// The dialogue of a question, and the owner on whose behalf it was asked.
     pub fn search_of(&self, serial: u64) -> Option<(&DialogueId, Owner)> {
         let id = self.serials.get(&serial)?;
-        Some((id, self.asks.get(id)?.owner))
+        Some((id, self.searches.get(id)?.owner))
     }
 
     /// A member has answered: its replica, whether it has caught up (`confirmed`), and a higher owner if it knows one.
     #[expect(clippy::too_many_arguments)]
     pub fn answered(
         &mut self, now: Duration, serial: u64, from: u16, confirmed: bool, higher: Option<Owner>,
-        copy: Option<&Replica>, reached: &dyn Fn(u16) -> bool, knows: bool,
+        copy: Option<&Replica>, is_reachable: &dyn Fn(u16) -> bool, knows: bool,
     ) -> Vec<RedialAction> {
         let Some(id) = self.serials.get(&serial).cloned() else { return Vec::new() };
-        let Some(mut ask) = self.asks.remove(&id) else { return Vec::new() };
+        let Some(mut search) = self.searches.remove(&id) else { return Vec::new() };
         let mut actions = Vec::new();
-        if matches!(ask.phase, Phase::Asking) && ask.open.has(from) {
-            ask.open.unset(from);
+        if matches!(search.phase, Phase::Asking) && search.open.has(from) {
+            search.open.unset(from);
             if let Some(copy) = copy {
-                ask.found.merge(copy);
+                search.found.merge(copy);
             }
             if let Some(higher) = higher {
-                ask.attempts += 1;
-                if ask.attempts >= MAX_CLAIM_ATTEMPTS {
-                    self.serials.remove(&ask.serial);
-                    self.deadlines.remove(&(ask.by, id.clone()));
+                search.attempts += 1;
+                if search.attempts >= MAX_CLAIM_ATTEMPTS {
+                    self.serials.remove(&search.serial);
+                    self.deadlines.remove(&(search.deadline, id.clone()));
                     return vec![self.unresolved(&id)];
                 }
-                ask.owner.round = ask.owner.round.max(higher.round + 1);
-                actions = self.send(&id, &mut ask, reached, knows);
+                search.owner.round = search.owner.round.max(higher.round + 1);
+                actions = self.send(&id, &mut search, is_reachable, knows);
             } else {
                 if confirmed {
-                    ask.confirmed.set(from);
+                    search.confirmed.set(from);
                 }
                 // The answer shows another owner, which is asked too.
-                if let Some(owner) = ask.found.owner()
+                if let Some(owner) = search.found.owner()
                     && owner.member != self.self_member
-                    && !ask.asked.has(owner.member)
-                    && reached(owner.member)
+                    && !search.asked.has(owner.member)
+                    && is_reachable(owner.member)
                 {
-                    ask.open.set(owner.member);
-                    ask.asked.set(owner.member);
-                    let (serial, dialogue) = (ask.serial, id.clone());
-                    actions.push(RedialAction::Ask { to: owner.member, serial, dialogue, owner: ask.owner });
+                    search.open.set(owner.member);
+                    search.asked.set(owner.member);
+                    let (serial, dialogue) = (search.serial, id.clone());
+                    actions.push(RedialAction::Ask {
+                        to: owner.member,
+                        serial,
+                        dialogue,
+                        owner: search.owner,
+                    });
                 }
             }
         }
-        self.asks.insert(id.clone(), ask);
+        self.searches.insert(id.clone(), search);
         actions.extend(self.decide_if_known(now, &id));
         actions
     }
 
     /// Decides once all members asked have answered.
     fn decide_if_known(&mut self, now: Duration, id: &DialogueId) -> Vec<RedialAction> {
-        let Some(ask) = self.asks.get(id) else { return Vec::new() };
-        if matches!(ask.phase, Phase::Adopting) || !ask.open.is_empty() {
+        let Some(search) = self.searches.get(id) else { return Vec::new() };
+        if matches!(search.phase, Phase::Adopting) || !search.open.is_empty() {
             return Vec::new();
         }
         self.decide(now, id)
     }
 
     fn decide(&mut self, now: Duration, id: &DialogueId) -> Vec<RedialAction> {
-        let Some(mut ask) = self.take(id) else { return Vec::new() };
-        if !self.has_quorum(id, &ask) {
+        let Some(mut search) = self.take(id) else { return Vec::new() };
+        if !self.has_quorum(id, &search) {
             return vec![self.unresolved(id)];
         }
-        let claim = RedialAction::Claim { dialogue: id.clone(), owner: ask.owner, found: ask.found.clone() };
-        let since = ask.found.newer_launch_until().filter(|blocked_until| *blocked_until > now);
-        let verdict = match ask.found.reading() {
+        let claim =
+            RedialAction::Claim { dialogue: id.clone(), owner: search.owner, found: search.found.clone() };
+        let since = search.found.newer_launch_until().filter(|blocked_until| *blocked_until > now);
+        let verdict = match search.found.reading() {
             // A record that a later owner did not use counts only once that owner's launch can have no effect any more.
             _ if since.is_some() => Verdict::Unsure { retry_after: since.unwrap_or(now) - now },
             ReplicaReading::Answered(answer) => Verdict::Answered(answer.clone()),
             ReplicaReading::Ended => Verdict::Concluded,
             ReplicaReading::Stands { server, .. } => {
                 let adopt =
-                    RedialAction::Adopt { server: server.clone(), dialogue: id.clone(), owner: ask.owner };
-                ask.phase = Phase::Adopting;
-                ask.by = now + self.within * 2;
-                self.deadlines.insert((ask.by, id.clone()));
-                self.serials.insert(ask.serial, id.clone());
-                self.asks.insert(id.clone(), ask);
+                    RedialAction::Adopt { server: server.clone(), dialogue: id.clone(), owner: search.owner };
+                search.phase = Phase::Adopting;
+                search.deadline = now + self.search_timeout * 2;
+                self.deadlines.insert((search.deadline, id.clone()));
+                self.serials.insert(search.serial, id.clone());
+                self.searches.insert(id.clone(), search);
                 return vec![claim, adopt];
             }
             // Where the block leaves no time for a launch, the caller is informed at once.
             ReplicaReading::Open { blocked_until, .. }
-                if blocked_until > now && blocked_until + self.release >= ask.cut_off =>
+                if blocked_until > now && blocked_until + self.release >= search.cut_off =>
             {
                 Verdict::Unsure { retry_after: blocked_until - now }
             }
@@ -329,10 +339,10 @@
     }
 
     fn take(&mut self, id: &DialogueId) -> Option<Search> {
-        let ask = self.asks.remove(id)?;
-        self.serials.remove(&ask.serial);
-        self.deadlines.remove(&(ask.by, id.clone()));
-        Some(ask)
+        let search = self.searches.remove(id)?;
+        self.serials.remove(&search.serial);
+        self.deadlines.remove(&(search.deadline, id.clone()));
+        Some(search)
     }
 
     /// Cancels a search: its caller gave up, or another member owns the dialogue.
@@ -342,8 +352,8 @@
 
     /// Another member claims the dialogue: a higher claim ends this search as unresolved.
     pub fn competing_claim(&mut self, id: &DialogueId, by: Owner) -> Vec<RedialAction> {
-        match self.asks.get(id) {
-            Some(ask) if ask.owner < by => {
+        match self.searches.get(id) {
+            Some(search) if search.owner < by => {
                 self.cancel(id);
                 vec![self.unresolved(id)]
             }
@@ -355,8 +365,8 @@
     pub fn adopted(
         &mut self, id: &DialogueId, server: &ServerId, owner: Owner, launch: Option<LaunchNumber>, by: Owner,
     ) -> Vec<RedialAction> {
-        let adopting = |ask: &&Search| matches!(ask.phase, Phase::Adopting) && ask.owner == owner;
-        if self.asks.get(id).filter(adopting).is_none() {
+        let adopting = |search: &&Search| matches!(search.phase, Phase::Adopting) && search.owner == owner;
+        if self.searches.get(id).filter(adopting).is_none() {
             return Vec::new();
         }
         self.cancel(id);
@@ -376,14 +386,14 @@
     /// The deadline given by `next_due` has passed: decides with the answers received so far.
     pub fn timer_fired(&mut self, now: Duration) -> Vec<RedialAction> {
         let mut actions = Vec::new();
-        while let Some((by, id)) = self.deadlines.first().cloned()
-            && by <= now
+        while let Some((deadline, id)) = self.deadlines.first().cloned()
+            && deadline <= now
         {
-            match self.asks.get(&id).map(|ask| &ask.phase) {
+            match self.searches.get(&id).map(|search| &search.phase) {
                 Some(Phase::Asking) => actions.extend(self.decide(now, &id)),
                 _ => {
                     self.cancel(&id);
-                    self.deadlines.remove(&(by, id.clone()));
+                    self.deadlines.remove(&(deadline, id.clone()));
                     actions.push(self.unresolved(&id));
                 }
             }
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -28,7 +28,7 @@
         .owner_states()
         .iter()
         .map(|part| {
-            let (reached, server, launch) = match &part.progress {
+            let (step, server, launch) = match &part.progress {
                 Progress::Accepted => ("taken", None, None),
                 Progress::Launched { server, launch } => ("out", Some(server), Some(launch)),
                 Progress::Stands { server, launch } => ("stands", Some(server), Some(launch)),
@@ -37,7 +37,7 @@
             json!({
                 "owner": owner_json(part.owner, names),
                 "version": part.version,
-                "reached": reached,
+                "reached": step,
                 "server": server.map(|server| server.0.to_string()),
                 "launch": launch.map(|launch| launch.0),
                 "barred_ms": part.blocked_until.saturating_sub(now).as_millis() as u64,
@@ -48,7 +48,7 @@
         ReplicaReading::Answered(_) => "answered",
         ReplicaReading::Ended => "over",
         ReplicaReading::Stands { .. } => "stands",
-        ReplicaReading::Open { blocked_until: bar, .. } if bar > now => "barred",
+        ReplicaReading::Open { blocked_until, .. } if blocked_until > now => "barred",
         ReplicaReading::Open { .. } => "open",
     };
     let given = copy.answers().iter();
@@ -79,12 +79,12 @@
             .map(|(place, name)| {
                 let member = place as u16;
                 let me = member == plan.self_member;
-                let (life, view) =
+                let (incarnation, view) =
                     (if me { self.incarnation() } else { self.view().incarnation(member) }, self.view());
                 json!({
                     "name": name,
                     "this": me,
-                    "start": start_count(life),
+                    "start": start_count(incarnation),
                     "heard": view.is_reachable(now, member),
                     "away_ms": if me { 0 } else { view.time_since_frame(now, member).as_millis().min(1 << 40) as u64 },
                     "gone": view.is_gone(member),
--- a/crates/fleet/src/takeovers.rs
+++ b/crates/fleet/src/takeovers.rs
@@ -40,7 +40,7 @@
     /// Record on behalf of this owner that the dialogue has ended.
     Conclude { dialogue: DialogueId, owner: Owner },
     /// Ask a core server for the lines of a member's incarnations up to this one.
-    ListLines { server: ServerId, serial: u64, member: u16, life: u64, after: Option<DialogueId> },
+    ListLines { server: ServerId, serial: u64, member: u16, incarnation: u64, after: Option<DialogueId> },
 }
 
 /// Stage of a takeover.
@@ -71,7 +71,7 @@
 
 /// An incarnation of a member that has ended.
 struct EndedIncarnation {
-    life: u64,
+    incarnation: u64,
     since: Duration,
     swept: BTreeMap<ServerId, SweepRecord>,
 }
@@ -99,7 +99,7 @@
 struct LineQuery {
     server: ServerId,
     member: u16,
-    life: u64,
+    incarnation: u64,
     at: Duration,
     /// Asked during normal service: an unowned line is released only when a second check finds it again.
     is_recheck_required: bool,
@@ -108,8 +108,8 @@
 /// Dialogues of ended incarnations that this member takes over or releases.
 pub struct Takeovers {
     self_member: u16,
-    unclaimed: Duration,
-    orphans: HashMap<DialogueId, Orphan>,
+    unclaimed_timeout: Duration,
+    orphaned_dialogues: HashMap<DialogueId, Orphan>,
     deadlines: BTreeSet<(Duration, DialogueId)>,
     ended_incarnations: BTreeMap<u16, EndedIncarnation>,
     /// Last queries for this member's own lines, by core server.
@@ -123,12 +123,12 @@
 }
 
 impl Takeovers {
-    /// Takeovers that release a dialogue which no caller claims for `unclaimed`.
-    pub fn new(self_member: u16, unclaimed: Duration) -> Self {
+    /// Takeovers that release a dialogue which no caller claims for `unclaimed_timeout`.
+    pub fn new(self_member: u16, unclaimed_timeout: Duration) -> Self {
         Self {
             self_member,
-            unclaimed,
-            orphans: HashMap::new(),
+            unclaimed_timeout,
+            orphaned_dialogues: HashMap::new(),
             deadlines: BTreeSet::new(),
             ended_incarnations: BTreeMap::new(),
             own_sweeps: BTreeMap::new(),
@@ -141,12 +141,12 @@
 
     /// Number of dialogues held for their callers or being taken over.
     pub fn len(&self) -> usize {
-        self.orphans.len()
+        self.orphaned_dialogues.len()
     }
 
     /// Whether no dialogue is held or being taken over.
     pub fn is_empty(&self) -> bool {
-        self.orphans.is_empty()
+        self.orphaned_dialogues.is_empty()
     }
 
     /// When [`Takeovers::timer_fired`] is due.
@@ -158,21 +158,21 @@
     // Members that are gone
 
     /// This incarnation of a member and all earlier ones have ended.
-    pub fn incarnation_ended(&mut self, now: Duration, member: u16, life: u64) {
+    pub fn incarnation_ended(&mut self, now: Duration, member: u16, incarnation: u64) {
         let ended = self.ended_incarnations.entry(member).or_insert(EndedIncarnation {
-            life,
+            incarnation,
             since: now,
             swept: BTreeMap::new(),
         });
-        if life > ended.life {
-            *ended = EndedIncarnation { life, since: now, swept: BTreeMap::new() };
+        if incarnation > ended.incarnation {
+            *ended = EndedIncarnation { incarnation, since: now, swept: BTreeMap::new() };
         }
         self.rescan_needed = true;
     }
 
     /// A member that counted as gone is reachable in the same incarnation: it was only slow, or partitioned.
-    pub fn member_returned(&mut self, member: u16, life: u64) {
-        if self.ended_incarnations.get(&member).is_some_and(|ended| ended.life >= life) {
+    pub fn member_returned(&mut self, member: u16, incarnation: u64) {
+        if self.ended_incarnations.get(&member).is_some_and(|ended| ended.incarnation >= incarnation) {
             self.ended_incarnations.remove(&member);
             self.line_queries.retain(|_, query| query.member != member);
         }
@@ -180,7 +180,7 @@
 
     /// Whether this owner's incarnation has ended.
     pub fn is_ended(&self, owner: Owner) -> bool {
-        self.ended_incarnations.get(&owner.member).is_some_and(|ended| owner.incarnation <= ended.life)
+        self.ended_incarnations.get(&owner.member).is_some_and(|ended| owner.incarnation <= ended.incarnation)
     }
 
     /// Whether any incarnation of a member has ended.
@@ -192,21 +192,21 @@
 
     /// Takes a replica's dialogue over if that is this member's task. `first`: the first available candidate holder.
     pub fn consider_replica(
-        &mut self, now: Duration, id: &DialogueId, copy: &Replica, first: Option<u16>, life: u64,
+        &mut self, now: Duration, id: &DialogueId, copy: &Replica, first: Option<u16>, incarnation: u64,
     ) -> Option<TakeoverAction> {
         let ReplicaReading::Stands { server, .. } = copy.reading() else { return None };
         let top = copy.owner().filter(|owner| self.is_ended(*owner))?;
         if first != Some(self.self_member)
-            || self.orphans.len() >= MAX_ADOPTING * 2
+            || self.orphaned_dialogues.len() >= MAX_ADOPTING * 2
             || self.pending_count() >= MAX_ADOPTING
         {
             self.rescan_needed = true;
             return None;
         }
-        if self.orphans.contains_key(id) {
+        if self.orphaned_dialogues.contains_key(id) {
             return None;
         }
-        let owner = Owner { round: top.round + 1, member: self.self_member, incarnation: life };
+        let owner = Owner { round: top.round + 1, member: self.self_member, incarnation };
         let server = server.clone();
         let adopt =
             TakeoverAction::Adopt { server: server.clone(), dialogue: id.clone(), owner, swept: false };
@@ -215,24 +215,29 @@
     }
 
     fn pending_count(&self) -> usize {
-        self.orphans.values().filter(|orphan| !matches!(orphan.stage, Stage::AwaitingCaller { .. })).count()
+        self.orphaned_dialogues
+            .values()
+            .filter(|orphan| !matches!(orphan.stage, Stage::AwaitingCaller { .. }))
+            .count()
     }
 
     fn put(&mut self, id: &DialogueId, orphan: Orphan) {
         self.remove(id);
         self.deadlines.insert((orphan.due(), id.clone()));
-        self.orphans.insert(id.clone(), orphan);
+        self.orphaned_dialogues.insert(id.clone(), orphan);
     }
 
     /// Whether a dialogue is held here or being taken over.
     pub fn has(&self, id: &DialogueId) -> bool {
-        self.orphans.contains_key(id)
+        self.orphaned_dialogues.contains_key(id)
     }
 
     /// The caller of a held dialogue has redialled. Returns where the dialogue stands.
     pub fn claim_held(&mut self, id: &DialogueId) -> Option<(ServerId, LaunchNumber)> {
-        let Stage::AwaitingCaller { launch, .. } = self.orphans.get(id)?.stage else { return None };
-        let server = self.orphans[id].server.clone();
+        let Stage::AwaitingCaller { launch, .. } = self.orphaned_dialogues.get(id)?.stage else {
+            return None;
+        };
+        let server = self.orphaned_dialogues[id].server.clone();
         self.remove(id);
         Some((server, launch))
     }
@@ -241,13 +246,13 @@
     pub fn hold_for_caller(
         &mut self, now: Duration, id: &DialogueId, server: ServerId, owner: Owner, launch: LaunchNumber,
     ) {
-        let stage = Stage::AwaitingCaller { until: now + self.unclaimed, launch };
+        let stage = Stage::AwaitingCaller { until: now + self.unclaimed_timeout, launch };
         self.put(id, Orphan { server, owner, stage });
     }
 
     /// Drops a dialogue: another member owns it, or its caller has redialled here.
     pub fn remove(&mut self, id: &DialogueId) -> bool {
-        let Some(orphan) = self.orphans.remove(id) else { return false };
+        let Some(orphan) = self.orphaned_dialogues.remove(id) else { return false };
         self.deadlines.remove(&(orphan.due(), id.clone()));
         true
     }
@@ -257,7 +262,10 @@
         &mut self, now: Duration, id: &DialogueId, server: &ServerId, owner: Owner,
         launch: Option<LaunchNumber>, by: Owner,
     ) -> Vec<TakeoverAction> {
-        let known = self.orphans.get(id).filter(|orphan| orphan.owner == owner && orphan.server == *server);
+        let known = self
+            .orphaned_dialogues
+            .get(id)
+            .filter(|orphan| orphan.owner == owner && orphan.server == *server);
         let Some(orphan) = known else { return Vec::new() };
         let is_releasing = match orphan.stage {
             Stage::Adopting { .. } => false,
@@ -274,7 +282,7 @@
                 ]
             }
             Some(launch) => {
-                let until = now + self.unclaimed;
+                let until = now + self.unclaimed_timeout;
                 let stage = Stage::AwaitingCaller { until, launch };
                 self.put(id, Orphan { server: server.clone(), owner, stage });
                 vec![TakeoverAction::Own { dialogue, owner, server, launch }]
@@ -286,7 +294,7 @@
 
     /// A dialogue that this member took over has ended at its core server.
     pub fn concluded(&mut self, id: &DialogueId) -> Vec<TakeoverAction> {
-        match self.orphans.get(id) {
+        match self.orphaned_dialogues.get(id) {
             Some(Orphan { owner, stage: Stage::AwaitingCaller { .. }, .. }) => {
                 let owner = *owner;
                 self.remove(id);
@@ -303,16 +311,17 @@
     pub fn sweep(
         &mut self, now: Duration, is_successor_of: impl Fn(u16) -> bool, cores: &BTreeSet<ServerId>,
     ) -> Vec<TakeoverAction> {
-        let unclaimed = self.unclaimed;
-        let due =
-            |swept: Option<&SweepRecord>| swept.is_none_or(|swept| swept.left && now >= swept.at + unclaimed);
+        let unclaimed_timeout = self.unclaimed_timeout;
+        let due = |swept: Option<&SweepRecord>| {
+            swept.is_none_or(|swept| swept.left && now >= swept.at + unclaimed_timeout)
+        };
         let mut asked = Vec::new();
         for (member, ended) in &mut self.ended_incarnations {
-            if now < ended.since + unclaimed || !is_successor_of(*member) {
+            if now < ended.since + unclaimed_timeout || !is_successor_of(*member) {
                 continue;
             }
             for server in cores.iter().filter(|server| due(ended.swept.get(*server))) {
-                asked.push((server.clone(), *member, ended.life));
+                asked.push((server.clone(), *member, ended.incarnation));
             }
         }
         asked.extend(
@@ -321,20 +330,26 @@
                 .filter(|server| due(self.own_sweeps.get(*server)))
                 .map(|s| (s.clone(), self.self_member, ANY_INCARNATION)),
         );
-        asked.into_iter().map(|(server, member, life)| self.query_lines(now, server, member, life)).collect()
+        asked
+            .into_iter()
+            .map(|(server, member, incarnation)| self.query_lines(now, server, member, incarnation))
+            .collect()
     }
 
-    fn query_lines(&mut self, now: Duration, server: ServerId, member: u16, life: u64) -> TakeoverAction {
+    fn query_lines(
+        &mut self, now: Duration, server: ServerId, member: u16, incarnation: u64,
+    ) -> TakeoverAction {
         self.serial += 1;
         let swept = SweepRecord { at: now, left: false };
         // This member's own incarnation has not ended, but lines of it that it does not hold are unowned too.
-        match self.ended_incarnations.get_mut(&member).filter(|ended| ended.life == life) {
+        match self.ended_incarnations.get_mut(&member).filter(|ended| ended.incarnation == incarnation) {
             Some(ended) => ended.swept.insert(server.clone(), swept),
             None => self.own_sweeps.insert(server.clone(), swept),
         };
-        let query = LineQuery { server: server.clone(), member, life, at: now, is_recheck_required: false };
+        let query =
+            LineQuery { server: server.clone(), member, incarnation, at: now, is_recheck_required: false };
         self.line_queries.insert(self.serial, query);
-        TakeoverAction::ListLines { server, serial: self.serial, member, life, after: None }
+        TakeoverAction::ListLines { server, serial: self.serial, member, incarnation, after: None }
     }
 
     /// Asks a core server for this member's lines, to find those that it does not hold.
@@ -356,8 +371,12 @@
     /// The duty `sweep` is held elsewhere: abandons running sweeps of other members' lines.
     pub fn stop_sweeping(&mut self) {
         let swept = |orphan: &Orphan| matches!(orphan.stage, Stage::Releasing { swept: true, .. });
-        let ids: Vec<DialogueId> =
-            self.orphans.iter().filter(|(_, orphan)| swept(orphan)).map(|(id, _)| id.clone()).collect();
+        let ids: Vec<DialogueId> = self
+            .orphaned_dialogues
+            .iter()
+            .filter(|(_, orphan)| swept(orphan))
+            .map(|(id, _)| id.clone())
+            .collect();
         for id in ids {
             self.remove(&id);
         }
@@ -375,8 +394,8 @@
         }
     }
 
-    fn mark_line_left(&mut self, server: &ServerId, member: u16, life: u64) {
-        let ended = self.ended_incarnations.get_mut(&member).filter(|ended| ended.life == life);
+    fn mark_line_left(&mut self, server: &ServerId, member: u16, incarnation: u64) {
+        let ended = self.ended_incarnations.get_mut(&member).filter(|ended| ended.incarnation == incarnation);
         let swept = ended.map_or(&mut self.own_sweeps, |ended| &mut ended.swept).get_mut(server);
         swept.into_iter().for_each(|swept| swept.left = true);
     }
@@ -385,13 +404,14 @@
     /// it still has the previous owner when it is listed again after the claim time.
     #[expect(clippy::too_many_arguments)]
     pub fn lines_listed(
-        &mut self, now: Duration, server: &ServerId, serial: u64, lines: &[HeldLine], more: bool, life: u64,
-        whose: impl Fn(&HeldLine) -> LineOwnership,
+        &mut self, now: Duration, server: &ServerId, serial: u64, lines: &[HeldLine], more: bool,
+        incarnation: u64, whose: impl Fn(&HeldLine) -> LineOwnership,
     ) -> Vec<TakeoverAction> {
         let Some(query) = self.line_queries.get_mut(&serial).filter(|query| query.server == *server) else {
             return Vec::new();
         };
-        let (member, up_to, is_recheck_required) = (query.member, query.life, query.is_recheck_required);
+        let (member, up_to, is_recheck_required) =
+            (query.member, query.incarnation, query.is_recheck_required);
         query.at = now;
         let mut actions = Vec::new();
         match lines.last().filter(|_| more) {
@@ -399,7 +419,7 @@
                 server: server.clone(),
                 serial,
                 member,
-                life: up_to,
+                incarnation: up_to,
                 after: Some(last.dialogue.clone()),
             }),
             None => drop(self.line_queries.remove(&serial)),
@@ -419,7 +439,7 @@
                 LineOwnership::Claimed => {
                     let since = self.claimed_lines.get(&key).filter(|(owner, _)| *owner == line.owner);
                     let since = since.map(|(_, since)| *since);
-                    if since.is_none_or(|since| now < since + self.unclaimed) {
+                    if since.is_none_or(|since| now < since + self.unclaimed_timeout) {
                         self.mark_line_left(server, member, up_to);
                         if since.is_none() && self.claimed_lines.len() < MAX_CLAIMED_LINES {
                             self.claimed_lines.insert(key, (line.owner, now));
@@ -430,7 +450,7 @@
                 LineOwnership::Unowned => {}
             }
             self.claimed_lines.remove(&key);
-            let owner = Owner { round: line.owner.round + 1, member: self.self_member, incarnation: life };
+            let owner = Owner { round: line.owner.round + 1, member: self.self_member, incarnation };
             let dialogue = line.dialogue.clone();
             let swept = member != self.self_member;
             actions.push(TakeoverAction::Adopt { server: server.clone(), dialogue, owner, swept });
@@ -443,7 +463,10 @@
     /// A core server could not be asked, or did not answer in time.
     pub fn line_query_failed(&mut self, serial: u64) {
         let Some(query) = self.line_queries.remove(&serial) else { return };
-        let ended = self.ended_incarnations.get_mut(&query.member).filter(|ended| ended.life == query.life);
+        let ended = self
+            .ended_incarnations
+            .get_mut(&query.member)
+            .filter(|ended| ended.incarnation == query.incarnation);
         ended.map_or(&mut self.own_sweeps, |ended| &mut ended.swept).remove(&query.server);
     }
 
@@ -467,7 +490,7 @@
         while let Some((at, id)) = self.deadlines.first().cloned()
             && at <= now
         {
-            let Some(mut orphan) = self.orphans.remove(&id) else {
+            let Some(mut orphan) = self.orphaned_dialogues.remove(&id) else {
                 self.deadlines.pop_first();
                 continue;
             };
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -316,7 +316,7 @@
         }
     }
 
-    fn launches(&mut self, place: usize, id: &DialogueId, lasts: Duration) {
+    fn plan_launch(&mut self, place: usize, id: &DialogueId, lasts: Duration) {
         let now = self.now;
         let member = self.member(place);
         member.dialogue_accepted(now, id);
@@ -324,18 +324,18 @@
         self.settle();
     }
 
-    fn answers(&mut self, place: usize, id: &DialogueId, answer: Answer) {
+    fn plan_answer(&mut self, place: usize, id: &DialogueId, answer: Answer) {
         let now = self.now;
         self.member(place).answer_planned(now, id, &answer, LaunchNumber(0));
         self.settle();
     }
 
     fn stands(&mut self, place: usize, id: &DialogueId) {
-        self.launches(place, id, ms(1000));
-        self.answers(place, id, Answer::Stands { server: server() });
+        self.plan_launch(place, id, ms(1000));
+        self.plan_answer(place, id, Answer::Stands { server: server() });
     }
 
-    fn seek(&mut self, place: usize, id: &DialogueId) {
+    fn look_up(&mut self, place: usize, id: &DialogueId) {
         let (now, cut_off) = (self.now, self.now + ms(3000));
         self.member(place).look_up_dialogue(now, id, cut_off);
         self.settle();
@@ -352,15 +352,15 @@
     }
 
     /// The core server answers that the dialogue stands there and is adopted.
-    fn adopts(&mut self, place: usize, id: &DialogueId) {
+    fn adopt_line(&mut self, place: usize, id: &DialogueId) {
         let owner = self.adopting(place, id).expect("its core server is asked");
-        self.core_says(
+        self.receive_audit(
             place,
             AuditMessage::Adopted { dialogue: id.clone(), owner, launch: Some(0), by: owner },
         );
     }
 
-    fn core_says(&mut self, place: usize, audit: AuditMessage) {
+    fn receive_audit(&mut self, place: usize, audit: AuditMessage) {
         let (now, ends) = (self.now, &mut self.ends[place]);
         let member = self.members[place].as_mut().expect("it runs");
         member.audit_received(now, &server(), audit, &|_| false, ends);
@@ -402,11 +402,11 @@
     let (d, holders, other) = net.dialogue();
     net.stands(0, &d);
     net.kill(0);
-    net.seek(other, &d);
+    net.look_up(other, &d);
     assert_eq!(net.verdict(other, &d), None, "its core server is asked first");
     // From here on no holder receives the asker's frames, so its writes are not acknowledged.
     net.blocked_pairs = holders.iter().map(|holder| (other, *holder)).collect();
-    net.adopts(other, &d);
+    net.adopt_line(other, &d);
     assert_eq!(net.verdict(other, &d), None, "only this member knows of the takeover");
     net.heal();
     assert_eq!(net.verdict(other, &d), stands());
@@ -418,16 +418,16 @@
     let (d, holders, other) = net.dialogue();
     net.stands(0, &d);
     net.kill(0);
-    net.seek(other, &d);
+    net.look_up(other, &d);
     net.blocked_pairs = holders.iter().map(|holder| (other, *holder)).collect();
-    net.adopts(other, &d);
+    net.adopt_line(other, &d);
     net.run(ms(60));
     assert!(
         is_unsure(&net.verdict(other, &d)) && net.member(other).table_sizes().0 == 1,
         "held for its caller"
     );
     net.heal();
-    net.seek(other, &d);
+    net.look_up(other, &d);
     assert_eq!((net.verdict(other, &d), net.member(other).table_sizes().0), (stands(), 0));
 }
 
@@ -438,7 +438,7 @@
     net.stands(0, &d);
     net.kill(0);
     net.slow.extend(&holders);
-    net.seek(other, &d);
+    net.look_up(other, &d);
     net.run(ms(59));
     let has_result =
         |net: &TestNetwork| net.adopting(other, &d).is_some() || net.verdict(other, &d).is_some();
@@ -446,8 +446,8 @@
     net.run(ms(1));
     assert!(is_unsure(&net.verdict(other, &d)));
     holders.iter().for_each(|holder| net.finish_disk_writes(*holder));
-    net.seek(other, &d);
-    net.adopts(other, &d);
+    net.look_up(other, &d);
+    net.adopt_line(other, &d);
     assert_eq!(net.verdict(other, &d), stands());
 }
 
@@ -455,24 +455,24 @@
 fn a_record_unused_by_a_later_owner_counts_only_after_that_owner_s_launch() {
     let mut net = TestNetwork::new(5, false, |_| ());
     let (d, holders, other) = net.dialogue();
-    net.launches(0, &d, ms(100));
+    net.plan_launch(0, &d, ms(100));
     // The owner's answer is delayed; meanwhile a holder finds the launch and sends its own after it.
     net.blocked_pairs = holders.iter().map(|holder| (0, *holder)).collect();
-    net.answers(0, &d, Answer::Stands { server: server() });
-    net.seek(holders[0], &d);
+    net.plan_answer(0, &d, Answer::Stands { server: server() });
+    net.look_up(holders[0], &d);
     net.run(ms(60));
     let Some(Verdict::Free { not_before }) = net.verdict(holders[0], &d) else {
         panic!("{:?}", net.verdict(holders[0], &d))
     };
     let wait = not_before.saturating_sub(net.now);
     net.run(wait);
-    net.launches(holders[0], &d, ms(1000));
+    net.plan_launch(holders[0], &d, ms(1000));
     net.heal();
     // The other holder knows both: the first owner's record that it stood, and the later owner's launch.
     let copy = net.member(holders[1]).replica_table().get(&d).unwrap().clone();
     assert!(copy.newer_launch_until().is_some(), "{copy:?}");
     net.kill(holders[0]);
-    net.seek(other, &d);
+    net.look_up(other, &d);
     net.run(ms(60));
     assert!(is_unsure(&net.verdict(other, &d)), "{:?}", net.verdict(other, &d));
     assert_eq!(net.adopting(other, &d), None, "the line of that launch is not adopted");
@@ -483,7 +483,7 @@
     for rotation in 0..2 {
         let mut net = TestNetwork::new(5, false, |_| ());
         let (d, holders, other) = net.dialogue();
-        net.launches(0, &d, ms(100));
+        net.plan_launch(0, &d, ms(100));
         net.kill(0);
         let mut places = [other, holders[0]];
         places.rotate_left(rotation);
@@ -513,8 +513,8 @@
     net.blocked_pairs = (1..5).flat_map(|place| [(0, place), (place, 0)]).collect();
     net.stands(0, &d);
     // A first dial there starts no search.
-    net.launches(holders[0], &d, ms(100));
-    net.answers(holders[0], &d, Answer::Refused { come_back: None });
+    net.plan_launch(holders[0], &d, ms(100));
+    net.plan_answer(holders[0], &d, Answer::Refused { come_back: None });
     net.heal();
     net.run(ms(15_000));
     let differ: u64 = (0..5).map(|place| net.member(place).counts().differ).sum();
@@ -543,8 +543,8 @@
         net.run(ms(70));
     }
     net.run(ms(3000));
-    net.seek(other, &d);
-    net.adopts(other, &d);
+    net.look_up(other, &d);
+    net.adopt_line(other, &d);
     assert_eq!(net.verdict(other, &d), stands());
 }
 
@@ -607,13 +607,13 @@
     net.start(holders[0]);
     net.run(ms(3000));
     assert!(!net.member(holders[0]).caught_up(), "it has not received what member 0 knew");
-    net.seek(other, &d);
+    net.look_up(other, &d);
     net.run(ms(60));
     assert!(is_unsure(&net.verdict(other, &d)) && net.adopting(other, &d).is_none());
     // By then the retention time has passed for all that it may lack.
     net.run(ms(70_000));
     assert!(net.member(holders[0]).caught_up());
-    net.seek(other, &d);
+    net.look_up(other, &d);
     assert!(net.adopting(other, &d).is_some());
 }
 
@@ -634,14 +634,14 @@
         _ => None,
     });
     net.kill(0);
-    net.seek(other, &d);
+    net.look_up(other, &d);
     net.blocked_pairs = holders.iter().map(|holder| (other, *holder)).collect();
-    net.adopts(other, &d);
+    net.adopt_line(other, &d);
     // The line is owned by this member there, but its edge proxy does not hold it yet.
     let owner = net.adopting(other, &d).unwrap();
     let lines = vec![lotussaddle_trunk::HeldLine { dialogue: d.clone(), launch: LaunchNumber(0), owner }];
     let serial = asked.expect("its own lines are queried");
-    net.core_says(other, AuditMessage::Lines { serial, more: false, lines });
+    net.receive_audit(other, AuditMessage::Lines { serial, more: false, lines });
     net.heal();
     assert_eq!((net.verdict(other, &d), net.adopting(other, &d)), (stands(), Some(owner)));
     let released = |(_, finding): &(usize, MemberEvent)| {
@@ -656,7 +656,7 @@
     let tells = |net: &mut TestNetwork, life: u64| {
         let owner = Owner { round: 0, member: 0, incarnation: life };
         let lines = vec![lotussaddle_trunk::HeldLine { dialogue: id("x"), launch: LaunchNumber(0), owner }];
-        net.core_says(0, AuditMessage::Lines { serial: 1, more: false, lines });
+        net.receive_audit(0, AuditMessage::Lines { serial: 1, more: false, lines });
         net.run(ms(2000));
         net.member(0).incarnation()
     };
@@ -702,7 +702,7 @@
         .find(|id| group.holders(lotussaddle_replica::fingerprint(id), 0).eq([1]));
     let d = d.unwrap();
     net.slow.insert(1);
-    net.launches(0, &d, ms(1000));
+    net.plan_launch(0, &d, ms(1000));
     let kept = |net: &TestNetwork| {
         net.found.iter().filter(|(of, f)| *of == 0 && matches!(f, MemberEvent::WriteConfirmed(_))).count()
     };
@@ -864,7 +864,7 @@
     assert_eq!([net.link(0, used), net.link(0, idle)], links, "nothing is sent over an idle link");
     assert!(net.held.is_empty(), "{}", net.held.len());
     let d = net.held_by(0, used);
-    net.launches(0, &d, ms(1000));
+    net.plan_launch(0, &d, ms(1000));
     net.run(ms(3500));
     assert_eq!(net.link(0, used), None, "no answer came");
     assert_eq!(net.link(0, idle), links[1]);
--- a/crates/fleet/tests/unit/incarnations.rs
+++ b/crates/fleet/tests/unit/incarnations.rs
@@ -31,7 +31,10 @@
         ProposalOutcome::Pending,
         "granted to another process"
     );
-    assert_eq!(lives.proposal_answered(2, life, true, life), ProposalOutcome::New { life, fresh: false });
+    assert_eq!(
+        lives.proposal_answered(2, life, true, life),
+        ProposalOutcome::New { incarnation: life, fresh: false }
+    );
     assert_eq!((lives.current(), lives.due_proposal(ms(9000))), (life, None));
 }
 
@@ -71,7 +74,10 @@
     old.peer_reported(1, start(9), 0);
     let life = old.due_proposal(ms(0)).unwrap();
     assert_eq!(start_count(life), 10);
-    assert_eq!(old.proposal_answered(1, life, true, life), ProposalOutcome::New { life, fresh: false });
+    assert_eq!(
+        old.proposal_answered(1, life, true, life),
+        ProposalOutcome::New { incarnation: life, fresh: false }
+    );
     // With no incarnation in between, the disk has all that was acknowledged.
     let mut next = IncarnationTracker::new(0, 3, Some((start(4), 17)), 0, 1);
     next.peer_reported(1, start(4), 17);
@@ -80,13 +86,19 @@
         !next.peer_reported(2, life, 0) && next.due_proposal(ms(1)).is_none(),
         "granted there, and the answer was lost"
     );
-    assert_eq!(next.proposal_answered(1, life, true, life), ProposalOutcome::New { life, fresh: true });
+    assert_eq!(
+        next.proposal_answered(1, life, true, life),
+        ProposalOutcome::New { incarnation: life, fresh: true }
+    );
     assert!(!next.peer_reported(2, life, 0) && next.peer_reported(2, start(6), 0) && next.current() == 0);
     // The same incarnation with fewer writes than reported: the disk was restored from shortly before.
     let mut older = IncarnationTracker::new(0, 3, Some((start(4), 17)), 0, 1);
     older.peer_reported(1, start(4), 18);
     let life = older.due_proposal(ms(0)).unwrap();
-    assert_eq!(older.proposal_answered(1, life, true, life), ProposalOutcome::New { life, fresh: false });
+    assert_eq!(
+        older.proposal_answered(1, life, true, life),
+        ProposalOutcome::New { incarnation: life, fresh: false }
+    );
     // A refused process proposes a higher one.
     let refused = next.due_proposal(ms(1)).unwrap();
     assert_eq!(next.proposal_answered(1, refused, false, start(12)), ProposalOutcome::Pending);
@@ -111,7 +123,10 @@
     let mut lives = IncarnationTracker::new(0, 3, None, 0, 1);
     lives.peer_reported(1, 0, 0);
     let life = lives.due_proposal(ms(0)).unwrap();
-    assert_eq!(lives.proposal_answered(1, life, true, life), ProposalOutcome::New { life, fresh: false });
+    assert_eq!(
+        lives.proposal_answered(1, life, true, life),
+        ProposalOutcome::New { incarnation: life, fresh: false }
+    );
     assert!(!lives.incarnation_seen(life) && !lives.incarnation_seen(life - 1));
     assert!(lives.incarnation_seen(start(6)) && lives.current() == 0);
     assert_eq!(start_count(lives.due_proposal(ms(1)).unwrap()), 7);
--- a/crates/fleet/tests/unit/redial.rs
+++ b/crates/fleet/tests/unit/redial.rs
@@ -46,7 +46,8 @@
 
 fn asks_with(awaited: usize, reached: &dyn Fn(u16) -> bool, known: Replica) -> (Redials, Vec<RedialAction>) {
     let mut redials = Redials::new(4, group(), awaited, ms(60), ms(1000), ms(300));
-    let begin = RedialSearch { reached, knows: false, known, owner: owner(1, 4), cut_off: ms(3000) };
+    let begin =
+        RedialSearch { is_reachable: reached, knows: false, known, owner: owner(1, 4), cut_off: ms(3000) };
     let actions = redials.begin(ms(0), &id(), begin);
     (redials, actions)
 }
@@ -282,7 +283,7 @@
     let mut redials = Redials::new(1, ReplicaGroup::new(["a", "b"], 1), 1, ms(60), ms(1000), ms(300));
     let copy = replica_of(owner(0, 0), Progress::Accepted, 0);
     let begin = |known| RedialSearch {
-        reached: &|_| false,
+        is_reachable: &|_| false,
         knows: true,
         known,
         owner: owner(1, 1),
--- a/crates/fleet/tests/unit/takeovers.rs
+++ b/crates/fleet/tests/unit/takeovers.rs
@@ -113,7 +113,7 @@
     assert_eq!(other(takeovers.sweep(ms(5000), |_| false, &cores)), []);
     let asked = other(takeovers.sweep(ms(5000), |_| true, &cores));
     assert_eq!((asked.len(), takeovers.sweep(ms(5001), |_| true, &cores).len()), (2, 0));
-    let TakeoverAction::ListLines { serial, member: 0, life: 7, after: None, .. } = &asked[0] else {
+    let TakeoverAction::ListLines { serial, member: 0, incarnation: 7, after: None, .. } = &asked[0] else {
         panic!("{asked:?}")
     };
     let line = |name: &str, owner| HeldLine { dialogue: id(name), launch: LaunchNumber(0), owner };
@@ -212,7 +212,7 @@
     assert_eq!(takeovers.sweep(ms(103_999), |_| true, &cores), []);
     let mine = takeovers.sweep(ms(104_000), |_| true, &cores);
     assert!(
-        matches!(mine[..], [TakeoverAction::ListLines { member: 2, life: ANY_INCARNATION, .. }]),
+        matches!(mine[..], [TakeoverAction::ListLines { member: 2, incarnation: ANY_INCARNATION, .. }]),
         "{mine:?}"
     );
     // With a steady flow of yielded dialogues, the time of the first one counts.
