--- a/crates/fleet/src/incarnations.rs
+++ b/crates/fleet/src/incarnations.rs
@@ -58,8 +58,13 @@
 pub enum ProposalOutcome {
     /// No majority has agreed yet.
     Pending,
-    /// A majority agrees that this incarnation is new. `fresh`: the disk's content is of the previous incarnation and complete.
-    New { incarnation: u64, fresh: bool },
+    /// A majority agrees that this incarnation is new.
+    New {
+        /// The granted incarnation.
+        incarnation: u64,
+        /// The disk's content is of the previous incarnation and complete.
+        fresh: bool,
+    },
 }
 
 impl IncarnationTracker {
--- a/crates/fleet/src/redial.rs
+++ b/crates/fleet/src/redial.rs
@@ -28,26 +28,60 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     /// It has no outcome and is owned by this member; no launch before `not_before`.
-    Free { not_before: Duration },
+    Free {
+        /// Earliest time of the next launch.
+        not_before: Duration,
+    },
     /// It was answered; the same answer is given again.
     Answered(Answer),
     /// It stands at this core server.
-    Stands { server: ServerId, launch: LaunchNumber },
+    Stands {
+        /// The core server that holds the line.
+        server: ServerId,
+        /// The launch that set it up.
+        launch: LaunchNumber,
+    },
     /// It stood and has ended.
     Concluded,
     /// The outcome is unresolved; the caller may retry after `retry_after`.
-    Unsure { retry_after: Duration },
+    Unsure {
+        /// Delay before the caller may retry.
+        retry_after: Duration,
+    },
 }
 
 /// An action that a search requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RedialAction {
     /// Ask a member for its replica, as a claim of `owner`.
-    Ask { to: u16, serial: u64, dialogue: DialogueId, owner: Owner },
+    Ask {
+        /// The member that is asked.
+        to: u16,
+        /// Number of the question, repeated in the reply.
+        serial: u64,
+        /// The dialogue that is looked up.
+        dialogue: DialogueId,
+        /// The claimed ownership.
+        owner: Owner,
+    },
     /// The claim succeeded: this member owns what was found.
-    Claim { dialogue: DialogueId, owner: Owner, found: Replica },
+    Claim {
+        /// The claimed dialogue.
+        dialogue: DialogueId,
+        /// Its new owner, an incarnation of this member.
+        owner: Owner,
+        /// Merged replicas from the replies.
+        found: Replica,
+    },
     /// Ask the core server whether the dialogue still stands there, and adopt it.
-    Adopt { server: ServerId, dialogue: DialogueId, owner: Owner },
+    Adopt {
+        /// The core server that is asked.
+        server: ServerId,
+        /// The dialogue to adopt.
+        dialogue: DialogueId,
+        /// The owner that adopts it.
+        owner: Owner,
+    },
     /// Report the result.
     Report(DialogueId, Verdict),
 }
@@ -58,8 +92,11 @@
     pub is_reachable: &'a dyn Fn(u16) -> bool,
     /// This member is a candidate and has caught up, so that its own record counts.
     pub knows: bool,
+    /// This member's own replica at the start, or an empty one.
     pub known: Replica,
+    /// The claim that the search makes.
     pub owner: Owner,
+    /// When the caller gives up.
     pub cut_off: Duration,
 }
 
--- a/crates/fleet/src/takeovers.rs
+++ b/crates/fleet/src/takeovers.rs
@@ -27,20 +27,55 @@
 pub enum TakeoverAction {
     /// Ask the core server whether the dialogue stands there, and adopt it for this owner.
     Adopt {
+        /// The core server that is asked.
         server: ServerId,
+        /// The dialogue to adopt.
         dialogue: DialogueId,
+        /// The owner that adopts it.
         owner: Owner,
         /// It is adopted to release another member's line; with duties, only the holder of `sweep` does that.
         swept: bool,
     },
     /// This member owns the dialogue, which stands there.
-    Own { dialogue: DialogueId, owner: Owner, server: ServerId, launch: LaunchNumber },
+    Own {
+        /// The dialogue that was taken over.
+        dialogue: DialogueId,
+        /// Its new owner, an incarnation of this member.
+        owner: Owner,
+        /// The core server that holds the line.
+        server: ServerId,
+        /// The launch that set it up.
+        launch: LaunchNumber,
+    },
     /// Release the line at the core server.
-    Release { server: ServerId, dialogue: DialogueId, launch: LaunchNumber },
+    Release {
+        /// The core server that holds the line.
+        server: ServerId,
+        /// The dialogue to release.
+        dialogue: DialogueId,
+        /// The launch that set it up.
+        launch: LaunchNumber,
+    },
     /// Record on behalf of this owner that the dialogue has ended.
-    Conclude { dialogue: DialogueId, owner: Owner },
+    Conclude {
+        /// The dialogue that has ended.
+        dialogue: DialogueId,
+        /// The owner that records it.
+        owner: Owner,
+    },
     /// Ask a core server for the lines of a member's incarnations up to this one.
-    ListLines { server: ServerId, serial: u64, member: u16, incarnation: u64, after: Option<DialogueId> },
+    ListLines {
+        /// The core server that is asked.
+        server: ServerId,
+        /// Number of the query, repeated in the reply.
+        serial: u64,
+        /// The member whose lines are listed.
+        member: u16,
+        /// The highest incarnation whose lines are listed.
+        incarnation: u64,
+        /// The last dialogue of the previous page; `None` for the first page.
+        after: Option<DialogueId>,
+    },
 }
 
 /// Stage of a takeover.
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -42,11 +42,11 @@
 
 impl Effects for RecordingEffects {
     fn send(&mut self, link: PeerLink, frame: Frame) -> bool {
-        let there = self.open.contains(&link.0);
-        if there {
+        let is_open = self.open.contains(&link.0);
+        if is_open {
             self.acts.push_back(RecordedEffect::Send(link.0, frame));
         }
-        there
+        is_open
     }
 
     fn connect(&mut self, member: u16) -> PeerLink {
@@ -139,27 +139,27 @@
     fn start(&mut self, place: usize) {
         self.starts += 1;
         let mut stored = Stored::default();
-        let mut copies = BTreeMap::new();
-        let mut given = BTreeMap::new();
+        let mut replicas = BTreeMap::new();
+        let mut granted = BTreeMap::new();
         for save in self.ends[place].disk.iter().flatten() {
             match save {
                 Save::Replica(id, Some(bytes)) => {
-                    drop(copies.insert(id.clone(), decode_replica(bytes).unwrap()))
+                    drop(replicas.insert(id.clone(), decode_replica(bytes).unwrap()))
                 }
-                Save::Replica(id, None) => drop(copies.remove(id)),
-                Save::Incarnation(life) => stored.incarnation = Some(*life),
-                Save::ProposedIncarnation(life) => stored.proposed_incarnation = *life,
+                Save::Replica(id, None) => drop(replicas.remove(id)),
+                Save::Incarnation(incarnation) => stored.incarnation = Some(*incarnation),
+                Save::ProposedIncarnation(incarnation) => stored.proposed_incarnation = *incarnation,
                 Save::WriteCount(count) => stored.write_count = *count,
-                Save::GrantedIncarnation(member, life) => drop(given.insert(*member, *life)),
+                Save::GrantedIncarnation(member, incarnation) => drop(granted.insert(*member, *incarnation)),
                 Save::Duties(bytes) => stored.duties = Some(bytes.clone()),
                 Save::FencingTokens(bytes) => stored.fencing_tokens = Some(bytes.clone()),
             }
         }
         (stored.replicas, stored.granted_incarnations) =
-            (copies.into_values().collect(), given.into_iter().collect());
+            (replicas.into_values().collect(), granted.into_iter().collect());
         let plan = Plan { self_member: place as u16, ..self.plan.clone() };
-        let chance = self.starts.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        self.members[place] = Some(Member::new(self.now, plan, stored, chance));
+        let random_seed = self.starts.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        self.members[place] = Some(Member::new(self.now, plan, stored, random_seed));
     }
 
     fn kill(&mut self, place: usize) {
@@ -229,10 +229,11 @@
                 if self.blocked_pairs.contains(&(place, other)) {
                     return self.held.push_back((other, far, frame));
                 }
-                let piece = matches!(frame, Frame::PeerMessage(PeerMessage::SnapshotChunk { .. }))
-                    && (place, other) == (0, 1);
+                let is_snapshot_chunk =
+                    matches!(frame, Frame::PeerMessage(PeerMessage::SnapshotChunk { .. }))
+                        && (place, other) == (0, 1);
                 self.deliver(other, far, frame);
-                if let Some(breaks) = self.breaks.as_mut().filter(|_| piece) {
+                if let Some(breaks) = self.breaks.as_mut().filter(|_| is_snapshot_chunk) {
                     *breaks += 1;
                     self.break_link(place, link);
                 }
@@ -287,7 +288,7 @@
         self.settle();
     }
 
-    fn heal(&mut self) {
+    fn heal_partition(&mut self) {
         self.blocked_pairs.clear();
         for (to, link, frame) in std::mem::take(&mut self.held) {
             self.deliver(to, link, frame);
@@ -295,8 +296,8 @@
         self.settle();
     }
 
-    fn run(&mut self, lasts: Duration) {
-        let end = self.now + lasts;
+    fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
         self.settle();
         loop {
             let due = self.members.iter().flatten().map(Member::next_due).min();
@@ -316,11 +317,11 @@
         }
     }
 
-    fn plan_launch(&mut self, place: usize, id: &DialogueId, lasts: Duration) {
+    fn plan_launch(&mut self, place: usize, id: &DialogueId, duration: Duration) {
         let now = self.now;
         let member = self.member(place);
         member.dialogue_accepted(now, id);
-        member.launch_planned(now, id, &server(), LaunchNumber(0), now + lasts);
+        member.launch_planned(now, id, &server(), LaunchNumber(0), now + duration);
         self.settle();
     }
 
@@ -408,7 +409,7 @@
     net.blocked_pairs = holders.iter().map(|holder| (other, *holder)).collect();
     net.adopt_line(other, &d);
     assert_eq!(net.verdict(other, &d), None, "only this member knows of the takeover");
-    net.heal();
+    net.heal_partition();
     assert_eq!(net.verdict(other, &d), stands());
 }
 
@@ -426,7 +427,7 @@
         is_unsure(&net.verdict(other, &d)) && net.member(other).table_sizes().0 == 1,
         "held for its caller"
     );
-    net.heal();
+    net.heal_partition();
     net.look_up(other, &d);
     assert_eq!((net.verdict(other, &d), net.member(other).table_sizes().0), (stands(), 0));
 }
@@ -467,7 +468,7 @@
     let wait = not_before.saturating_sub(net.now);
     net.run(wait);
     net.plan_launch(holders[0], &d, ms(1000));
-    net.heal();
+    net.heal_partition();
     // The other holder knows both: the first owner's record that it stood, and the later owner's launch.
     let copy = net.member(holders[1]).replica_table().get(&d).unwrap().clone();
     assert!(copy.newer_launch_until().is_some(), "{copy:?}");
@@ -515,7 +516,7 @@
     // A first dial there starts no search.
     net.plan_launch(holders[0], &d, ms(100));
     net.plan_answer(holders[0], &d, Answer::Refused { come_back: None });
-    net.heal();
+    net.heal_partition();
     net.run(ms(15_000));
     let differ: u64 = (0..5).map(|place| net.member(place).counts().differ).sum();
     assert!(differ >= 1, "it is counted");
@@ -570,7 +571,7 @@
     net.kill(1); // Otherwise the link to it would interfere.
     let hello =
         |name: &str, version: u16| Frame::Hello(Hello { version, ..Hello::new(Role::Edge, Arc::from(name)) });
-    let here = Frame::PeerMessage(PeerMessage::Greeting {
+    let greeting = Frame::PeerMessage(PeerMessage::Greeting {
         group: 7,
         member: 1,
         incarnation: 0,
@@ -578,19 +579,19 @@
         saved: 0,
         last_seen_ago: None,
     });
-    let wants = Frame::PeerMessage(PeerMessage::RequestReplicas { id_hashes: vec![1] });
-    for (says, what) in [
+    let request = Frame::PeerMessage(PeerMessage::RequestReplicas { id_hashes: vec![1] });
+    for (frames, what) in [
         (vec![hello("edge-01", VERSION + 1)], "another version"),
         (vec![hello("edge-00", VERSION)], "the member's own name"),
-        (vec![hello("edge-01", VERSION), here], "another group"),
-        (vec![hello("nobody", VERSION), wants.clone()], "no member"),
-        (vec![wants], "not identified"),
+        (vec![hello("edge-01", VERSION), greeting], "another group"),
+        (vec![hello("nobody", VERSION), request.clone()], "no member"),
+        (vec![request], "not identified"),
     ] {
         let link = 77;
         net.ends[0].open.insert(link);
         let now = net.now;
         net.member(0).link_accepted(now, PeerLink(link));
-        says.into_iter().for_each(|frame| net.deliver(0, link, frame));
+        frames.into_iter().for_each(|frame| net.deliver(0, link, frame));
         net.settle();
         assert!(!net.ends[0].open.contains(&link), "{what}");
     }
@@ -642,7 +643,7 @@
     let lines = vec![lotussaddle_trunk::HeldLine { dialogue: d.clone(), launch: LaunchNumber(0), owner }];
     let serial = asked.expect("its own lines are queried");
     net.receive_audit(other, AuditMessage::Lines { serial, more: false, lines });
-    net.heal();
+    net.heal_partition();
     assert_eq!((net.verdict(other, &d), net.adopting(other, &d)), (stands(), Some(owner)));
     let released = |(_, finding): &(usize, MemberEvent)| {
         matches!(finding, MemberEvent::SendToCore(_, Frame::Release { .. }))
@@ -653,18 +654,22 @@
 #[test]
 fn a_later_incarnation_is_followed_by_a_higher_one_and_the_second_time_the_member_yields() {
     let mut net = TestNetwork::new(5, false, |_| ());
-    let tells = |net: &mut TestNetwork, life: u64| {
-        let owner = Owner { round: 0, member: 0, incarnation: life };
+    let report_incarnation = |net: &mut TestNetwork, incarnation: u64| {
+        let owner = Owner { round: 0, member: 0, incarnation };
         let lines = vec![lotussaddle_trunk::HeldLine { dialogue: id("x"), launch: LaunchNumber(0), owner }];
         net.receive_audit(0, AuditMessage::Lines { serial: 1, more: false, lines });
         net.run(ms(2000));
         net.member(0).incarnation()
     };
     let before = net.member(0).incarnation();
-    let higher = tells(&mut net, before + (7 << 24));
+    let higher = report_incarnation(&mut net, before + (7 << 24));
     assert!(higher > before + (7 << 24), "a previous incarnation, or another process");
-    assert_eq!(tells(&mut net, before + (7 << 24)), higher, "that incarnation has ended");
-    assert_eq!(tells(&mut net, higher + (7 << 24)), 0, "another process: it keeps on taking later ones");
+    assert_eq!(report_incarnation(&mut net, before + (7 << 24)), higher, "that incarnation has ended");
+    assert_eq!(
+        report_incarnation(&mut net, higher + (7 << 24)),
+        0,
+        "another process: it keeps on taking later ones"
+    );
     net.run(ms(62_000));
     assert!(net.member(0).incarnation() > higher + (7 << 24));
 }
@@ -830,7 +835,7 @@
     }
 
     /// The first member from `from` on that is no neighbour of this one.
-    fn stranger(&self, place: usize, from: usize) -> usize {
+    fn next_non_neighbour(&self, place: usize, from: usize) -> usize {
         let neighbours = self.neighbours(place);
         (from..self.members.len()).find(|other| *other != place && !neighbours.contains(other)).expect("one")
     }
@@ -841,7 +846,7 @@
     }
 
     /// A dialogue of which `holder` holds a replica when `owner` owns it.
-    fn held_by(&self, owner: usize, holder: usize) -> DialogueId {
+    fn dialogue_held_by(&self, owner: usize, holder: usize) -> DialogueId {
         let group = self.plan.group();
         let holds = |id: &DialogueId| {
             group
@@ -856,20 +861,20 @@
 fn a_dead_link_without_heartbeats_is_detected_when_it_is_used() {
     let mut net = TestNetwork::new(LARGE, false, |plan| plan.compare_interval = ms(1_000_000));
     net.run(ms(5000));
-    let used = net.stranger(0, 1);
-    let idle = net.stranger(0, used + 1);
+    let used = net.next_non_neighbour(0, 1);
+    let idle = net.next_non_neighbour(0, used + 1);
     let links = [net.link(0, used), net.link(0, idle)];
     net.blocked_pairs = [used, idle].into_iter().flat_map(|other| [(0, other), (other, 0)]).collect();
     net.run(ms(8000));
     assert_eq!([net.link(0, used), net.link(0, idle)], links, "nothing is sent over an idle link");
     assert!(net.held.is_empty(), "{}", net.held.len());
-    let d = net.held_by(0, used);
+    let d = net.dialogue_held_by(0, used);
     net.plan_launch(0, &d, ms(1000));
     net.run(ms(3500));
     assert_eq!(net.link(0, used), None, "no answer came");
     assert_eq!(net.link(0, idle), links[1]);
     assert!(!net.member(0).view().is_gone(used as u16), "others receive its frames");
-    net.heal();
+    net.heal_partition();
     net.run(ms(4000));
     assert!(net.link(0, used).is_some(), "a new link was opened");
     assert!(
@@ -882,7 +887,7 @@
 fn a_new_link_replaces_a_dead_one_eventually() {
     let mut net = TestNetwork::new(LARGE, false, |plan| plan.compare_interval = ms(1_000_000));
     net.run(ms(3000));
-    let other = net.stranger(0, 1);
+    let other = net.next_non_neighbour(0, 1);
     // Member 0, which opens the links to all others, does not notice the loss of this one.
     let old = net.link(0, other).expect("linked");
     let (_, far) = net.pairs.remove(&(0, old)).expect("linked");
@@ -900,7 +905,7 @@
     let mut net = TestNetwork::new(LARGE, true, |_| ());
     let member = 7;
     net.run(ms(1000));
-    let d = net.held_by(0, member);
+    let d = net.dialogue_held_by(0, member);
     net.stands(0, &d);
     let older = net.ends[member].disk.as_ref().expect("it has one").len();
     // It acknowledges nothing after that: its neighbours learn of these writes from its heartbeats.
@@ -924,7 +929,7 @@
     let mut net = TestNetwork::new(LARGE, true, |_| ());
     let member = 7;
     net.run(ms(1000));
-    let d = net.held_by(0, member);
+    let d = net.dialogue_held_by(0, member);
     net.stands(0, &d);
     net.run(ms(500));
     net.kill(member);
@@ -949,10 +954,10 @@
     let mut net = TestNetwork::new(LARGE, false, |_| ());
     let heartbeat = vec![1, 0, 0, 0, 0, 0, 0, 0, 0];
     let neighbour = net.neighbours(0)[0];
-    let stranger = net.stranger(0, 1);
+    let non_neighbour = net.next_non_neighbour(0, 1);
     for (from, message, ends) in [
         (neighbour, heartbeat.clone(), false),
-        (stranger, heartbeat, true),
+        (non_neighbour, heartbeat, true),
         (neighbour, vec![99], true),
         (neighbour, Vec::new(), true),
         (neighbour, vec![2, 255, 255, 255, 255, 255, 255, 255, 255, 255, 1], true),
