--- a/crates/fleet/src/duties.rs
+++ b/crates/fleet/src/duties.rs
@@ -182,14 +182,14 @@
         })
     }
 
-    /// A lease message came from a member; false: it cannot be decoded.
+    /// Handles a lease message from a member; returns false if it cannot be decoded.
     pub fn message_received(&mut self, now: Duration, from: u16, word: &[u8]) -> bool {
         let Ok(word) = postcard::from_bytes::<LeaseMessage>(word) else { return false };
         self.lease.message_received(now, from, word);
         true
     }
 
-    /// An action of a duty came here. True: its token is new, and the fence must be on disk before the action is carried out.
+    /// Checks an action of a duty. True: its token is new, and the fence must be on disk before the action is carried out.
     ///
     /// # Errors
     /// The action is stale; the value is the highest token seen.
--- a/crates/fleet/src/link_liveness.rs
+++ b/crates/fleet/src/link_liveness.rs
@@ -1,5 +1,5 @@
 //! Detects links to members that no longer carry frames. Neighbours in the overlay send heartbeats; over other links nothing is sent
-//! regularly, so an idle link is not a sign of failure. Such a link is suspected once a frame was sent and none came back: a ping is
+//! regularly, so an idle link is not a sign of failure. Such a link is suspected once a frame was sent and none was received in return: a ping is
 //! sent, and if no frame arrives in time the link counts as dead.
 
 use std::time::Duration;
--- a/crates/fleet/src/member/incarnations.rs
+++ b/crates/fleet/src/member/incarnations.rs
@@ -18,7 +18,8 @@
 
 impl Member {
     /// A later incarnation of this member is known: of another process under its name, or of a previous one that the members
-    /// that granted this incarnation had lost. A new incarnation resolves the latter but not the former; a process that is overtaken twice backs off.
+    /// that granted this incarnation had lost. A new incarnation resolves the latter but not the
+    /// former; a process that is overtaken twice backs off.
     pub(super) fn later_incarnation_known(&mut self, effects: &mut dyn Effects) {
         let again =
             self.overtaken_at.replace(self.now).is_some_and(|at| self.now < at + DUPLICATE_NAME_BACKOFF);
@@ -171,7 +172,7 @@
         }
     }
 
-    /// A member's register may tell a later incarnation of it than was known.
+    /// A member's register may state a later incarnation of it than was known.
     pub(super) fn apply_registered_incarnation(&mut self, member: u16, effects: &mut dyn Effects) {
         let incarnation = self.view.registered_incarnation(member);
         if incarnation > self.view.incarnation(member) {
@@ -197,7 +198,7 @@
             self.takeovers.member_returned(member, incarnation);
         }
         if incarnation > 0 {
-            // What it left in incarnations before this one is nobody's.
+            // Dialogues left by its previous incarnations have no owner.
             let ended = incarnation - 1;
             if !self.takeovers.is_ended(Owner { round: 0, member, incarnation: ended }) {
                 self.takeovers.incarnation_ended(self.now, member, ended);
--- a/crates/fleet/src/member/repair.rs
+++ b/crates/fleet/src/member/repair.rs
@@ -30,7 +30,7 @@
         self.steps.is_empty()
     }
 
-    /// Adds a step; where the queue is full it is dropped, and comes again with the next comparison.
+    /// Adds a step; if the queue is full the step is dropped and repeated by the next comparison.
     pub(super) fn push(&mut self, member: u16, step: RepairStep) {
         if self.steps.len() < MAX_QUEUED_REPAIRS {
             self.steps.push_back((member, step));
--- a/crates/fleet/src/membership_view.rs
+++ b/crates/fleet/src/membership_view.rs
@@ -47,7 +47,7 @@
 /// What is known of one member.
 #[derive(Clone, Copy)]
 struct KnownMember {
-    /// When a frame came directly from it last; initially the start of this view.
+    /// When the last frame was received directly from it; initially the start of this view.
     last_frame: Duration,
     /// Its highest known incarnation.
     incarnation: u64,
@@ -82,7 +82,7 @@
         Self { self_member, silence, membership, members }
     }
 
-    /// A frame came directly from a member.
+    /// A frame was received directly from a member.
     pub fn frame_received(&mut self, now: Duration, member: u16) {
         if let Some(known) = self.members.get_mut(usize::from(member)) {
             known.last_frame = now;
@@ -90,7 +90,7 @@
         self.membership.heard(now, member);
     }
 
-    /// A message of the membership protocol came from a member. Returns the members whose state changed.
+    /// Handles a message of the membership protocol from a member. Returns the members whose state changed.
     pub fn received(&mut self, now: Duration, from: u16, bytes: &[u8]) -> Result<Vec<u16>, MessageError> {
         let message = Message::decode(bytes)?;
         self.membership.received(now, from, &message)
@@ -162,7 +162,7 @@
         self.neighbours().contains(&member)
     }
 
-    /// Time since a frame came directly from a member. Only neighbours send regularly.
+    /// Time since the last frame received directly from a member. Only neighbours send regularly.
     pub fn time_since_frame(&self, now: Duration, member: u16) -> Duration {
         self.members
             .get(usize::from(member))
--- a/crates/fleet/src/peers.rs
+++ b/crates/fleet/src/peers.rs
@@ -29,12 +29,17 @@
 /// What is known of a link.
 #[derive(Clone, Debug)]
 pub struct LinkInfo {
+    /// Its state.
     pub state: LinkState,
+    /// The member at the other end, if known.
     pub member: Option<u16>,
+    /// When the link was opened or accepted.
     pub since: Duration,
     /// The other side has sent its greeting.
     pub greeted: bool,
+    /// This member opened the link.
     pub locally_initiated: bool,
+    /// Detects a dead link.
     pub liveness: LinkLiveness,
     /// The incarnation that this member sent last over the link.
     pub sent_incarnation: Option<u64>,
--- a/crates/fleet/src/publish.rs
+++ b/crates/fleet/src/publish.rs
@@ -236,7 +236,7 @@
             }
             progress.sent_at = Some(now);
             let read = TablesOrder::Load { name: name.clone() };
-            // A member that came late loads it first: a failed swap uses up its serial.
+            // A member that joined late loads it first: a failed swap uses up its serial.
             if progress.read {
                 let swap = TablesOrder::Swap { name: name.clone(), after: Duration::ZERO };
                 all.push(PublishStep::Send(*member, publication.serial + 1, swap));
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -500,8 +500,8 @@
             })
         };
         let free = |place: usize| matches!(net.verdict(place, &d), Some(Verdict::Free { .. }));
-        let going = places.into_iter().filter(|place| free(*place) && !lost(*place)).count();
-        assert!(going <= 1, "{going}");
+        let continuing = places.into_iter().filter(|place| free(*place) && !lost(*place)).count();
+        assert!(continuing <= 1, "{continuing}");
         assert!(places.iter().all(|place| net.verdict(*place, &d).is_some()), "each has its answer");
     }
 }
@@ -694,8 +694,8 @@
     net.run(ms(3000));
     assert_eq!(net.member(1).replica_table().len(), 3000);
     assert!(net.member(1).caught_up() && (11..100).contains(&breaks), "{breaks}");
-    let reached = net.member(1).replica_table().get(&id("d7")).unwrap().owner_states()[0].progress.clone();
-    assert_eq!(reached, Progress::Ended);
+    let progress = net.member(1).replica_table().get(&id("d7")).unwrap().owner_states()[0].progress.clone();
+    assert_eq!(progress, Progress::Ended);
 }
 
 #[test]
@@ -708,16 +708,16 @@
     let d = d.unwrap();
     net.slow.insert(1);
     net.plan_launch(0, &d, ms(1000));
-    let kept = |net: &TestNetwork| {
+    let confirmed_writes = |net: &TestNetwork| {
         net.found.iter().filter(|(of, f)| *of == 0 && matches!(f, MemberEvent::WriteConfirmed(_))).count()
     };
     let link = net.pairs.iter().find(|((a, _), (b, _))| (*a, *b) == (0, 1)).map(|((_, link), _)| *link);
     net.break_link(0, link.expect("there is one"));
     net.run(ms(900));
     assert!(net.pairs.iter().any(|((a, _), (b, _))| (*a, *b) == (0, 1)), "it is back");
-    assert_eq!(kept(&net), 0);
+    assert_eq!(confirmed_writes(&net), 0);
     net.finish_disk_writes(1);
-    assert_eq!(kept(&net), 1);
+    assert_eq!(confirmed_writes(&net), 1);
 }
 
 /// Each member in turn checks its own lines: a line that it does not hold is released after a second check, one that it holds is left.
@@ -730,7 +730,7 @@
     let now = net.now;
     (0..5).for_each(|place| net.member(place).core_up(now, &server()));
     net.settle();
-    let (mut asked, mut released_lines) = (0, Vec::new());
+    let (mut list_count, mut released_lines) = (0, Vec::new());
     for _ in 0..120 {
         net.run(ms(50));
         let now = net.now;
@@ -740,8 +740,8 @@
                     _,
                     Frame::AuditMessage(AuditMessage::ListLines { serial, member, .. }),
                 ) if usize::from(member) == place => {
-                    asked += 1;
-                    let owner = |dialogue: &str| HeldLine {
+                    list_count += 1;
+                    let line = |dialogue: &str| HeldLine {
                         dialogue: id(dialogue),
                         launch: LaunchNumber(0),
                         owner: Owner {
@@ -750,11 +750,11 @@
                             incarnation: net.members[place].as_ref().unwrap().incarnation(),
                         },
                     };
-                    let lines = vec![owner("busy"), owner("held")];
+                    let lines = vec![line("busy"), line("held")];
                     let holds = AuditMessage::Lines { serial, more: false, lines };
                     let held = |known: &DialogueId| *known == id("held");
                     // The first check follows the opening of the link, when no dialogue is in progress.
-                    let holds = if asked <= 5 {
+                    let holds = if list_count <= 5 {
                         AuditMessage::Lines { serial, more: false, lines: Vec::new() }
                     } else {
                         holds
@@ -771,16 +771,16 @@
                         (place, None),
                         "its own, without a duty's action"
                     );
-                    released_lines.push((now, place, dialogue, asked));
+                    released_lines.push((now, place, dialogue, list_count));
                 }
                 _ => {}
             }
         }
     }
-    assert!(asked > 20, "{asked}");
+    assert!(list_count > 20, "{list_count}");
     assert!(released_lines.iter().all(|(_, _, dialogue, _)| *dialogue == id("busy")), "{released_lines:?}");
-    let by: BTreeSet<usize> = released_lines.iter().map(|(_, place, ..)| *place).collect();
-    assert_eq!(by.len(), 5, "each its own: {released_lines:?}");
+    let releasing_members: BTreeSet<usize> = released_lines.iter().map(|(_, place, ..)| *place).collect();
+    assert_eq!(releasing_members.len(), 5, "each its own: {released_lines:?}");
     assert!(released_lines[0].3 > 10, "not at the first check: {released_lines:?}");
 }
 
@@ -794,39 +794,39 @@
     net.member(0).core_up(now, &server());
     net.run(ms(100));
     net.found.clear();
-    let orders = |net: &TestNetwork| {
+    let orders_carried_out = |net: &TestNetwork| {
         net.found.iter().filter(|(_, found)| matches!(found, MemberEvent::CarryOutTablesOrder(..))).count()
     };
     // Member 4 sends member 0 an order, as the holder of the duty.
-    let says = |net: &mut TestNetwork, number: u64, serial: u64| {
+    let send_order = |net: &mut TestNetwork, fencing_token: u64, serial: u64| {
         let (link, _) =
             net.pairs.iter().find(|((at, _), (other, _))| (*at, *other) == (0, 4)).expect("linked");
         let link = link.1;
-        let act = DutyAction { duty: 2, fencing_token: number, member: 4, incarnation: 7 };
+        let act = DutyAction { duty: 2, fencing_token, member: 4, incarnation: 7 };
         let order = TablesOrder::Load { name: Arc::from("new") };
         net.deliver(0, link, Frame::PeerMessage(PeerMessage::Publish { action: act, serial, order }));
         net.settle();
     };
     net.slow.insert(0);
-    says(&mut net, 1_000_000, 1 << 40);
-    assert_eq!(orders(&net), 0, "not before the number is on disk");
+    send_order(&mut net, 1_000_000, 1 << 40);
+    assert_eq!(orders_carried_out(&net), 0, "not before the number is on disk");
     net.finish_disk_writes(0);
-    assert_eq!(orders(&net), 1);
-    says(&mut net, 999_999, 1 << 41);
-    assert_eq!(orders(&net), 1, "a lower number");
+    assert_eq!(orders_carried_out(&net), 1);
+    send_order(&mut net, 999_999, 1 << 41);
+    assert_eq!(orders_carried_out(&net), 1, "a lower number");
     net.kill(0);
     net.run(ms(100));
     net.start(0);
     net.run(ms(2000));
     net.found.clear();
-    says(&mut net, 999_999, 1 << 42);
-    assert_eq!(orders(&net), 0, "after its restart");
-    says(&mut net, 1_000_001, 1 << 43);
-    assert_eq!(orders(&net), 1);
+    send_order(&mut net, 999_999, 1 << 42);
+    assert_eq!(orders_carried_out(&net), 0, "after its restart");
+    send_order(&mut net, 1_000_001, 1 << 43);
+    assert_eq!(orders_carried_out(&net), 1);
 }
 
 /// Size of a fleet in which not all members are neighbours of each other.
-const LARGE: usize = 24;
+const LARGE_FLEET_MEMBERS: usize = 24;
 
 impl TestNetwork {
     fn neighbours(&self, place: usize) -> Vec<usize> {
@@ -859,7 +859,7 @@
 
 #[test]
 fn a_dead_link_without_heartbeats_is_detected_when_it_is_used() {
-    let mut net = TestNetwork::new(LARGE, false, |plan| plan.compare_interval = ms(1_000_000));
+    let mut net = TestNetwork::new(LARGE_FLEET_MEMBERS, false, |plan| plan.compare_interval = ms(1_000_000));
     net.run(ms(5000));
     let used = net.next_non_neighbour(0, 1);
     let idle = net.next_non_neighbour(0, used + 1);
@@ -885,7 +885,7 @@
 
 #[test]
 fn a_new_link_replaces_a_dead_one_eventually() {
-    let mut net = TestNetwork::new(LARGE, false, |plan| plan.compare_interval = ms(1_000_000));
+    let mut net = TestNetwork::new(LARGE_FLEET_MEMBERS, false, |plan| plan.compare_interval = ms(1_000_000));
     net.run(ms(3000));
     let other = net.next_non_neighbour(0, 1);
     // Member 0, which opens the links to all others, does not notice the loss of this one.
@@ -902,7 +902,7 @@
 
 #[test]
 fn a_disk_older_than_neighbours_know_is_discarded_in_a_large_fleet() {
-    let mut net = TestNetwork::new(LARGE, true, |_| ());
+    let mut net = TestNetwork::new(LARGE_FLEET_MEMBERS, true, |_| ());
     let member = 7;
     net.run(ms(1000));
     let d = net.dialogue_held_by(0, member);
@@ -926,7 +926,7 @@
 
 #[test]
 fn a_disk_that_no_neighbour_reports_does_not_count_as_complete() {
-    let mut net = TestNetwork::new(LARGE, true, |_| ());
+    let mut net = TestNetwork::new(LARGE_FLEET_MEMBERS, true, |_| ());
     let member = 7;
     net.run(ms(1000));
     let d = net.dialogue_held_by(0, member);
@@ -951,7 +951,7 @@
 
 #[test]
 fn an_invalid_membership_message_closes_its_link() {
-    let mut net = TestNetwork::new(LARGE, false, |_| ());
+    let mut net = TestNetwork::new(LARGE_FLEET_MEMBERS, false, |_| ());
     let heartbeat = vec![1, 0, 0, 0, 0, 0, 0, 0, 0];
     let neighbour = net.neighbours(0)[0];
     let non_neighbour = net.next_non_neighbour(0, 1);
