--- a/crates/fleet/src/membership_view.rs
+++ b/crates/fleet/src/membership_view.rs
@@ -47,7 +47,7 @@
 /// What is known of one member.
 #[derive(Clone, Copy)]
 struct KnownMember {
-    /// When a frame came directly from it last; initially the start of this view.
+    /// When the last frame was received directly from it; initially the start of this view.
     last_frame: Duration,
     /// Its highest known incarnation.
     incarnation: u64,
@@ -82,7 +82,7 @@
         Self { self_member, silence, membership, members }
     }
 
-    /// A frame came directly from a member.
+    /// A frame was received directly from a member.
     pub fn frame_received(&mut self, now: Duration, member: u16) {
         if let Some(known) = self.members.get_mut(usize::from(member)) {
             known.last_frame = now;
@@ -90,15 +90,15 @@
         self.membership.frame_received(now, member);
     }
 
-    /// A message of the membership protocol came from a member. Returns the members whose state changed.
+    /// Handles a message of the membership protocol from a member. Returns the members whose state changed.
     pub fn received(&mut self, now: Duration, from: u16, bytes: &[u8]) -> Result<Vec<u16>, MessageError> {
         let message = Message::decode(bytes)?;
         self.membership.received(now, from, &message)
     }
 
     /// Sets this member's incarnation (zero: none) and whether it has caught up, and notifies its neighbours.
-    pub fn set_self(&mut self, now: Duration, life: u64, caught_up: bool) {
-        self.membership.set_self(now, life, caught_up);
+    pub fn set_self(&mut self, now: Duration, incarnation: u64, caught_up: bool) {
+        self.membership.set_self(now, incarnation, caught_up);
     }
 
     /// The messages that are to be sent now.
@@ -130,10 +130,10 @@
     }
 
     /// An incarnation of a member has become known; true: it is a new one.
-    pub fn incarnation_learned(&mut self, member: u16, life: u64) -> bool {
+    pub fn incarnation_learned(&mut self, member: u16, incarnation: u64) -> bool {
         let Some(known) = self.members.get_mut(usize::from(member)) else { return false };
-        let new = life > known.incarnation;
-        known.incarnation = known.incarnation.max(life);
+        let new = incarnation > known.incarnation;
+        known.incarnation = known.incarnation.max(incarnation);
         new
     }
 
@@ -162,7 +162,7 @@
         self.neighbours().contains(&member)
     }
 
-    /// Time since a frame came directly from a member. Only neighbours send regularly.
+    /// Time since the last frame received directly from a member. Only neighbours send regularly.
     pub fn time_since_frame(&self, now: Duration, member: u16) -> Duration {
         self.members
             .get(usize::from(member))
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -42,11 +42,11 @@
 
 impl Effects for RecordingEffects {
     fn send(&mut self, link: PeerLink, frame: Frame) -> bool {
-        let there = self.open.contains(&link.0);
-        if there {
+        let is_open = self.open.contains(&link.0);
+        if is_open {
             self.acts.push_back(RecordedEffect::Send(link.0, frame));
         }
-        there
+        is_open
     }
 
     fn connect(&mut self, member: u16) -> PeerLink {
@@ -139,27 +139,27 @@
     fn start(&mut self, place: usize) {
         self.starts += 1;
         let mut stored = Stored::default();
-        let mut copies = BTreeMap::new();
-        let mut given = BTreeMap::new();
+        let mut replicas = BTreeMap::new();
+        let mut granted = BTreeMap::new();
         for save in self.ends[place].disk.iter().flatten() {
             match save {
                 Save::Replica(id, Some(bytes)) => {
-                    drop(copies.insert(id.clone(), decode_replica(bytes).unwrap()))
+                    drop(replicas.insert(id.clone(), decode_replica(bytes).unwrap()))
                 }
-                Save::Replica(id, None) => drop(copies.remove(id)),
-                Save::Incarnation(life) => stored.incarnation = Some(*life),
-                Save::ProposedIncarnation(life) => stored.proposed_incarnation = *life,
+                Save::Replica(id, None) => drop(replicas.remove(id)),
+                Save::Incarnation(incarnation) => stored.incarnation = Some(*incarnation),
+                Save::ProposedIncarnation(incarnation) => stored.proposed_incarnation = *incarnation,
                 Save::WriteCount(count) => stored.write_count = *count,
-                Save::GrantedIncarnation(member, life) => drop(given.insert(*member, *life)),
+                Save::GrantedIncarnation(member, incarnation) => drop(granted.insert(*member, *incarnation)),
                 Save::Duties(bytes) => stored.duties = Some(bytes.clone()),
                 Save::FencingTokens(bytes) => stored.fencing_tokens = Some(bytes.clone()),
             }
         }
         (stored.replicas, stored.granted_incarnations) =
-            (copies.into_values().collect(), given.into_iter().collect());
+            (replicas.into_values().collect(), granted.into_iter().collect());
         let plan = Plan { self_member: place as u16, ..self.plan.clone() };
-        let chance = self.starts.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        self.members[place] = Some(Member::new(self.now, plan, stored, chance));
+        let random_seed = self.starts.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        self.members[place] = Some(Member::new(self.now, plan, stored, random_seed));
     }
 
     fn kill(&mut self, place: usize) {
@@ -229,10 +229,11 @@
                 if self.blocked_pairs.contains(&(place, other)) {
                     return self.held.push_back((other, far, frame));
                 }
-                let piece = matches!(frame, Frame::PeerMessage(PeerMessage::SnapshotChunk { .. }))
-                    && (place, other) == (0, 1);
+                let is_snapshot_chunk =
+                    matches!(frame, Frame::PeerMessage(PeerMessage::SnapshotChunk { .. }))
+                        && (place, other) == (0, 1);
                 self.deliver(other, far, frame);
-                if let Some(breaks) = self.breaks.as_mut().filter(|_| piece) {
+                if let Some(breaks) = self.breaks.as_mut().filter(|_| is_snapshot_chunk) {
                     *breaks += 1;
                     self.break_link(place, link);
                 }
@@ -287,7 +288,7 @@
         self.settle();
     }
 
-    fn heal(&mut self) {
+    fn heal_partition(&mut self) {
         self.blocked_pairs.clear();
         for (to, link, frame) in std::mem::take(&mut self.held) {
             self.deliver(to, link, frame);
@@ -295,8 +296,8 @@
         self.settle();
     }
 
-    fn run(&mut self, lasts: Duration) {
-        let end = self.now + lasts;
+    fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
         self.settle();
         loop {
             let due = self.members.iter().flatten().map(Member::next_due).min();
@@ -316,26 +317,26 @@
         }
     }
 
-    fn launches(&mut self, place: usize, id: &DialogueId, lasts: Duration) {
+    fn plan_launch(&mut self, place: usize, id: &DialogueId, duration: Duration) {
         let now = self.now;
         let member = self.member(place);
         member.dialogue_accepted(now, id);
-        member.launch_planned(now, id, &server(), LaunchNumber(0), now + lasts);
+        member.launch_planned(now, id, &server(), LaunchNumber(0), now + duration);
         self.settle();
     }
 
-    fn answers(&mut self, place: usize, id: &DialogueId, answer: Answer) {
+    fn plan_answer(&mut self, place: usize, id: &DialogueId, answer: Answer) {
         let now = self.now;
         self.member(place).answer_planned(now, id, &answer, LaunchNumber(0));
         self.settle();
     }
 
     fn stands(&mut self, place: usize, id: &DialogueId) {
-        self.launches(place, id, ms(1000));
-        self.answers(place, id, Answer::Stands { server: server() });
+        self.plan_launch(place, id, ms(1000));
+        self.plan_answer(place, id, Answer::Stands { server: server() });
     }
 
-    fn seek(&mut self, place: usize, id: &DialogueId) {
+    fn look_up(&mut self, place: usize, id: &DialogueId) {
         let (now, cut_off) = (self.now, self.now + ms(3000));
         self.member(place).look_up_dialogue(now, id, cut_off);
         self.settle();
@@ -352,15 +353,15 @@
     }
 
     /// The core server answers that the dialogue stands there and is adopted.
-    fn adopts(&mut self, place: usize, id: &DialogueId) {
+    fn adopt_line(&mut self, place: usize, id: &DialogueId) {
         let owner = self.adopting(place, id).expect("its core server is asked");
-        self.core_says(
+        self.receive_audit(
             place,
             AuditMessage::Adopted { dialogue: id.clone(), owner, launch: Some(0), by: owner },
         );
     }
 
-    fn core_says(&mut self, place: usize, audit: AuditMessage) {
+    fn receive_audit(&mut self, place: usize, audit: AuditMessage) {
         let (now, ends) = (self.now, &mut self.ends[place]);
         let member = self.members[place].as_mut().expect("it runs");
         member.audit_received(now, &server(), audit, &|_| false, ends);
@@ -402,13 +403,13 @@
     let (d, holders, other) = net.dialogue();
     net.stands(0, &d);
     net.kill(0);
-    net.seek(other, &d);
+    net.look_up(other, &d);
     assert_eq!(net.verdict(other, &d), None, "its core server is asked first");
     // From here on no holder receives the asker's frames, so its writes are not acknowledged.
     net.blocked_pairs = holders.iter().map(|holder| (other, *holder)).collect();
-    net.adopts(other, &d);
+    net.adopt_line(other, &d);
     assert_eq!(net.verdict(other, &d), None, "only this member knows of the takeover");
-    net.heal();
+    net.heal_partition();
     assert_eq!(net.verdict(other, &d), stands());
 }
 
@@ -418,16 +419,16 @@
     let (d, holders, other) = net.dialogue();
     net.stands(0, &d);
     net.kill(0);
-    net.seek(other, &d);
+    net.look_up(other, &d);
     net.blocked_pairs = holders.iter().map(|holder| (other, *holder)).collect();
-    net.adopts(other, &d);
+    net.adopt_line(other, &d);
     net.run(ms(60));
     assert!(
         is_unsure(&net.verdict(other, &d)) && net.member(other).table_sizes().0 == 1,
         "held for its caller"
     );
-    net.heal();
-    net.seek(other, &d);
+    net.heal_partition();
+    net.look_up(other, &d);
     assert_eq!((net.verdict(other, &d), net.member(other).table_sizes().0), (stands(), 0));
 }
 
@@ -438,7 +439,7 @@
     net.stands(0, &d);
     net.kill(0);
     net.slow.extend(&holders);
-    net.seek(other, &d);
+    net.look_up(other, &d);
     net.run(ms(59));
     let has_result =
         |net: &TestNetwork| net.adopting(other, &d).is_some() || net.verdict(other, &d).is_some();
@@ -446,8 +447,8 @@
     net.run(ms(1));
     assert!(is_unsure(&net.verdict(other, &d)));
     holders.iter().for_each(|holder| net.finish_disk_writes(*holder));
-    net.seek(other, &d);
-    net.adopts(other, &d);
+    net.look_up(other, &d);
+    net.adopt_line(other, &d);
     assert_eq!(net.verdict(other, &d), stands());
 }
 
@@ -455,24 +456,24 @@
 fn a_record_unused_by_a_later_owner_counts_only_after_that_owner_s_launch() {
     let mut net = TestNetwork::new(5, false, |_| ());
     let (d, holders, other) = net.dialogue();
-    net.launches(0, &d, ms(100));
+    net.plan_launch(0, &d, ms(100));
     // The owner's answer is delayed; meanwhile a holder finds the launch and sends its own after it.
     net.blocked_pairs = holders.iter().map(|holder| (0, *holder)).collect();
-    net.answers(0, &d, Answer::Stands { server: server() });
-    net.seek(holders[0], &d);
+    net.plan_answer(0, &d, Answer::Stands { server: server() });
+    net.look_up(holders[0], &d);
     net.run(ms(60));
     let Some(Verdict::Free { not_before }) = net.verdict(holders[0], &d) else {
         panic!("{:?}", net.verdict(holders[0], &d))
     };
     let wait = not_before.saturating_sub(net.now);
     net.run(wait);
-    net.launches(holders[0], &d, ms(1000));
-    net.heal();
+    net.plan_launch(holders[0], &d, ms(1000));
+    net.heal_partition();
     // The other holder knows both: the first owner's record that it stood, and the later owner's launch.
     let copy = net.member(holders[1]).replica_table().get(&d).unwrap().clone();
     assert!(copy.newer_launch_until().is_some(), "{copy:?}");
     net.kill(holders[0]);
-    net.seek(other, &d);
+    net.look_up(other, &d);
     net.run(ms(60));
     assert!(is_unsure(&net.verdict(other, &d)), "{:?}", net.verdict(other, &d));
     assert_eq!(net.adopting(other, &d), None, "the line of that launch is not adopted");
@@ -483,7 +484,7 @@
     for rotation in 0..2 {
         let mut net = TestNetwork::new(5, false, |_| ());
         let (d, holders, other) = net.dialogue();
-        net.launches(0, &d, ms(100));
+        net.plan_launch(0, &d, ms(100));
         net.kill(0);
         let mut places = [other, holders[0]];
         places.rotate_left(rotation);
@@ -499,8 +500,8 @@
             })
         };
         let free = |place: usize| matches!(net.verdict(place, &d), Some(Verdict::Free { .. }));
-        let going = places.into_iter().filter(|place| free(*place) && !lost(*place)).count();
-        assert!(going <= 1, "{going}");
+        let continuing = places.into_iter().filter(|place| free(*place) && !lost(*place)).count();
+        assert!(continuing <= 1, "{continuing}");
         assert!(places.iter().all(|place| net.verdict(*place, &d).is_some()), "each has its answer");
     }
 }
@@ -513,9 +514,9 @@
     net.blocked_pairs = (1..5).flat_map(|place| [(0, place), (place, 0)]).collect();
     net.stands(0, &d);
     // A first dial there starts no search.
-    net.launches(holders[0], &d, ms(100));
-    net.answers(holders[0], &d, Answer::Refused { come_back: None });
-    net.heal();
+    net.plan_launch(holders[0], &d, ms(100));
+    net.plan_answer(holders[0], &d, Answer::Refused { come_back: None });
+    net.heal_partition();
     net.run(ms(15_000));
     let differ: u64 = (0..5).map(|place| net.member(place).counts().differ).sum();
     assert!(differ >= 1, "it is counted");
@@ -543,8 +544,8 @@
         net.run(ms(70));
     }
     net.run(ms(3000));
-    net.seek(other, &d);
-    net.adopts(other, &d);
+    net.look_up(other, &d);
+    net.adopt_line(other, &d);
     assert_eq!(net.verdict(other, &d), stands());
 }
 
@@ -570,7 +571,7 @@
     net.kill(1); // Otherwise the link to it would interfere.
     let hello =
         |name: &str, version: u16| Frame::Hello(Hello { version, ..Hello::new(Role::Edge, Arc::from(name)) });
-    let here = Frame::PeerMessage(PeerMessage::Greeting {
+    let greeting = Frame::PeerMessage(PeerMessage::Greeting {
         group: 7,
         member: 1,
         incarnation: 0,
@@ -578,19 +579,19 @@
         saved: 0,
         last_seen_ago: None,
     });
-    let wants = Frame::PeerMessage(PeerMessage::RequestReplicas { id_hashes: vec![1] });
-    for (says, what) in [
+    let request = Frame::PeerMessage(PeerMessage::RequestReplicas { id_hashes: vec![1] });
+    for (frames, what) in [
         (vec![hello("edge-01", VERSION + 1)], "another version"),
         (vec![hello("edge-00", VERSION)], "the member's own name"),
-        (vec![hello("edge-01", VERSION), here], "another group"),
-        (vec![hello("nobody", VERSION), wants.clone()], "no member"),
-        (vec![wants], "not identified"),
+        (vec![hello("edge-01", VERSION), greeting], "another group"),
+        (vec![hello("nobody", VERSION), request.clone()], "no member"),
+        (vec![request], "not identified"),
     ] {
         let link = 77;
         net.ends[0].open.insert(link);
         let now = net.now;
         net.member(0).link_accepted(now, PeerLink(link));
-        says.into_iter().for_each(|frame| net.deliver(0, link, frame));
+        frames.into_iter().for_each(|frame| net.deliver(0, link, frame));
         net.settle();
         assert!(!net.ends[0].open.contains(&link), "{what}");
     }
@@ -607,13 +608,13 @@
     net.start(holders[0]);
     net.run(ms(3000));
     assert!(!net.member(holders[0]).caught_up(), "it has not received what member 0 knew");
-    net.seek(other, &d);
+    net.look_up(other, &d);
     net.run(ms(60));
     assert!(is_unsure(&net.verdict(other, &d)) && net.adopting(other, &d).is_none());
     // By then the retention time has passed for all that it may lack.
     net.run(ms(70_000));
     assert!(net.member(holders[0]).caught_up());
-    net.seek(other, &d);
+    net.look_up(other, &d);
     assert!(net.adopting(other, &d).is_some());
 }
 
@@ -634,15 +635,15 @@
         _ => None,
     });
     net.kill(0);
-    net.seek(other, &d);
+    net.look_up(other, &d);
     net.blocked_pairs = holders.iter().map(|holder| (other, *holder)).collect();
-    net.adopts(other, &d);
+    net.adopt_line(other, &d);
     // The line is owned by this member there, but its edge proxy does not hold it yet.
     let owner = net.adopting(other, &d).unwrap();
     let lines = vec![lotussaddle_trunk::HeldLine { dialogue: d.clone(), launch: LaunchNumber(0), owner }];
     let serial = asked.expect("its own lines are queried");
-    net.core_says(other, AuditMessage::Lines { serial, more: false, lines });
-    net.heal();
+    net.receive_audit(other, AuditMessage::Lines { serial, more: false, lines });
+    net.heal_partition();
     assert_eq!((net.verdict(other, &d), net.adopting(other, &d)), (stands(), Some(owner)));
     let released = |(_, finding): &(usize, MemberEvent)| {
         matches!(finding, MemberEvent::SendToCore(_, Frame::Release { .. }))
@@ -653,18 +654,22 @@
 #[test]
 fn a_later_incarnation_is_followed_by_a_higher_one_and_the_second_time_the_member_yields() {
     let mut net = TestNetwork::new(5, false, |_| ());
-    let tells = |net: &mut TestNetwork, life: u64| {
-        let owner = Owner { round: 0, member: 0, incarnation: life };
+    let report_incarnation = |net: &mut TestNetwork, incarnation: u64| {
+        let owner = Owner { round: 0, member: 0, incarnation };
         let lines = vec![lotussaddle_trunk::HeldLine { dialogue: id("x"), launch: LaunchNumber(0), owner }];
-        net.core_says(0, AuditMessage::Lines { serial: 1, more: false, lines });
+        net.receive_audit(0, AuditMessage::Lines { serial: 1, more: false, lines });
         net.run(ms(2000));
         net.member(0).incarnation()
     };
     let before = net.member(0).incarnation();
-    let higher = tells(&mut net, before + (7 << 24));
+    let higher = report_incarnation(&mut net, before + (7 << 24));
     assert!(higher > before + (7 << 24), "a previous incarnation, or another process");
-    assert_eq!(tells(&mut net, before + (7 << 24)), higher, "that incarnation has ended");
-    assert_eq!(tells(&mut net, higher + (7 << 24)), 0, "another process: it keeps on taking later ones");
+    assert_eq!(report_incarnation(&mut net, before + (7 << 24)), higher, "that incarnation has ended");
+    assert_eq!(
+        report_incarnation(&mut net, higher + (7 << 24)),
+        0,
+        "another process: it keeps on taking later ones"
+    );
     net.run(ms(62_000));
     assert!(net.member(0).incarnation() > higher + (7 << 24));
 }
@@ -689,8 +694,8 @@
     net.run(ms(3000));
     assert_eq!(net.member(1).replica_table().len(), 3000);
     assert!(net.member(1).caught_up() && (11..100).contains(&breaks), "{breaks}");
-    let reached = net.member(1).replica_table().get(&id("d7")).unwrap().owner_states()[0].progress.clone();
-    assert_eq!(reached, Progress::Ended);
+    let progress = net.member(1).replica_table().get(&id("d7")).unwrap().owner_states()[0].progress.clone();
+    assert_eq!(progress, Progress::Ended);
 }
 
 #[test]
@@ -702,17 +707,17 @@
         .find(|id| group.holders(lotussaddle_replica::fingerprint(id), 0).eq([1]));
     let d = d.unwrap();
     net.slow.insert(1);
-    net.launches(0, &d, ms(1000));
-    let kept = |net: &TestNetwork| {
+    net.plan_launch(0, &d, ms(1000));
+    let confirmed_writes = |net: &TestNetwork| {
         net.found.iter().filter(|(of, f)| *of == 0 && matches!(f, MemberEvent::WriteConfirmed(_))).count()
     };
     let link = net.pairs.iter().find(|((a, _), (b, _))| (*a, *b) == (0, 1)).map(|((_, link), _)| *link);
     net.break_link(0, link.expect("there is one"));
     net.run(ms(900));
     assert!(net.pairs.iter().any(|((a, _), (b, _))| (*a, *b) == (0, 1)), "it is back");
-    assert_eq!(kept(&net), 0);
+    assert_eq!(confirmed_writes(&net), 0);
     net.finish_disk_writes(1);
-    assert_eq!(kept(&net), 1);
+    assert_eq!(confirmed_writes(&net), 1);
 }
 
 /// Each member in turn checks its own lines: a line that it does not hold is released after a second check, one that it holds is left.
@@ -725,7 +730,7 @@
     let now = net.now;
     (0..5).for_each(|place| net.member(place).core_up(now, &server()));
     net.settle();
-    let (mut asked, mut released_lines) = (0, Vec::new());
+    let (mut list_count, mut released_lines) = (0, Vec::new());
     for _ in 0..120 {
         net.run(ms(50));
         let now = net.now;
@@ -735,8 +740,8 @@
                     _,
                     Frame::AuditMessage(AuditMessage::ListLines { serial, member, .. }),
                 ) if usize::from(member) == place => {
-                    asked += 1;
-                    let owner = |dialogue: &str| HeldLine {
+                    list_count += 1;
+                    let line = |dialogue: &str| HeldLine {
                         dialogue: id(dialogue),
                         launch: LaunchNumber(0),
                         owner: Owner {
@@ -745,11 +750,11 @@
                             incarnation: net.members[place].as_ref().unwrap().incarnation(),
                         },
                     };
-                    let lines = vec![owner("busy"), owner("held")];
+                    let lines = vec![line("busy"), line("held")];
                     let holds = AuditMessage::Lines { serial, more: false, lines };
                     let held = |known: &DialogueId| *known == id("held");
                     // The first check follows the opening of the link, when no dialogue is in progress.
-                    let holds = if asked <= 5 {
+                    let holds = if list_count <= 5 {
                         AuditMessage::Lines { serial, more: false, lines: Vec::new() }
                     } else {
                         holds
@@ -766,16 +771,16 @@
                         (place, None),
                         "its own, without a duty's action"
                     );
-                    released_lines.push((now, place, dialogue, asked));
+                    released_lines.push((now, place, dialogue, list_count));
                 }
                 _ => {}
             }
         }
     }
-    assert!(asked > 20, "{asked}");
+    assert!(list_count > 20, "{list_count}");
     assert!(released_lines.iter().all(|(_, _, dialogue, _)| *dialogue == id("busy")), "{released_lines:?}");
-    let by: BTreeSet<usize> = released_lines.iter().map(|(_, place, ..)| *place).collect();
-    assert_eq!(by.len(), 5, "each its own: {released_lines:?}");
+    let releasing_members: BTreeSet<usize> = released_lines.iter().map(|(_, place, ..)| *place).collect();
+    assert_eq!(releasing_members.len(), 5, "each its own: {released_lines:?}");
     assert!(released_lines[0].3 > 10, "not at the first check: {released_lines:?}");
 }
 
@@ -789,39 +794,39 @@
     net.member(0).core_up(now, &server());
     net.run(ms(100));
     net.found.clear();
-    let orders = |net: &TestNetwork| {
+    let orders_carried_out = |net: &TestNetwork| {
         net.found.iter().filter(|(_, found)| matches!(found, MemberEvent::CarryOutTablesOrder(..))).count()
     };
     // Member 4 sends member 0 an order, as the holder of the duty.
-    let says = |net: &mut TestNetwork, number: u64, serial: u64| {
+    let send_order = |net: &mut TestNetwork, fencing_token: u64, serial: u64| {
         let (link, _) =
             net.pairs.iter().find(|((at, _), (other, _))| (*at, *other) == (0, 4)).expect("linked");
         let link = link.1;
-        let act = DutyAction { duty: 2, fencing_token: number, member: 4, incarnation: 7 };
+        let act = DutyAction { duty: 2, fencing_token, member: 4, incarnation: 7 };
         let order = TablesOrder::Load { name: Arc::from("new") };
         net.deliver(0, link, Frame::PeerMessage(PeerMessage::Publish { action: act, serial, order }));
         net.settle();
     };
     net.slow.insert(0);
-    says(&mut net, 1_000_000, 1 << 40);
-    assert_eq!(orders(&net), 0, "not before the number is on disk");
+    send_order(&mut net, 1_000_000, 1 << 40);
+    assert_eq!(orders_carried_out(&net), 0, "not before the number is on disk");
     net.finish_disk_writes(0);
-    assert_eq!(orders(&net), 1);
-    says(&mut net, 999_999, 1 << 41);
-    assert_eq!(orders(&net), 1, "a lower number");
+    assert_eq!(orders_carried_out(&net), 1);
+    send_order(&mut net, 999_999, 1 << 41);
+    assert_eq!(orders_carried_out(&net), 1, "a lower number");
     net.kill(0);
     net.run(ms(100));
     net.start(0);
     net.run(ms(2000));
     net.found.clear();
-    says(&mut net, 999_999, 1 << 42);
-    assert_eq!(orders(&net), 0, "after its restart");
-    says(&mut net, 1_000_001, 1 << 43);
-    assert_eq!(orders(&net), 1);
+    send_order(&mut net, 999_999, 1 << 42);
+    assert_eq!(orders_carried_out(&net), 0, "after its restart");
+    send_order(&mut net, 1_000_001, 1 << 43);
+    assert_eq!(orders_carried_out(&net), 1);
 }
 
 /// Size of a fleet in which not all members are neighbours of each other.
-const LARGE: usize = 24;
+const LARGE_FLEET_MEMBERS: usize = 24;
 
 impl TestNetwork {
     fn neighbours(&self, place: usize) -> Vec<usize> {
@@ -830,7 +835,7 @@
     }
 
     /// The first member from `from` on that is no neighbour of this one.
-    fn stranger(&self, place: usize, from: usize) -> usize {
+    fn next_non_neighbour(&self, place: usize, from: usize) -> usize {
         let neighbours = self.neighbours(place);
         (from..self.members.len()).find(|other| *other != place && !neighbours.contains(other)).expect("one")
     }
@@ -841,7 +846,7 @@
     }
 
     /// A dialogue of which `holder` holds a replica when `owner` owns it.
-    fn held_by(&self, owner: usize, holder: usize) -> DialogueId {
+    fn dialogue_held_by(&self, owner: usize, holder: usize) -> DialogueId {
         let group = self.plan.group();
         let holds = |id: &DialogueId| {
             group
@@ -854,22 +859,22 @@
 
 #[test]
 fn a_dead_link_without_heartbeats_is_detected_when_it_is_used() {
-    let mut net = TestNetwork::new(LARGE, false, |plan| plan.compare_interval = ms(1_000_000));
+    let mut net = TestNetwork::new(LARGE_FLEET_MEMBERS, false, |plan| plan.compare_interval = ms(1_000_000));
     net.run(ms(5000));
-    let used = net.stranger(0, 1);
-    let idle = net.stranger(0, used + 1);
+    let used = net.next_non_neighbour(0, 1);
+    let idle = net.next_non_neighbour(0, used + 1);
     let links = [net.link(0, used), net.link(0, idle)];
     net.blocked_pairs = [used, idle].into_iter().flat_map(|other| [(0, other), (other, 0)]).collect();
     net.run(ms(8000));
     assert_eq!([net.link(0, used), net.link(0, idle)], links, "nothing is sent over an idle link");
     assert!(net.held.is_empty(), "{}", net.held.len());
-    let d = net.held_by(0, used);
-    net.launches(0, &d, ms(1000));
+    let d = net.dialogue_held_by(0, used);
+    net.plan_launch(0, &d, ms(1000));
     net.run(ms(3500));
     assert_eq!(net.link(0, used), None, "no answer came");
     assert_eq!(net.link(0, idle), links[1]);
     assert!(!net.member(0).view().is_gone(used as u16), "others receive its frames");
-    net.heal();
+    net.heal_partition();
     net.run(ms(4000));
     assert!(net.link(0, used).is_some(), "a new link was opened");
     assert!(
@@ -880,9 +885,9 @@
 
 #[test]
 fn a_new_link_replaces_a_dead_one_eventually() {
-    let mut net = TestNetwork::new(LARGE, false, |plan| plan.compare_interval = ms(1_000_000));
+    let mut net = TestNetwork::new(LARGE_FLEET_MEMBERS, false, |plan| plan.compare_interval = ms(1_000_000));
     net.run(ms(3000));
-    let other = net.stranger(0, 1);
+    let other = net.next_non_neighbour(0, 1);
     // Member 0, which opens the links to all others, does not notice the loss of this one.
     let old = net.link(0, other).expect("linked");
     let (_, far) = net.pairs.remove(&(0, old)).expect("linked");
@@ -897,10 +902,10 @@
 
 #[test]
 fn a_disk_older_than_neighbours_know_is_discarded_in_a_large_fleet() {
-    let mut net = TestNetwork::new(LARGE, true, |_| ());
+    let mut net = TestNetwork::new(LARGE_FLEET_MEMBERS, true, |_| ());
     let member = 7;
     net.run(ms(1000));
-    let d = net.held_by(0, member);
+    let d = net.dialogue_held_by(0, member);
     net.stands(0, &d);
     let older = net.ends[member].disk.as_ref().expect("it has one").len();
     // It acknowledges nothing after that: its neighbours learn of these writes from its heartbeats.
@@ -921,10 +926,10 @@
 
 #[test]
 fn a_disk_that_no_neighbour_reports_does_not_count_as_complete() {
-    let mut net = TestNetwork::new(LARGE, true, |_| ());
+    let mut net = TestNetwork::new(LARGE_FLEET_MEMBERS, true, |_| ());
     let member = 7;
     net.run(ms(1000));
-    let d = net.held_by(0, member);
+    let d = net.dialogue_held_by(0, member);
     net.stands(0, &d);
     net.run(ms(500));
     net.kill(member);
@@ -946,13 +951,13 @@
 
 #[test]
 fn an_invalid_membership_message_closes_its_link() {
-    let mut net = TestNetwork::new(LARGE, false, |_| ());
+    let mut net = TestNetwork::new(LARGE_FLEET_MEMBERS, false, |_| ());
     let heartbeat = vec![1, 0, 0, 0, 0, 0, 0, 0, 0];
     let neighbour = net.neighbours(0)[0];
-    let stranger = net.stranger(0, 1);
+    let non_neighbour = net.next_non_neighbour(0, 1);
     for (from, message, ends) in [
         (neighbour, heartbeat.clone(), false),
-        (stranger, heartbeat, true),
+        (non_neighbour, heartbeat, true),
         (neighbour, vec![99], true),
         (neighbour, Vec::new(), true),
         (neighbour, vec![2, 255, 255, 255, 255, 255, 255, 255, 255, 255, 1], true),
