--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -917,7 +917,7 @@
     net.start(member);
     net.run(ms(3000));
     let logs = &net.ends[member].logs;
-    assert!(logs.iter().any(|line| line.contains("are not all that was kept, and are let go")), "{logs:#?}");
+    assert!(logs.iter().any(|line| line.contains("replicas are incomplete and are dropped")), "{logs:#?}");
     assert!(
         net.member(member).caught_up() && net.member(member).replica_table().get(&d).is_some(),
         "it received the replicas again"
@@ -946,7 +946,7 @@
     net.run(ms(1200));
     assert!(net.member(member).incarnation() > 0, "but only for a limited time");
     let logs = &net.ends[member].logs;
-    assert!(logs.iter().any(|line| line.contains("are not all that was kept, and are let go")), "{logs:#?}");
+    assert!(logs.iter().any(|line| line.contains("replicas are incomplete and are dropped")), "{logs:#?}");
 }
 
 #[test]
