--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -364,12 +364,12 @@
     }
     let log = served.end();
     for wanted in [
-        "unreadable: a frame of 1195725856 bytes, over the 65536 allowed",
-        "unreadable: a frame of 2147483647 bytes",
-        "unreadable: an empty frame",
+        "invalid frame: frame of 1195725856 bytes exceeds the maximum of 65536",
+        "invalid frame: frame of 2147483647 bytes",
+        "invalid frame: empty frame",
         "speaks version 77, not 1",
-        "unreadable: frame kind 250 is not known",
-        "closed in the middle of a frame",
+        "invalid frame: unknown frame kind 250",
+        "closed by its peer within a frame",
     ] {
         assert!(log.contains(wanted), "{wanted} in {log}");
     }
@@ -434,7 +434,7 @@
         child.wait().unwrap();
     }
     let log = served.end();
-    assert!(log.contains("caller callers gone"), "{log}");
+    assert!(log.contains("link of caller callers closed"), "{log}");
 }
 
 /// A day as the bench draws one, in its words, with all that is read of it.
