--- a/crates/drill/src/wire.rs
+++ b/crates/drill/src/wire.rs
@@ -14,7 +14,7 @@
 use crate::fields::{Fields, parse};
 use crate::reply::Reply;
 
-/// Server lists are numbered below this.
+/// Maximum number of server lists; they are numbered from zero.
 const MAX_LISTS: u8 = 16;
 
 /// State of the connection to the simulator.
--- a/crates/edge/src/edge/dialling.rs
+++ b/crates/edge/src/edge/dialling.rs
@@ -14,7 +14,7 @@
 /// Maximum number of lines of one dialogue.
 const MAX_WIDTH: f64 = 10_000.0;
 
-/// What becomes of a dial.
+/// Result of the admission check of a dial.
 enum Admission {
     /// The dialogue is held already, and its answer follows.
     Repeated,
@@ -131,7 +131,7 @@
     }
 
     /// Moves a dialogue that is dialled again on another link of the same caller to that link, since its previous link
-    /// is probably dead. Returns the reason if the dial is declined.
+    /// has probably failed. Returns the reason if the dial is declined.
     fn move_to_newer_link(&mut self, id: &DialogueId, link: LinkId) -> Option<DeclineReason> {
         let caller_name = |link: &Link| match &link.peer {
             Peer::Caller(name) => Some(name.clone()),
--- a/crates/edge/src/links.rs
+++ b/crates/edge/src/links.rs
@@ -20,7 +20,7 @@
     List,
 }
 
-/// A link and what is known of its other side.
+/// A link and the state of its other side.
 pub struct Link {
     /// The other side.
     pub peer: Peer,
@@ -41,7 +41,7 @@
 }
 
 impl Link {
-    /// Creates a link that has just been accepted or begun.
+    /// Creates a link that has just been accepted or whose connection has just begun.
     pub fn new(peer: Peer, now: Duration) -> Self {
         Self {
             peer,
@@ -56,11 +56,11 @@
     }
 }
 
-/// Transit delay of the messages of a link, relative to the fastest message, by the sender's clock and this one. It
-/// covers stalled readers, slow links and peers that could not write alike.
+/// Transit delay of the messages of a link, relative to the fastest message, by the sender's clock and the
+/// local one. It includes every delay after `sent_at`: at the sender, on the link and before the local read.
 #[derive(Default)]
 pub struct TransitDelay {
-    /// Difference of this clock and the sender's for the fastest message, in microseconds, and the time of its update.
+    /// Local clock minus the sender's clock for the fastest message, in microseconds, and the time of its update.
     minimum: Option<(i64, Duration)>,
 }
 
@@ -87,7 +87,7 @@
     pub address: Arc<str>,
     /// State in the pool list.
     pub state: ServerState,
-    /// Known incarnation and its start on this clock. The list sends the start as an age, which varies with the list's
+    /// Known incarnation; its start, on the local clock, is in `started`. The list sends the start as an age, which varies with the list's
     /// delay; it is stored once per incarnation so that the variation does not look like another start.
     pub incarnation: u64,
     /// Start of that incarnation.
--- a/crates/edge/src/numbers.rs
+++ b/crates/edge/src/numbers.rs
@@ -30,7 +30,7 @@
     pub client: Option<Client>,
     /// Pending look-ups by their number as waiters of the client.
     pending: HashMap<u64, PendingLookUp>,
-    /// Look-ups by dialogue.
+    /// Key in `pending` of the look-up of each waiting dialogue.
     by_dialogue: HashMap<DialogueId, u64>,
     deadlines: BTreeSet<(Duration, u64)>,
     last_waiter: u64,
--- a/crates/edge/src/signalling.rs
+++ b/crates/edge/src/signalling.rs
@@ -40,7 +40,7 @@
     pub launch_ends: VecDeque<LaunchEnd>,
     /// Links that failed while being written to, with the reason for closing them.
     pub failed_links: VecDeque<(LinkId, &'static str)>,
-    /// Sends that wait for their records.
+    /// Launches and answers that are sent once they are recorded.
     pub deferred: DeferredSends,
 }
 
@@ -92,7 +92,8 @@
         }
     }
 
-    /// Continues a send that waited for its record, either since it is recorded or since the wait timed out.
+    /// Resumes the sending of a launch or answer that was deferred until its record was written (`is_recorded`) or the
+    /// wait for that record timed out.
     pub fn resume_deferred(&mut self, id: DialogueId, deferred: Deferred, is_recorded: bool) {
         match deferred {
             Deferred::Answer { link, message } => {
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -44,8 +44,8 @@
 /// The launches that a cold server receives from all edge proxies are random in number; their mean lies this many
 /// standard deviations below the maximum that the server survives.
 const COLD_START_DEVIATIONS: f64 = 4.0;
-/// Consecutive failures, more than chance produces, that eject a server; a launch that does not reach it counts as
-/// half of them.
+/// Number of consecutive failures after which a server is ejected; a launch that does not reach the server counts as
+/// half of them. So many in a row are unlikely while the server still works.
 const EJECTION_FAILURES: u32 = 16;
 /// Dialogues per second that a warm server is assumed to sustain while nothing is known about it.
 const MIN_SUSTAINED_RATE_PER_SECOND: f64 = 5.0;
@@ -353,7 +353,8 @@
         let (promised, late_share, full_gain) = (product.promised, product.late_share, product.gain);
         let quota_factor =
             if self.draw_exceeds_quota(arrival.tenant) { self.parameters.over_quota_share } else { 1.0 };
-        // The promised time of a retry runs from the first dial; after it only the late share of the gain is left.
+        // The promised time of a retry runs from the first dial; once that time has passed, a retry earns only the late
+        // share of the gain.
         let may_be_retry = arrival.is_retry || !self.parameters.callers_mark_retries;
         let earlier = arrival.key.as_ref().filter(|_| may_be_retry).and_then(|key| self.remove_caller(key));
         let first_dialled_at = earlier.map_or(arrival.dialled_at.min(now), |(first, _)| first);
@@ -378,7 +379,7 @@
             avoided_server: None,
             launch_not_before: now.max(self.launches_held_until),
         };
-        self.all_rules_due |= now >= dialogue.deadline().saturating_sub(self.shortest_answer_time());
+        self.all_rules_due |= now >= dialogue.deadline().saturating_sub(self.min_answer_time());
         self.by_answer_deadline.insert((dialogue.answer_by, arrival.id.clone()));
         self.dialogues.insert(arrival.id.clone(), dialogue);
         self.enqueue(&arrival.id);
@@ -427,7 +428,7 @@
             if matches!(end.outcome, Ended | NoFreeLine | TurnedBack | NumberBusy) {
                 server.answer_received(now, &end.dialogue, end.launch, out);
             } else if server.remove_launch(&end.dialogue, end.launch).is_some() {
-                // A single failure may be chance, and a server can fail some launches and serve the rest well. A run
+                // A single failure proves nothing, and a server can fail some launches and serve the rest well. A run
                 // of failures means that it is down, or that it fails everything so quickly that it would attract
                 // all traffic.
                 let (failures, why, last_response_at) = match end.outcome {
@@ -529,7 +530,7 @@
 
     /// Refuses waiting dialogues that cannot stand within the promised time any more, in favour of those that can.
     fn refuse_those_too_late(&mut self, out: &mut dyn Signalling) -> bool {
-        let answer_time = self.shortest_answer_time();
+        let answer_time = self.min_answer_time();
         let past_deadline = ids_up_to(&self.waiting.by_deadline, self.now + answer_time);
         let too_late: BTreeSet<DialogueId> =
             past_deadline.chain(ids_up_to(&self.waiting.by_slack, answer_time)).collect();
@@ -540,8 +541,8 @@
         !too_late.is_empty()
     }
 
-    /// Ejects a server that has pending launches and has not responded: it hangs, is cut off, or is dead before the
-    /// pool list shows it.
+    /// Ejects a server that has pending launches and has not responded: it hangs, is unreachable, or has stopped and
+    /// the pool list does not show that yet.
     fn eject_unresponsive_server(&mut self, out: &mut dyn Signalling) -> bool {
         let unresponsive = self.servers.iter_mut().find(|(_, s)| {
             let since = s.ordered_launches().next().map(|oldest| s.last_response_at.max(oldest.launched_at));
@@ -635,7 +636,7 @@
     }
 
     /// The shortest answer time that any server in use can be expected to have.
-    fn shortest_answer_time(&self) -> Duration {
+    fn min_answer_time(&self) -> Duration {
         let in_use = self.servers.values().filter(|s| s.next_probe_at.is_none());
         in_use.map(|s| s.smoothed_answer_time).min().unwrap_or_default()
     }
@@ -803,9 +804,10 @@
         move |random_rank, width| estimate >= width && (admits_all || random_rank < limit)
     }
 
-    /// Whether it takes a dialogue whose first choice is another server. All edge proxies would send what others turn
-    /// away to the emptiest server at once, so they take turns within each interval, in the order of a random draw. A
-    /// turn lapses soon; otherwise each proxy would have one saved up when a traffic surge begins.
+    /// Whether this server may receive overflow from this edge proxy now. If all edge proxies sent their overflow to the
+    /// emptiest server at once, they would overload it, so each proxy has its own part of each interval, at a position
+    /// drawn at random. A part that is not used is lost; otherwise each proxy would have an unused one when a traffic
+    /// surge begins, and all would use them at once.
     fn accepts_overflow(&self, now: Duration) -> bool {
         let phase = now.saturating_sub(self.overflow_allowed_at).as_secs_f64()
             / self.shared_interval(OVERFLOW_RATE_MULTIPLE).as_secs_f64();
@@ -827,7 +829,8 @@
         if let Some(rate_in_use) = rate_in_use
             .filter(|_| elapsed >= RATE_INTERVAL_SECONDS && self.cold_capacity_share(now).is_none())
         {
-            // Incoming rate: what ends, given the mean duration, plus the growth of the lines in use.
+            // Incoming rate: the rate at which dialogues end, given the mean duration, plus the growth of the lines in
+            // use.
             let incoming = rate_in_use
                 + (rate_in_use - self.placement_rate) * self.parameters.mean_duration_seconds / elapsed;
             if self.placement_rate > 0.0
@@ -878,7 +881,7 @@
     ) -> Option<Duration> {
         self.last_response_at = now;
         let launched_at = self.remove_launch(id, launch);
-        // The end of a standing dialogue shows that the server responds again, but says nothing about set-ups that
+        // The end of a standing dialogue shows that the server responds again, but does not show whether set-ups
         // fail or queue up there.
         let was_only_unresponsive = self.consecutive_failures < EJECTION_FAILURES && self.limit >= 1.0;
         if (was_only_unresponsive || launched_at.is_some()) && self.next_probe_at.take().is_some() {
@@ -912,7 +915,8 @@
     /// overload.
     fn adapt_limit(&mut self, now: Duration, wait: Duration) {
         if wait <= self.parameters.max_normal_wait {
-            // Below 1, one normal wait undoes one cut; above, a full round of them adds one, within the headroom.
+            // While the limit is low, each normal wait reverses one cut. A higher limit grows by one per as many normal
+            // waits as it admits set-ups, but not beyond what the pending launches and the headroom justify.
             let max_limit = (self.ordered_launches().count() + 1) as f64 + self.parameters.headroom;
             self.limit = (self.limit / LIMIT_CUT_FACTOR)
                 .min(self.limit + 1.0 / self.limit)
@@ -983,8 +987,8 @@
     /// Interval between launches of one edge proxy to a cold server; zero once it is warm.
     fn cold_launch_interval(&self, now: Duration) -> Duration {
         let Some(share) = self.cold_capacity_share(now) else { return Duration::ZERO };
-        // The mean that lies COLD_START_DEVIATIONS of its square roots below the maximum that counts as chance, which
-        // is budget + 2 * sqrt(budget) + 2.
+        // The launches are random in number with standard deviation sqrt(mean). The server survives up to
+        // budget + 2 * sqrt(budget) + 2 of them; the mean lies COLD_START_DEVIATIONS deviations below that.
         let budget = self.sustained_rate.max(MIN_SUSTAINED_RATE_PER_SECOND)
             * share
             * self.parameters.overload_multiple_seconds;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`brain`] makes every decision, [`interface`] defines the types of its inputs and outputs, [`pcg`] generates its
 //! random numbers, and [`ranked`] is the sorted list behind its waiting queue.
-//! None of them knows a wire or a clock: the caller passes in the inputs and the time since start.
+//! None of them uses the network or reads a clock: the user of [`brain`] passes in the inputs and the time since start.
 
 pub mod brain;
 pub mod interface;
