--- a/crates/edge/src/edge/launch_ends.rs
+++ b/crates/edge/src/edge/launch_ends.rs
@@ -27,8 +27,9 @@
         self.finish_input(effects);
     }
 
-    /// A launch on this link has ended that stood, or may have stood, without an answer, so its end is owed to the caller.
-    /// The dialogue is not launched again, since it may have taken place; the caller is notified that it failed.
+    /// A launch on this link has ended that stood, or may have stood, without an answer, so the caller must be
+    /// notified. The dialogue is not launched again, since it may have taken place; the caller is notified that it
+    /// failed.
     ///
     /// `launch` is the launch in progress. `None` means the end of a previous launch, which had timed out, was cancelled or
     /// lost its connection; a launch in progress is then cancelled.
@@ -73,7 +74,8 @@
         self.finish_input(effects);
     }
 
-    /// Reports the last launch of a waiting dialogue to the decisions and the replicas as cancelled only now.
+    /// Reports the last launch of a waiting dialogue as cancelled at the current time, to the decisions and the
+    /// replicas, so that its release time starts again.
     pub(super) fn restart_release_time(
         &mut self, id: &DialogueId, server: ServerId, effects: &mut dyn EdgeEffects,
     ) {
--- a/crates/edge/src/edge/server_list.rs
+++ b/crates/edge/src/edge/server_list.rs
@@ -122,8 +122,8 @@
     }
 }
 
-/// Start of a server of this age, on this clock. An age of zero means long ago and gives zero; no other age
-/// does.
+/// Start of a server of this age, on the local clock. An age of zero means that it started long ago. Only then is the
+/// result zero.
 fn start_time(now: Duration, age: Duration) -> Duration {
     if age.is_zero() {
         return Duration::ZERO;
--- a/crates/edge/src/edge/takeover.rs
+++ b/crates/edge/src/edge/takeover.rs
@@ -78,8 +78,9 @@
         }
     }
 
-    /// Another edge proxy owns this dialogue now: its launch is cancelled, and nothing more of it is sent. Usually its
-    /// caller has dialled it again there; a caller still waiting here is notified that it may ask again for the outcome.
+    /// Another edge proxy owns this dialogue now: its launch is cancelled, and nothing more of it is sent. Usually
+    /// its caller has dialled it again there; a caller still waiting at this edge proxy is notified that it may ask
+    /// again for the outcome.
     pub fn dialogue_replaced(&mut self, now: Duration, id: &DialogueId, effects: &mut dyn EdgeEffects) {
         self.state.now = now;
         self.expire_deadlines(effects);
@@ -105,7 +106,7 @@
                 Frame::Declined { dialogue: id.clone(), why: DeclineReason::Unsure, retry_after: None };
             self.signalling(effects).send_frame(link, frame);
         }
-        // To its caller the dialogue is not concluded: it may be dialled here again.
+        // The dialogue is not concluded for its caller, who may dial it again at this edge proxy.
         self.state.concluded.remove(id);
         self.finish_input(effects);
     }
--- a/crates/edge/src/edge/timers.rs
+++ b/crates/edge/src/edge/timers.rs
@@ -35,7 +35,7 @@
         self.finish_input(effects);
     }
 
-    /// The time returned by [`Self::next_due`] has come.
+    /// The time returned by [`Self::next_due`] has been reached.
     pub fn timer_fired(&mut self, now: Duration, effects: &mut dyn EdgeEffects) {
         self.state.now = now;
         self.expire_deadlines(effects);
--- a/crates/edge/src/numbers.rs
+++ b/crates/edge/src/numbers.rs
@@ -214,7 +214,7 @@
                 })
             }
             Step::Refuse(why) => Err(why),
-            // An analysis asks at most once.
+            // An analysis needs at most one look-up, which has ended by now.
             Step::Ask { .. } => Err(Refusal::NoWay),
         }
     }
--- a/crates/trunk/src/codec.rs
+++ b/crates/trunk/src/codec.rs
@@ -142,8 +142,8 @@
 pub(crate) const CALLED: u8 = 24;
 const ROUTING: u8 = 25;
 // Tags from 26 on are defined in `member_codec`.
-/// Optional tags from 128 to 143 are reserved for fields of this version
-/// and never forwarded.
+// Optional tags from 128 to `LAST_RESERVED_OPTIONAL_TAG` are reserved for fields of this version and are never
+// forwarded.
 pub(crate) const OWNER: u8 = 128;
 const LAST_RESERVED_OPTIONAL_TAG: u8 = 143;
 
--- a/crates/trunk/src/member.rs
+++ b/crates/trunk/src/member.rs
@@ -208,7 +208,7 @@
         /// Whether the sender would have the dialogue's state if any was sent to it.
         #[serde(rename = "sure")]
         is_authoritative: bool,
-        /// The higher owner, if there is one.
+        /// The owner known to the sender, if it takes precedence over the asker.
         higher: Option<Owner>,
         #[serde(rename = "copy")]
         replica: Option<ReplicaUpdate>,
@@ -346,7 +346,7 @@
         owner: Owner,
         /// The launch that stands and now belongs to the asker, if any.
         launch: Option<u32>,
-        /// The owner known to the core server: a higher one, if not the asker.
+        /// The owner known to the core server: the asker, or the owner that takes precedence over it.
         by: Owner,
     },
     /// A dialogue that stood for the receiver on this link now belongs to another owner.
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -59,9 +59,9 @@
 const RATE_INTERVAL_SECONDS: f64 = 0.5;
 /// Incoming dialogues at this multiple of the sustained rate are a traffic surge.
 const SURGE_RATIO: f64 = 1.25;
-/// Spreads above the smoothed answer time within which nearly all answers arrive.
+/// Nearly all answers arrive before the smoothed answer time plus this many times its spread.
 const ANSWER_TIME_SPREADS: u32 = 4;
-/// Longer reported waits are taken as this long.
+/// Upper bound for reported waits: a longer one is replaced by this.
 const MAX_REPORTED_WAIT_SECONDS: f64 = 60.0;
 
 /// Maximum number of remembered callers; beyond it the one whose redial window ends first is evicted.
@@ -82,8 +82,8 @@
     headroom: f64,
     /// Mean duration of a dialogue over all products.
     mean_duration_seconds: f64,
-    /// [`SURGE_RATIO`], or infinity where waiting set-ups are not retransmitted, since a surge only feeds itself
-    /// through retransmissions.
+    /// [`SURGE_RATIO`], or infinity where waiting set-ups are not retransmitted: only retransmissions make a traffic
+    /// surge increase by itself.
     surge_ratio: f64,
     /// A longer wait indicates overload and cuts the limit.
     max_normal_wait: Duration,
@@ -207,7 +207,8 @@
     /// Callers whose dialogue was given up and who may redial: time of the first dial, and end of the redial window.
     callers: BTreeMap<DialledKey, (Duration, Duration)>,
     callers_by_expiry: BTreeSet<(Duration, DialledKey)>,
-    /// An input other than an arrival has come since the rules were last applied, so that all rules are to be tried.
+    /// An input other than an arrival was received since the rules were last applied, so that all rules are to be
+    /// tried.
     all_rules_due: bool,
     is_timer_set: bool,
     /// No launch is sent before this time.
@@ -297,12 +298,12 @@
         self.launches_held_until = until;
     }
 
-    /// Takes in entries of the pool list; if `whole`, servers without an entry are gone.
+    /// Applies entries of the pool list; if `is_complete`, servers without an entry are gone.
     pub fn server_list_received(
-        &mut self, now: Duration, whole: bool, entries: &[ListEntry], out: &mut dyn Signalling,
+        &mut self, now: Duration, is_complete: bool, entries: &[ListEntry], out: &mut dyn Signalling,
     ) {
         let now = self.advance_clock(now);
-        if whole {
+        if is_complete {
             self.servers.values_mut().for_each(|s| s.state = ServerState::Gone);
         }
         for entry in entries {
@@ -325,7 +326,8 @@
             if let Some(previous) = self.servers.remove(&entry.server) {
                 server.pending_launches = previous.pending_launches;
             }
-            // All edge proxies learn of a start at the same time, so each waits a random part of its first interval.
+            // All edge proxies are notified of a start at the same time, so each waits a random part of its first
+            // interval.
             server.blocked_until = now + server.cold_launch_interval(now).mul_f64(server.random.share());
             self.servers.insert(entry.server.clone(), server);
         }
@@ -341,7 +343,7 @@
         self.apply_rules(out);
     }
 
-    /// Takes in a new dialogue. A dialogue of an unknown product fails; one already held is ignored.
+    /// Handles a new dialogue. A dialogue of an unknown product fails; one already held is ignored.
     pub fn dialogue_arrived(&mut self, now: Duration, arrival: Arrival, out: &mut dyn Signalling) {
         let now = if now > self.now { self.advance_clock(now) } else { self.now };
         let Some(product) = self.parameters.products.get(arrival.product.0) else {
@@ -485,7 +487,8 @@
         self.apply_rules(out);
     }
 
-    /// Advances the clock, expires callers and unblocks waiting dialogues. A clock that runs backwards stands still.
+    /// Advances the clock, expires callers and unblocks waiting dialogues. A time earlier than the last
+    /// one leaves the clock unchanged.
     fn advance_clock(&mut self, now: Duration) -> Duration {
         self.all_rules_due = true;
         let now = self.now.max(now);
@@ -504,8 +507,8 @@
         now
     }
 
-    /// Applies the rules until none fires. After an arrival at a time for which all rules have been tried, only the
-    /// launch rule can fire.
+    /// Applies the rules until none applies any more. After an arrival at a time for which all rules have been tried,
+    /// only the launch rule can apply.
     fn apply_rules(&mut self, out: &mut dyn Signalling) {
         let rules = if self.all_rules_due { &RULES[..] } else { &RULES[RULES.len() - 1..] };
         while rules.iter().any(|rule| rule(self, out)) {}
@@ -584,7 +587,8 @@
         let server = self.servers.get_mut(&server_id).expect("the server was selected");
         dialogue.launch_count += 1;
         server.launch_sent(self.now, &id, dialogue);
-        // Without retransmissions it costs little to abandon a late set-up.
+        // Where set-ups are not retransmitted, the launch times out at the promised time at the latest, since
+        // abandoning a late set-up then costs little.
         let latest =
             if self.parameters.surge_ratio.is_finite() { Duration::MAX } else { dialogue.promised_by };
         let until = latest.min(dialogue.answer_by + self.parameters.tick * 2);
@@ -732,7 +736,7 @@
         LaunchNumber(self.launch_count.saturating_sub(1))
     }
 
-    /// After this time it cannot stand within the promised time.
+    /// The earlier of the promised time and the time by which the dialogue must be answered.
     fn deadline(&self) -> Duration {
         self.promised_by.min(self.answer_by)
     }
@@ -787,7 +791,7 @@
         self.reported_free_lines.map_or(f64::INFINITY, |free| free - self.lines_placed_since_report)
     }
 
-    /// Whether a launch may be sent to it now.
+    /// Whether a launch may be sent to this server now.
     fn can_launch(&self, now: Duration) -> bool {
         let max_launches = if self.next_probe_at.is_some() { 1.0 } else { self.limit.max(1.0) };
         self.state == ServerState::Active
@@ -796,7 +800,8 @@
             && now >= self.last_launch_at + self.cold_launch_interval(self.last_launch_at)
     }
 
-    /// Tells which dialogues it takes: by their random rank while its limit is a share, and by their width.
+    /// Returns a predicate on the random rank and the width of a dialogue: whether this server qualifies for it. The
+    /// rank matters only while the limit is below 1 and no probe launch is due.
     fn admission(&self, now: Duration) -> impl Fn(f64, f64) -> bool {
         let next_probe = self.last_launch_at + self.shared_interval(PROBE_RATE_SHARE);
         let (estimate, limit, admits_all) =
@@ -804,10 +809,10 @@
         move |random_rank, width| estimate >= width && (admits_all || random_rank < limit)
     }
 
-    /// Whether this server may receive overflow from this edge proxy now. If all edge proxies sent their overflow to the
-    /// emptiest server at once, they would overload it, so each proxy has its own part of each interval, at a position
-    /// drawn at random. A part that is not used is lost; otherwise each proxy would have an unused one when a traffic
-    /// surge begins, and all would use them at once.
+    /// Whether this server may receive overflow from this edge proxy now. If all edge proxies sent their overflow to
+    /// the emptiest server at once, they would overload it, so each proxy has its own part of each interval, at a
+    /// position drawn at random. A part that is not used is lost; otherwise each proxy would have an unused one when
+    /// a traffic surge begins, and all would use them at once.
     fn accepts_overflow(&self, now: Duration) -> bool {
         let phase = now.saturating_sub(self.overflow_allowed_at).as_secs_f64()
             / self.shared_interval(OVERFLOW_RATE_MULTIPLE).as_secs_f64();
@@ -850,7 +855,7 @@
         }
     }
 
-    /// Records a launch that is being sent to it.
+    /// Records a launch that is being sent to this server.
     fn launch_sent(&mut self, now: Duration, id: &DialogueId, dialogue: &Dialogue) {
         self.lines_placed_since_report += dialogue.width;
         self.last_launch_at = now;
@@ -959,7 +964,7 @@
     /// are not retransmitted, once unanswered for the response time-out without overload.
     fn lost_from(&self, launch: &PendingLaunch) -> Duration {
         match launch.overtaken_at {
-            // Not at the same moment: its answer may be the next input.
+            // At the earliest one tick after the answer that overtook it, since its own answer may be the next input.
             Some(at) => (launch.launched_at + self.usual_max_answer_time()).max(at + self.parameters.tick),
             None if self.limit >= 1.0 && self.parameters.surge_ratio.is_infinite() => {
                 launch.launched_at + self.response_timeout()
--- a/src/ranked.rs
+++ b/src/ranked.rs
@@ -48,7 +48,7 @@
 /// A sorted list of keys, each with a random rank and a width.
 pub struct RankedList<K> {
     chunks: Vec<Chunk<K>>,
-    /// Minimum over all chunks: where nothing can match, no chunk is checked.
+    /// Minimum over all chunks. If even the two minima of the list do not match, no chunk is checked.
     min_random_rank: f64,
     min_width: f64,
 }
