--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -23,7 +23,8 @@
 use crate::signalling::{ModuleSignalling, State};
 use crate::{Decisions, EdgeEffects, LinkId};
 
-/// Launch number for deadlines of a dialogue that has no launch, while its earlier outcome is looked up.
+/// Stands for the launch number in the deadline of a dialogue that has no launch while its earlier outcome is looked
+/// up.
 const NO_LAUNCH: LaunchNumber = LaunchNumber(u32::MAX);
 
 /// One edge proxy. Inputs are method calls with the time since the start; effects are calls on [`EdgeEffects`].
--- a/crates/edge/src/held.rs
+++ b/crates/edge/src/held.rs
@@ -34,8 +34,8 @@
     pub concluded_retention: Duration,
     /// Time for which the end of a released dialogue is awaited.
     pub release_timeout: Duration,
-    /// Time for which an answer waits until it is recorded; then it is sent without. This time is reserved before
-    /// each dialogue's cut-off. Zero if nothing is recorded.
+    /// Time for which an answer waits until it is recorded; then it is sent without a record. This time is reserved
+    /// before each dialogue's cut-off. Zero if nothing is recorded.
     pub answer_record_timeout: Duration,
     /// Time for which a launch waits until it is recorded; zero: it does not wait.
     pub launch_record_timeout: Duration,
@@ -90,7 +90,7 @@
     pub strays: u64,
     /// Links closed.
     pub links_closed: u64,
-    /// Answers sent before they were recorded, because that timed out or was not possible.
+    /// Answers sent before they were recorded, because recording timed out or was not possible.
     pub unrecorded: u64,
     /// Launches sent before they were recorded.
     pub launched_unrecorded: u64,
@@ -123,7 +123,7 @@
     Blocked(Box<Dial>, Duration),
     /// The dialled number is looked up; the decisions do not know the dialogue yet.
     LookingUpNumber,
-    /// With the decisions; no launch is in progress.
+    /// The decisions hold the dialogue; no launch is in progress.
     Waiting,
     /// Launched at a server. While `link` is `None`, the launch waits for its record or for the link to open.
     Launched { server: ServerId, launch: LaunchNumber, until: Duration, link: Option<LinkId> },
@@ -154,7 +154,7 @@
     pub key: Option<DialledKey>,
     /// The analysed number to dial, and its routing number if it was ported.
     pub number: Option<Box<AnalysedNumber>>,
-    /// Extra fields of the dial, which its launches carry on.
+    /// Extra fields of the dial, which are copied into its launches.
     pub extra: Box<[Extra]>,
 }
 
@@ -216,7 +216,7 @@
     }
 }
 
-/// A send that waits for its record.
+/// A launch or answer that is sent once it is recorded.
 pub enum Deferred {
     /// A final answer to the caller on this link.
     Answer { link: LinkId, message: Message },
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -86,7 +86,7 @@
         None
     }
     /// Looks up a dialogue that was dialled before and whose caller gives up at `cut_off`; the result arrives through
-    /// [`Edge::prior_outcome_found`]. Returns false if there is nobody to ask.
+    /// [`Edge::prior_outcome_found`]. Returns false if no look-up is possible.
     fn look_up_dialogue(&mut self, _dialogue: &DialogueId, _cut_off: Duration) -> bool {
         false
     }
--- a/crates/edge/src/links.rs
+++ b/crates/edge/src/links.rs
@@ -87,10 +87,10 @@
     pub address: Arc<str>,
     /// State in the pool list.
     pub state: ServerState,
-    /// Known incarnation; its start, on the local clock, is in `started`. The list sends the start as an age, which varies with the list's
-    /// delay; it is stored once per incarnation so that the variation does not look like another start.
+    /// Known incarnation.
     pub incarnation: u64,
-    /// Start of that incarnation.
+    /// Start of that incarnation, on the local clock. The list sends it as an age, which varies with the list's delay;
+    /// the start is stored once per incarnation, so that the variation does not look like another start.
     pub started: Duration,
     /// The link for new launches.
     pub link: Option<LinkId>,
--- a/crates/edge/src/numbers.rs
+++ b/crates/edge/src/numbers.rs
@@ -245,7 +245,7 @@
         }
     }
 
-    /// Results of look-ups that were answered or timed out, and the number of the latter.
+    /// Results of look-ups that were answered or timed out, and the number of those that timed out.
     pub fn process_due(
         &mut self, now: Duration, effects: &mut dyn EdgeEffects,
     ) -> (Vec<AnalysisResult>, u64) {
@@ -361,7 +361,7 @@
 
     fn report_swap(&mut self, swapped: Swapped) {
         match swapped {
-            // Several swaps that fell due during a stall were each in force for a moment.
+            // If several swaps became due during a stall, each was in force for a moment and is reported as such.
             Swapped::InForce(serial, name) => self.report_as_of(serial, serial, Some(&name), None),
             Swapped::Waits(serial) => self.report(serial, None, Some("waits for its time".into())),
             Swapped::Dropped(serial) => self.report(serial, None, None),
--- a/crates/edge/src/signalling.rs
+++ b/crates/edge/src/signalling.rs
@@ -298,7 +298,8 @@
     fn launch(&mut self, dialogue: &DialogueId, server: &ServerId, time_out: Duration) {
         let until = self.state.now + time_out;
         let Some(held) = self.state.held.get_mut(dialogue) else { return };
-        // A dialogue has one launch at a time (rule 2). The decision module ensures it; other decisions cannot break it.
+        // A dialogue has one launch at a time. The decision module ensures this; the check also enforces it for other
+        // implementations of the decisions.
         if held.stage != Stage::Waiting {
             let line =
                 format!("launch of {} not sent: the dialogue is in stage {:?}", dialogue.0, held.stage);
@@ -342,8 +343,8 @@
         }
     }
 
-    /// Ends the launch without waiting for the core server: an answer that crosses the cancel finds the launch ended
-    /// and is released there.
+    /// Ends the launch without waiting for the core server: if the server's answer crosses the cancel, the launch
+    /// has ended already, and the lines of the answered launch are released.
     fn cancel(&mut self, dialogue: &DialogueId, launch: LaunchNumber) {
         if let Some(server) = self.cancel_launch(dialogue, launch) {
             self.queue_launch_end(dialogue, launch, &server, Outcome::Cancelled);
--- a/crates/trunk/src/codec.rs
+++ b/crates/trunk/src/codec.rs
@@ -22,7 +22,7 @@
 pub const MAX_EXTRA: usize = 256;
 /// Longer times (over about 11 days) are rejected, so that sums of a few times never overflow.
 const MAX_MICROS: u64 = 1_000_000_000_000;
-/// Lowest tag of optional fields, which a reader need not know.
+/// Lowest tag of optional fields. A reader accepts an unknown tag from here on and rejects a lower one.
 const FIRST_OPTIONAL_TAG: u8 = 128;
 
 /// Why received bytes are not a valid frame.
@@ -138,7 +138,7 @@
 pub(crate) const INCARNATION: u8 = 20;
 const SENT_AT: u8 = 21;
 pub(crate) const SERIAL: u8 = 22;
-const OF: u8 = 23;
+const REFERRED_SERIAL: u8 = 23;
 pub(crate) const CALLED: u8 = 24;
 const ROUTING: u8 = 25;
 // Tags from 26 on are defined in `member_codec`.
@@ -215,8 +215,8 @@
 }
 
 impl Message {
-    /// Appends the frame with its length. Keeping a frame within [`MAX_FRAME`] is up to the sender, which splits long
-    /// lists beforehand.
+    /// Appends the frame with its length. The sender splits long lists beforehand, so that no frame exceeds
+    /// [`MAX_FRAME`].
     pub fn encode(&self, out: &mut Vec<u8>) {
         let start = out.len();
         out.extend_from_slice(&[0; 5]);
@@ -377,7 +377,7 @@
             TABLES
         }
         Frame::TablesResult { serial, in_force, name, why } => {
-            to.integer(SERIAL, *serial).integer(OF, *in_force);
+            to.integer(SERIAL, *serial).integer(REFERRED_SERIAL, *in_force);
             if let Some(name) = name {
                 to.text(NAME, name);
             }
@@ -399,7 +399,7 @@
     next_in_order: usize,
 }
 
-/// Replaces the tag of a field that was taken in order; no field on the wire may have it.
+/// Marks a field that `take_in_order` has returned, in place of its tag; no field on the wire may have this tag.
 const TAKEN_TAG: u8 = 0;
 
 impl<'a> Fields<'a> {
@@ -676,7 +676,7 @@
         }
         TABLES_RESULT => Frame::TablesResult {
             serial: f.required(SERIAL, read_u64)?,
-            in_force: f.required(OF, read_u64)?,
+            in_force: f.required(REFERRED_SERIAL, read_u64)?,
             name: f.optional(NAME, read_text)?,
             why: f.optional(CALLED, read_text)?,
         },
@@ -740,9 +740,9 @@
             if let Some(name) = name {
                 to.text(NAME, name);
             }
-            to.integer(WHY, 2).integer(OF, *of)
+            to.integer(WHY, 2).integer(REFERRED_SERIAL, *of)
         }
-        TablesOrder::Drop { of } => to.integer(WHY, 3).integer(OF, *of),
+        TablesOrder::Drop { of } => to.integer(WHY, 3).integer(REFERRED_SERIAL, *of),
     };
 }
 
@@ -750,8 +750,10 @@
     Ok(match f.required(WHY, read_u64)? {
         0 => TablesOrder::Load { name: f.required(NAME, read_text)? },
         1 => TablesOrder::Swap { name: f.required(NAME, read_text)?, after: f.required(TIME, read_time)? },
-        2 => TablesOrder::Undo { of: f.required(OF, read_u64)?, to: f.optional(NAME, read_text)? },
-        3 => TablesOrder::Drop { of: f.required(OF, read_u64)? },
+        2 => {
+            TablesOrder::Undo { of: f.required(REFERRED_SERIAL, read_u64)?, to: f.optional(NAME, read_text)? }
+        }
+        3 => TablesOrder::Drop { of: f.required(REFERRED_SERIAL, read_u64)? },
         _ => return Err(f.invalid(WHY, "has an unknown value")),
     })
 }
--- a/crates/trunk/src/frame.rs
+++ b/crates/trunk/src/frame.rs
@@ -306,7 +306,7 @@
     /// Whether the caller has dialled before.
     #[serde(rename = "again")]
     pub is_retry: bool,
-    /// Whether the caller dials again because a dialogue of its that stood was cut.
+    /// Whether the caller dials again because an earlier dialogue that stood was cut.
     #[serde(rename = "came_back")]
     pub redialled_after_cut: bool,
     /// Whether this same dialogue was dialled before, at this or another edge proxy, with unknown outcome.
--- a/crates/trunk/src/member_codec.rs
+++ b/crates/trunk/src/member_codec.rs
@@ -77,16 +77,16 @@
 const HIGHEST: u8 = 29;
 const HASHES: u8 = 30;
 const RECORD_OWNER: u8 = 31;
-const FROM: u8 = 32;
-const AT: u8 = 33;
-const NEXT: u8 = 34;
+const RANGE_START: u8 = 32;
+const STREAM_NUMBER: u8 = 33;
+const NEXT_CHUNK_START: u8 = 34;
 const LEVEL: u8 = 35;
 const BLOB: u8 = 36;
 const BLOCKED_FOR: u8 = 37;
 const EXPIRES_IN: u8 = 38;
 const CURRENT_OWNER: u8 = 39;
 const ANSWER: u8 = 40;
-const SAVED: u8 = 41;
+const WRITE_COUNT: u8 = 41;
 const ACTION: u8 = 42;
 const DUTY: u8 = 43;
 
@@ -255,7 +255,7 @@
 }
 
 fn write_cursor(to: &mut Writer, cursor: &Cursor) {
-    to.integer(AT, cursor.at).integer(FROM, cursor.from);
+    to.integer(STREAM_NUMBER, cursor.at).integer(RANGE_START, cursor.from);
 }
 
 /// Writes the fields of a message and returns its kind.
@@ -273,7 +273,7 @@
                 .integer(MEMBER, (*member).into())
                 .integer(INCARNATION, *incarnation)
                 .integer(REMOTE_INCARNATION, *known_remote_incarnation);
-            to.integer(SAVED, *saved);
+            to.integer(WRITE_COUNT, *saved);
             if let Some(last_seen_ago) = last_seen_ago {
                 to.time(TIME, *last_seen_ago);
             }
@@ -295,16 +295,16 @@
             MEMBERSHIP
         }
         PeerMessage::DiskCount { saved } => {
-            to.integer(SAVED, *saved);
+            to.integer(WRITE_COUNT, *saved);
             DISK_COUNT
         }
         PeerMessage::Replicas { incarnation, first, replicas } => {
-            to.integer(INCARNATION, *incarnation).integer(AT, *first);
+            to.integer(INCARNATION, *incarnation).integer(STREAM_NUMBER, *first);
             replicas.iter().for_each(|replica| write_replica(to, replica));
             REPLICAS
         }
         PeerMessage::Acknowledge { incarnation, up_to, saved, replaced } => {
-            to.integer(INCARNATION, *incarnation).integer(AT, *up_to).integer(SAVED, *saved);
+            to.integer(INCARNATION, *incarnation).integer(STREAM_NUMBER, *up_to).integer(WRITE_COUNT, *saved);
             for replaced in replaced {
                 let mut nested = Vec::new();
                 Writer(&mut nested)
@@ -325,7 +325,7 @@
             to.integer(INCARNATION, *incarnation);
             write_cursor(to, cursor);
             if let Some(next) = next {
-                to.integer(NEXT, *next);
+                to.integer(NEXT_CHUNK_START, *next);
             }
             replicas.iter().for_each(|replica| write_replica(to, replica));
             SNAPSHOT_CHUNK
@@ -345,12 +345,12 @@
             ASK_REPLY
         }
         PeerMessage::RangeDigests { level, from, digests } => {
-            to.integer(LEVEL, (*level).into()).integer(FROM, (*from).into());
+            to.integer(LEVEL, (*level).into()).integer(RANGE_START, (*from).into());
             write_integers(to, HASHES, digests.iter().copied());
             RANGE_DIGESTS
         }
         PeerMessage::DialogueDigests { range, fingerprints } => {
-            to.integer(FROM, (*range).into());
+            to.integer(RANGE_START, (*range).into());
             write_integers(
                 to,
                 HASHES,
@@ -461,7 +461,9 @@
 }
 
 fn read_cursor(f: &mut Fields) -> Result<Option<Cursor>, TrunkError> {
-    Ok(f.optional(AT, read_u64)?.zip(f.optional(FROM, read_u64)?).map(|(at, from)| Cursor { at, from }))
+    Ok(f.optional(STREAM_NUMBER, read_u64)?
+        .zip(f.optional(RANGE_START, read_u64)?)
+        .map(|(at, from)| Cursor { at, from }))
 }
 
 /// Reads text of any length, which may be empty and contain control characters.
@@ -484,7 +486,7 @@
             member: f.required(MEMBER, read_integer)?,
             incarnation: f.required(INCARNATION, read_u64)?,
             known_remote_incarnation: f.required(REMOTE_INCARNATION, read_u64)?,
-            saved: f.required(SAVED, read_u64)?,
+            saved: f.required(WRITE_COUNT, read_u64)?,
             last_seen_ago: f.optional(TIME, read_time)?,
         },
         PROPOSE_INCARNATION => {
@@ -496,15 +498,18 @@
             highest: f.required(HIGHEST, read_u64)?,
         },
         MEMBERSHIP => PeerMessage::Membership { message: f.required(BLOB, read_membership_message)? },
-        DISK_COUNT => PeerMessage::DiskCount { saved: f.required(SAVED, read_u64)? },
+        DISK_COUNT => PeerMessage::DiskCount { saved: f.required(WRITE_COUNT, read_u64)? },
         REPLICAS => PeerMessage::Replicas {
             incarnation: f.required(INCARNATION, read_u64)?,
-            first: f.required(AT, read_u64)?,
+            first: f.required(STREAM_NUMBER, read_u64)?,
             replicas: read_replicas(name, f)?,
         },
         ACKNOWLEDGE => {
-            let (incarnation, up_to, saved) =
-                (f.required(INCARNATION, read_u64)?, f.required(AT, read_u64)?, f.required(SAVED, read_u64)?);
+            let (incarnation, up_to, saved) = (
+                f.required(INCARNATION, read_u64)?,
+                f.required(STREAM_NUMBER, read_u64)?,
+                f.required(WRITE_COUNT, read_u64)?,
+            );
             let mut replaced = Vec::new();
             while let Some(raw) = f.take_in_order(ENTRY) {
                 let mut inner = Fields::read(name, raw)?;
@@ -523,8 +528,8 @@
         },
         SNAPSHOT_CHUNK => PeerMessage::SnapshotChunk {
             incarnation: f.required(INCARNATION, read_u64)?,
-            cursor: read_cursor(f)?.ok_or(TrunkError::MissingField { frame: name, tag: AT })?,
-            next: f.optional(NEXT, read_u64)?,
+            cursor: read_cursor(f)?.ok_or(TrunkError::MissingField { frame: name, tag: STREAM_NUMBER })?,
+            next: f.optional(NEXT_CHUNK_START, read_u64)?,
             replicas: read_replicas(name, f)?,
         },
         ASK => PeerMessage::Ask {
@@ -540,11 +545,11 @@
         },
         RANGE_DIGESTS => PeerMessage::RangeDigests {
             level: f.required(LEVEL, read_integer)?,
-            from: f.required(FROM, read_integer)?,
+            from: f.required(RANGE_START, read_integer)?,
             digests: f.required(HASHES, read_integers)?,
         },
         DIALOGUE_DIGESTS => {
-            let range = f.required(FROM, read_integer)?;
+            let range = f.required(RANGE_START, read_integer)?;
             let all = f.required(HASHES, read_integers)?;
             let (pairs, rest) = all.as_chunks::<2>();
             if !rest.is_empty() {
