--- a/crates/edge/src/signalling.rs
+++ b/crates/edge/src/signalling.rs
@@ -133,8 +133,9 @@
         Some(held)
     }
 
-    /// Concludes a dialogue; returns its caller's link and cut-off. If the module may not cancel, a launch may still be
-    /// in progress: it ends here, as its line would otherwise stay occupied in the module's count for ever.
+    /// Concludes a dialogue; returns its caller's link and cut-off. If the decision module may not cancel launches,
+    /// one may still be in progress: it is ended now, since the module would otherwise count its lines as
+    /// taken for ever.
     pub fn conclude(&mut self, id: &DialogueId) -> Option<(LinkId, Duration)> {
         if let Stage::Launched { launch, .. } = self.state.held.get(id)?.stage
             && let Some(server) = self.cancel_launch(id, launch)
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -108,7 +108,8 @@
     state: ServerState,
     /// Time of the last start, if known; `None` means long ago.
     started: Option<Duration>,
-    /// Drawn once; breaks ties between servers that are otherwise equal.
+    /// Drawn once; breaks ties between servers that are otherwise equal, and determines which part of each overflow
+    /// interval belongs to this edge proxy.
     random_rank: u32,
     reported_free_lines: Option<f64>,
     lines_placed_since_report: f64,
@@ -117,7 +118,7 @@
     limit: f64,
     blocked_until: Duration,
     last_launch_at: Duration,
-    /// Time from which it may take another dialogue whose first choice is a different server.
+    /// Time from which this server may receive another dialogue whose first choice is a different server.
     overflow_allowed_at: Duration,
     last_response_at: Duration,
     /// `Some` while the server is ejected: the time at which its next probe launch may be sent.
@@ -133,7 +134,7 @@
     sustained_rate: f64,
     /// Time of the last estimate of `placement_rate`.
     rate_estimated_at: Duration,
-    /// Dialogues per second that all edge proxies placed here at the last estimate; 0 before the first.
+    /// Dialogues per second that all edge proxies placed at this server at the last estimate; 0 before the first.
     placement_rate: f64,
 }
 
@@ -141,7 +142,8 @@
     dialogue: DialogueId,
     number: LaunchNumber,
     launched_at: Duration,
-    /// When a later launch was answered first. A server processes set-ups in order, so this launch is probably lost.
+    /// Time at which a later launch was answered while this one was not. A server processes set-ups in
+    /// order, so this launch is probably lost.
     overtaken_at: Option<Duration>,
 }
 
@@ -155,7 +157,7 @@
     promised_by: Duration,
     answer_by: Duration,
     gain: f64,
-    /// Random number divided by gain: a server that takes a share of the dialogues takes those of the lowest ranks.
+    /// Random number divided by gain: a server whose limit is below 1 qualifies for the dialogues of the lowest ranks.
     random_rank: f64,
     turn_backs: u32,
     launch_count: u32,
