--- a/crates/edge/src/numbers.rs
+++ b/crates/edge/src/numbers.rs
@@ -28,7 +28,7 @@
     pub generations: Generations,
     /// Client of the look-up servers; `None` if numbers are not looked up.
     pub client: Option<Client>,
-    /// Pending look-ups by their number as waiters of the client.
+    /// Pending look-ups, by the waiter number under which the client reports the answer.
     pending: HashMap<u64, PendingLookUp>,
     /// Key in `pending` of the look-up of each waiting dialogue.
     by_dialogue: HashMap<DialogueId, u64>,
