--- a/crates/front/src/sockets.rs
+++ b/crates/front/src/sockets.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Whether no connection is closing any more: the last messages have been read.
+    /// Whether no connection is being closed any more.
     pub fn all_closed(&self) -> bool {
         self.connections.values().all(|connection| connection.drain.is_none())
     }
--- a/crates/lease/src/leader.rs
+++ b/crates/lease/src/leader.rs
@@ -315,7 +315,7 @@
         self.sent_heartbeats.push_back((self.heartbeat_serial, now));
     }
 
-    /// When the leader has to act next although no reply has come.
+    /// When the leader has to act next if no reply is received before.
     pub fn next_due(&self) -> Duration {
         self.next_heartbeat_at
     }
--- a/crates/lease/src/lease/dispatch.rs
+++ b/crates/lease/src/lease/dispatch.rs
@@ -7,7 +7,7 @@
 use crate::ids::Term;
 use crate::messages::LeaseMessage;
 
-/// What is done once state has been persisted.
+/// An action that waits until the state on which it depends has been written to disk.
 pub(super) enum DeferredAction {
     Send(u16, LeaseMessage),
     /// Counts the candidate's own vote.
--- a/crates/lease/src/lease/interface.rs
+++ b/crates/lease/src/lease/interface.rs
@@ -35,7 +35,7 @@
     pub table: Table,
     /// The last table that it knows to be committed.
     pub committed_table: TableId,
-    /// Whether it has everything that it ever sent, and so may vote.
+    /// Whether its state includes everything that it ever sent to others; only then may it vote.
     pub is_consistent: bool,
     /// The duties that it holds, with their tokens.
     pub held_duties: Vec<(Duty, FencingToken)>,
--- a/crates/lease/src/lease/mod.rs
+++ b/crates/lease/src/lease/mod.rs
@@ -51,9 +51,9 @@
     last_heartbeat_serial: u64,
     /// The highest term whose leader has resigned: its heartbeats may arrive after its resignation.
     resigned_term: Term,
-    /// When it becomes a candidate unless a heartbeat arrives.
+    /// When this member becomes a candidate unless a heartbeat arrives.
     candidacy_at: Duration,
-    /// When it asks the others for their state again.
+    /// When this member asks the others for their state again.
     state_query_at: Duration,
     /// The number of the last persist order; by order, the deferred actions and the table that is being written.
     last_persist_order: u64,
@@ -178,7 +178,8 @@
         self.process_messages_to_self();
     }
 
-    /// The disk turned out to be older than what this member had sent: it votes for nobody until others have reported their state.
+    /// The state read from disk is older than state that this member had already sent to others: it votes for nobody until others
+    /// have reported their state.
     pub fn mark_state_stale(&mut self, now: Duration) {
         if std::mem::replace(&mut self.voter.is_consistent, false) {
             let voters = self.plan.voters.clone();
--- a/crates/lease/src/plan.rs
+++ b/crates/lease/src/plan.rs
@@ -5,7 +5,7 @@
 /// The members, the voters, the preferred holders of each duty, and the duration of a lease.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// This member.
+    /// The number of this member.
     pub self_member: u16,
     /// The number of members; they are numbered from 0.
     pub member_count: u16,
@@ -13,7 +13,7 @@
     pub voters: Vec<u16>,
     /// For each duty, all members in order of preference.
     pub preferred_holders: Vec<Vec<u16>>,
-    /// How long a duty is held without contact to the leader; it is reassigned a little later than that.
+    /// How long a member holds a duty without contact to the leader; the leader reassigns the duty a little later than that.
     pub lease_duration: Duration,
 }
 
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -74,8 +74,8 @@
     pub unwritten_bytes: usize,
     /// Number of releases that wait for a caller to acknowledge them.
     pub pending_releases: usize,
-    /// Number of ends of unheld calls that are remembered in case a caller reports the call as standing; also
-    /// the number of releases that wait for a connection to one core server.
+    /// Number of ended calls, not held by this edge proxy, whose end is remembered in case a caller reports such
+    /// a call as standing; also the number of releases that wait for a connection to one core server.
     pub remembered_ends: usize,
     /// Bounds of the edge.
     pub edge: Limits,
--- a/crates/platform/src/connections.rs
+++ b/crates/platform/src/connections.rs
@@ -139,8 +139,8 @@
     codec::write_binary_message(kind::START, set_up.tag, &parameters, &mut bytes).then_some(bytes)
 }
 
-/// A release sent on a connection other than its call's is sent on another one if it is not acknowledged
-/// within this time: the caller on that connection may not know the call.
+/// A release that was not sent on the connection on which its call was received may have reached a caller that
+/// does not know the call. If it is not acknowledged within this time, it is sent on yet another connection.
 const RELEASE_ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(150);
 /// Maximum number of connections on which a release is sent.
 const MAX_CONNECTIONS_PER_RELEASE: usize = 6;
--- a/crates/platform/src/sessions/shutdown.rs
+++ b/crates/platform/src/sessions/shutdown.rs
@@ -12,7 +12,8 @@
 /// them while no process is running.
 const MAX_COUNTED_CUT_OFF: Duration = Duration::from_secs(3);
 const RELAY_MARGIN: Duration = Duration::from_millis(400);
-/// Additional time for peers that read slowly or send without end.
+/// Time after the shutdown limit in which queued bytes may still be written; then the process exits, even if a
+/// peer reads slowly or does not stop sending.
 const FINAL_WRITE_TIME: Duration = Duration::from_millis(150);
 
 /// How long after the shutdown request outstanding work is waited for.
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -27,9 +27,9 @@
     pub owner: Owner,
     /// Counts this owner's writes from 1; 0 is a claim without a write.
     pub version: u32,
-    /// How far the dialogue has come.
+    /// The state that the dialogue has reached.
     pub progress: Progress,
-    /// Until then a launch of that owner may be out, or its lines may be taken.
+    /// Until this time a launch of that owner may be unanswered or may occupy lines.
     pub blocked_until: Duration,
     /// When the record may be removed.
     pub expires_at: Duration,
@@ -64,7 +64,7 @@
     Open {
         /// Nothing may be launched before this time.
         blocked_until: Duration,
-        /// Whether the owner that wrote last may have a launch out.
+        /// Whether the highest owner may have an unanswered launch.
         launch_outstanding: bool,
     },
 }
@@ -99,8 +99,8 @@
         self.owner_states.last().map(|state| state.owner)
     }
 
-    /// The highest owner that has written; an owner that has only claimed the dialogue tells nothing about where its writes were
-    /// stored.
+    /// The highest owner that has written; for an owner that has only claimed the dialogue there is no write whose
+    /// replicas could be looked for.
     pub fn last_writer(&self) -> Option<Owner> {
         self.owner_states.iter().rev().find(|state| state.version > 0).map(|state| state.owner)
     }
@@ -181,7 +181,7 @@
 
     /// Interprets the replica: that the dialogue has ended, is answered or stands takes precedence, then the latest blocking time. If
     /// several owners wrote that it has ended or stands, the highest one wins: it knew whatever a lower owner had sent to a caller, and
-    /// what was refused to a lower owner was never sent to a caller.
+    /// a lower owner never sends a caller a result whose write was rejected.
     pub fn reading(&self) -> ReplicaReading<'_> {
         for state in self.owner_states.iter().rev() {
             match &state.progress {
@@ -204,7 +204,7 @@
         ReplicaReading::Open { blocked_until, launch_outstanding }
     }
 
-    /// Until when an owner above the one that determines [`Replica::reading`] may have a launch out. That owner did not act on the
+    /// Until when an owner above the one that determines [`Replica::reading`] may have an unanswered launch. That owner did not act on the
     /// state below it, so that state was never sent to a caller and may be only a line that no caller uses.
     pub fn newer_launch_until(&self) -> Option<Duration> {
         let is_definite =
@@ -216,8 +216,8 @@
         })?
     }
 
-    /// When the replica may be removed: if the dialogue has ended, as the owners that ended it wrote, otherwise when all states have
-    /// expired.
+    /// When the replica may be removed. If any owner recorded that the dialogue has ended: the latest expiry time among the states of
+    /// those owners; otherwise the latest among all states.
     pub fn expires_at(&self) -> Duration {
         let ended = self
             .owner_states
@@ -233,7 +233,8 @@
         self.expires_at() < NO_EXPIRY
     }
 
-    /// Whether two different final answers were written: the fleet was partitioned, or one of them was refused and never sent.
+    /// Whether two different final answers were written: the fleet was partitioned, or one of the writes was rejected and its answer
+    /// never sent to a caller.
     pub fn has_conflicting_answers(&self) -> bool {
         self.answers.windows(2).any(|pair| pair[0].answer != pair[1].answer)
     }
--- a/crates/replica/src/table.rs
+++ b/crates/replica/src/table.rs
@@ -32,7 +32,7 @@
     digest: u64,
     /// The owner under which the entry is counted in `digest_trees`, for the members that share it; none: it is not counted.
     shared_as: Option<Owner>,
-    /// Its time in `expiry_queue`.
+    /// The time under which the entry is queued in `expiry_queue`; none: it is not queued.
     expiry_check_at: Option<Duration>,
 }
 
@@ -89,7 +89,7 @@
     /// By member, awaited writes with their number in the stream to it.
     awaited_numbers: Vec<VecDeque<(u64, DialogueId, u32)>>,
     completed_tickets: Vec<u64>,
-    /// Written before this member had an incarnation.
+    /// Dialogues written before this member had an incarnation.
     written_without_incarnation: Vec<DialogueId>,
 }
 
@@ -287,7 +287,8 @@
         true
     }
 
-    /// Records a claim of an owner, which is higher than all owners in `found`, and merges what was found of the dialogue.
+    /// Records that `owner` has claimed the dialogue, and merges `found`, the state of the dialogue that other members sent. `owner`
+    /// has to be higher than all owners in `found`.
     pub fn claim(&mut self, now: Duration, id: &DialogueId, owner: Owner, found: &Replica) {
         let key = (fingerprint(id), id.clone());
         let mut replica = self.entries.get(&key).map(|entry| entry.replica.clone()).unwrap_or_default();
@@ -682,14 +683,14 @@
     Leaf(u32, Vec<(u64, u64)>),
 }
 
-/// What brings a leaf range of two members to agree.
+/// What has to be exchanged so that two members have the same replicas in a leaf range.
 #[derive(Debug, Default, PartialEq)]
 pub struct Repair {
     /// Replicas to send to the other member.
     pub to_send: Vec<ReplicaUpdate>,
     /// Fingerprints to request from the other member.
     pub to_request: Vec<u64>,
-    /// The number of replicas removed here.
+    /// The number of replicas that this member removed.
     pub dropped_count: usize,
 }
 
@@ -731,7 +732,7 @@
 }
 
 impl Replica {
-    /// Whether the dialogue stands or may have a launch out, by what this member knows.
+    /// Whether the dialogue stands or has no final answer, as far as this member knows.
     pub fn is_open(&self) -> bool {
         !matches!(self.reading(), ReplicaReading::Answered(_) | ReplicaReading::Ended)
     }
