--- a/crates/front/src/sockets.rs
+++ b/crates/front/src/sockets.rs
@@ -29,6 +29,7 @@
     drain: Option<Drain>,
 }
 
+/// The state of a connection that is being closed while its last bytes are written and further input is discarded.
 struct Drain {
     deadline: Instant,
     bytes_left: usize,
--- a/crates/lease/src/clock.rs
+++ b/crates/lease/src/clock.rs
@@ -1,9 +1,9 @@
-//! Margins by which clocks that run at different rates agree on a span.
+//! Margins for spans that one machine promises and another waits for, since their clocks may run at different rates.
 
 use std::time::Duration;
 
-/// The part of a span that may be relied on. Two clocks whose rates are within 5 % of true time agree when one uses this and the
-/// other [`extended_for_drift`].
+/// The part of a span for which a holder may rely on it. If the rates of two clocks are within 5 % of true time, this span has ended
+/// on one before [`extended_for_drift`] has ended on the other.
 pub fn shortened_for_drift(span: Duration) -> Duration {
     span - span / 16
 }
--- a/crates/lease/src/leader.rs
+++ b/crates/lease/src/leader.rs
@@ -17,7 +17,7 @@
 /// What the leader knows of one member.
 #[derive(Clone, Default)]
 struct MemberView {
-    /// The number of its last reply, when that came, and the latest heartbeat it answered.
+    /// The number of its last reply, when that reply was received, and the serial of the latest heartbeat that it answered.
     last_reply: u64,
     last_reply_at: Option<Duration>,
     answered_serial: u64,
@@ -26,7 +26,7 @@
     table: TableId,
     incarnation: u64,
     accepts_duties: bool,
-    /// Until when its leases may run: those of this incarnation, and those of previous ones.
+    /// Until when the leases of the member's current incarnation, and those of its previous ones, may run.
     lease_until: Duration,
     previous_lease_until: Duration,
     /// The current length of its penalty, in leases; it doubles with each repetition.
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Until when a majority of voters supports no other candidate, counted from the time before they were asked.
+    /// Until when a majority of voters supports no other candidate. It counts from when the answered heartbeats were sent, which is
+    /// before the voters received them.
     pub fn authority_until(&self, table: &Table, vote_lock_duration: Duration) -> Duration {
         let mut answered: Vec<Duration> = table
             .voters
@@ -231,7 +232,8 @@
             }
             return;
         }
-        // All voters had lost the table and receivers know later tokens: the duty gets a token above those.
+        // A receiver has accepted this token from another holder, or a higher one, as can happen after all voters lost the table: the
+        // duty gets a token above that one.
         if let Some(highest) = view
             .refused_tokens
             .get(&duty)
--- a/crates/lease/src/messages.rs
+++ b/crates/lease/src/messages.rs
@@ -21,7 +21,7 @@
     pub lease_from_reply: u64,
     /// Duties that the receiver is to hand over, with their tokens.
     pub duties_to_release: Vec<(Duty, FencingToken)>,
-    /// The whole table, where the receiver has another one.
+    /// The whole table, if the receiver's table differs; otherwise none.
     pub full_table: Option<Table>,
 }
 
@@ -34,7 +34,7 @@
     pub heartbeat_serial: u64,
     /// The table that the sender has; of a voter, the one it has persisted.
     pub table: TableId,
-    /// The number of this reply; leases are granted by it.
+    /// The number of this reply. The leader grants a lease by returning it in [`Heartbeat::lease_from_reply`].
     pub reply_number: u64,
     /// The sender's incarnation.
     pub incarnation: u64,
@@ -73,7 +73,7 @@
 /// A message between two members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaseMessage {
-    /// Asks whether the receiver would vote for the sender in a term above this one, with this table.
+    /// Asks whether the receiver would vote for the sender, which has this table, in a term above `above_term`.
     PreVoteRequest {
         /// The sender's current term.
         above_term: Term,
@@ -131,7 +131,7 @@
     MoveDuty {
         /// The duty to move.
         duty: Duty,
-        /// The wanted holder.
+        /// The requested holder; none: the next preferred member.
         to: Option<u16>,
     },
     /// Request to the leader: change to this set of voters.
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -9,10 +9,10 @@
 use crate::ids::{TableId, Term};
 use crate::table::Table;
 
-/// Leases after which a majority of voters without state may start anew although not all of them have answered.
+/// After this many lease durations a voter without state recovers once a majority has reported, although not all voters have.
 const MAJORITY_RECOVERY_LEASES: u32 = 30;
 
-/// State that is on disk before any message that follows from it is sent.
+/// State that a member writes to disk before it sends any message that depends on it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistedState {
     /// The highest term that was voted for.
@@ -27,14 +27,14 @@
     pub is_consistent: bool,
     /// The term of the last vote that it cast itself, as opposed to terms it learned from others.
     last_vote_term: Term,
-    /// Until then the leader relies on this voter supporting no other candidate.
+    /// Until this time the leader relies on this voter supporting no other candidate.
     vote_locked_until: Duration,
     vote_lock_duration: Duration,
     /// Voters that have reported their state, and whether it is consistent.
     peer_consistency: BTreeMap<u16, bool>,
-    /// From then on it recovers once all other voters have reported.
+    /// From this time on the voter recovers its state once all other voters have reported.
     full_recovery_at: Duration,
-    /// From then on it recovers once a majority, itself included, has reported.
+    /// From this time on the voter recovers its state once a majority, itself included, has reported.
     majority_recovery_at: Duration,
 }
 
--- a/crates/platform/src/connections.rs
+++ b/crates/platform/src/connections.rs
@@ -443,7 +443,7 @@
     }
 }
 
-/// The connection table and the network, lent to the edge for one input.
+/// The connection table and the network, through which the edge carries out the effects of one input.
 pub struct PlatformEffects<'a> {
     connections: &'a mut ConnectionTable,
     net: &'a mut dyn Net,
--- a/crates/platform/src/feed.rs
+++ b/crates/platform/src/feed.rs
@@ -1,5 +1,5 @@
 //! The control feed: numbered changes to the list of core servers. The number of the last event applied is
-//! kept, so that a repeated event is skipped and a missing one is detected.
+//! stored, so that a repeated event is skipped and a missing one is detected.
 
 use std::time::Duration;
 
--- a/crates/platform/src/sessions.rs
+++ b/crates/platform/src/sessions.rs
@@ -21,8 +21,8 @@
 /// Interval between checks of connections and incarnations.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Ends of calls that were not held, remembered in case a caller reports the call as standing; and their
-/// order.
+/// Causes with which calls that were not held have ended, in case a caller reports such a call as standing; and
+/// the order in which they are removed.
 type RememberedEnds = (HashMap<Tag, u8>, VecDeque<Tag>);
 
 /// The platform's edge proxy without I/O: connections, feed, and the edge that holds the dialogues.
@@ -99,7 +99,7 @@
         (held, self.connections.callers.len(), self.connections.cores.len(), remembered)
     }
 
-    /// Sizes of the state kept beside the edge: calls, pending releases, bytes of descriptions.
+    /// Sizes of the state held outside `Edge`: calls, pending releases, bytes of descriptions.
     pub fn auxiliary_sizes(&self) -> (usize, usize, usize) {
         (
             self.connections.calls.len(),
--- a/crates/platform/src/sessions/callers.rs
+++ b/crates/platform/src/sessions/callers.rs
@@ -237,6 +237,7 @@
         }
     }
 
+    /// Notifies the edge that the caller has given up the set-up or ended the call.
     pub(super) fn hang_up(&mut self, tag: Tag, net: &mut dyn Net) {
         let message = Frame::HangUp { dialogue: dialogue_id(tag) }.into();
         self.edge.frame_received(self.connections.now, CALLERS, message, &mut self.connections.effects(net));
--- a/crates/replica/src/table.rs
+++ b/crates/replica/src/table.rs
@@ -194,8 +194,8 @@
         }
     }
 
-    /// Writes a step of a dialogue that this member owns. Unless the dialogue stands, the record is retained for the retention period
-    /// after `retained_from`. `wait`: a ticket, and the number of acknowledgements to await.
+    /// Records new progress of a dialogue that this member owns. Unless the dialogue stands, the record is retained for the retention
+    /// period after `retained_from`. `wait`: a ticket, and the number of acknowledgements to await.
     #[expect(clippy::too_many_arguments)]
     pub fn write(
         &mut self, now: Duration, id: &DialogueId, progress: Progress, blocked_until: Duration,
@@ -403,7 +403,7 @@
         (None, before)
     }
 
-    /// Whether the claim of this owner is the highest one held here.
+    /// Whether this owner is the highest one in this member's replica.
     pub fn has_claim(&self, id: &DialogueId, owner: Owner) -> bool {
         self.get(id).and_then(Replica::owner) == Some(owner)
     }
@@ -417,7 +417,7 @@
         }
     }
 
-    /// Ages all restored replicas by this span; what this process has written itself keeps its times.
+    /// Shortens the expiry times of all restored replicas by this span; those of replicas that this process has written do not change.
     pub fn age_restored(&mut self, now: Duration, by: Duration) {
         let self_member = self.self_member;
         let is_restored = |entry: &Entry| {
@@ -433,8 +433,8 @@
         }
     }
 
-    /// Removes all replicas that this member does not own: they are older than what the other members have already expired. Returns
-    /// their number.
+    /// Removes all replicas that this member does not own, because they are so old that the other members have already removed theirs.
+    /// Returns their number.
     pub fn drop_not_owned(&mut self) -> usize {
         let others =
             self.entries.iter().filter(|(_, entry)| !entry.replica.owner().is_some_and(|o| self.is_self(o)));
@@ -447,7 +447,8 @@
 
     // Snapshots
 
-    /// A chunk of all that a member is to hold: replicas from this fingerprint on, and the fingerprint where the next chunk begins.
+    /// A chunk of a snapshot for the member `to`: the replicas that it is to hold, from the fingerprint `from` on, and the fingerprint at
+    /// which the next chunk begins; none: this chunk is the last.
     pub fn snapshot_chunk(&self, now: Duration, to: u16, from: u64) -> (Vec<ReplicaUpdate>, Option<u64>) {
         let mut updates = Vec::new();
         let start = (from, DialogueId("".into()));
