--- a/crates/lease/src/leader.rs
+++ b/crates/lease/src/leader.rs
@@ -9,9 +9,9 @@
 use crate::plan::Plan;
 use crate::table::{ChangeReason, MAX_CHECKPOINT_BYTES, NO_MEMBER, Table};
 
-/// Heartbeat rounds whose send time is remembered; a reply to an older one does not prove that the member is responsive.
+/// The number of heartbeat rounds whose send time is remembered; a reply to an older one does not prove that the member is responsive.
 const MAX_REMEMBERED_HEARTBEATS: usize = 64;
-/// Upper limit, in leases, of the time for which a member that lost its duties by being unresponsive is passed over.
+/// The maximum penalty, in lease durations: the time for which a member that lost its duties by being unresponsive is given none.
 const MAX_PENALTY_LEASES: u32 = 64;
 
 /// What the leader knows of one member.
@@ -29,7 +29,7 @@
     /// Until when the leases of the member's current incarnation, and those of its previous ones, may run.
     lease_until: Duration,
     previous_lease_until: Duration,
-    /// The current length of its penalty, in leases; it doubles with each repetition.
+    /// The current length of its penalty, in lease durations; it doubles with each repetition.
     penalty_leases: u32,
     ineligible_until: Duration,
     hand_overs: BTreeMap<Duty, HandOver>,
--- a/crates/lease/src/lease/holding.rs
+++ b/crates/lease/src/lease/holding.rs
@@ -10,11 +10,11 @@
 use crate::messages::{Checkpoint, HandOver, Heartbeat, HeartbeatReply, LeaseMessage};
 use crate::table::MAX_CHECKPOINT_BYTES;
 
-/// Replies whose send time is remembered.
+/// The number of replies whose send time is remembered.
 const MAX_REMEMBERED_REPLIES: usize = 64;
-/// Timers late by a heartbeat interval, within one lease, after which this process is falling behind and hands its duties over.
+/// A member hands its duties over if, within one lease duration, this many timers fire late by a heartbeat interval or more.
 const MAX_LATE_TIMERS_PER_LEASE: u32 = 3;
-/// Leases for which a member that handed its duties over because it fell behind takes none.
+/// How long a member takes no duties after late timers made it hand its own over, in lease durations.
 const LATENESS_COOL_DOWN_LEASES: u32 = 4;
 
 impl Lease {
--- a/crates/lease/src/lease/mod.rs
+++ b/crates/lease/src/lease/mod.rs
@@ -76,10 +76,10 @@
     refused_tokens: BTreeMap<Duty, FencingToken>,
     accepts_duties: bool,
     declines_duties_until: Duration,
-    /// Late timers since the start of the window, and that start.
+    /// The number of late timers in the current window of one lease duration, and when that window began.
     late_timers: (u32, Duration),
     expected_timer_at: Duration,
-    /// A holder checks its clock at least this often, so that it notices when it falls behind.
+    /// When a holder of duties checks its clock next, so that it notices when it falls behind.
     holder_check_at: Duration,
     is_shutting_down: bool,
     effects: Vec<Effect>,
--- a/crates/replica/src/table.rs
+++ b/crates/replica/src/table.rs
@@ -15,7 +15,7 @@
 const MAX_SCANNED_PER_CHUNK: usize = 4096;
 /// The maximum number of replicas in one chunk of a snapshot.
 const MAX_REPLICAS_PER_CHUNK: usize = 256;
-/// Records in the last one part in this many of their retention period are no longer compared or repaired.
+/// A record is no longer compared or repaired once less than its retention period divided by this is left.
 const UNREPAIRED_RETENTION_DIVISOR: u32 = 8;
 
 /// Limits of a [`ReplicaTable`].
