--- a/crates/front/src/sockets.rs
+++ b/crates/front/src/sockets.rs
@@ -29,6 +29,7 @@
     drain: Option<Drain>,
 }
 
+/// The state of a connection that is being closed while its last bytes are written and further input is discarded.
 struct Drain {
     deadline: Instant,
     bytes_left: usize,
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Whether no connection is closing any more: the last messages have been read.
+    /// Whether no connection is being closed any more.
     pub fn all_closed(&self) -> bool {
         self.connections.values().all(|connection| connection.drain.is_none())
     }
--- a/crates/replica/src/table.rs
+++ b/crates/replica/src/table.rs
@@ -15,7 +15,7 @@
 const MAX_SCANNED_PER_CHUNK: usize = 4096;
 /// The maximum number of replicas in one chunk of a snapshot.
 const MAX_REPLICAS_PER_CHUNK: usize = 256;
-/// Records in the last one part in this many of their retention period are no longer compared or repaired.
+/// A record is no longer compared or repaired once less than its retention period divided by this is left.
 const UNREPAIRED_RETENTION_DIVISOR: u32 = 8;
 
 /// Limits of a [`ReplicaTable`].
@@ -32,7 +32,7 @@
     digest: u64,
     /// The owner under which the entry is counted in `digest_trees`, for the members that share it; none: it is not counted.
     shared_as: Option<Owner>,
-    /// Its time in `expiry_queue`.
+    /// The time under which the entry is queued in `expiry_queue`; none: it is not queued.
     expiry_check_at: Option<Duration>,
 }
 
@@ -89,7 +89,7 @@
     /// By member, awaited writes with their number in the stream to it.
     awaited_numbers: Vec<VecDeque<(u64, DialogueId, u32)>>,
     completed_tickets: Vec<u64>,
-    /// Written before this member had an incarnation.
+    /// Dialogues written before this member had an incarnation.
     written_without_incarnation: Vec<DialogueId>,
 }
 
@@ -194,8 +194,8 @@
         }
     }
 
-    /// Writes a step of a dialogue that this member owns. Unless the dialogue stands, the record is retained for the retention period
-    /// after `retained_from`. `wait`: a ticket, and the number of acknowledgements to await.
+    /// Records new progress of a dialogue that this member owns. Unless the dialogue stands, the record is retained for the retention
+    /// period after `retained_from`. `wait`: a ticket, and the number of acknowledgements to await.
     #[expect(clippy::too_many_arguments)]
     pub fn write(
         &mut self, now: Duration, id: &DialogueId, progress: Progress, blocked_until: Duration,
@@ -287,7 +287,8 @@
         true
     }
 
-    /// Records a claim of an owner, which is higher than all owners in `found`, and merges what was found of the dialogue.
+    /// Records that `owner` has claimed the dialogue, and merges `found`, the state of the dialogue that other members sent. `owner`
+    /// has to be higher than all owners in `found`.
     pub fn claim(&mut self, now: Duration, id: &DialogueId, owner: Owner, found: &Replica) {
         let key = (fingerprint(id), id.clone());
         let mut replica = self.entries.get(&key).map(|entry| entry.replica.clone()).unwrap_or_default();
@@ -402,7 +403,7 @@
         (None, before)
     }
 
-    /// Whether the claim of this owner is the highest one held here.
+    /// Whether this owner is the highest one in this member's replica.
     pub fn has_claim(&self, id: &DialogueId, owner: Owner) -> bool {
         self.get(id).and_then(Replica::owner) == Some(owner)
     }
@@ -416,7 +417,7 @@
         }
     }
 
-    /// Ages all restored replicas by this span; what this process has written itself keeps its times.
+    /// Shortens the expiry times of all restored replicas by this span; those of replicas that this process has written do not change.
     pub fn age_restored(&mut self, now: Duration, by: Duration) {
         let self_member = self.self_member;
         let is_restored = |entry: &Entry| {
@@ -432,8 +433,8 @@
         }
     }
 
-    /// Removes all replicas that this member does not own: they are older than what the other members have already expired. Returns
-    /// their number.
+    /// Removes all replicas that this member does not own, because they are so old that the other members have already removed theirs.
+    /// Returns their number.
     pub fn drop_not_owned(&mut self) -> usize {
         let others =
             self.entries.iter().filter(|(_, entry)| !entry.replica.owner().is_some_and(|o| self.is_self(o)));
@@ -446,7 +447,8 @@
 
     // Snapshots
 
-    /// A chunk of all that a member is to hold: replicas from this fingerprint on, and the fingerprint where the next chunk begins.
+    /// A chunk of a snapshot for the member `to`: the replicas that it is to hold, from the fingerprint `from` on, and the fingerprint at
+    /// which the next chunk begins; none: this chunk is the last.
     pub fn snapshot_chunk(&self, now: Duration, to: u16, from: u64) -> (Vec<ReplicaUpdate>, Option<u64>) {
         let mut updates = Vec::new();
         let start = (from, DialogueId("".into()));
@@ -682,14 +684,14 @@
     Leaf(u32, Vec<(u64, u64)>),
 }
 
-/// What brings a leaf range of two members to agree.
+/// What has to be exchanged so that two members have the same replicas in a leaf range.
 #[derive(Debug, Default, PartialEq)]
 pub struct Repair {
     /// Replicas to send to the other member.
     pub to_send: Vec<ReplicaUpdate>,
     /// Fingerprints to request from the other member.
     pub to_request: Vec<u64>,
-    /// The number of replicas removed here.
+    /// The number of replicas that this member removed.
     pub dropped_count: usize,
 }
 
@@ -731,7 +733,7 @@
 }
 
 impl Replica {
-    /// Whether the dialogue stands or may have a launch out, by what this member knows.
+    /// Whether the dialogue stands or has no final answer, as far as this member knows.
     pub fn is_open(&self) -> bool {
         !matches!(self.reading(), ReplicaReading::Answered(_) | ReplicaReading::Ended)
     }
