--- a/crates/membership/src/allowance.rs
+++ b/crates/membership/src/allowance.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// An allowance of bytes: a rate, and a burst that may be spent at once.
+/// A token bucket: it refills at a rate in bytes per second, up to a burst that may be spent at once.
 pub(crate) struct Allowance {
     bytes_per_second: f64,
     burst: f64,
@@ -20,17 +20,17 @@
     /// Takes this many bytes if they are available.
     pub(crate) fn take(&mut self, now: Duration, bytes: usize) -> bool {
         self.refill(now);
-        let wanted = bytes as f64;
-        if wanted > self.available {
+        let requested = bytes as f64;
+        if requested > self.available {
             return false;
         }
-        self.available -= wanted;
+        self.available -= requested;
         true
     }
 
     fn refill(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
-        self.available = (self.available + passed * self.bytes_per_second).min(self.burst);
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.available = (self.available + elapsed * self.bytes_per_second).min(self.burst);
         self.refilled_at = self.refilled_at.max(now);
     }
 }
--- a/crates/membership/src/check.rs
+++ b/crates/membership/src/check.rs
@@ -9,33 +9,39 @@
 pub(crate) fn message(overlay: &Overlay, message: &Message) -> Result<(), MessageError> {
     match message {
         Message::Heartbeat { .. } => Ok(()),
-        Message::Registers(registers) => registers.iter().try_for_each(|entry| register(overlay, entry)),
-        Message::BucketDigests(digests) if digests.len() == buckets(overlay) => Ok(()),
+        Message::Registers(registers) => {
+            registers.iter().try_for_each(|entry| check_register(overlay, entry))
+        }
+        Message::BucketDigests(digests) if digests.len() == bucket_count(overlay) => Ok(()),
         Message::BucketDigests(digests) => Err(MessageError::WrongBucketCount(digests.len())),
-        Message::BucketRequest(requested) => requested.iter().try_for_each(|index| bucket(overlay, *index)),
+        Message::BucketRequest(requested) => {
+            requested.iter().try_for_each(|index| check_bucket(overlay, *index))
+        }
         Message::Bucket { bucket: index, registers } => {
-            bucket(overlay, *index)?;
-            registers.iter().try_for_each(|entry| register_of_bucket(overlay, entry, *index))
+            check_bucket(overlay, *index)?;
+            registers.iter().try_for_each(|entry| check_register_of_bucket(overlay, entry, *index))
         }
     }
 }
 
-fn buckets(overlay: &Overlay) -> usize {
+fn bucket_count(overlay: &Overlay) -> usize {
     overlay.members().div_ceil(BUCKET_MEMBERS)
 }
 
-fn bucket(overlay: &Overlay, index: u16) -> Result<(), MessageError> {
-    if usize::from(index) < buckets(overlay) { Ok(()) } else { Err(MessageError::WrongBucket(index)) }
+fn check_bucket(overlay: &Overlay, index: u16) -> Result<(), MessageError> {
+    if usize::from(index) < bucket_count(overlay) { Ok(()) } else { Err(MessageError::WrongBucket(index)) }
 }
 
-fn register_of_bucket(overlay: &Overlay, entry: &MemberRegister, index: u16) -> Result<(), MessageError> {
+fn check_register_of_bucket(
+    overlay: &Overlay, entry: &MemberRegister, index: u16,
+) -> Result<(), MessageError> {
     if bucket_of(entry.member) != index {
         return Err(MessageError::WrongBucket(index));
     }
-    register(overlay, entry)
+    check_register(overlay, entry)
 }
 
-fn register(overlay: &Overlay, entry: &MemberRegister) -> Result<(), MessageError> {
+fn check_register(overlay: &Overlay, entry: &MemberRegister) -> Result<(), MessageError> {
     if usize::from(entry.member) >= overlay.members() {
         return Err(MessageError::UnknownMember(entry.member));
     }
--- a/crates/membership/src/codec.rs
+++ b/crates/membership/src/codec.rs
@@ -1,5 +1,5 @@
-//! The bytes of messages. Numbers are in base 128, the lowest part first and in the shortest form; registers are in the order of the
-//! list, each with the distance from the member before.
+//! Encodes and decodes messages. A number is written in base 128, its least significant digit first and without superfluous digits; registers are in the order of the
+//! member list, each with the distance of its member from the previous one.
 
 use crate::MemberIndex;
 use crate::message::{MAX_BUCKETS, MAX_REGISTERS, MAX_REQUESTED_BUCKETS, Message, MessageError};
@@ -15,7 +15,7 @@
 const BUCKET: u8 = 5;
 
 const SEVEN_BITS: u64 = 0x7f;
-const MORE: u8 = 0x80;
+const CONTINUATION_BIT: u8 = 0x80;
 const MAX_NUMBER_BITS: u32 = 64;
 
 impl Message {
@@ -74,7 +74,7 @@
 fn write_number(bytes: &mut Vec<u8>, number: u64) {
     let mut rest = number;
     while rest > SEVEN_BITS {
-        bytes.push((rest & SEVEN_BITS) as u8 | MORE);
+        bytes.push((rest & SEVEN_BITS) as u8 | CONTINUATION_BIT);
         rest >>= 7;
     }
     bytes.push(rest as u8);
@@ -121,7 +121,7 @@
                 return Err(MessageError::BadNumber);
             }
             number |= part << shift;
-            if byte & MORE == 0 {
+            if byte & CONTINUATION_BIT == 0 {
                 return Ok(number);
             }
             shift += 7;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -41,14 +41,15 @@
     spreading: Spreading,
     repair: Repair,
     view: View,
-    /// Reports have changed since the last search.
+    /// Reports of unheard neighbours have changed since the last search of the overlay.
     search_is_due: bool,
     next_heartbeat: Duration,
     next_round: Duration,
 }
 
 impl Membership {
-    /// The membership of `own_index`, which is a member of the overlay, at its start. All neighbours count as heard `now`, nobody is gone.
+    /// The membership of `own_index`, which is a member of the overlay, at its start. All neighbours count as heard at `now`, and
+    /// no member is held gone.
     ///
     /// # Panics
     /// If `own_index` is beyond the list or the silence is too short to be divided into rounds.
@@ -147,15 +148,15 @@
         self.view.version()
     }
 
-    /// Whether a neighbour is not reported as unheard; false for one that is no neighbour.
+    /// Whether `neighbour` is a neighbour of this member and is not reported as unheard.
     pub fn hears(&self, neighbour: MemberIndex) -> bool {
         self.overlay
             .position(self.own_index, neighbour)
             .is_some_and(|position| self.neighbour_monitor.hears(position))
     }
 
-    /// The latest register of a member that is known here. One of this member with a later incarnation than it was given means that
-    /// another process has taken its name.
+    /// The latest register of a member that is known here. If the register of this member itself has a later
+    /// incarnation than [`Membership::set_self`] was given, another process uses the same name.
     pub fn register(&self, member: MemberIndex) -> Option<&Register> {
         let is_member = usize::from(member) < self.overlay.members();
         is_member.then(|| self.table.get(member)).filter(|register| register.is_known())
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -20,7 +20,7 @@
         /// The digest of all registers that the sender has.
         digest: u64,
     },
-    /// Registers that are new to the sender.
+    /// Registers that the sender floods: its own, or newly received ones.
     Registers(Vec<MemberRegister>),
     /// The digests of the sender's buckets, all of them in order.
     BucketDigests(Vec<u32>),
@@ -40,7 +40,7 @@
 pub enum MessageError {
     /// The message is longer than [`crate::MAX_MESSAGE_BYTES`].
     TooLong {
-        /// The length of the message.
+        /// The length of the message in bytes.
         bytes: usize,
     },
     /// The message ends before its content does.
@@ -51,7 +51,7 @@
     UnknownTag(u8),
     /// A list is longer than its bound.
     TooManyEntries(u64),
-    /// A number does not fit its field or has two forms.
+    /// A number does not fit its field or is not in its shortest form.
     BadNumber,
     /// The sender is not a neighbour.
     NotANeighbour(MemberIndex),
@@ -61,7 +61,7 @@
     BadRegister(MemberIndex),
     /// A bucket that the fleet does not have, or a register of another bucket.
     WrongBucket(u16),
-    /// The number of bucket digests is not that of the fleet's buckets.
+    /// The number of bucket digests differs from the number of buckets of the fleet.
     WrongBucketCount(usize),
 }
 
--- a/crates/membership/src/neighbour_monitor.rs
+++ b/crates/membership/src/neighbour_monitor.rs
@@ -1,5 +1,5 @@
-//! Failure detection of neighbours: a neighbour is reported after a silence, and the report is withdrawn after a hold-down that
-//! grows with each flap. A process that was itself stalled reports nobody for a time.
+//! Failure detection of neighbours: a neighbour from which no frame arrives for `Timing::silence` is reported as unheard; the report is
+//! withdrawn after a hold-down that grows with each flap. A process that was itself stalled reports nobody for a time.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 }
 
 impl Neighbour {
-    /// The hold-down doubles with each flap; the first, and the first for a long time, has the shortest.
+    /// Doubles the hold-down; the first flap, and the first one after the flap memory has ended, sets the shortest hold-down.
     fn count_flap(&mut self, now: Duration, timing: &Timing) {
         let is_remembered =
             self.last_flap.is_some_and(|last| now.saturating_sub(last) < timing.flap_memory());
@@ -38,7 +38,7 @@
 }
 
 impl NeighbourMonitor {
-    /// All neighbours count as heard `now`.
+    /// The monitor at the start: all neighbours count as heard at `now`.
     pub(crate) fn new(now: Duration, neighbours: usize, timing: Timing) -> Self {
         let neighbour = || Neighbour {
             last_heard: now,
@@ -76,8 +76,8 @@
     /// Records that a frame of a neighbour was received.
     pub(crate) fn frame_received(&mut self, now: Duration, position: usize) {
         let neighbour = &mut self.neighbours[position];
-        let was_silent = now.saturating_sub(neighbour.last_heard) >= self.timing.silence;
-        if was_silent || neighbour.answering_since.is_none() {
+        let had_timed_out = now.saturating_sub(neighbour.last_heard) >= self.timing.silence;
+        if had_timed_out || neighbour.answering_since.is_none() {
             neighbour.answering_since = Some(now);
         }
         neighbour.last_heard = neighbour.last_heard.max(now);
@@ -95,8 +95,9 @@
         let before = self.unheard;
         let is_listening = now < self.listening_until;
         for position in 0..self.neighbours.len() {
-            let is_silent = now.saturating_sub(self.neighbours[position].last_heard) >= self.timing.silence;
-            match (self.hears(position), is_silent) {
+            let has_timed_out =
+                now.saturating_sub(self.neighbours[position].last_heard) >= self.timing.silence;
+            match (self.hears(position), has_timed_out) {
                 (false, false) => self.withdraw_report_if_due(position),
                 (true, true) if !is_listening => self.report(now, position),
                 (false, true) if !is_listening => self.count_interrupted_answer(now, position),
@@ -119,7 +120,8 @@
         }
     }
 
-    /// The hold-down counts from frame to frame, because the time since the last frame proves nothing.
+    /// Withdraws a report if the frames received span the hold-down. The time since the last frame does not count, because it does not
+    /// show that the neighbour is still up.
     fn withdraw_report_if_due(&mut self, position: usize) {
         let neighbour = &self.neighbours[position];
         let Some(since) = neighbour.answering_since else { return };
--- a/crates/membership/src/register.rs
+++ b/crates/membership/src/register.rs
@@ -48,6 +48,6 @@
 pub struct MemberRegister {
     /// The member that the register belongs to.
     pub member: MemberIndex,
-    /// The register.
+    /// The published state of that member.
     pub register: Register,
 }
--- a/crates/membership/src/register_table.rs
+++ b/crates/membership/src/register_table.rs
@@ -1,4 +1,4 @@
-//! The registers of all members, with a digest of all and one for each bucket of neighbouring places of the list.
+//! The registers of all members, with a digest of all of them and a digest for each bucket (consecutive members of the list).
 
 use std::time::Duration;
 
--- a/crates/membership/src/repair.rs
+++ b/crates/membership/src/repair.rs
@@ -1,5 +1,6 @@
-//! Repair: where the digest in a neighbour's heartbeats differs for the silence, bucket digests are sent, and the other side requests
-//! buckets that differ. Its allowance of bytes is its own, so that a flood and a repair do not starve each other.
+//! Repair: when the digest in a neighbour's heartbeats has differed from the own one for `Timing::silence`, the member sends it the bucket
+//! digests, and the neighbour requests buckets that differ. Repair has its own allowance of bytes, so that flooding and repair do not starve
+//! each other.
 
 use std::time::Duration;
 
@@ -10,7 +11,7 @@
 const BYTES_PER_SECOND: u32 = 1_500;
 const BURST_BYTES: u32 = 6_000;
 
-/// A request without an answer expires after this many silences.
+/// A request without an answer expires after this many times `Timing::silence`.
 const REQUEST_SILENCES: u32 = 2;
 
 struct Request {
@@ -18,7 +19,7 @@
     made_at: Duration,
 }
 
-/// The repair with one neighbour.
+/// The state of the repair with one neighbour.
 #[derive(Default)]
 struct Exchange {
     differs_since: Option<Duration>,
@@ -31,11 +32,11 @@
     to_serve: Vec<u16>,
 }
 
-/// The repair with all neighbours, by position.
+/// The state of the repair with all neighbours.
 pub(crate) struct Repair {
     silence: Duration,
     exchanges: Vec<Exchange>,
-    /// The neighbour that is served first in the next round.
+    /// The position of the neighbour with which the next round starts.
     first: usize,
     /// Where the search for buckets that differ starts.
     next_bucket: usize,
@@ -43,7 +44,7 @@
 }
 
 impl Repair {
-    /// Starts with no neighbour known to differ.
+    /// The state at the start: no neighbour is known to have different registers.
     pub(crate) fn new(now: Duration, neighbours: usize, silence: Duration) -> Self {
         Self {
             silence,
@@ -69,7 +70,8 @@
         exchange.digests_are_due |= is_lasting && may_send;
     }
 
-    /// Requests buckets whose digests differ: few from one neighbour, and none from two neighbours at once.
+    /// Queues requests for buckets whose digests differ: at most [`MAX_REQUESTED_BUCKETS`] from one neighbour, and no bucket from two
+    /// neighbours at once.
     pub(crate) fn digests_received(&mut self, now: Duration, position: usize, remote: &[u32], local: &[u32]) {
         self.expire_requests(now);
         let buckets = local.len();
@@ -109,12 +111,12 @@
         self.exchanges.iter().any(Exchange::has_work)
     }
 
-    /// The messages of a round, by position: one for each neighbour in turn, as far as the allowance goes.
+    /// The messages of a round, each with the position of its recipient: at most one for each neighbour, until the allowance is used up.
     pub(crate) fn round(&mut self, now: Duration, table: &RegisterTable) -> Vec<(usize, Message)> {
         let neighbours = self.exchanges.len();
         let mut messages = Vec::new();
-        for turn in 0..neighbours {
-            let position = (self.first + turn) % neighbours;
+        for step in 0..neighbours {
+            let position = (self.first + step) % neighbours;
             let Some(message) = self.exchanges[position].next_message(table) else { continue };
             if !self.allowance.take(now, message.encode().len()) {
                 self.first = position;
@@ -131,9 +133,9 @@
     }
 
     fn expire_requests(&mut self, now: Duration) {
-        let longest = self.silence * REQUEST_SILENCES;
+        let max_age = self.silence * REQUEST_SILENCES;
         for exchange in &mut self.exchanges {
-            exchange.requests.retain(|request| now.saturating_sub(request.made_at) < longest);
+            exchange.requests.retain(|request| now.saturating_sub(request.made_at) < max_age);
         }
     }
 }
--- a/crates/membership/src/spreading.rs
+++ b/crates/membership/src/spreading.rs
@@ -1,4 +1,5 @@
-//! Flooding: the own register goes to all neighbours, those of others to a few, at most once a round and under an allowance of bytes.
+//! Flooding: a member sends its own register to all neighbours and registers of other members to a few of them, with at most one message
+//! to each neighbour in a round and within an allowance of bytes.
 
 use std::time::Duration;
 
@@ -9,7 +10,7 @@
 use crate::overlay::Overlay;
 use crate::register_table::RegisterTable;
 
-/// The number of heard neighbours to which a member relays registers; it also relays to neighbours that chose it.
+/// The number of neighbours that a member chooses as relays; it also relays registers to neighbours that chose it.
 const RELAY_NEIGHBOURS: usize = 4;
 
 const BYTES_PER_SECOND: u32 = 4_500;
@@ -20,11 +21,12 @@
     own_index: MemberIndex,
     /// For each neighbour, the members whose registers are to be sent to it.
     pending: Vec<MemberSet>,
-    /// For each neighbour, where the next message starts in the list, so that each register is sent eventually.
+    /// For each neighbour, the first member of the list whose register the next message may contain; it advances with each message, so
+    /// that every register is sent eventually.
     cursors: Vec<MemberIndex>,
     /// One bit for each neighbour to which registers of others are relayed.
     relays: u16,
-    /// The neighbour that is served first in the next round.
+    /// The position of the neighbour with which the next round starts.
     first: usize,
     allowance: Allowance,
 }
@@ -92,12 +94,12 @@
         self.pending.iter().any(|pending| !pending.is_empty())
     }
 
-    /// The messages of a round, by position: one for each neighbour as far as the allowance goes.
+    /// The messages of a round, each with the position of its recipient: at most one for each neighbour, until the allowance is used up.
     pub(crate) fn round(&mut self, now: Duration, table: &RegisterTable) -> Vec<(usize, Message)> {
         let neighbours = self.pending.len();
         let mut messages = Vec::new();
-        for turn in 0..neighbours {
-            let position = (self.first + turn) % neighbours;
+        for step in 0..neighbours {
+            let position = (self.first + step) % neighbours;
             if self.pending[position].is_empty() {
                 continue;
             }
@@ -137,8 +139,8 @@
     }
 }
 
-/// One bit for each neighbour that `own_index` relays registers to: the first few that it hears, and those of whose first few it is one.
-/// Both ends of an edge compute the same result.
+/// One bit for each neighbour to which `own_index` relays registers: those that it chooses ([`first_heard`]) and those that choose it.
+/// Both ends of an edge compute the same result if they know the same registers.
 fn relays(overlay: &Overlay, own_index: MemberIndex, unheard: impl Fn(MemberIndex) -> u16) -> u16 {
     let chosen_locally = first_heard(overlay, own_index, &unheard);
     let edges = overlay.neighbours(own_index).iter().zip(overlay.mirrored(own_index)).enumerate();
@@ -148,14 +150,14 @@
     })
 }
 
-/// One bit for each of the first few neighbours of a member to which the edge is not broken.
+/// One bit for each of the first [`RELAY_NEIGHBOURS`] neighbours of a member whose edge neither end reports as unheard.
 fn first_heard(overlay: &Overlay, member: MemberIndex, unheard: &impl Fn(MemberIndex) -> u16) -> u16 {
     let reported = unheard(member);
     let edges = overlay.neighbours(member).iter().zip(overlay.mirrored(member)).enumerate();
-    let whole = edges.filter(|(position, (neighbour, mirrored))| {
+    let intact_edges = edges.filter(|(position, (neighbour, mirrored))| {
         reported >> position & 1 == 0 && unheard(**neighbour) >> **mirrored & 1 == 0
     });
-    whole.take(RELAY_NEIGHBOURS).fold(0, |bits, (position, _)| bits | 1 << position)
+    intact_edges.take(RELAY_NEIGHBOURS).fold(0, |bits, (position, _)| bits | 1 << position)
 }
 
 #[cfg(test)]
--- a/crates/membership/src/timing.rs
+++ b/crates/membership/src/timing.rs
@@ -1,4 +1,4 @@
-//! The periods of the protocol, all worked out from the silence after which a member is reported.
+//! The periods of the protocol, all derived from [`Timing::silence`].
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 /// The periods of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// How long a neighbour is not heard before it is reported; more than zero.
+    /// The time without a frame from a neighbour after which it is reported as unheard; more than zero.
     pub silence: Duration,
 }
 
@@ -23,7 +23,7 @@
         self.silence / HEARTBEATS_IN_SILENCE
     }
 
-    /// The shortest time between two rounds of flooding, repair and search.
+    /// The minimum time between two rounds of flooding, repair and search of the overlay.
     pub(crate) fn round(&self) -> Duration {
         self.heartbeat() / ROUNDS_IN_HEARTBEAT
     }
@@ -43,17 +43,17 @@
         self.silence * FLAP_MEMORY_SILENCES
     }
 
-    /// A gap of the own clock from which the process counts as stalled.
+    /// If the process has not run for at least this time, it counts as stalled.
     pub(crate) fn stall(&self) -> Duration {
         self.silence / 2
     }
 
-    /// How long a process that was stalled listens before it reports anybody.
+    /// How long a process that was stalled only receives before it reports neighbours again.
     pub(crate) fn listening(&self) -> Duration {
         self.heartbeat() * LISTENING_HEARTBEATS
     }
 
-    /// Registers replaced within this time are sent to a neighbour that replaces another as relay.
+    /// Registers replaced within this time are sent to a neighbour that is newly chosen as a relay.
     pub(crate) fn recent(&self) -> Duration {
         self.silence * RECENT_SILENCES
     }
--- a/crates/model/src/duties.rs
+++ b/crates/model/src/duties.rs
@@ -11,7 +11,7 @@
 pub struct DutyProtocol {
     /// A vote or a duty table is on disk before it is sent or acknowledged.
     pub persists_first: bool,
-    /// A lease is counted from before the request; otherwise from the receipt of the reply.
+    /// A lease starts when its holder sends the request; otherwise when the holder receives the reply.
     pub lease_from_request: bool,
     /// Receivers refuse fencing tokens below the highest that they have seen.
     pub checks_fencing_token: bool,
@@ -96,6 +96,7 @@
     disk: [VoterState; VOTERS],
     /// Per voter, a bit set of frames to be sent once its state is on disk.
     awaiting_disk: [u32; VOTERS],
+    /// A bit set of the frames that have been sent.
     sent: u32,
     /// Per voter, the candidate to which it has promised not to support another.
     promised: [Option<usize>; VOTERS],
@@ -105,7 +106,9 @@
     /// Per candidate, its table when it requested votes, and its fencing token.
     table_at_request: [u8; CANDIDATES],
     fencing_token: [u8; CANDIDATES],
+    /// Per candidate, whether a majority has acknowledged its table.
     agreed: [bool; CANDIDATES],
+    /// Per candidate, whether it holds the duty under a valid lease.
     holds: [bool; CANDIDATES],
     lease_expired: [bool; CANDIDATES],
     /// The highest fencing token under which the receiver has accepted an action, and the candidate that used it.
@@ -308,9 +311,10 @@
     }
 }
 
-/// A change of the voter set in service: three voters, then several more added at once. Each member uses the set that it knows.
+/// A change of the voter set in service: three voters, then several more added at once. Each member uses the
+/// voter set that it knows.
 pub struct VoterSetChange {
-    /// The number of voters added at once.
+    /// How many voters are added to the first three.
     pub added_at_once: u8,
 }
 
--- a/crates/model/src/replicas.rs
+++ b/crates/model/src/replicas.rs
@@ -25,7 +25,7 @@
     pub max_kills: u8,
     /// If set, only this member is killed.
     pub only_killed: Option<usize>,
-    /// Whether the caller redials at the second and at the third member.
+    /// Whether the caller redials at the second member, and whether at the third.
     pub redials: [bool; 2],
 }
 
@@ -86,7 +86,8 @@
     awaiting_disk: [Vec<(usize, Frame)>; MEMBERS],
     frames_in_transit: [[Vec<Frame>; MEMBERS]; MEMBERS],
     phase: [OwnerPhase; MEMBERS],
-    /// Per inquiring owner, a bit set of the members that have answered and promised, and the merged replicas they reported.
+    /// Per inquiring owner, a bit set of the members that have answered and thereby promised it the dialogue, and the merged replicas
+    /// that they reported.
     answered: [u8; MEMBERS],
     found: [Replica; MEMBERS],
     launched: [bool; MEMBERS],
--- a/crates/model/src/restart.rs
+++ b/crates/model/src/restart.rs
@@ -27,9 +27,9 @@
 pub enum LaunchRecording {
     /// Launches are not recorded.
     Never,
-    /// Before it is sent.
+    /// A launch is recorded before it is sent.
     Before,
-    /// After it is sent.
+    /// A launch is recorded after it is sent.
     After,
 }
 
@@ -86,7 +86,7 @@
     /// Launches are blocked, as far as this incarnation knows: a launch ended unresolved less than a release time ago.
     launches_blocked: bool,
     disk: Record,
-    /// LaunchRecording on their way to the core server, and launches that it has.
+    /// Launches in transit to the core server, and launches that it has received.
     launches_in_transit: u8,
     launches_at_server: u8,
     /// The link to the core server is closed and the core server has not noticed.
