--- a/crates/membership/src/codec.rs
+++ b/crates/membership/src/codec.rs
@@ -1,5 +1,5 @@
-//! Encodes and decodes messages. A number is written in base 128, its least significant digit first and without superfluous digits; registers are in the order of the
-//! member list, each with the distance of its member from the previous one.
+//! Encodes and decodes messages. A number is written in base 128, its least significant digit first and without superfluous digits.
+//! Registers are in the order of the member list; each states how many members of the list were skipped before it.
 
 use crate::MemberIndex;
 use crate::message::{MAX_BUCKETS, MAX_REGISTERS, MAX_REQUESTED_BUCKETS, Message, MessageError};
@@ -55,7 +55,7 @@
         if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(MessageError::TooLong { bytes: bytes.len() });
         }
-        let mut reader = Reader { rest: bytes };
+        let mut reader = Reader { remaining: bytes };
         let message = match reader.byte()? {
             HEARTBEAT => Self::Heartbeat { digest: u64::from_le_bytes(reader.array()?) },
             REGISTERS => Self::Registers(reader.registers()?),
@@ -64,7 +64,7 @@
             BUCKET => Self::Bucket { bucket: reader.number_of()?, registers: reader.registers()? },
             tag => return Err(MessageError::UnknownTag(tag)),
         };
-        if !reader.rest.is_empty() {
+        if !reader.remaining.is_empty() {
             return Err(MessageError::TrailingBytes);
         }
         Ok(message)
@@ -72,29 +72,29 @@
 }
 
 fn write_number(bytes: &mut Vec<u8>, number: u64) {
-    let mut rest = number;
-    while rest > SEVEN_BITS {
-        bytes.push((rest & SEVEN_BITS) as u8 | CONTINUATION_BIT);
-        rest >>= 7;
+    let mut remaining = number;
+    while remaining > SEVEN_BITS {
+        bytes.push((remaining & SEVEN_BITS) as u8 | CONTINUATION_BIT);
+        remaining >>= 7;
     }
-    bytes.push(rest as u8);
+    bytes.push(remaining as u8);
 }
 
 fn write_registers(bytes: &mut Vec<u8>, registers: &[MemberRegister]) {
     write_number(bytes, registers.len() as u64);
-    let mut next = 0;
+    let mut min_member = 0;
     for entry in registers {
-        write_number(bytes, u64::from(entry.member).wrapping_sub(next));
+        write_number(bytes, u64::from(entry.member).wrapping_sub(min_member));
         write_number(bytes, entry.register.incarnation);
         write_number(bytes, u64::from(entry.register.sequence));
         let flags = u64::from(entry.register.unheard) << 1 | u64::from(entry.register.caught_up);
         write_number(bytes, flags);
-        next = u64::from(entry.member) + 1;
+        min_member = u64::from(entry.member) + 1;
     }
 }
 
 struct Reader<'a> {
-    rest: &'a [u8],
+    remaining: &'a [u8],
 }
 
 impl Reader<'_> {
@@ -104,8 +104,8 @@
     }
 
     fn array<const LENGTH: usize>(&mut self) -> Result<[u8; LENGTH], MessageError> {
-        let (array, rest) = self.rest.split_first_chunk().ok_or(MessageError::Truncated)?;
-        self.rest = rest;
+        let (array, remaining) = self.remaining.split_first_chunk().ok_or(MessageError::Truncated)?;
+        self.remaining = remaining;
         Ok(*array)
     }
 
@@ -152,18 +152,18 @@
 
     fn registers(&mut self) -> Result<Vec<MemberRegister>, MessageError> {
         let count = self.count(MAX_REGISTERS)?;
-        let mut next = 0;
+        let mut min_member = 0;
         let mut registers = Vec::with_capacity(count);
         for _ in 0..count {
-            let entry = self.register(next)?;
-            next = u64::from(entry.member) + 1;
+            let entry = self.register(min_member)?;
+            min_member = u64::from(entry.member) + 1;
             registers.push(entry);
         }
         Ok(registers)
     }
 
-    fn register(&mut self, next: u64) -> Result<MemberRegister, MessageError> {
-        let member = next.checked_add(self.number()?).ok_or(MessageError::BadNumber)?;
+    fn register(&mut self, min_member: u64) -> Result<MemberRegister, MessageError> {
+        let member = min_member.checked_add(self.number()?).ok_or(MessageError::BadNumber)?;
         let member = MemberIndex::try_from(member).map_err(|_| MessageError::BadNumber)?;
         let incarnation = self.number()?;
         let sequence = self.number_of()?;
--- a/crates/membership/src/member_set.rs
+++ b/crates/membership/src/member_set.rs
@@ -58,7 +58,7 @@
         self.words
             .iter()
             .enumerate()
-            .flat_map(|(index, word)| BitsOf { rest: *word, base: index * WORD_BITS })
+            .flat_map(|(index, word)| BitsOf { remaining_bits: *word, base: index * WORD_BITS })
     }
 
     fn place(member: MemberIndex) -> (usize, u64) {
@@ -68,7 +68,7 @@
 }
 
 struct BitsOf {
-    rest: u64,
+    remaining_bits: u64,
     base: usize,
 }
 
@@ -76,11 +76,11 @@
     type Item = MemberIndex;
 
     fn next(&mut self) -> Option<MemberIndex> {
-        if self.rest == 0 {
+        if self.remaining_bits == 0 {
             return None;
         }
-        let bit = self.rest.trailing_zeros() as usize;
-        self.rest &= self.rest - 1;
+        let bit = self.remaining_bits.trailing_zeros() as usize;
+        self.remaining_bits &= self.remaining_bits - 1;
         Some((self.base + bit) as MemberIndex)
     }
 }
--- a/crates/membership/src/overlay.rs
+++ b/crates/membership/src/overlay.rs
@@ -1,5 +1,5 @@
 //! The overlay: which members are neighbours. Four pseudo-random rings and the member list itself as a fifth ring are laid over all
-//! members; the neighbours of a member are its successor and predecessor in each. All members have to work out the same overlay, so
+//! members; the neighbours of a member are its successor and predecessor in each. All members have to compute the same overlay, so
 //! the seed is a digest of the agreed list.
 
 use crate::MemberIndex;
@@ -44,7 +44,7 @@
 /// The neighbours of each member of a fleet.
 #[derive(Debug)]
 pub struct Overlay {
-    /// Where the neighbours of each member start; one more entry than members.
+    /// For each member, the index of its first neighbour in `neighbours`; a last entry holds the length of `neighbours`.
     starts: Vec<u32>,
     neighbours: Vec<MemberIndex>,
     /// For each entry of `neighbours`, the position of the member in that neighbour's own list.
@@ -61,10 +61,10 @@
             return Err(OverlayError::TooManyMembers { members });
         }
         let lists = if members <= MAX_NEIGHBOURS + 1 { complete(members) } else { rings(members, seed) };
-        Ok(Self::of(&lists))
+        Ok(Self::from_lists(&lists))
     }
 
-    fn of(lists: &[Vec<MemberIndex>]) -> Self {
+    fn from_lists(lists: &[Vec<MemberIndex>]) -> Self {
         let total = lists.iter().map(Vec::len).sum();
         let mut overlay = Self {
             starts: Vec::with_capacity(lists.len() + 1),
@@ -89,7 +89,7 @@
         self.starts.len() - 1
     }
 
-    /// The neighbours of a member, [`MAX_NEIGHBOURS`] at most; none of one beyond the list.
+    /// The neighbours of a member, at most [`MAX_NEIGHBOURS`]; empty if the member is beyond the list.
     pub fn neighbours(&self, member: MemberIndex) -> &[MemberIndex] {
         &self.neighbours[self.range(member)]
     }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,4 +1,5 @@
-//! The membership view: members that no path of unbroken edges joins to this member, if those that are joined to it are a majority.
+//! The membership view: a member is gone if no path of edges that neither end reports as unheard joins it to this member. If the members
+//! joined to this one are no majority, no member is held gone.
 
 use crate::MemberIndex;
 use crate::member_set::MemberSet;
@@ -38,7 +39,7 @@
         self.version
     }
 
-    /// Searches the members that are joined to `own_index`; `unheard` gives the bits that a member reports.
+    /// Finds the members that are joined to `own_index` and updates the view; `unheard` gives the bits that a member reports.
     pub(crate) fn search(
         &mut self, overlay: &Overlay, own_index: MemberIndex, unheard: impl Fn(MemberIndex) -> u16,
     ) {
@@ -47,8 +48,8 @@
         let has_majority = joined_count * 2 > members;
         let mut gone = MemberSet::empty(members);
         if has_majority {
-            let outside = (0..members).map(|index| index as MemberIndex);
-            outside.filter(|member| !joined.contains(*member)).for_each(|member| {
+            let all_members = (0..members).map(|index| index as MemberIndex);
+            all_members.filter(|member| !joined.contains(*member)).for_each(|member| {
                 gone.insert(member);
             });
         }
@@ -60,7 +61,7 @@
     }
 }
 
-/// The members that are joined to `start`, and how many they are.
+/// The members that are joined to `start` (itself included), and their number.
 fn component(
     overlay: &Overlay, start: MemberIndex, unheard: impl Fn(MemberIndex) -> u16,
 ) -> (MemberSet, usize) {
--- a/crates/model/src/replicas.rs
+++ b/crates/model/src/replicas.rs
@@ -156,10 +156,10 @@
     /// Takes ownership once enough members have answered that no acknowledged write can be missing.
     fn try_take_ownership(&self, state: &mut State, owner: usize) {
         let answered = state.answered[owner];
-        let holders_answered = highest_owner(&state.found[owner], LAUNCHED).is_some_and(|writer| {
+        let enough_holders_answered = highest_owner(&state.found[owner], LAUNCHED).is_some_and(|writer| {
             (answered & !(1 << writer)).count_ones() >= u32::from(self.0.required_holders)
         });
-        if !holders_answered && answered.count_ones() < MEMBERS as u32 {
+        if !enough_holders_answered && answered.count_ones() < MEMBERS as u32 {
             return;
         }
         let found = state.found[owner];
