--- a/crates/membership/src/check.rs
+++ b/crates/membership/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks a message against the overlay before any of it is applied.
+//! Checks that the members and buckets that a message names exist in the fleet, before any of it is applied.
 
 use crate::message::{Message, MessageError};
 use crate::overlay::Overlay;
--- a/crates/membership/src/repair.rs
+++ b/crates/membership/src/repair.rs
@@ -37,7 +37,7 @@
     silence: Duration,
     exchanges: Vec<Exchange>,
     /// The position of the neighbour with which the next round starts.
-    first: usize,
+    first_position: usize,
     /// Where the search for buckets that differ starts.
     next_bucket: usize,
     allowance: Allowance,
@@ -49,7 +49,7 @@
         Self {
             silence,
             exchanges: (0..neighbours).map(|_| Exchange::default()).collect(),
-            first: 0,
+            first_position: 0,
             next_bucket: 0,
             allowance: Allowance::new(now, BYTES_PER_SECOND, BURST_BYTES),
         }
@@ -116,10 +116,10 @@
         let neighbours = self.exchanges.len();
         let mut messages = Vec::new();
         for step in 0..neighbours {
-            let position = (self.first + step) % neighbours;
+            let position = (self.first_position + step) % neighbours;
             let Some(message) = self.exchanges[position].next_message(table) else { continue };
             if !self.allowance.take(now, message.encode().len()) {
-                self.first = position;
+                self.first_position = position;
                 return messages;
             }
             self.exchanges[position].sent(now, &message);
--- a/crates/membership/src/spreading.rs
+++ b/crates/membership/src/spreading.rs
@@ -27,7 +27,7 @@
     /// One bit for each neighbour to which registers of others are relayed.
     relays: u16,
     /// The position of the neighbour with which the next round starts.
-    first: usize,
+    first_position: usize,
     allowance: Allowance,
 }
 
@@ -40,7 +40,7 @@
             pending: vec![MemberSet::empty(overlay.members()); neighbours],
             cursors: vec![own_index; neighbours],
             relays: relays(overlay, own_index, |_| 0),
-            first: 0,
+            first_position: 0,
             allowance: Allowance::new(now, BYTES_PER_SECOND, BURST_BYTES),
         }
     }
@@ -99,12 +99,12 @@
         let neighbours = self.pending.len();
         let mut messages = Vec::new();
         for step in 0..neighbours {
-            let position = (self.first + step) % neighbours;
+            let position = (self.first_position + step) % neighbours;
             if self.pending[position].is_empty() {
                 continue;
             }
             let Some(message) = self.next_message(now, position, table) else {
-                self.first = position;
+                self.first_position = position;
                 return messages;
             };
             messages.push((position, message));
--- a/crates/membership/src/timing.rs
+++ b/crates/membership/src/timing.rs
@@ -5,10 +5,10 @@
 const HEARTBEATS_IN_SILENCE: u32 = 5;
 const ROUNDS_IN_HEARTBEAT: u32 = 4;
 const HOLD_DOWN_HEARTBEATS: u32 = 2;
-const LISTENING_HEARTBEATS: u32 = 2;
+const LISTEN_AFTER_STALL_HEARTBEATS: u32 = 2;
 const MAX_HOLD_DOWN_SILENCES: u32 = 8;
 const FLAP_MEMORY_SILENCES: u32 = 64;
-const RECENT_SILENCES: u32 = 2;
+const RECENT_REGISTER_SILENCES: u32 = 2;
 
 /// The periods of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,11 +50,11 @@
 
     /// How long a process that was stalled only receives before it reports neighbours again.
     pub(crate) fn listening(&self) -> Duration {
-        self.heartbeat() * LISTENING_HEARTBEATS
+        self.heartbeat() * LISTEN_AFTER_STALL_HEARTBEATS
     }
 
     /// Registers replaced within this time are sent to a neighbour that is newly chosen as a relay.
     pub(crate) fn recent(&self) -> Duration {
-        self.silence * RECENT_SILENCES
+        self.silence * RECENT_REGISTER_SILENCES
     }
 }
--- a/crates/model/src/restart.rs
+++ b/crates/model/src/restart.rs
@@ -83,7 +83,8 @@
     edge: Option<DialogueState>,
     /// Less than a release time has passed since this incarnation started.
     recently_started: bool,
-    /// Launches are blocked, as far as this incarnation knows: a launch ended unresolved less than a release time ago.
+    /// This incarnation may not launch: a launch of its own ended unresolved less than a release time ago, or the design blocks launches
+    /// after a restart.
     launches_blocked: bool,
     disk: Record,
     /// Launches in transit to the core server, and launches that it has received.
