--- a/crates/model/src/replicas.rs
+++ b/crates/model/src/replicas.rs
@@ -25,7 +25,7 @@
     pub max_kills: u8,
     /// If set, only this member is killed.
     pub only_killed: Option<usize>,
-    /// Whether the caller redials at the second and at the third member.
+    /// Whether the caller redials at the second member, and whether at the third.
     pub redials: [bool; 2],
 }
 
@@ -86,7 +86,8 @@
     awaiting_disk: [Vec<(usize, Frame)>; MEMBERS],
     frames_in_transit: [[Vec<Frame>; MEMBERS]; MEMBERS],
     phase: [OwnerPhase; MEMBERS],
-    /// Per inquiring owner, a bit set of the members that have answered and promised, and the merged replicas they reported.
+    /// Per inquiring owner, a bit set of the members that have answered and thereby promised it the dialogue, and the merged replicas
+    /// that they reported.
     answered: [u8; MEMBERS],
     found: [Replica; MEMBERS],
     launched: [bool; MEMBERS],
@@ -155,10 +156,10 @@
     /// Takes ownership once enough members have answered that no acknowledged write can be missing.
     fn try_take_ownership(&self, state: &mut State, owner: usize) {
         let answered = state.answered[owner];
-        let holders_answered = highest_owner(&state.found[owner], LAUNCHED).is_some_and(|writer| {
+        let enough_holders_answered = highest_owner(&state.found[owner], LAUNCHED).is_some_and(|writer| {
             (answered & !(1 << writer)).count_ones() >= u32::from(self.0.required_holders)
         });
-        if !holders_answered && answered.count_ones() < MEMBERS as u32 {
+        if !enough_holders_answered && answered.count_ones() < MEMBERS as u32 {
             return;
         }
         let found = state.found[owner];
