--- a/crates/fleet/src/duties.rs
+++ b/crates/fleet/src/duties.rs
@@ -183,9 +183,9 @@
     }
 
     /// Handles a lease message from a member; returns false if it cannot be decoded.
-    pub fn message_received(&mut self, now: Duration, from: u16, word: &[u8]) -> bool {
-        let Ok(word) = postcard::from_bytes::<LeaseMessage>(word) else { return false };
-        self.lease.message_received(now, from, word);
+    pub fn message_received(&mut self, now: Duration, from: u16, bytes: &[u8]) -> bool {
+        let Ok(message) = postcard::from_bytes::<LeaseMessage>(bytes) else { return false };
+        self.lease.message_received(now, from, message);
         true
     }
 
--- a/crates/fleet/src/member/background.rs
+++ b/crates/fleet/src/member/background.rs
@@ -1,4 +1,4 @@
-//! Background work, done in short slices between the calls that matter for latency.
+//! Background work of a member, done in short slices so that it delays no latency-critical call for long.
 
 use std::time::Duration;
 
@@ -19,8 +19,8 @@
 impl Member {
     pub(super) fn request_background_tasks(&mut self) {
         let now = self.now;
-        let forget = self.replica_table.next_due().is_some_and(|due| due <= now);
-        self.tasks.set_pending(now, EXPIRE_REPLICAS, forget, None);
+        let has_expired = self.replica_table.next_due().is_some_and(|due| due <= now);
+        self.tasks.set_pending(now, EXPIRE_REPLICAS, has_expired, None);
         self.tasks.set_pending(now, SCAN_FOR_ORPHANS, self.orphan_scan_from.is_some(), None);
         self.tasks.set_pending(now, SEND_SNAPSHOT_CHUNKS, !self.snapshot_requests.is_empty(), None);
         self.tasks.set_pending(now, REPAIR_REPLICAS, !self.repairs.is_empty(), None);
@@ -35,9 +35,9 @@
         let slice = self.tasks.next_slice(now, pressed)?;
         match slice.task {
             EXPIRE_REPLICAS => {
-                let gone = self.replica_table.expire(now, REPLICAS_PER_SLICE);
-                self.counts.forgotten += gone.len() as u64;
-                self.changed_dialogues.extend(gone);
+                let expired = self.replica_table.expire(now, REPLICAS_PER_SLICE);
+                self.counts.forgotten += expired.len() as u64;
+                self.changed_dialogues.extend(expired);
             }
             SCAN_FOR_ORPHANS => self.scan_for_orphans(),
             SEND_SNAPSHOT_CHUNKS => {
@@ -56,13 +56,13 @@
 
     /// Records how long a slice of [`Member::run_background_slice`] took.
     pub fn background_slice_done(&mut self, now: Duration, task: TaskId, took: Duration) {
-        let more = match task {
+        let has_more = match task {
             EXPIRE_REPLICAS => self.replica_table.next_due().is_some_and(|due| due <= now),
             SCAN_FOR_ORPHANS => self.orphan_scan_from.is_some(),
             SEND_SNAPSHOT_CHUNKS => !self.snapshot_requests.is_empty(),
             _ => !self.repairs.is_empty(),
         };
-        self.tasks.slice_completed(now, task, MAX_FRAME_BYTES, took, more);
+        self.tasks.slice_completed(now, task, MAX_FRAME_BYTES, took, has_more);
     }
 
     fn scan_for_orphans(&mut self) {
@@ -71,8 +71,8 @@
         let mut actions = Vec::new();
         let mut next = None;
         let incarnation = self.lives.current();
-        for (looks, (id, replica)) in self.replica_table.iter_from(from).enumerate() {
-            if looks >= REPLICAS_PER_SLICE {
+        for (checked, (id, replica)) in self.replica_table.iter_from(from).enumerate() {
+            if checked >= REPLICAS_PER_SLICE {
                 next = Some(fingerprint(id));
                 break;
             }
@@ -80,9 +80,9 @@
                 continue;
             }
             let live = |member: u16| !self.view.is_gone(member);
-            let first =
+            let first_live =
                 self.replica_table.group().candidates(fingerprint(id)).iter().find(|member| live(*member));
-            actions.extend(self.takeovers.consider_replica(now, id, replica, first, incarnation));
+            actions.extend(self.takeovers.consider_replica(now, id, replica, first_live, incarnation));
         }
         self.orphan_scan_from = next;
         self.do_takeover_actions(actions);
--- a/crates/fleet/src/member/batches.rs
+++ b/crates/fleet/src/member/batches.rs
@@ -5,21 +5,21 @@
 /// Upper bound on the bytes of replicas in one frame.
 pub(super) const MAX_FRAME_BYTES: usize = 40 * 1024;
 
-/// Upper bound on the encoded bytes of a replica, without encoding it: that happens once, when it is sent.
+/// Upper bound on the encoded bytes of a replica, computed without encoding it: a replica is encoded only once, when it is sent.
 pub(super) fn encoded_size_bound(replica: &ReplicaUpdate) -> usize {
-    let part = |part: &OwnerRecord| match &part.progress {
+    let record_size = |record: &OwnerRecord| match &record.progress {
         Progress::Launched { server, .. } | Progress::Stands { server, .. } => 96 + server.0.len(),
         Progress::Accepted | Progress::Ended => 96,
     };
-    let given = |given: &RecordedAnswer| match &given.answer {
+    let answer_size = |recorded: &RecordedAnswer| match &recorded.answer {
         Answer::Stands { server } => 64 + server.0.len(),
         Answer::Refused { .. } | Answer::Failed => 64,
     };
-    let parts = replica.owner_records.iter().map(part).sum::<usize>();
-    32 + replica.dialogue.0.len() + parts + replica.answers.iter().map(given).sum::<usize>()
+    let record_sizes = replica.owner_records.iter().map(record_size).sum::<usize>();
+    32 + replica.dialogue.0.len() + record_sizes + replica.answers.iter().map(answer_size).sum::<usize>()
 }
 
-/// Splits replicas into frames of bounded length; one empty frame where there are none.
+/// Splits replicas into frames of bounded length; without replicas it returns one empty frame.
 pub(super) fn split_into_frames(replicas: Vec<ReplicaUpdate>) -> Vec<Vec<ReplicaUpdate>> {
     let mut frames = vec![Vec::new()];
     let mut bytes = 0;
--- a/crates/fleet/src/member/dispatch.rs
+++ b/crates/fleet/src/member/dispatch.rs
@@ -121,7 +121,7 @@
             PeerMessage::RequestReplicas { id_hashes } => {
                 self.repairs.push(member, RepairStep::RequestReplicas(id_hashes))
             }
-            // Of an incarnation other than the known one: it will be sent again.
+            // The message belongs to an incarnation other than the one known for this peer, which will send it again.
             PeerMessage::Acknowledge { .. }
             | PeerMessage::Resume { .. }
             | PeerMessage::SnapshotChunk { .. } => {}
--- a/crates/fleet/src/member/interface.rs
+++ b/crates/fleet/src/member/interface.rs
@@ -19,7 +19,7 @@
     pub granted_incarnations: Vec<(u16, u64)>,
     /// Votes and agreed assignments of duties, in the form of [`Save::Duties`].
     pub duties: Option<Vec<u8>>,
-    /// The highest fencing tokens seen, in the form of [`Save::FencingTokens`].
+    /// The highest fencing tokens that this member has received, in the form of [`Save::FencingTokens`].
     pub fencing_tokens: Option<Vec<u8>>,
     pub replicas: Vec<ReplicaUpdate>,
 }
@@ -37,7 +37,7 @@
     GrantedIncarnation(u16, u64),
     /// The votes of this member and its table of duty assignments.
     Duties(Vec<u8>),
-    /// The highest fencing tokens seen. They are on disk before an action under a new token is carried out.
+    /// The highest fencing tokens that this member has received. They are on disk before an action under a new token is carried out.
     FencingTokens(Vec<u8>),
     /// Number of writes that the disk has taken, this one included.
     WriteCount(u64),
@@ -79,7 +79,7 @@
 /// Counters for operators, since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MemberCounters {
-    /// Steps of own dialogues that were written.
+    /// Steps of this member's own dialogues that were written to its replica table.
     pub writes: u64,
     /// Replicas sent to peers.
     pub copies_sent: u64,
@@ -87,9 +87,9 @@
     pub copies_taken: u64,
     /// Received replicas that were rejected.
     pub copies_refused: u64,
-    /// Ownership losses of dialogues.
+    /// Dialogues whose ownership this member lost to another one.
     pub replaced: u64,
-    /// Dialogues found with two different answers.
+    /// Dialogues for which two replicas recorded different answers.
     pub differ: u64,
     /// Look-ups of redialled dialogues.
     pub asks: u64,
@@ -103,6 +103,6 @@
     pub repaired: u64,
     /// Snapshot chunks received.
     pub pieces: u64,
-    /// Expired replicas.
+    /// Replicas removed because they had expired.
     pub forgotten: u64,
 }
--- a/crates/fleet/src/member/links.rs
+++ b/crates/fleet/src/member/links.rs
@@ -12,16 +12,17 @@
 use crate::link_liveness::LinkCheck;
 use crate::peers::{LinkInfo, LinkState, PeerLink};
 
-/// Tolerated difference between two clocks over an absence, on top of an eighth of it, before the local clock is taken to have stopped.
+/// Tolerated difference between the durations that two clocks measure for one absence, on top of an eighth of it. Beyond it
+/// the local clock is taken to have stopped.
 pub(super) const CLOCK_STALL_TOLERANCE: Duration = Duration::from_secs(5);
 
 /// Minimum response time-out of a link without regular heartbeats; the time-out is at least two peer response time-outs.
 const MIN_LINK_RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Minimum wait before a ping on such a link; the wait is at least half a peer response time-out.
+/// Minimum wait before a ping on a link without regular heartbeats; the wait is at least half a peer response time-out.
 const MIN_PING_DELAY: Duration = Duration::from_millis(500);
 
-/// Nonce of all pings: the link identifies who answers.
+/// Nonce of all pings; replies need no own nonce, since the link identifies the peer.
 const PROBE_NONCE: u64 = 0;
 
 impl Member {
@@ -50,9 +51,9 @@
 
     pub(super) fn send_greeting(&mut self, link: PeerLink, member: u16, effects: &mut dyn Effects) {
         let known_remote_incarnation = self.view.incarnation(member).max(self.lives.granted_to(member));
-        // Only neighbours exchange heartbeats, so that only they can measure an absence.
+        // Only neighbours exchange heartbeats, so only they can measure an absence.
         let is_measured = self.view.incarnation(member) > 0 && self.view.is_neighbour(member);
-        let away = is_measured.then(|| self.view.time_since_frame(self.now, member));
+        let last_seen_ago = is_measured.then(|| self.view.time_since_frame(self.now, member));
         let saved = self.view.max_write_count(member);
         let (group, me, incarnation) = (self.group, self.plan.self_member, self.lives.current());
         if let Some(known) = self.peers.links.get_mut(&link) {
@@ -64,7 +65,7 @@
             incarnation,
             known_remote_incarnation,
             saved,
-            last_seen_ago: away,
+            last_seen_ago,
         };
         self.send_to_link(link, Frame::PeerMessage(greeting), effects);
     }
@@ -74,11 +75,11 @@
         if let Some(known) = self.peers.links.get_mut(&link) {
             known.liveness.sent(self.now, &frame);
         }
-        let said = effects.send(link, frame);
-        if !said {
+        let queued = effects.send(link, frame);
+        if !queued {
             self.close(link, "its queue is full", effects);
         }
-        said
+        queued
     }
 
     pub(super) fn close(&mut self, link: PeerLink, why: &str, effects: &mut dyn Effects) {
@@ -115,16 +116,16 @@
     }
 
     fn check_link(&self, link: PeerLink, member: u16) -> LinkCheck {
-        let silence = self.plan.response_timeout;
+        let response_timeout = self.plan.response_timeout;
         if self.view.is_neighbour(member) {
-            let is_dead = self.view.time_since_frame(self.now, member) >= silence * 2;
+            let is_dead = self.view.time_since_frame(self.now, member) >= response_timeout * 2;
             return if is_dead { LinkCheck::Dead } else { LinkCheck::Idle };
         }
         let Some(known) = self.peers.links.get(&link) else { return LinkCheck::Idle };
         known.liveness.check(
             self.now,
-            (silence / 2).max(MIN_PING_DELAY),
-            (silence * 2).max(MIN_LINK_RESPONSE_TIMEOUT),
+            (response_timeout / 2).max(MIN_PING_DELAY),
+            (response_timeout * 2).max(MIN_LINK_RESPONSE_TIMEOUT),
         )
     }
 
@@ -140,7 +141,8 @@
     }
 
     fn clean_up_link(&mut self, link: PeerLink, why: &str, effects: &mut dyn Effects) {
-        let up = self.peers.links.get(&link).is_some_and(|known| known.state == LinkState::Identified);
+        let was_identified =
+            self.peers.links.get(&link).is_some_and(|known| known.state == LinkState::Identified);
         let Some(member) = self.peers.closed(self.now, link) else { return };
         let place = usize::from(member);
         self.peer_resumed[place] = false;
@@ -149,7 +151,7 @@
         self.incoming[place].replaced.clear();
         self.snapshot_requests.retain(|(to, _)| *to != member);
         self.repairs.forget(member);
-        if up {
+        if was_identified {
             effects.log(&format!("member {} gone: {why}", self.plan.members[place]));
         }
     }
--- a/crates/fleet/src/member/mod.rs
+++ b/crates/fleet/src/member/mod.rs
@@ -64,11 +64,11 @@
     /// Whether this process has had a disk.
     has_disk: bool,
     incoming: Vec<Incoming>,
-    /// By peer: it has reported its position, so that the stream to it continues.
+    /// Whether each peer has reported its position, so that the stream to it continues.
     peer_resumed: Vec<bool>,
-    /// The replicas on disk are of the previous incarnation, so that all acknowledged writes are present.
+    /// Whether the replicas on disk are of the previous incarnation, so that all acknowledged writes are present.
     replicas_are_current: bool,
-    /// When whatever could have been lost at the start has expired on all members.
+    /// Time at which every dialogue that this member may have lacked at its start has expired on all members.
     losses_expired_at: Duration,
     incarnation_requests_blocked_until: Duration,
     overtaken_at: Option<Duration>,
@@ -82,7 +82,7 @@
     /// Dialogues changed in this iteration, to be persisted.
     changed_dialogues: BTreeSet<DialogueId>,
     disk_writes: DiskWrites,
-    /// The least time since the previous incarnation ended, by the clocks of the peers.
+    /// Minimum time since the previous incarnation ended, by the clocks of the peers.
     min_time_since_previous_incarnation: Option<Duration>,
     last_ticket: u64,
     /// Core servers with an open link.
@@ -121,14 +121,14 @@
             .iter()
             .for_each(|(peer, incarnation)| lives.restore_granted(*peer, *incarnation));
         let duties = plan.duties.as_ref().map(|duties| {
-            let kept = (stored.duties.as_deref(), stored.fencing_tokens.as_deref());
+            let persisted = (stored.duties.as_deref(), stored.fencing_tokens.as_deref());
             Duties::new(
                 now,
                 me,
                 &replica_table.group().clone(),
                 duties,
                 plan.claim_timeout,
-                kept,
+                persisted,
                 random_seed ^ 0x5bd1_e995,
             )
         });
@@ -198,7 +198,7 @@
         &self.plan
     }
 
-    /// Its own dialogues and the replicas that it holds for other members.
+    /// The dialogues of this member and the replicas that it holds for other members.
     pub fn replica_table(&self) -> &ReplicaTable {
         &self.replica_table
     }
--- a/crates/fleet/src/member/saves.rs
+++ b/crates/fleet/src/member/saves.rs
@@ -1,4 +1,4 @@
-//! Disk writes and what waits for them: an acknowledgement or a promise is sent only once it is on disk.
+//! Disk writes and the actions that wait for them: an acknowledgement or a promise is sent only once what it promises is on disk.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -24,19 +24,21 @@
     CarryOutTablesOrder { from: u16, act: DutyAction, serial: u64, order: TablesOrder },
 }
 
-/// Numbers of disk writes, and what waits for them.
+/// Numbers of disk writes, and the actions that wait for each.
 pub(super) struct DiskWrites {
-    /// The last write that was numbered, and the last that is on disk.
+    /// The number given out last.
     issued: u64,
+    /// The last write that is on disk.
     saved: u64,
-    /// The last write that the disk accepted, and the last of which it reported the result.
+    /// The last write that the disk accepted.
     accepted: u64,
+    /// The last write whose result the disk reported.
     reported: u64,
     waiting: BTreeMap<u64, Vec<AfterWrite>>,
 }
 
 impl DiskWrites {
-    /// `count`: the writes that the disk has had in earlier processes.
+    /// `count`: number of writes that the disk took from earlier processes.
     pub(super) fn new(count: u64) -> Self {
         Self { issued: count, saved: count, accepted: 0, reported: 0, waiting: BTreeMap::new() }
     }
@@ -86,8 +88,8 @@
     }
 
     /// Records the result of a write; returns the actions that waited for it.
-    fn report(&mut self, number: u64, well: bool) -> Vec<AfterWrite> {
-        if well {
+    fn report(&mut self, number: u64, succeeded: bool) -> Vec<AfterWrite> {
+        if succeeded {
             self.saved = self.saved.max(number);
         }
         self.reported = self.reported.max(number);
@@ -102,12 +104,12 @@
         self.settle_duties(effects);
         let mut after = self.owed_acknowledgements();
         self.save_changed(effects);
-        let known = std::mem::take(&mut self.promised_replies).into_iter();
-        after.extend(known.map(|(to, message)| AfterWrite::Send { to, message }));
+        let replies = std::mem::take(&mut self.promised_replies).into_iter();
+        after.extend(replies.map(|(to, message)| AfterWrite::Send { to, message }));
         self.do_after_last_write(after, effects);
-        for (member, peer) in std::mem::take(&mut self.outgoing_messages) {
+        for (member, message) in std::mem::take(&mut self.outgoing_messages) {
             if let Some(link) = self.peers.link_to(member) {
-                self.send_to_link(link, Frame::PeerMessage(peer), effects);
+                self.send_to_link(link, Frame::PeerMessage(message), effects);
             }
         }
         self.send_streams(effects);
@@ -115,7 +117,7 @@
 
     /// Acknowledgements that are due to peers.
     fn owed_acknowledgements(&mut self) -> Vec<AfterWrite> {
-        let mut acknowledgement_due = Vec::new();
+        let mut acknowledgements = Vec::new();
         for (place, incoming) in self.incoming.iter_mut().enumerate() {
             let replaced = std::mem::take(&mut incoming.replaced);
             let up_to = if incoming.synced && std::mem::take(&mut incoming.acknowledgement_due) {
@@ -124,7 +126,7 @@
                 0
             };
             if up_to > 0 || !replaced.is_empty() {
-                acknowledgement_due.push(AfterWrite::Acknowledge {
+                acknowledgements.push(AfterWrite::Acknowledge {
                     to: place as u16,
                     incarnation: incoming.incarnation,
                     up_to,
@@ -132,7 +134,7 @@
                 });
             }
         }
-        acknowledgement_due
+        acknowledgements
     }
 
     /// Persists the replicas that changed in this iteration.
@@ -154,7 +156,8 @@
         self.submit_disk_write(replicas, effects);
     }
 
-    /// An acknowledgement promises that a write and all before it are stored, on disk where there is one.
+    /// Runs actions once the last write submitted is on disk, at once where none is pending: an acknowledgement promises that
+    /// a write and all before it are stored.
     fn do_after_last_write(&mut self, after: Vec<AfterWrite>, effects: &mut dyn Effects) {
         match self.disk_writes.last_pending() {
             Some(number) => self.disk_writes.wait_for(number, after),
@@ -167,13 +170,15 @@
         self.disk_writes.submit(what, effects)
     }
 
-    /// The disk write that [`Effects::save`] got this number for succeeded, or it failed and the disk takes no more writes.
-    pub fn disk_write_done(&mut self, now: Duration, number: u64, well: bool, effects: &mut dyn Effects) {
+    /// Takes the result of the disk write with this number of [`Effects::save`]; after a failure the disk takes no more writes.
+    pub fn disk_write_done(
+        &mut self, now: Duration, number: u64, succeeded: bool, effects: &mut dyn Effects,
+    ) {
         self.now = now;
-        let waited = self.disk_writes.report(number, well);
-        self.duties.iter_mut().for_each(|duties| duties.disk_order_completed(now, number, well));
+        let waited = self.disk_writes.report(number, succeeded);
+        self.duties.iter_mut().for_each(|duties| duties.disk_order_completed(now, number, succeeded));
         // A write that failed is not acknowledged. Its owner relies on the other replicas.
-        for after in waited.into_iter().filter(|_| well) {
+        for after in waited.into_iter().filter(|_| succeeded) {
             self.run_after_write(after, effects);
         }
     }
--- a/crates/fleet/src/member/streams.rs
+++ b/crates/fleet/src/member/streams.rs
@@ -8,7 +8,7 @@
 use super::batches::split_into_frames;
 use super::interface::{Effects, MemberEvent};
 
-/// Replicas sent to one member in one iteration (upper bound).
+/// Maximum number of replicas sent to one member in one iteration.
 const MAX_UPDATES_PER_ITERATION: usize = 512;
 
 /// Position in the stream received from a peer.
@@ -16,11 +16,11 @@
 pub(super) struct Incoming {
     pub(super) incarnation: u64,
     pub(super) received_up_to: u64,
-    /// Position in its snapshot, while one is being received.
+    /// Position in the peer's snapshot, while it is being received.
     pub(super) snapshot: Option<Cursor>,
-    /// The snapshot of the peer was received completely in this incarnation.
+    /// Whether the snapshot of the peer was received completely in this incarnation.
     pub(super) synced: bool,
-    /// An acknowledgement is due. None is sent before the snapshot is complete, since earlier updates are missing until then.
+    /// Whether an acknowledgement is due. None is sent before the snapshot is complete, since earlier updates are missing until then.
     pub(super) acknowledgement_due: bool,
     pub(super) replaced: Vec<Replaced>,
 }
@@ -53,8 +53,8 @@
     pub(super) fn resume_received(&mut self, member: u16, received_up_to: u64, snapshot: Option<Cursor>) {
         let place = usize::from(member);
         let first = !std::mem::replace(&mut self.peer_resumed[place], true);
-        let begins = snapshot == Some(Cursor { at: 0, from: 0 });
-        if begins {
+        let from_start = snapshot == Some(Cursor { at: 0, from: 0 });
+        if from_start {
             let cursor = self.replica_table.cursor(member);
             self.replica_table.stream(member).resume(cursor.at);
             self.snapshot_requests.push_back((member, cursor));
@@ -71,9 +71,9 @@
         &mut self, member: u16, cursor: Cursor, next: Option<u64>, replicas: &[ReplicaUpdate],
         effects: &mut dyn Effects,
     ) {
-        let news = self.replica_table.merge_received(self.now, replicas);
+        let merged = self.replica_table.merge_received(self.now, replicas);
         self.counts.pieces += 1;
-        self.apply_merge_result(news, effects);
+        self.apply_merge_result(merged, effects);
         let incoming = &mut self.incoming[usize::from(member)];
         incoming.received_up_to = incoming.received_up_to.max(cursor.at);
         incoming.synced = next.is_none();
@@ -91,8 +91,8 @@
         &mut self, member: u16, incarnation: u64, first: u64, replicas: &[ReplicaUpdate],
         effects: &mut dyn Effects,
     ) {
-        let news = self.replica_table.merge_received(self.now, replicas);
-        let replaced = self.apply_merge_result(news, effects);
+        let merged = self.replica_table.merge_received(self.now, replicas);
+        let replaced = self.apply_merge_result(merged, effects);
         let incoming = &mut self.incoming[usize::from(member)];
         if first == 0 || incarnation != incoming.incarnation {
             if !replaced.is_empty() && incarnation == incoming.incarnation {
@@ -112,32 +112,32 @@
     }
 
     /// Applies the result of merging replicas; returns the rejected ones.
-    fn apply_merge_result(&mut self, news: MergeResult, effects: &mut dyn Effects) -> Vec<Replaced> {
-        self.counts.copies_taken += news.changed.len() as u64;
-        self.counts.copies_refused += news.rejected_count as u64;
-        for id in &news.answer_conflicts {
+    fn apply_merge_result(&mut self, merged: MergeResult, effects: &mut dyn Effects) -> Vec<Replaced> {
+        self.counts.copies_taken += merged.changed.len() as u64;
+        self.counts.copies_refused += merged.rejected_count as u64;
+        for id in &merged.answer_conflicts {
             self.counts.differ += 1;
             let answers = self.replica_table.get(id).map(Replica::answers).unwrap_or_default();
             effects.log(&format!("dialogue {} has two different answers: {answers:?}", id.0));
         }
-        for (id, _) in news.ownership_lost {
+        for (id, _) in merged.ownership_lost {
             self.counts.replaced += 1;
             self.watch_lines_of_lost_dialogue(&id);
             self.takeovers.remove(&id);
             self.events.push(MemberEvent::OwnershipLost(id));
         }
         if self.takeovers.has_ended_incarnations() {
-            let left = |id: &DialogueId| {
+            let is_orphaned = |id: &DialogueId| {
                 self.replica_table
                     .get(id)
                     .and_then(Replica::owner)
                     .is_some_and(|o| self.takeovers.is_ended(o))
             };
-            let look = news.changed.iter().any(left);
-            self.takeovers.rescan_needed |= look;
+            let needs_rescan = merged.changed.iter().any(is_orphaned);
+            self.takeovers.rescan_needed |= needs_rescan;
         }
-        self.changed_dialogues.extend(news.changed);
-        news.replaced
+        self.changed_dialogues.extend(merged.changed);
+        merged.replaced
     }
 
     pub(super) fn send_snapshot_chunk(&mut self, member: u16, cursor: Cursor, effects: &mut dyn Effects) {
--- a/crates/fleet/src/member/timers.rs
+++ b/crates/fleet/src/member/timers.rs
@@ -1,4 +1,4 @@
-//! Work that is due at a time: connection attempts, heartbeats, retries, and the search for members that are gone.
+//! Work that a member does at set times: connection attempts, heartbeats, retries, and the check for members that are gone.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 impl Member {
     /// When `timer_fired` is to be called next.
     pub fn next_due(&self) -> Duration {
-        let dues = [
+        let due_times = [
             self.peers.next_due(),
             self.lives.next_due().map(|at| at.max(self.incarnation_requests_blocked_until)),
             self.redials.next_due(),
@@ -32,7 +32,7 @@
             Some(self.next_check_at),
             Some(self.next_comparison_at),
         ];
-        dues.into_iter().flatten().fold(self.view.next_due(), Duration::min)
+        due_times.into_iter().flatten().fold(self.view.next_due(), Duration::min)
     }
 
     /// Does the work that is due at the time given by `next_due`.
@@ -103,26 +103,27 @@
             }
         }
         self.review_links(effects);
-        let slow = self.peers.links.iter().filter(|(_, known)| {
+        let overdue = self.peers.links.iter().filter(|(_, known)| {
             let wait =
                 if known.state == LinkState::Operator { GREETING_TIMEOUT * 15 } else { GREETING_TIMEOUT };
             known.state != LinkState::Identified && now >= known.since + wait
         });
-        for link in slow.map(|(link, _)| *link).collect::<Vec<_>>() {
+        for link in overdue.map(|(link, _)| *link).collect::<Vec<_>>() {
             self.close(link, "no greeting in time", effects);
         }
         if self.lives.current() > 0 {
             let live = |member: u16| !self.view.is_gone(member);
             let (group, plan, me) = (self.replica_table.group(), &self.plan, self.plan.self_member);
             let is_successor_of = |member: u16| {
-                let print = digest(&[SUCCESSOR_SEED, plan.members[usize::from(member)].as_bytes()]);
-                group.ranked_members(print).into_iter().find(|member| live(*member)) == Some(me)
+                let fingerprint = digest(&[SUCCESSOR_SEED, plan.members[usize::from(member)].as_bytes()]);
+                group.ranked_members(fingerprint).into_iter().find(|member| live(*member)) == Some(me)
             };
             // A member that does not reach a majority cannot determine who is gone.
             if self.view.has_majority() {
-                // Where there are duties one member sweeps for all; else each ended incarnation has its own successor.
-                let sweeps = self.duties.as_ref().map(|duties| duties.current_action(now, SWEEP).is_some());
-                let is_successor_of = |member: u16| sweeps.unwrap_or_else(|| is_successor_of(member));
+                // In a fleet with duties the holder of the duty `sweep` acts for all; else each ended incarnation has its own successor.
+                let holds_sweep =
+                    self.duties.as_ref().map(|duties| duties.current_action(now, SWEEP).is_some());
+                let is_successor_of = |member: u16| holds_sweep.unwrap_or_else(|| is_successor_of(member));
                 let actions = self.takeovers.sweep(now, is_successor_of, &self.connected_cores);
                 let asked = actions.iter().rev().find_map(|action| match action {
                     TakeoverAction::ListLines { server, member, .. } if *member != self.plan.self_member => {
@@ -130,11 +131,11 @@
                     }
                     _ => None,
                 });
-                if let (Some((server, member)), Some(true)) = (asked, sweeps) {
-                    let mark = format!("{} at {}", self.name(member), server.0);
+                if let (Some((server, member)), Some(true)) = (asked, holds_sweep) {
+                    let checkpoint = format!("{} at {}", self.name(member), server.0);
                     self.duties
                         .iter_mut()
-                        .for_each(|duties| duties.report_checkpoint(now, SWEEP, mark.clone()));
+                        .for_each(|duties| duties.report_checkpoint(now, SWEEP, checkpoint.clone()));
                 }
                 self.do_takeover_actions(actions);
             }
--- a/crates/fleet/src/publish.rs
+++ b/crates/fleet/src/publish.rs
@@ -26,13 +26,13 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Stage {
-    /// All reachable members load and check it.
+    /// All reachable members load and check the tables.
     Reads,
-    /// All have loaded it, and are ordered to use it.
+    /// All of them have loaded the tables, and are ordered to use them.
     Swaps,
-    /// All reachable members use it.
+    /// All reachable members use the tables.
     Done,
-    /// A member could not load or use it, for this reason.
+    /// A member could not load or use the tables, for this reason.
     Refused(String),
 }
 
--- a/crates/fleet/src/redial.rs
+++ b/crates/fleet/src/redial.rs
@@ -27,14 +27,14 @@
 /// The result of a search.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// It has no outcome and is owned by this member; no launch before `not_before`.
+    /// The dialogue has no outcome and is owned by this member; no launch before `not_before`.
     Free {
         /// Earliest time of the next launch.
         not_before: Duration,
     },
-    /// It was answered; the same answer is given again.
+    /// The dialogue was answered; the same answer is given again.
     Answered(Answer),
-    /// It stands at this core server.
+    /// The dialogue stands at this core server.
     Stands {
         /// The core server that holds the line.
         server: ServerId,
@@ -139,7 +139,7 @@
 }
 
 impl Redials {
-    /// `retry_after`: the retry delay of an unresolved dialogue; `release`: the time that a launch needs at least.
+    /// `retry_after`: the retry delay of an unresolved dialogue; `release`: the minimum time that a launch needs.
     pub fn new(
         self_member: u16, group: ReplicaGroup, awaited: usize, search_timeout: Duration,
         retry_after: Duration, release: Duration,
--- a/crates/fleet/src/takeovers.rs
+++ b/crates/fleet/src/takeovers.rs
@@ -80,11 +80,11 @@
 
 /// Stage of a takeover.
 enum Stage {
-    /// The core server was asked.
+    /// The core server was asked to hand the dialogue over.
     Adopting { at: Duration, attempts: u32 },
-    /// It stands, and is held for its caller until `until`.
+    /// The dialogue stands, and is held for its caller until `until`.
     AwaitingCaller { until: Duration, launch: LaunchNumber },
-    /// It has no owner, and is adopted to be released.
+    /// The dialogue has no owner, and is adopted to be released.
     Releasing { at: Duration, attempts: u32, swept: bool },
 }
 
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -235,9 +235,9 @@
 mod tests {
     use super::*;
 
-    /// Four bytes that leave the checksum of what they are put behind as it was: the checksum is linear in them, so
-    /// they are the solution of 32 equations over bits.
-    fn that_change_nothing(before: &[u8]) -> [u8; 4] {
+    /// Four bytes that can be appended to `before` without changing its checksum. The checksum is linear in them, so they
+    /// are the solution of 32 equations over bits.
+    fn checksum_preserving_suffix(before: &[u8]) -> [u8; 4] {
         let sum = crc32c::crc32c(before);
         let with = |x: u32| crc32c::crc32c_append(sum, &x.to_le_bytes());
         let base = with(0);
@@ -257,14 +257,15 @@
         solution.to_le_bytes()
     }
 
-    /// A length that rots so that the body's checksum still holds makes another frame, were it not summed up too.
+    /// If the checksum did not cover the length, a corrupt length could yield another valid frame: the body of that length
+    /// may have the same checksum.
     #[test]
     fn a_changed_length_is_no_frame_even_where_the_body_agrees() {
         let mut ops = Vec::new();
         put(&mut ops, "t", b"key", None, b"value");
         let mut bytes = frame(3, HEAD, 0, Duration::ZERO, &ops);
         assert!(read_frame(&bytes, 3, HEAD).is_some());
-        let more = that_change_nothing(&bytes[8..]);
+        let more = checksum_preserving_suffix(&bytes[8..]);
         bytes.extend(more);
         assert!(read_frame(&bytes, 3, HEAD).is_some(), "what stands behind a frame is not its own");
         let len = (bytes.len() - 8) as u32;
--- a/crates/store/src/index.rs
+++ b/crates/store/src/index.rs
@@ -129,9 +129,9 @@
 
     fn add(&mut self, fingerprint: u64, place: Place) {
         if (self.used + 1) * 4 > self.slots.len() * 3 {
-            let wider = vec![EMPTY; self.slots.len() * 2];
-            let former = std::mem::replace(&mut self.slots, wider);
-            former.into_iter().filter(|slot| slot.fingerprint != 0).for_each(|slot| self.put(slot));
+            let larger = vec![EMPTY; self.slots.len() * 2];
+            let previous = std::mem::replace(&mut self.slots, larger);
+            previous.into_iter().filter(|slot| slot.fingerprint != 0).for_each(|slot| self.put(slot));
         }
         self.put(Slot { fingerprint, place });
         self.used += 1;
@@ -183,7 +183,7 @@
 mod tests {
     use super::*;
 
-    /// Random additions and removals, fingerprints that fall together included, against a plain set.
+    /// Compares the index with a plain set over random additions and removals, equal fingerprints included.
     #[test]
     fn it_holds_what_a_plain_set_holds() {
         use rand::{RngExt, SeedableRng};
@@ -191,7 +191,7 @@
         let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(1);
         let (mut index, mut plain) = (Index::new((1, 2)), std::collections::BTreeSet::new());
         for step in 0..60_000u32 {
-            // Few homes, so that runs grow long and wrap.
+            // Few distinct home slots, so that runs of occupied slots grow long and wrap around the end of the table.
             let fingerprint = (rng.random_range(0..3u64) << 56) + rng.random_range(1..40u64) * 7;
             let place = Place { segment: rng.random_range(0..3), offset: rng.random_range(0..4), len: 1 };
             let grows = step / 10_000 % 2 == 0;
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -11,7 +11,7 @@
 /// Faults to inject. Steps count all modifying operations.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Power fails before this step or in the middle of its write.
+    /// Power fails before this step, or in the middle of it if it is a write.
     pub power_at: Option<u64>,
     /// These steps fail; a write that fails leaves part of itself.
     pub fail_at: BTreeSet<u64>,
@@ -21,9 +21,9 @@
 
 #[derive(Clone, Default)]
 struct File {
-    now: Vec<u8>,
+    current: Vec<u8>,
     /// Contents as of the last sync, which survive a power failure.
-    lasting: Vec<u8>,
+    synced: Vec<u8>,
 }
 
 /// Files in memory. After a power failure every operation fails until `restart`.
@@ -35,7 +35,7 @@
     pub faults: Faults,
     pub steps: u64,
     rng: Pcg64Mcg,
-    out: bool,
+    power_is_out: bool,
     locked: bool,
     /// Whether a sync of the folder has an effect; `false` shows the consequences of omitting it.
     pub syncs_names: bool,
@@ -53,7 +53,7 @@
             faults: Faults::default(),
             steps: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            out: false,
+            power_is_out: false,
             locked: false,
             syncs_names: true,
         }
@@ -61,7 +61,7 @@
 
     /// Simulates a process restart; written data survives.
     pub fn restart(&mut self) {
-        (self.out, self.locked) = (false, false);
+        (self.power_is_out, self.locked) = (false, false);
         self.faults = Faults::default();
         self.steps = 0;
     }
@@ -74,15 +74,15 @@
         let all: BTreeSet<String> = self.files.keys().chain(self.names.keys()).cloned().collect();
         for name in all {
             let (now, then) = (self.files.get(&name), self.names.get(&name));
-            let kept = match (now, then) {
+            let surviving = match (now, then) {
                 (Some(now), Some(_)) => Some(now.clone()),
                 (Some(now), None) => rng.random::<bool>().then(|| now.clone()),
                 (None, Some(then)) => rng.random::<bool>().then(|| then.clone()),
                 (None, None) => None,
             };
-            if let Some(file) = kept {
+            if let Some(file) = surviving {
                 let contents = Self::torn(&file, rng);
-                after.insert(name, File { now: contents.clone(), lasting: contents });
+                after.insert(name, File { current: contents.clone(), synced: contents });
             }
         }
         self.names = after.clone();
@@ -92,21 +92,21 @@
 
     /// Contents after a power failure, with part of the data written since the last sync.
     fn torn(file: &File, rng: &mut Pcg64Mcg) -> Vec<u8> {
-        let common = file.now.iter().zip(&file.lasting).take_while(|(a, b)| a == b).count();
-        if common == file.now.len() && common == file.lasting.len() {
-            return file.now.clone();
+        let common = file.current.iter().zip(&file.synced).take_while(|(a, b)| a == b).count();
+        if common == file.current.len() && common == file.synced.len() {
+            return file.current.clone();
         }
         match rng.random_range(0..4) {
-            0 => file.lasting.clone(),
-            1 => file.now.clone(),
+            0 => file.synced.clone(),
+            1 => file.current.clone(),
             2 => {
-                // Truncated at any byte.
-                let end = rng.random_range(common..=file.now.len());
-                file.now[..end].to_vec()
+                // The file was truncated at a random byte.
+                let end = rng.random_range(common..=file.current.len());
+                file.current[..end].to_vec()
             }
             _ => {
                 // The length survived and some pages did not.
-                let mut contents = file.now.clone();
+                let mut contents = file.current.clone();
                 let page = rng.random_range(1..64usize);
                 let mut at = common;
                 while at < contents.len() {
@@ -121,14 +121,14 @@
         }
     }
 
-    /// Counts a modifying operation; returns whether it is to fail.
+    /// Counts a modifying operation; returns whether a fault makes it fail.
     fn step(&mut self) -> io::Result<bool> {
-        if self.out {
+        if self.power_is_out {
             return Err(broken("power is out"));
         }
         self.steps += 1;
         if self.faults.power_at.is_some_and(|at| self.steps > at) {
-            self.out = true;
+            self.power_is_out = true;
             return Err(broken("power is out"));
         }
         Ok(self.faults.fail_at.contains(&self.steps))
@@ -136,17 +136,17 @@
 
     /// Whether power has failed.
     pub fn is_out(&self) -> bool {
-        self.out
+        self.power_is_out
     }
 
     /// Current contents of a file.
     pub fn contents(&self, name: &str) -> Option<&[u8]> {
-        self.files.get(name).map(|file| file.now.as_slice())
+        self.files.get(name).map(|file| file.current.as_slice())
     }
 
     /// Replaces the contents of a file, also after a power failure.
     pub fn spoil(&mut self, name: &str, contents: Vec<u8>) {
-        let file = File { now: contents.clone(), lasting: contents };
+        let file = File { current: contents.clone(), synced: contents };
         self.files.insert(name.into(), file.clone());
         self.names.insert(name.into(), file);
     }
@@ -157,7 +157,7 @@
     }
 
     fn file(&mut self, name: &str) -> io::Result<&mut File> {
-        if self.out {
+        if self.power_is_out {
             return Err(broken("power is out"));
         }
         self.files.get_mut(name).ok_or_else(|| io::Error::from(io::ErrorKind::NotFound))
@@ -173,14 +173,14 @@
     }
 
     fn names(&mut self) -> io::Result<Vec<String>> {
-        if self.out {
+        if self.power_is_out {
             return Err(broken("power is out"));
         }
         Ok(self.all_names())
     }
 
     fn len(&mut self, name: &str) -> io::Result<u64> {
-        Ok(self.file(name)?.now.len() as u64)
+        Ok(self.file(name)?.current.len() as u64)
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
@@ -195,9 +195,9 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let used: u64 = self.files.values().map(|file| file.now.len() as u64).sum();
+        let used: u64 = self.files.values().map(|file| file.current.len() as u64).sum();
         let room = self.faults.room.map_or(u64::MAX, |room| room.saturating_sub(used));
-        let power_before = self.out;
+        let power_before = self.power_is_out;
         let (fails, out) = match self.step() {
             Ok(fails) => (fails, false),
             Err(error) if power_before => return Err(error),
@@ -206,7 +206,7 @@
         let part = if fails { self.rng.random_range(0..=bytes.len()) } else { bytes.len() };
         let part = part.min(room.min(bytes.len() as u64) as usize);
         let file = self.files.get_mut(name).ok_or_else(|| io::Error::from(io::ErrorKind::NotFound))?;
-        file.now.extend_from_slice(&bytes[..part]);
+        file.current.extend_from_slice(&bytes[..part]);
         if out {
             return Err(broken("power is out"));
         }
@@ -221,9 +221,9 @@
 
     fn read(&mut self, name: &str, at: u64, buffer: &mut [u8]) -> io::Result<()> {
         let file = self.file(name)?;
-        let end = (at as usize).checked_add(buffer.len()).filter(|end| *end <= file.now.len());
+        let end = (at as usize).checked_add(buffer.len()).filter(|end| *end <= file.current.len());
         let end = end.ok_or_else(|| io::Error::from(io::ErrorKind::UnexpectedEof))?;
-        buffer.copy_from_slice(&file.now[at as usize..end]);
+        buffer.copy_from_slice(&file.current[at as usize..end]);
         Ok(())
     }
 
@@ -231,7 +231,7 @@
         if self.step()? {
             return Err(broken("it failed"));
         }
-        self.file(name)?.now.truncate(len as usize);
+        self.file(name)?.current.truncate(len as usize);
         Ok(())
     }
 
@@ -240,7 +240,7 @@
             return Err(broken("it failed"));
         }
         let file = self.file(name)?;
-        file.lasting = file.now.clone();
+        file.synced = file.current.clone();
         let file = file.clone();
         // A synced folder entry refers to this file's new contents.
         if let Some(known) = self.names.get_mut(name) {
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -528,14 +528,14 @@
         if u128::from(segment.until) <= self.time.as_micros() { 0 } else { segment.live }
     }
 
-    /// Why it takes no more writes, if it does not.
+    /// Reason why the store rejects further writes; `None` while it accepts them.
     pub fn closed(&self) -> Option<&str> {
         self.closed.as_deref()
     }
 
     // Writing
 
-    /// Writes a batch: it survives the process from now on, and power after the next `sync` that succeeds.
+    /// Writes a batch. It survives the end of the process at once, and a power failure after the next successful `sync`.
     pub fn write(&mut self, now: Duration, batch: &Batch) -> Result<()> {
         self.time = self.time.max(now);
         if let Some(error) = batch.error {
@@ -649,7 +649,7 @@
         let frame = format::frame(self.active_segment, begin, self.synced_len, self.time, &ops);
         let name = format::segment_name(self.active_segment);
         if let Err(error) = self.disk.append(&name, &frame) {
-            // For example with the disk full: removes the next segment and continues with this one.
+            // This happens for example when the disk is full: removes the next segment and continues with this one.
             let new = format::segment_name(number);
             let undone = self.disk.truncate(&name, begin).and_then(|()| self.disk.remove(&new));
             if let Err(worse) = undone.and_then(|()| self.disk.sync_names()) {
@@ -808,7 +808,7 @@
         let here = (self.active_segment, self.segments[&self.active_segment].len);
         let bytes = snapshot::head(here, self.min_segment, self.time, &self.segments, &self.index);
         let name = format!("{}.new", snapshot::name(self.next_snapshot));
-        let _ = self.disk.remove(&name); // Left over from a failed attempt.
+        let _ = self.disk.remove(&name); // A failed attempt may have left this file.
         at("create", &name, self.disk.create(&name))?;
         self.since_snapshot = 0;
         let writing = SnapshotInProgress { name, shard: 0, sum: 0, required_sync: here };
@@ -817,7 +817,7 @@
 
     /// Appends to the snapshot in progress. A failed snapshot is dispensable and is restarted after more writes.
     fn add_to_snapshot(&mut self, mut writing: SnapshotInProgress, bytes: &[u8]) -> Result<()> {
-        // Synced in steps, so that the last sync stays short.
+        // The file is synced in steps, so that the last sync stays short.
         let added = self.disk.append(&writing.name, bytes).and_then(|()| self.disk.sync(&writing.name));
         if let Err(error) = added {
             let _ = self.disk.remove(&writing.name);
