--- a/crates/fleet/src/member/background.rs
+++ b/crates/fleet/src/member/background.rs
@@ -21,7 +21,7 @@
         let now = self.now;
         let has_expired = self.replica_table.next_due().is_some_and(|due| due <= now);
         self.tasks.set_pending(now, EXPIRE_REPLICAS, has_expired, None);
-        self.tasks.set_pending(now, SCAN_FOR_ORPHANS, self.orphan_scan_from.is_some(), None);
+        self.tasks.set_pending(now, SCAN_FOR_ORPHANS, self.orphan_cursor.is_some(), None);
         self.tasks.set_pending(now, SEND_SNAPSHOT_CHUNKS, !self.snapshot_requests.is_empty(), None);
         self.tasks.set_pending(now, REPAIR_REPLICAS, !self.repairs.is_empty(), None);
     }
@@ -58,7 +58,7 @@
     pub fn background_slice_done(&mut self, now: Duration, task: TaskId, took: Duration) {
         let has_more = match task {
             EXPIRE_REPLICAS => self.replica_table.next_due().is_some_and(|due| due <= now),
-            SCAN_FOR_ORPHANS => self.orphan_scan_from.is_some(),
+            SCAN_FOR_ORPHANS => self.orphan_cursor.is_some(),
             SEND_SNAPSHOT_CHUNKS => !self.snapshot_requests.is_empty(),
             _ => !self.repairs.is_empty(),
         };
@@ -66,12 +66,12 @@
     }
 
     fn scan_for_orphans(&mut self) {
-        let Some(from) = self.orphan_scan_from.take().filter(|_| self.lives.current() > 0) else { return };
+        let Some(at) = self.orphan_cursor.take().filter(|_| self.incarnations.current() > 0) else { return };
         let now = self.now;
         let mut actions = Vec::new();
         let mut next = None;
-        let incarnation = self.lives.current();
-        for (checked, (id, replica)) in self.replica_table.iter_from(from).enumerate() {
+        let incarnation = self.incarnations.current();
+        for (checked, (id, replica)) in self.replica_table.iter_from(at).enumerate() {
             if checked >= REPLICAS_PER_SLICE {
                 next = Some(fingerprint(id));
                 break;
@@ -79,12 +79,12 @@
             if !replica.owner().is_some_and(|owner| self.takeovers.is_ended(owner)) {
                 continue;
             }
-            let live = |member: u16| !self.view.is_gone(member);
+            let is_live = |member: u16| !self.view.is_gone(member);
             let first_live =
-                self.replica_table.group().candidates(fingerprint(id)).iter().find(|member| live(*member));
+                self.replica_table.group().candidates(fingerprint(id)).iter().find(|member| is_live(*member));
             actions.extend(self.takeovers.consider_replica(now, id, replica, first_live, incarnation));
         }
-        self.orphan_scan_from = next;
+        self.orphan_cursor = next;
         self.do_takeover_actions(actions);
     }
 }
--- a/crates/fleet/src/member/batches.rs
+++ b/crates/fleet/src/member/batches.rs
@@ -5,7 +5,7 @@
 /// Upper bound on the bytes of replicas in one frame.
 pub(super) const MAX_FRAME_BYTES: usize = 40 * 1024;
 
-/// Upper bound on the encoded bytes of a replica, computed without encoding it: a replica is encoded only once, when it is sent.
+/// Upper bound on the encoded bytes of a replica, computed without encoding it.
 pub(super) fn encoded_size_bound(replica: &ReplicaUpdate) -> usize {
     let record_size = |record: &OwnerRecord| match &record.progress {
         Progress::Launched { server, .. } | Progress::Stands { server, .. } => 96 + server.0.len(),
--- a/crates/fleet/src/member/core_servers.rs
+++ b/crates/fleet/src/member/core_servers.rs
@@ -21,7 +21,7 @@
         self.now = now;
         if self.connected_cores.len() < MAX_CORE_SERVERS
             && self.connected_cores.insert(server.clone())
-            && self.lives.current() > 0
+            && self.incarnations.current() > 0
         {
             let action = self.takeovers.query_own_lines(now, server);
             self.do_takeover_actions(vec![action]);
@@ -46,7 +46,9 @@
                 // Core servers may know of an incarnation that all peers have lost.
                 let ours =
                     lines.iter().map(|line| line.owner).filter(|owner| owner.member == self.plan.self_member);
-                if self.lives.incarnation_seen(ours.map(|owner| owner.incarnation).max().unwrap_or_default())
+                if self
+                    .incarnations
+                    .incarnation_seen(ours.map(|owner| owner.incarnation).max().unwrap_or_default())
                 {
                     return self.later_incarnation_known(effects);
                 }
@@ -71,7 +73,7 @@
                         false => LineOwnership::Unowned,
                     }
                 };
-                let incarnation = self.lives.current();
+                let incarnation = self.incarnations.current();
                 if incarnation > 0 {
                     let actions = self.takeovers.lines_listed(
                         now,
--- a/crates/fleet/src/member/dispatch.rs
+++ b/crates/fleet/src/member/dispatch.rs
@@ -70,7 +70,7 @@
             }
             PeerMessage::IncarnationReply { incarnation, granted, highest } => {
                 if let ProposalOutcome::New { incarnation, fresh } =
-                    self.lives.proposal_answered(member, incarnation, granted, highest)
+                    self.incarnations.proposal_answered(member, incarnation, granted, highest)
                 {
                     self.begin_incarnation(incarnation, fresh && self.has_neighbour_reported(), effects);
                 }
@@ -81,7 +81,7 @@
                 self.replicas_received(member, incarnation, first, &replicas, effects)
             }
             PeerMessage::Acknowledge { incarnation, up_to, saved, replaced }
-                if incarnation == self.lives.current() =>
+                if incarnation == self.incarnations.current() =>
             {
                 self.view.write_count_reported(member, saved);
                 for Replaced { dialogue, by } in replaced {
@@ -97,7 +97,7 @@
                 self.report_completed_writes();
             }
             PeerMessage::Resume { incarnation, received_up_to, snapshot }
-                if incarnation == self.lives.current() =>
+                if incarnation == self.incarnations.current() =>
             {
                 self.resume_received(member, received_up_to, snapshot);
             }
--- a/crates/fleet/src/member/duty_acts.rs
+++ b/crates/fleet/src/member/duty_acts.rs
@@ -20,7 +20,7 @@
         if !self.admits_duty_action(member, action, retry, effects) {
             return;
         }
-        if self.lives.current() > 0 && self.connected_cores.contains(server) {
+        if self.incarnations.current() > 0 && self.connected_cores.contains(server) {
             let action = self.takeovers.check_own_lines(self.now, server);
             self.do_takeover_actions(action.into_iter().collect());
         }
@@ -107,7 +107,11 @@
             let all = (0..self.plan.members.len() as u16)
                 .filter(|member| *member == self_member || self.can_reach(*member));
             let incarnation = |member: u16| {
-                if member == self_member { self.lives.current() } else { self.view.incarnation(member) }
+                if member == self_member {
+                    self.incarnations.current()
+                } else {
+                    self.view.incarnation(member)
+                }
             };
             all.map(|member| (member, incarnation(member)))
                 .filter(|(_, incarnation)| *incarnation > 0)
--- a/crates/fleet/src/member/incarnations.rs
+++ b/crates/fleet/src/member/incarnations.rs
@@ -39,13 +39,13 @@
         if self.now < self.incarnation_requests_blocked_until {
             return;
         }
-        if self.plan.members.len() == 1 && self.lives.current() == 0 {
+        if self.plan.members.len() == 1 && self.incarnations.current() == 0 {
             return; // There is no peer to grant it or to hold replicas.
         }
         if !self.has_majority_reported() && self.now < self.neighbour_reports_deadline {
             return;
         }
-        if let Some(incarnation) = self.lives.due_proposal(self.now) {
+        if let Some(incarnation) = self.incarnations.due_proposal(self.now) {
             self.submit_disk_write(vec![Save::ProposedIncarnation(incarnation)], effects);
             for member in 0..self.plan.members.len() as u16 {
                 if let Some(link) = self.peers.link_to(member) {
@@ -60,7 +60,7 @@
     }
 
     fn reporting_neighbour_count(&self) -> usize {
-        self.view.neighbours().iter().filter(|neighbour| self.lives.has_reported(**neighbour)).count()
+        self.view.neighbours().iter().filter(|neighbour| self.incarnations.has_reported(**neighbour)).count()
     }
 
     /// Whether more than half of this member and its neighbours have reported its previous incarnation. Only neighbours
@@ -79,7 +79,7 @@
         &mut self, link: PeerLink, member: u16, incarnation: u64, effects: &mut dyn Effects,
     ) {
         let (granted, highest) =
-            self.lives.proposal_received(member, self.view.incarnation(member), incarnation);
+            self.incarnations.proposal_received(member, self.view.incarnation(member), incarnation);
         if !granted {
             self.send_to_link(
                 link,
@@ -108,7 +108,7 @@
         if !fresh && first && !self.replica_table.is_empty() {
             // The disk holds an older state than the previous incarnation wrote.
             let dropped = self.replica_table.drop_not_owned();
-            let why = self.lives.describe_stale_disk();
+            let why = self.incarnations.describe_stale_disk();
             effects.log(&format!("{why}: its {dropped} replicas are incomplete and are dropped"));
         }
         let now = self.now;
@@ -143,7 +143,7 @@
         });
         self.events.extend(adopts);
         // A stale disk has fewer writes: from here on the count continues above every reported one.
-        self.disk_writes.count_from(self.lives.known_write_count());
+        self.disk_writes.count_from(self.incarnations.known_write_count());
         self.submit_disk_write(vec![Save::Incarnation(incarnation)], effects);
         for member in 0..self.plan.members.len() as u16 {
             if let Some(link) = self.peers.link_to(member) {
--- a/crates/fleet/src/member/links.rs
+++ b/crates/fleet/src/member/links.rs
@@ -22,7 +22,7 @@
 /// Minimum wait before a ping on a link without regular heartbeats; the wait is at least half a peer response time-out.
 const MIN_PING_DELAY: Duration = Duration::from_millis(500);
 
-/// Nonce of all pings; replies need no own nonce, since the link identifies the peer.
+/// Nonce of all pings; it need not differ, since the link identifies the peer that replies.
 const PROBE_NONCE: u64 = 0;
 
 impl Member {
@@ -50,18 +50,20 @@
     }
 
     pub(super) fn send_greeting(&mut self, link: PeerLink, member: u16, effects: &mut dyn Effects) {
-        let known_remote_incarnation = self.view.incarnation(member).max(self.lives.granted_to(member));
+        let known_remote_incarnation =
+            self.view.incarnation(member).max(self.incarnations.granted_to(member));
         // Only neighbours exchange heartbeats, so only they can measure an absence.
         let is_measured = self.view.incarnation(member) > 0 && self.view.is_neighbour(member);
         let last_seen_ago = is_measured.then(|| self.view.time_since_frame(self.now, member));
         let saved = self.view.max_write_count(member);
-        let (group, me, incarnation) = (self.group, self.plan.self_member, self.lives.current());
+        let (group, self_member, incarnation) =
+            (self.group, self.plan.self_member, self.incarnations.current());
         if let Some(known) = self.peers.links.get_mut(&link) {
             known.sent_incarnation = Some(incarnation);
         }
         let greeting = PeerMessage::Greeting {
             group,
-            member: me,
+            member: self_member,
             incarnation,
             known_remote_incarnation,
             saved,
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Pings the link to a member that is no neighbour: a new link from the same member suggests that the old one is dead.
+    /// Pings the existing link to a member that is no neighbour. A new link from the same member suggests that the old one is dead.
     fn probe_link_to(&mut self, member: u16, effects: &mut dyn Effects) {
         if self.view.is_neighbour(member) {
             return; // Heartbeats show whether it is alive.
@@ -161,21 +163,21 @@
     ) {
         let place = self.plan.members.iter().position(|name| **name == *hello.name);
         let member = place.map(|place| place as u16);
-        let wrong = match (hello.role, hello.version, member, known.member) {
+        let mismatch = match (hello.role, hello.version, member, known.member) {
             (Role::Edge, VERSION, Some(member), _) if member == self.plan.self_member => {
                 Some("has this member's name".into())
             }
-            (Role::Edge, VERSION, Some(member), Some(meant)) if member != meant => {
-                Some(format!("is {}, not {}", hello.name, self.name(meant)))
+            (Role::Edge, VERSION, Some(member), Some(expected)) if member != expected => {
+                Some(format!("is {}, not {}", hello.name, self.name(expected)))
             }
             (Role::Edge, VERSION, _, _) => None,
             (Role::Edge, version, ..) => Some(format!("speaks version {version}, not {VERSION}")),
             (role, ..) => Some(format!("is a {role:?}")),
         };
-        if let Some(wrong) = wrong {
-            return self.close(link, &wrong, effects);
+        if let Some(mismatch) = mismatch {
+            return self.close(link, &mismatch, effects);
         }
-        let came_in = known.member.is_none();
+        let is_incoming = known.member.is_none();
         if let Some(known) = self.peers.links.get_mut(&link) {
             known.greeted = true;
             known.member = member;
@@ -183,7 +185,7 @@
                 known.state = LinkState::Operator;
             }
         }
-        if came_in {
+        if is_incoming {
             self.send_hello(link, effects);
         }
     }
@@ -206,22 +208,22 @@
         let mine = self.view.time_since_frame(self.now, member);
         let clock_stall = away.filter(|away| {
             *away > mine + mine / 8 + CLOCK_STALL_TOLERANCE
-                && known_remote_incarnation == self.lives.current()
+                && known_remote_incarnation == self.incarnations.current()
         });
-        if self.lives.current() == 0
+        if self.incarnations.current() == 0
             && let Some(away) = away
         {
             self.min_time_since_previous_incarnation =
                 Some(self.min_time_since_previous_incarnation.map_or(away, |known| known.min(away)));
         }
-        if self.lives.peer_reported(member, known_remote_incarnation, saved) {
+        if self.incarnations.peer_reported(member, known_remote_incarnation, saved) {
             self.later_incarnation_known(effects);
-        } else if clock_stall.is_some() && self.lives.current() > 0 {
+        } else if clock_stall.is_some() && self.incarnations.current() > 0 {
             let dropped = self.replica_table.drop_not_owned();
             effects.log(&format!(
                 "the local clock was stopped: dropped {dropped} replicas, requesting a new incarnation"
             ));
-            self.lives.abandon();
+            self.incarnations.abandon();
             self.end_incarnation(effects);
         }
         if let Some(known) = self.peers.links.get_mut(&link) {
@@ -253,7 +255,7 @@
         }
         // An incarnation that began after the greeting was reported only on links that were open.
         let sent_incarnation = self.peers.links.get(&link).map(|known| known.sent_incarnation);
-        if sent_incarnation.is_some_and(|announced| announced != Some(self.lives.current())) {
+        if sent_incarnation.is_some_and(|announced| announced != Some(self.incarnations.current())) {
             self.send_greeting(link, member, effects);
         }
         self.propose_incarnation(effects);
--- a/crates/fleet/src/member/mod.rs
+++ b/crates/fleet/src/member/mod.rs
@@ -1,6 +1,6 @@
 //! One member: inputs of peers, core servers and its own edge proxy, each turned straight into calls on the parts.
 //!
-//! This module has the state and its construction; each kind of input has a module of its own. All are methods of [`Member`].
+//! This module defines the state and its construction; each kind of input has a module of its own. All are methods of [`Member`].
 
 mod background;
 mod batches;
@@ -50,14 +50,14 @@
     group: u64,
     now: Duration,
     view: MembershipView,
-    lives: IncarnationTracker,
+    incarnations: IncarnationTracker,
     peers: Peers,
     replica_table: ReplicaTable,
     redials: Redials,
     takeovers: Takeovers,
     duties: Option<Duties>,
     table_orders: TableOrders,
-    /// The disk write that persists the newest fencing token.
+    /// Number of the disk write that persists the newest fencing token.
     fencing_write: Option<u64>,
     /// Whether this member held the duty `sweep` at the last check.
     holds_sweep_duty: bool,
@@ -84,11 +84,14 @@
     disk_writes: DiskWrites,
     /// Minimum time since the previous incarnation ended, by the clocks of the peers.
     min_time_since_previous_incarnation: Option<Duration>,
+    /// Ticket that was given to the last write of an own dialogue.
     last_ticket: u64,
     /// Core servers with an open link.
     connected_cores: BTreeSet<ServerId>,
     tasks: BackgroundTasks,
-    orphan_scan_from: Option<u64>,
+    /// Fingerprint of the dialogue at which the scan for orphans continues; `None` while no scan is pending.
+    orphan_cursor: Option<u64>,
+    /// Snapshot chunks to send: the member, and the position from which its chunk starts.
     snapshot_requests: VecDeque<(u16, Cursor)>,
     repairs: RepairQueue,
     /// Before this time an incarnation is proposed only once a majority of this member and its neighbours has reported what it knows.
@@ -102,9 +105,9 @@
 impl Member {
     /// A member that starts at `now` from the state on its disk; `random_seed` comes from the system.
     pub fn new(now: Duration, plan: Plan, stored: Stored, random_seed: u64) -> Self {
-        let (me, members) = (plan.self_member, plan.members.len());
+        let (self_member, members) = (plan.self_member, plan.members.len());
         let replica_table = ReplicaTable::new(
-            me,
+            self_member,
             plan.group(),
             ReplicaLimits { max_replicas: plan.max_replicas, retention: plan.retention },
         );
@@ -115,16 +118,17 @@
             tasks.add(task, priority);
         }
         let known = stored.incarnation.map(|incarnation| (incarnation, stored.write_count));
-        let mut lives = IncarnationTracker::new(me, members, known, stored.proposed_incarnation, random_seed);
+        let mut incarnations =
+            IncarnationTracker::new(self_member, members, known, stored.proposed_incarnation, random_seed);
         stored
             .granted_incarnations
             .iter()
-            .for_each(|(peer, incarnation)| lives.restore_granted(*peer, *incarnation));
+            .for_each(|(peer, incarnation)| incarnations.restore_granted(*peer, *incarnation));
         let duties = plan.duties.as_ref().map(|duties| {
             let persisted = (stored.duties.as_deref(), stored.fencing_tokens.as_deref());
             Duties::new(
                 now,
-                me,
+                self_member,
                 &replica_table.group().clone(),
                 duties,
                 plan.claim_timeout,
@@ -140,19 +144,19 @@
             has_disk: false,
             group: plan.digest(),
             now,
-            view: MembershipView::new(now, me, plan.overlay(), plan.response_timeout),
-            lives,
-            peers: Peers::new(now, me, members, random_seed ^ 0x9e37_79b9_7f4a_7c15),
+            view: MembershipView::new(now, self_member, plan.overlay(), plan.response_timeout),
+            incarnations,
+            peers: Peers::new(now, self_member, members, random_seed ^ 0x9e37_79b9_7f4a_7c15),
             replica_table,
             redials: Redials::new(
-                me,
+                self_member,
                 plan.group(),
                 plan.awaited(),
                 plan.search_timeout,
                 plan.response_timeout,
                 plan.release_time,
             ),
-            takeovers: Takeovers::new(me, plan.claim_timeout),
+            takeovers: Takeovers::new(self_member, plan.claim_timeout),
             incoming: (0..members).map(|_| Incoming::default()).collect(),
             peer_resumed: vec![false; members],
             replicas_are_current: false,
@@ -170,7 +174,7 @@
             last_ticket: 0,
             connected_cores: BTreeSet::new(),
             tasks,
-            orphan_scan_from: None,
+            orphan_cursor: None,
             snapshot_requests: VecDeque::new(),
             repairs: RepairQueue::default(),
             neighbour_reports_deadline: now + plan.response_timeout,
@@ -205,7 +209,7 @@
 
     /// The incarnation of this process; zero while it has none.
     pub fn incarnation(&self) -> u64 {
-        self.lives.current()
+        self.incarnations.current()
     }
 
     /// Which peers are responsive, and what they report of themselves.
@@ -229,7 +233,7 @@
         let others = (0..self.incoming.len()).filter(|place| *place != usize::from(self.plan.self_member));
         let missing = others.filter(|place| !self.incoming[*place].synced).count();
         let may_miss = self.plan.awaited().max(1) - 1;
-        self.lives.current() > 0
+        self.incarnations.current() > 0
             && (self.replicas_are_current || missing <= may_miss || self.now >= self.losses_expired_at)
     }
 
--- a/crates/fleet/src/member/own_dialogues.rs
+++ b/crates/fleet/src/member/own_dialogues.rs
@@ -24,7 +24,7 @@
             WriteResult::Pending => Some(ticket),
             // No peer acknowledges writes while this member has no incarnation.
             WriteResult::Immediate => {
-                (acks > 0 && self.plan.withholds_unacknowledged_launches && self.lives.current() == 0)
+                (acks > 0 && self.plan.withholds_unacknowledged_launches && self.incarnations.current() == 0)
                     .then_some(ticket)
             }
             WriteResult::Replaced(_) => {
@@ -89,7 +89,7 @@
     /// The owner stated in launches of this dialogue to the core server; `None` if no member is to take it over.
     pub fn owner_of(&self, id: &DialogueId) -> Option<Owner> {
         let owner = self.replica_table.get(id)?.owner()?;
-        (self.lives.current() > 0 && self.replica_table.owns_dialogue(id)).then_some(owner)
+        (self.incarnations.current() > 0 && self.replica_table.owns_dialogue(id)).then_some(owner)
     }
 
     /// Another member now owns a dialogue of this member, and may never adopt its standing line.
--- a/crates/fleet/src/member/repair.rs
+++ b/crates/fleet/src/member/repair.rs
@@ -96,7 +96,7 @@
         }
         for replicas in split_into_frames(replicas).into_iter().filter(|replicas| !replicas.is_empty()) {
             self.counts.copies_sent += replicas.len() as u64;
-            let incarnation = self.lives.current();
+            let incarnation = self.incarnations.current();
             self.send_to_link(
                 link,
                 Frame::PeerMessage(PeerMessage::Replicas { incarnation, first: 0, replicas }),
--- a/crates/fleet/src/member/search.rs
+++ b/crates/fleet/src/member/search.rs
@@ -27,7 +27,7 @@
         self.now = now;
         self.counts.asks += 1;
         let retry_after = self.plan.response_timeout;
-        if self.lives.current() == 0
+        if self.incarnations.current() == 0
             || self.redials.len() + self.confirmations.len() >= self.plan.max_searches
         {
             self.counts.asks_refused += 1;
@@ -64,7 +64,7 @@
         let candidates: Vec<u16> = self.replica_table.group().candidates(id_hash).iter().collect();
         let known = self.replica_table.get(id).cloned().unwrap_or_default();
         let round = known.owner().map_or(0, |owner| owner.round) + 1;
-        let owner = Owner { round, member: self.plan.self_member, incarnation: self.lives.current() };
+        let owner = Owner { round, member: self.plan.self_member, incarnation: self.incarnations.current() };
         let mut knows = candidates.contains(&self.plan.self_member) && self.caught_up();
         if candidates.contains(&self.plan.self_member) {
             self.replica_table.claim_requested(now, id, owner);
--- a/crates/fleet/src/member/streams.rs
+++ b/crates/fleet/src/member/streams.rs
@@ -29,7 +29,8 @@
     /// Reports the position in a peer's stream, and requests a snapshot where earlier updates are missing.
     pub(super) fn send_resume(&mut self, member: u16, effects: &mut dyn Effects) {
         let incarnation = self.view.incarnation(member);
-        let Some(link) = self.peers.link_to(member).filter(|_| incarnation > 0 && self.lives.current() > 0)
+        let Some(link) =
+            self.peers.link_to(member).filter(|_| incarnation > 0 && self.incarnations.current() > 0)
         else {
             return;
         };
@@ -143,7 +144,7 @@
     pub(super) fn send_snapshot_chunk(&mut self, member: u16, cursor: Cursor, effects: &mut dyn Effects) {
         let Some(link) = self.peers.link_to(member) else { return };
         let (replicas, next) = self.replica_table.snapshot_chunk(self.now, member, cursor.from);
-        let incarnation = self.lives.current();
+        let incarnation = self.incarnations.current();
         let mut frames = split_into_frames(replicas);
         let last = frames.pop().unwrap_or_default();
         for replicas in frames {
@@ -164,7 +165,7 @@
 
     /// Sends pending updates to all peers, up to the limit of one iteration.
     pub(super) fn send_streams(&mut self, effects: &mut dyn Effects) {
-        if self.lives.current() == 0 {
+        if self.incarnations.current() == 0 {
             return;
         }
         for member in 0..self.plan.members.len() as u16 {
@@ -184,7 +185,7 @@
         else {
             return;
         };
-        let incarnation = self.lives.current();
+        let incarnation = self.incarnations.current();
         for replicas in split_into_frames(replicas) {
             let count = replicas.len() as u64;
             self.counts.copies_sent += count;
--- a/crates/fleet/src/member/table_orders.rs
+++ b/crates/fleet/src/member/table_orders.rs
@@ -83,7 +83,7 @@
     }
 
     fn answer_order(&mut self, to: u16, serial: u64, why: Option<Arc<str>>) {
-        let (now, incarnation) = (self.now, self.lives.current());
+        let (now, incarnation) = (self.now, self.incarnations.current());
         if to != self.plan.self_member {
             self.outgoing_messages.push((to, PeerMessage::Published { serial, why }));
         } else if let Some(duties) = &mut self.duties {
--- a/crates/fleet/src/member/timers.rs
+++ b/crates/fleet/src/member/timers.rs
@@ -23,7 +23,7 @@
     pub fn next_due(&self) -> Duration {
         let due_times = [
             self.peers.next_due(),
-            self.lives.next_due().map(|at| at.max(self.incarnation_requests_blocked_until)),
+            self.incarnations.next_due().map(|at| at.max(self.incarnation_requests_blocked_until)),
             self.redials.next_due(),
             self.confirmations.next_due(),
             self.takeovers.next_due(),
@@ -66,7 +66,7 @@
     }
 
     fn send_membership(&mut self, effects: &mut dyn Effects) {
-        self.view.set_self(self.now, self.lives.current(), self.caught_up());
+        self.view.set_self(self.now, self.incarnations.current(), self.caught_up());
         for MembershipMessage { to, is_heartbeat, bytes } in self.view.tick(self.now) {
             let Some(link) = self.peers.link_to(to) else { continue };
             self.send_to_link(link, Frame::PeerMessage(PeerMessage::Membership { message: bytes }), effects);
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Reports the number of disk writes to a neighbour when it has changed.
+    /// Reports the number of own disk writes to a neighbour if it has changed since the last report.
     fn send_disk_count(&mut self, link: PeerLink, effects: &mut dyn Effects) {
         let saved = self.disk_writes.saved();
         let Some(known) = self.peers.links.get_mut(&link) else { return };
@@ -89,12 +89,12 @@
     fn check_members_and_links(&mut self, effects: &mut dyn Effects) {
         let now = self.now;
         for member in 0..self.plan.members.len() as u16 {
-            let gone = self.view.is_gone(member);
-            if gone && !self.members_seen_gone.has(member) {
+            let is_gone = self.view.is_gone(member);
+            if is_gone && !self.members_seen_gone.has(member) {
                 self.members_seen_gone.set(member);
                 effects.log(&format!("member {} is not heard by a majority", self.name(member)));
                 self.takeovers.incarnation_ended(now, member, self.view.incarnation(member));
-            } else if !gone && self.members_seen_gone.has(member) {
+            } else if !is_gone && self.members_seen_gone.has(member) {
                 self.members_seen_gone.unset(member);
                 effects.log(&format!("member {} is heard again", self.name(member)));
                 let incarnation = self.view.incarnation(member);
@@ -104,19 +104,20 @@
         }
         self.review_links(effects);
         let overdue = self.peers.links.iter().filter(|(_, known)| {
-            let wait =
+            let timeout =
                 if known.state == LinkState::Operator { GREETING_TIMEOUT * 15 } else { GREETING_TIMEOUT };
-            known.state != LinkState::Identified && now >= known.since + wait
+            known.state != LinkState::Identified && now >= known.since + timeout
         });
         for link in overdue.map(|(link, _)| *link).collect::<Vec<_>>() {
             self.close(link, "no greeting in time", effects);
         }
-        if self.lives.current() > 0 {
-            let live = |member: u16| !self.view.is_gone(member);
-            let (group, plan, me) = (self.replica_table.group(), &self.plan, self.plan.self_member);
+        if self.incarnations.current() > 0 {
+            let is_live = |member: u16| !self.view.is_gone(member);
+            let (group, plan, self_member) = (self.replica_table.group(), &self.plan, self.plan.self_member);
             let is_successor_of = |member: u16| {
                 let fingerprint = digest(&[SUCCESSOR_SEED, plan.members[usize::from(member)].as_bytes()]);
-                group.ranked_members(fingerprint).into_iter().find(|member| live(*member)) == Some(me)
+                group.ranked_members(fingerprint).into_iter().find(|member| is_live(*member))
+                    == Some(self_member)
             };
             // A member that does not reach a majority cannot determine who is gone.
             if self.view.has_majority() {
@@ -125,13 +126,13 @@
                     self.duties.as_ref().map(|duties| duties.current_action(now, SWEEP).is_some());
                 let is_successor_of = |member: u16| holds_sweep.unwrap_or_else(|| is_successor_of(member));
                 let actions = self.takeovers.sweep(now, is_successor_of, &self.connected_cores);
-                let asked = actions.iter().rev().find_map(|action| match action {
+                let last_query = actions.iter().rev().find_map(|action| match action {
                     TakeoverAction::ListLines { server, member, .. } if *member != self.plan.self_member => {
                         Some((server, *member))
                     }
                     _ => None,
                 });
-                if let (Some((server, member)), Some(true)) = (asked, holds_sweep) {
+                if let (Some((server, member)), Some(true)) = (last_query, holds_sweep) {
                     let checkpoint = format!("{} at {}", self.name(member), server.0);
                     self.duties
                         .iter_mut()
@@ -139,8 +140,8 @@
                 }
                 self.do_takeover_actions(actions);
             }
-            if std::mem::take(&mut self.takeovers.rescan_needed) && self.orphan_scan_from.is_none() {
-                self.orphan_scan_from = Some(0);
+            if std::mem::take(&mut self.takeovers.rescan_needed) && self.orphan_cursor.is_none() {
+                self.orphan_cursor = Some(0);
             }
         }
     }
--- a/crates/fleet/src/peers.rs
+++ b/crates/fleet/src/peers.rs
@@ -131,7 +131,8 @@
     }
 
     /// The other side of a link has been identified as a member. Of two links to one member, the one opened by the
-    /// member with the lower index stays; if that does not decide, the newer one stays. So both sides choose the same link. Returns the link to be closed: this one or the earlier one.
+    /// member with the lower index stays; if that does not decide, the newer one stays. So both sides choose the same link.
+    /// Returns the link to be closed: this one or the earlier one.
     pub fn identified(&mut self, link: PeerLink, member: u16) -> Option<PeerLink> {
         let self_member = self.self_member;
         let by_first = |known: &LinkInfo| known.locally_initiated == (self_member < member);
--- a/crates/fleet/src/takeovers.rs
+++ b/crates/fleet/src/takeovers.rs
@@ -80,7 +80,7 @@
 
 /// Stage of a takeover.
 enum Stage {
-    /// The core server was asked to hand the dialogue over.
+    /// The core server was asked whether the dialogue stands there, to adopt it.
     Adopting { at: Duration, attempts: u32 },
     /// The dialogue stands, and is held for its caller until `until`.
     AwaitingCaller { until: Duration, launch: LaunchNumber },
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -73,11 +73,11 @@
         let mut after = BTreeMap::new();
         let all: BTreeSet<String> = self.files.keys().chain(self.names.keys()).cloned().collect();
         for name in all {
-            let (now, then) = (self.files.get(&name), self.names.get(&name));
-            let surviving = match (now, then) {
-                (Some(now), Some(_)) => Some(now.clone()),
-                (Some(now), None) => rng.random::<bool>().then(|| now.clone()),
-                (None, Some(then)) => rng.random::<bool>().then(|| then.clone()),
+            let (current, durable) = (self.files.get(&name), self.names.get(&name));
+            let surviving = match (current, durable) {
+                (Some(current), Some(_)) => Some(current.clone()),
+                (Some(current), None) => rng.random::<bool>().then(|| current.clone()),
+                (None, Some(durable)) => rng.random::<bool>().then(|| durable.clone()),
                 (None, None) => None,
             };
             if let Some(file) = surviving {
@@ -197,23 +197,23 @@
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let used: u64 = self.files.values().map(|file| file.current.len() as u64).sum();
         let room = self.faults.room.map_or(u64::MAX, |room| room.saturating_sub(used));
-        let power_before = self.power_is_out;
-        let (fails, out) = match self.step() {
+        let power_was_out = self.power_is_out;
+        let (fails, loses_power) = match self.step() {
             Ok(fails) => (fails, false),
-            Err(error) if power_before => return Err(error),
+            Err(error) if power_was_out => return Err(error),
             Err(_) => (true, true),
         };
-        let part = if fails { self.rng.random_range(0..=bytes.len()) } else { bytes.len() };
-        let part = part.min(room.min(bytes.len() as u64) as usize);
+        let written = if fails { self.rng.random_range(0..=bytes.len()) } else { bytes.len() };
+        let written = written.min(room.min(bytes.len() as u64) as usize);
         let file = self.files.get_mut(name).ok_or_else(|| io::Error::from(io::ErrorKind::NotFound))?;
-        file.current.extend_from_slice(&bytes[..part]);
-        if out {
+        file.current.extend_from_slice(&bytes[..written]);
+        if loses_power {
             return Err(broken("power is out"));
         }
         if fails {
             return Err(broken("it failed"));
         }
-        if part < bytes.len() {
+        if written < bytes.len() {
             return Err(io::ErrorKind::StorageFull.into());
         }
         Ok(())
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -127,9 +127,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Segment {
     pub len: u64,
-    /// Bytes of operations in it that are still the newest of their keys.
+    /// Bytes of operations in this segment that are still the newest of their keys.
     pub live: u64,
-    /// Time in microseconds by which all records put into it have expired; all ones if never.
+    /// Time in microseconds by which all records in this segment have expired; all ones if never.
     pub until: u64,
 }
 
@@ -189,8 +189,11 @@
     min_segment: u64,
     /// The latest time supplied; a clock that goes backwards does not revive expired records.
     time: Duration,
+    /// Reason why further writes are rejected; `None` while they are accepted.
     closed: Option<String>,
+    /// Bytes written to the log since the last snapshot was begun.
     since_snapshot: u64,
+    /// Number of the next snapshot.
     next_snapshot: u64,
     compaction: Option<Compaction>,
     snapshot_in_progress: Option<SnapshotInProgress>,
@@ -805,13 +808,13 @@
     }
 
     fn begin_snapshot(&mut self) -> Result<usize> {
-        let here = (self.active_segment, self.segments[&self.active_segment].len);
-        let bytes = snapshot::head(here, self.min_segment, self.time, &self.segments, &self.index);
+        let log_end = (self.active_segment, self.segments[&self.active_segment].len);
+        let bytes = snapshot::head(log_end, self.min_segment, self.time, &self.segments, &self.index);
         let name = format!("{}.new", snapshot::name(self.next_snapshot));
         let _ = self.disk.remove(&name); // A failed attempt may have left this file.
         at("create", &name, self.disk.create(&name))?;
         self.since_snapshot = 0;
-        let writing = SnapshotInProgress { name, shard: 0, sum: 0, required_sync: here };
+        let writing = SnapshotInProgress { name, shard: 0, sum: 0, required_sync: log_end };
         self.add_to_snapshot(writing, &bytes).map(|()| bytes.len())
     }
 
@@ -850,14 +853,14 @@
     fn finish_snapshot(&mut self, writing: &SnapshotInProgress) -> Result<()> {
         let number = self.next_snapshot;
         let name = snapshot::name(number);
-        let ended = self.disk.append(&writing.name, &writing.sum.to_le_bytes());
-        let synced = ended.and_then(|()| self.disk.sync(&writing.name));
+        let appended = self.disk.append(&writing.name, &writing.sum.to_le_bytes());
+        let synced = appended.and_then(|()| self.disk.sync(&writing.name));
         let synced = synced.and_then(|()| self.disk.rename(&writing.name, &name));
         at("finish", &name, synced.and_then(|()| self.disk.sync_names()))?;
         self.next_snapshot += 1;
-        for former in at("list", "its files", self.disk.names())? {
-            if snapshot::number(&former).is_some_and(|former| former < number) {
-                at("remove", &former, self.disk.remove(&former))?;
+        for file in at("list", "its files", self.disk.names())? {
+            if snapshot::number(&file).is_some_and(|older| older < number) {
+                at("remove", &file, self.disk.remove(&file))?;
             }
         }
         Ok(())
