--- a/crates/fleet/src/incarnations.rs
+++ b/crates/fleet/src/incarnations.rs
@@ -38,14 +38,14 @@
     highest: u64,
     /// What the disk held at the start: the incarnation and its count of writes.
     stored: Option<(u64, u64)>,
-    /// The highest count of writes of this member's disk that is known here or at a peer.
+    /// The highest number of writes to the disk of this member that it or a peer knows of.
     write_count: u64,
     /// Incarnations proposed by this process and by the disk's last process: one that was granted and never used is not a later
     /// incarnation.
     own_proposals: Vec<u64>,
     /// The highest known incarnation that this member did not propose.
     highest_foreign: u64,
-    /// Peers that have reported what they know.
+    /// Peers that have reported which incarnation and number of writes they know of this member.
     reported_by: MemberSet,
     proposal: Option<Proposal>,
     /// The incarnation granted last to each member.
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The highest count of writes of this member's disk that is known here or at a peer.
+    /// The highest number of writes to the disk of this member that it or a peer knows of.
     pub fn known_write_count(&self) -> u64 {
         self.write_count
     }
--- a/crates/fleet/src/member/links.rs
+++ b/crates/fleet/src/member/links.rs
@@ -152,7 +152,7 @@
         self.incoming[place].acknowledgement_due = false;
         self.incoming[place].replaced.clear();
         self.snapshot_requests.retain(|(to, _)| *to != member);
-        self.repairs.forget(member);
+        self.repairs.remove_member(member);
         if was_identified {
             effects.log(&format!("member {} gone: {why}", self.plan.members[place]));
         }
--- a/crates/fleet/src/member/repair.rs
+++ b/crates/fleet/src/member/repair.rs
@@ -1,4 +1,5 @@
-//! Anti-entropy: two members compare sums over what they hold, narrow down the ranges that differ, and send what is missing.
+//! Anti-entropy: two members compare digests of their replicas, narrow down the ranges that differ, and send the replicas
+//! that the other lacks.
 
 use std::collections::VecDeque;
 
@@ -19,7 +20,7 @@
     RequestReplicas(Vec<u64>),
 }
 
-/// Queued comparison steps, with the member that each is for.
+/// Queued comparison steps, with the member whose replicas each compares.
 #[derive(Default)]
 pub(super) struct RepairQueue {
     steps: VecDeque<(u16, RepairStep)>,
@@ -42,7 +43,7 @@
     }
 
     /// Drops the steps of a member whose link was closed.
-    pub(super) fn forget(&mut self, member: u16) {
+    pub(super) fn remove_member(&mut self, member: u16) {
         self.steps.retain(|(to, _)| *to != member);
     }
 }
@@ -51,9 +52,8 @@
     pub(super) fn start_comparisons(&mut self) {
         for member in self.plan.self_member + 1..self.plan.members.len() as u16 {
             if self.peers.link_to(member).is_some() && self.incoming[usize::from(member)].synced {
-                let (level, from, sums) = self.replica_table.top_digests(member);
-                self.outgoing_messages
-                    .push((member, PeerMessage::RangeDigests { level, from, digests: sums }));
+                let (level, from, digests) = self.replica_table.top_digests(member);
+                self.outgoing_messages.push((member, PeerMessage::RangeDigests { level, from, digests }));
             }
         }
     }
--- a/crates/fleet/src/member/search.rs
+++ b/crates/fleet/src/member/search.rs
@@ -1,5 +1,4 @@
-//! Redials: looks up dialogues that were dialled before at the replicas, and answers the look-ups
-//! of other members.
+//! Redials: looks up redialled dialogues in the replicas of other members, and answers the look-ups of other members.
 
 use std::time::Duration;
 
@@ -39,8 +38,8 @@
         if let Some((server, launch)) = self.takeovers.claim_held(id) {
             return self.confirm(id.clone(), Verdict::Stands { server, launch });
         }
-        // No other member has continued a dialogue that this member owns, or its writes will be refused. One that stood is looked up
-        // nevertheless, since it is no longer held here.
+        // As long as this member owns a dialogue, its own replica is decisive: had another member continued the dialogue, later
+        // writes would be refused. A dialogue that stood is looked up nevertheless, since its line is no longer held here.
         let own =
             self.replica_table.get(id).filter(|_| self.replica_table.owns_dialogue(id)).map(Replica::reading);
         let verdict = match own {
--- a/crates/fleet/src/member/streams.rs
+++ b/crates/fleet/src/member/streams.rs
@@ -15,6 +15,7 @@
 #[derive(Default)]
 pub(super) struct Incoming {
     pub(super) incarnation: u64,
+    /// Number of the last update received in order, or covered by a snapshot chunk.
     pub(super) received_up_to: u64,
     /// Position in the peer's snapshot, while it is being received.
     pub(super) snapshot: Option<Cursor>,
@@ -22,6 +23,7 @@
     pub(super) synced: bool,
     /// Whether an acknowledgement is due. None is sent before the snapshot is complete, since earlier updates are missing until then.
     pub(super) acknowledgement_due: bool,
+    /// Rejected replicas, to be reported with the next acknowledgement.
     pub(super) replaced: Vec<Replaced>,
 }
 
--- a/crates/fleet/src/takeovers.rs
+++ b/crates/fleet/src/takeovers.rs
@@ -262,7 +262,7 @@
         self.orphaned_dialogues.insert(id.clone(), orphan);
     }
 
-    /// Whether a dialogue is held here or being taken over.
+    /// Whether a dialogue is held for its caller or being taken over.
     pub fn has(&self, id: &DialogueId) -> bool {
         self.orphaned_dialogues.contains_key(id)
     }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -236,7 +236,7 @@
     fn recover(&mut self, names: &[String]) -> Result<()> {
         let mut existing: Vec<u64> = names.iter().filter_map(|name| format::segment_number(name)).collect();
         existing.sort_unstable();
-        let mut from = (0, 0);
+        let mut replay_from = (0, 0);
         let mut snapshots: Vec<u64> = names.iter().filter_map(|name| snapshot::number(name)).collect();
         snapshots.sort_unstable();
         self.next_snapshot = snapshots.last().map_or(0, |last| last + 1);
@@ -247,21 +247,21 @@
                 (self.min_segment, self.time, self.index) = (min_segment, time, index);
                 self.segments = segments;
                 self.segments.retain(|number, _| existing.contains(number));
-                from = (segment, offset);
+                replay_from = (segment, offset);
                 break;
             }
         }
         // The newest segment may have been created and never used.
         while let Some(last) = existing.last().copied() {
             let (condition, frames, _) =
-                self.inspect_segment(last, if last == from.0 { from.1 } else { 0 })?;
+                self.inspect_segment(last, if last == replay_from.0 { replay_from.1 } else { 0 })?;
             let empty = condition == SegmentCondition::Uninitialized
                 || frames == 0 && condition == SegmentCondition::Intact;
             // A segment that its predecessor names or a snapshot refers to is durable, used or not.
-            let before = existing.len() > 1
+            let named_by_predecessor = existing.len() > 1
                 && (!existing.contains(&(last - 1)) || self.inspect_segment(last - 1, 0)?.2);
-            let named = before || last == from.0 && from.1 > 0;
-            if !empty || named || existing.len() == 1 && condition != SegmentCondition::Uninitialized {
+            let is_durable = named_by_predecessor || last == replay_from.0 && replay_from.1 > 0;
+            if !empty || is_durable || existing.len() == 1 && condition != SegmentCondition::Uninitialized {
                 break;
             }
             let name = format::segment_name(last);
@@ -269,16 +269,16 @@
             at("sync", "the folder", self.disk.sync_names())?;
             existing.pop();
         }
-        if !snapshots.is_empty() && existing.last().is_none_or(|last| *last < from.0) {
-            return Err(missing(from.0));
+        if !snapshots.is_empty() && existing.last().is_none_or(|last| *last < replay_from.0) {
+            return Err(missing(replay_from.0));
         }
         // Later shards of a snapshot refer to records replayed only now; their segments must be known, so that those
         // records can be replaced.
         for number in &existing {
             self.segments.entry(*number).or_default();
         }
-        for number in existing.iter().copied().filter(|number| *number >= from.0) {
-            let start = if number == from.0 { from.1 } else { 0 };
+        for number in existing.iter().copied().filter(|number| *number >= replay_from.0) {
+            let start = if number == replay_from.0 { replay_from.1 } else { 0 };
             self.replay(number, start, Some(number) == existing.last().copied())?;
         }
         self.remove_obsolete_segments(&existing)?;
