--- a/crates/fleet/src/member/background.rs
+++ b/crates/fleet/src/member/background.rs
@@ -1,4 +1,4 @@
-//! Background work, done in short slices between the calls that matter for latency.
+//! Background work of a member, done in short slices so that it delays no latency-critical call for long.
 
 use std::time::Duration;
 
@@ -19,9 +19,9 @@
 impl Member {
     pub(super) fn request_background_tasks(&mut self) {
         let now = self.now;
-        let forget = self.replica_table.next_due().is_some_and(|due| due <= now);
-        self.tasks.set_pending(now, EXPIRE_REPLICAS, forget, None);
-        self.tasks.set_pending(now, SCAN_FOR_ORPHANS, self.orphan_scan_from.is_some(), None);
+        let has_expired = self.replica_table.next_due().is_some_and(|due| due <= now);
+        self.tasks.set_pending(now, EXPIRE_REPLICAS, has_expired, None);
+        self.tasks.set_pending(now, SCAN_FOR_ORPHANS, self.orphan_cursor.is_some(), None);
         self.tasks.set_pending(now, SEND_SNAPSHOT_CHUNKS, !self.snapshot_requests.is_empty(), None);
         self.tasks.set_pending(now, REPAIR_REPLICAS, !self.repairs.is_empty(), None);
     }
@@ -35,9 +35,9 @@
         let slice = self.tasks.next_slice(now, pressed)?;
         match slice.task {
             EXPIRE_REPLICAS => {
-                let gone = self.replica_table.expire(now, REPLICAS_PER_SLICE);
-                self.counts.forgotten += gone.len() as u64;
-                self.changed_dialogues.extend(gone);
+                let expired = self.replica_table.expire(now, REPLICAS_PER_SLICE);
+                self.counts.forgotten += expired.len() as u64;
+                self.changed_dialogues.extend(expired);
             }
             SCAN_FOR_ORPHANS => self.scan_for_orphans(),
             SEND_SNAPSHOT_CHUNKS => {
@@ -56,35 +56,35 @@
 
     /// Records how long a slice of [`Member::run_background_slice`] took.
     pub fn background_slice_done(&mut self, now: Duration, task: TaskId, took: Duration) {
-        let more = match task {
+        let has_more = match task {
             EXPIRE_REPLICAS => self.replica_table.next_due().is_some_and(|due| due <= now),
-            SCAN_FOR_ORPHANS => self.orphan_scan_from.is_some(),
+            SCAN_FOR_ORPHANS => self.orphan_cursor.is_some(),
             SEND_SNAPSHOT_CHUNKS => !self.snapshot_requests.is_empty(),
             _ => !self.repairs.is_empty(),
         };
-        self.tasks.slice_completed(now, task, MAX_FRAME_BYTES, took, more);
+        self.tasks.slice_completed(now, task, MAX_FRAME_BYTES, took, has_more);
     }
 
     fn scan_for_orphans(&mut self) {
-        let Some(from) = self.orphan_scan_from.take().filter(|_| self.lives.current() > 0) else { return };
+        let Some(at) = self.orphan_cursor.take().filter(|_| self.incarnations.current() > 0) else { return };
         let now = self.now;
         let mut actions = Vec::new();
         let mut next = None;
-        let incarnation = self.lives.current();
-        for (looks, (id, replica)) in self.replica_table.iter_from(from).enumerate() {
-            if looks >= REPLICAS_PER_SLICE {
+        let incarnation = self.incarnations.current();
+        for (checked, (id, replica)) in self.replica_table.iter_from(at).enumerate() {
+            if checked >= REPLICAS_PER_SLICE {
                 next = Some(fingerprint(id));
                 break;
             }
             if !replica.owner().is_some_and(|owner| self.takeovers.is_ended(owner)) {
                 continue;
             }
-            let live = |member: u16| !self.view.is_gone(member);
-            let first =
-                self.replica_table.group().candidates(fingerprint(id)).iter().find(|member| live(*member));
-            actions.extend(self.takeovers.consider_replica(now, id, replica, first, incarnation));
+            let is_live = |member: u16| !self.view.is_gone(member);
+            let first_live =
+                self.replica_table.group().candidates(fingerprint(id)).iter().find(|member| is_live(*member));
+            actions.extend(self.takeovers.consider_replica(now, id, replica, first_live, incarnation));
         }
-        self.orphan_scan_from = next;
+        self.orphan_cursor = next;
         self.do_takeover_actions(actions);
     }
 }
--- a/crates/fleet/src/member/links.rs
+++ b/crates/fleet/src/member/links.rs
@@ -12,16 +12,17 @@
 use crate::link_liveness::LinkCheck;
 use crate::peers::{LinkInfo, LinkState, PeerLink};
 
-/// Tolerated difference between two clocks over an absence, on top of an eighth of it, before the local clock is taken to have stopped.
+/// Tolerated difference between the durations that two clocks measure for one absence, on top of an eighth of it. Beyond it
+/// the local clock is taken to have stopped.
 pub(super) const CLOCK_STALL_TOLERANCE: Duration = Duration::from_secs(5);
 
 /// Minimum response time-out of a link without regular heartbeats; the time-out is at least two peer response time-outs.
 const MIN_LINK_RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Minimum wait before a ping on such a link; the wait is at least half a peer response time-out.
+/// Minimum wait before a ping on a link without regular heartbeats; the wait is at least half a peer response time-out.
 const MIN_PING_DELAY: Duration = Duration::from_millis(500);
 
-/// Nonce of all pings: the link identifies who answers.
+/// Nonce of all pings; it need not differ, since the link identifies the peer that replies.
 const PROBE_NONCE: u64 = 0;
 
 impl Member {
@@ -49,22 +50,24 @@
     }
 
     pub(super) fn send_greeting(&mut self, link: PeerLink, member: u16, effects: &mut dyn Effects) {
-        let known_remote_incarnation = self.view.incarnation(member).max(self.lives.granted_to(member));
-        // Only neighbours exchange heartbeats, so that only they can measure an absence.
+        let known_remote_incarnation =
+            self.view.incarnation(member).max(self.incarnations.granted_to(member));
+        // Only neighbours exchange heartbeats, so only they can measure an absence.
         let is_measured = self.view.incarnation(member) > 0 && self.view.is_neighbour(member);
-        let away = is_measured.then(|| self.view.time_since_frame(self.now, member));
+        let last_seen_ago = is_measured.then(|| self.view.time_since_frame(self.now, member));
         let saved = self.view.max_write_count(member);
-        let (group, me, incarnation) = (self.group, self.plan.self_member, self.lives.current());
+        let (group, self_member, incarnation) =
+            (self.group, self.plan.self_member, self.incarnations.current());
         if let Some(known) = self.peers.links.get_mut(&link) {
             known.sent_incarnation = Some(incarnation);
         }
         let greeting = PeerMessage::Greeting {
             group,
-            member: me,
+            member: self_member,
             incarnation,
             known_remote_incarnation,
             saved,
-            last_seen_ago: away,
+            last_seen_ago,
         };
         self.send_to_link(link, Frame::PeerMessage(greeting), effects);
     }
@@ -74,11 +77,11 @@
         if let Some(known) = self.peers.links.get_mut(&link) {
             known.liveness.sent(self.now, &frame);
         }
-        let said = effects.send(link, frame);
-        if !said {
+        let queued = effects.send(link, frame);
+        if !queued {
             self.close(link, "its queue is full", effects);
         }
-        said
+        queued
     }
 
     pub(super) fn close(&mut self, link: PeerLink, why: &str, effects: &mut dyn Effects) {
@@ -88,7 +91,7 @@
         }
     }
 
-    /// Pings the link to a member that is no neighbour: a new link from the same member suggests that the old one is dead.
+    /// Pings the existing link to a member that is no neighbour. A new link from the same member suggests that the old one is dead.
     fn probe_link_to(&mut self, member: u16, effects: &mut dyn Effects) {
         if self.view.is_neighbour(member) {
             return; // Heartbeats show whether it is alive.
@@ -115,16 +118,16 @@
     }
 
     fn check_link(&self, link: PeerLink, member: u16) -> LinkCheck {
-        let silence = self.plan.response_timeout;
+        let response_timeout = self.plan.response_timeout;
         if self.view.is_neighbour(member) {
-            let is_dead = self.view.time_since_frame(self.now, member) >= silence * 2;
+            let is_dead = self.view.time_since_frame(self.now, member) >= response_timeout * 2;
             return if is_dead { LinkCheck::Dead } else { LinkCheck::Idle };
         }
         let Some(known) = self.peers.links.get(&link) else { return LinkCheck::Idle };
         known.liveness.check(
             self.now,
-            (silence / 2).max(MIN_PING_DELAY),
-            (silence * 2).max(MIN_LINK_RESPONSE_TIMEOUT),
+            (response_timeout / 2).max(MIN_PING_DELAY),
+            (response_timeout * 2).max(MIN_LINK_RESPONSE_TIMEOUT),
         )
     }
 
@@ -140,7 +143,8 @@
     }
 
     fn clean_up_link(&mut self, link: PeerLink, why: &str, effects: &mut dyn Effects) {
-        let up = self.peers.links.get(&link).is_some_and(|known| known.state == LinkState::Identified);
+        let was_identified =
+            self.peers.links.get(&link).is_some_and(|known| known.state == LinkState::Identified);
         let Some(member) = self.peers.closed(self.now, link) else { return };
         let place = usize::from(member);
         self.peer_resumed[place] = false;
@@ -148,8 +152,8 @@
         self.incoming[place].acknowledgement_due = false;
         self.incoming[place].replaced.clear();
         self.snapshot_requests.retain(|(to, _)| *to != member);
-        self.repairs.forget(member);
-        if up {
+        self.repairs.remove_member(member);
+        if was_identified {
             effects.log(&format!("member {} gone: {why}", self.plan.members[place]));
         }
     }
@@ -159,21 +163,21 @@
     ) {
         let place = self.plan.members.iter().position(|name| **name == *hello.name);
         let member = place.map(|place| place as u16);
-        let wrong = match (hello.role, hello.version, member, known.member) {
+        let mismatch = match (hello.role, hello.version, member, known.member) {
             (Role::Edge, VERSION, Some(member), _) if member == self.plan.self_member => {
                 Some("has this member's name".into())
             }
-            (Role::Edge, VERSION, Some(member), Some(meant)) if member != meant => {
-                Some(format!("is {}, not {}", hello.name, self.name(meant)))
+            (Role::Edge, VERSION, Some(member), Some(expected)) if member != expected => {
+                Some(format!("is {}, not {}", hello.name, self.name(expected)))
             }
             (Role::Edge, VERSION, _, _) => None,
             (Role::Edge, version, ..) => Some(format!("speaks version {version}, not {VERSION}")),
             (role, ..) => Some(format!("is a {role:?}")),
         };
-        if let Some(wrong) = wrong {
-            return self.close(link, &wrong, effects);
+        if let Some(mismatch) = mismatch {
+            return self.close(link, &mismatch, effects);
         }
-        let came_in = known.member.is_none();
+        let is_incoming = known.member.is_none();
         if let Some(known) = self.peers.links.get_mut(&link) {
             known.greeted = true;
             known.member = member;
@@ -181,7 +185,7 @@
                 known.state = LinkState::Operator;
             }
         }
-        if came_in {
+        if is_incoming {
             self.send_hello(link, effects);
         }
     }
@@ -204,22 +208,22 @@
         let mine = self.view.time_since_frame(self.now, member);
         let clock_stall = away.filter(|away| {
             *away > mine + mine / 8 + CLOCK_STALL_TOLERANCE
-                && known_remote_incarnation == self.lives.current()
+                && known_remote_incarnation == self.incarnations.current()
         });
-        if self.lives.current() == 0
+        if self.incarnations.current() == 0
             && let Some(away) = away
         {
             self.min_time_since_previous_incarnation =
                 Some(self.min_time_since_previous_incarnation.map_or(away, |known| known.min(away)));
         }
-        if self.lives.peer_reported(member, known_remote_incarnation, saved) {
+        if self.incarnations.peer_reported(member, known_remote_incarnation, saved) {
             self.later_incarnation_known(effects);
-        } else if clock_stall.is_some() && self.lives.current() > 0 {
+        } else if clock_stall.is_some() && self.incarnations.current() > 0 {
             let dropped = self.replica_table.drop_not_owned();
             effects.log(&format!(
                 "the local clock was stopped: dropped {dropped} replicas, requesting a new incarnation"
             ));
-            self.lives.abandon();
+            self.incarnations.abandon();
             self.end_incarnation(effects);
         }
         if let Some(known) = self.peers.links.get_mut(&link) {
@@ -251,7 +255,7 @@
         }
         // An incarnation that began after the greeting was reported only on links that were open.
         let sent_incarnation = self.peers.links.get(&link).map(|known| known.sent_incarnation);
-        if sent_incarnation.is_some_and(|announced| announced != Some(self.lives.current())) {
+        if sent_incarnation.is_some_and(|announced| announced != Some(self.incarnations.current())) {
             self.send_greeting(link, member, effects);
         }
         self.propose_incarnation(effects);
--- a/crates/fleet/src/member/search.rs
+++ b/crates/fleet/src/member/search.rs
@@ -1,5 +1,4 @@
-//! Redials: looks up dialogues that were dialled before at the replicas, and answers the look-ups
-//! of other members.
+//! Redials: looks up redialled dialogues in the replicas of other members, and answers the look-ups of other members.
 
 use std::time::Duration;
 
@@ -27,7 +26,7 @@
         self.now = now;
         self.counts.asks += 1;
         let retry_after = self.plan.response_timeout;
-        if self.lives.current() == 0
+        if self.incarnations.current() == 0
             || self.redials.len() + self.confirmations.len() >= self.plan.max_searches
         {
             self.counts.asks_refused += 1;
@@ -39,8 +38,8 @@
         if let Some((server, launch)) = self.takeovers.claim_held(id) {
             return self.confirm(id.clone(), Verdict::Stands { server, launch });
         }
-        // No other member has continued a dialogue that this member owns, or its writes will be refused. One that stood is looked up
-        // nevertheless, since it is no longer held here.
+        // As long as this member owns a dialogue, its own replica is decisive: had another member continued the dialogue, later
+        // writes would be refused. A dialogue that stood is looked up nevertheless, since its line is no longer held here.
         let own =
             self.replica_table.get(id).filter(|_| self.replica_table.owns_dialogue(id)).map(Replica::reading);
         let verdict = match own {
@@ -64,7 +63,7 @@
         let candidates: Vec<u16> = self.replica_table.group().candidates(id_hash).iter().collect();
         let known = self.replica_table.get(id).cloned().unwrap_or_default();
         let round = known.owner().map_or(0, |owner| owner.round) + 1;
-        let owner = Owner { round, member: self.plan.self_member, incarnation: self.lives.current() };
+        let owner = Owner { round, member: self.plan.self_member, incarnation: self.incarnations.current() };
         let mut knows = candidates.contains(&self.plan.self_member) && self.caught_up();
         if candidates.contains(&self.plan.self_member) {
             self.replica_table.claim_requested(now, id, owner);
--- a/crates/fleet/src/takeovers.rs
+++ b/crates/fleet/src/takeovers.rs
@@ -80,11 +80,11 @@
 
 /// Stage of a takeover.
 enum Stage {
-    /// The core server was asked.
+    /// The core server was asked whether the dialogue stands there, to adopt it.
     Adopting { at: Duration, attempts: u32 },
-    /// It stands, and is held for its caller until `until`.
+    /// The dialogue stands, and is held for its caller until `until`.
     AwaitingCaller { until: Duration, launch: LaunchNumber },
-    /// It has no owner, and is adopted to be released.
+    /// The dialogue has no owner, and is adopted to be released.
     Releasing { at: Duration, attempts: u32, swept: bool },
 }
 
@@ -262,7 +262,7 @@
         self.orphaned_dialogues.insert(id.clone(), orphan);
     }
 
-    /// Whether a dialogue is held here or being taken over.
+    /// Whether a dialogue is held for its caller or being taken over.
     pub fn has(&self, id: &DialogueId) -> bool {
         self.orphaned_dialogues.contains_key(id)
     }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -127,9 +127,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Segment {
     pub len: u64,
-    /// Bytes of operations in it that are still the newest of their keys.
+    /// Bytes of operations in this segment that are still the newest of their keys.
     pub live: u64,
-    /// Time in microseconds by which all records put into it have expired; all ones if never.
+    /// Time in microseconds by which all records in this segment have expired; all ones if never.
     pub until: u64,
 }
 
@@ -189,8 +189,11 @@
     min_segment: u64,
     /// The latest time supplied; a clock that goes backwards does not revive expired records.
     time: Duration,
+    /// Reason why further writes are rejected; `None` while they are accepted.
     closed: Option<String>,
+    /// Bytes written to the log since the last snapshot was begun.
     since_snapshot: u64,
+    /// Number of the next snapshot.
     next_snapshot: u64,
     compaction: Option<Compaction>,
     snapshot_in_progress: Option<SnapshotInProgress>,
@@ -233,7 +236,7 @@
     fn recover(&mut self, names: &[String]) -> Result<()> {
         let mut existing: Vec<u64> = names.iter().filter_map(|name| format::segment_number(name)).collect();
         existing.sort_unstable();
-        let mut from = (0, 0);
+        let mut replay_from = (0, 0);
         let mut snapshots: Vec<u64> = names.iter().filter_map(|name| snapshot::number(name)).collect();
         snapshots.sort_unstable();
         self.next_snapshot = snapshots.last().map_or(0, |last| last + 1);
@@ -244,21 +247,21 @@
                 (self.min_segment, self.time, self.index) = (min_segment, time, index);
                 self.segments = segments;
                 self.segments.retain(|number, _| existing.contains(number));
-                from = (segment, offset);
+                replay_from = (segment, offset);
                 break;
             }
         }
         // The newest segment may have been created and never used.
         while let Some(last) = existing.last().copied() {
             let (condition, frames, _) =
-                self.inspect_segment(last, if last == from.0 { from.1 } else { 0 })?;
+                self.inspect_segment(last, if last == replay_from.0 { replay_from.1 } else { 0 })?;
             let empty = condition == SegmentCondition::Uninitialized
                 || frames == 0 && condition == SegmentCondition::Intact;
             // A segment that its predecessor names or a snapshot refers to is durable, used or not.
-            let before = existing.len() > 1
+            let named_by_predecessor = existing.len() > 1
                 && (!existing.contains(&(last - 1)) || self.inspect_segment(last - 1, 0)?.2);
-            let named = before || last == from.0 && from.1 > 0;
-            if !empty || named || existing.len() == 1 && condition != SegmentCondition::Uninitialized {
+            let is_durable = named_by_predecessor || last == replay_from.0 && replay_from.1 > 0;
+            if !empty || is_durable || existing.len() == 1 && condition != SegmentCondition::Uninitialized {
                 break;
             }
             let name = format::segment_name(last);
@@ -266,16 +269,16 @@
             at("sync", "the folder", self.disk.sync_names())?;
             existing.pop();
         }
-        if !snapshots.is_empty() && existing.last().is_none_or(|last| *last < from.0) {
-            return Err(missing(from.0));
+        if !snapshots.is_empty() && existing.last().is_none_or(|last| *last < replay_from.0) {
+            return Err(missing(replay_from.0));
         }
         // Later shards of a snapshot refer to records replayed only now; their segments must be known, so that those
         // records can be replaced.
         for number in &existing {
             self.segments.entry(*number).or_default();
         }
-        for number in existing.iter().copied().filter(|number| *number >= from.0) {
-            let start = if number == from.0 { from.1 } else { 0 };
+        for number in existing.iter().copied().filter(|number| *number >= replay_from.0) {
+            let start = if number == replay_from.0 { replay_from.1 } else { 0 };
             self.replay(number, start, Some(number) == existing.last().copied())?;
         }
         self.remove_obsolete_segments(&existing)?;
@@ -528,14 +531,14 @@
         if u128::from(segment.until) <= self.time.as_micros() { 0 } else { segment.live }
     }
 
-    /// Why it takes no more writes, if it does not.
+    /// Reason why the store rejects further writes; `None` while it accepts them.
     pub fn closed(&self) -> Option<&str> {
         self.closed.as_deref()
     }
 
     // Writing
 
-    /// Writes a batch: it survives the process from now on, and power after the next `sync` that succeeds.
+    /// Writes a batch. It survives the end of the process at once, and a power failure after the next successful `sync`.
     pub fn write(&mut self, now: Duration, batch: &Batch) -> Result<()> {
         self.time = self.time.max(now);
         if let Some(error) = batch.error {
@@ -649,7 +652,7 @@
         let frame = format::frame(self.active_segment, begin, self.synced_len, self.time, &ops);
         let name = format::segment_name(self.active_segment);
         if let Err(error) = self.disk.append(&name, &frame) {
-            // For example with the disk full: removes the next segment and continues with this one.
+            // This happens for example when the disk is full: removes the next segment and continues with this one.
             let new = format::segment_name(number);
             let undone = self.disk.truncate(&name, begin).and_then(|()| self.disk.remove(&new));
             if let Err(worse) = undone.and_then(|()| self.disk.sync_names()) {
@@ -805,19 +808,19 @@
     }
 
     fn begin_snapshot(&mut self) -> Result<usize> {
-        let here = (self.active_segment, self.segments[&self.active_segment].len);
-        let bytes = snapshot::head(here, self.min_segment, self.time, &self.segments, &self.index);
+        let log_end = (self.active_segment, self.segments[&self.active_segment].len);
+        let bytes = snapshot::head(log_end, self.min_segment, self.time, &self.segments, &self.index);
         let name = format!("{}.new", snapshot::name(self.next_snapshot));
-        let _ = self.disk.remove(&name); // Left over from a failed attempt.
+        let _ = self.disk.remove(&name); // A failed attempt may have left this file.
         at("create", &name, self.disk.create(&name))?;
         self.since_snapshot = 0;
-        let writing = SnapshotInProgress { name, shard: 0, sum: 0, required_sync: here };
+        let writing = SnapshotInProgress { name, shard: 0, sum: 0, required_sync: log_end };
         self.add_to_snapshot(writing, &bytes).map(|()| bytes.len())
     }
 
     /// Appends to the snapshot in progress. A failed snapshot is dispensable and is restarted after more writes.
     fn add_to_snapshot(&mut self, mut writing: SnapshotInProgress, bytes: &[u8]) -> Result<()> {
-        // Synced in steps, so that the last sync stays short.
+        // The file is synced in steps, so that the last sync stays short.
         let added = self.disk.append(&writing.name, bytes).and_then(|()| self.disk.sync(&writing.name));
         if let Err(error) = added {
             let _ = self.disk.remove(&writing.name);
@@ -850,14 +853,14 @@
     fn finish_snapshot(&mut self, writing: &SnapshotInProgress) -> Result<()> {
         let number = self.next_snapshot;
         let name = snapshot::name(number);
-        let ended = self.disk.append(&writing.name, &writing.sum.to_le_bytes());
-        let synced = ended.and_then(|()| self.disk.sync(&writing.name));
+        let appended = self.disk.append(&writing.name, &writing.sum.to_le_bytes());
+        let synced = appended.and_then(|()| self.disk.sync(&writing.name));
         let synced = synced.and_then(|()| self.disk.rename(&writing.name, &name));
         at("finish", &name, synced.and_then(|()| self.disk.sync_names()))?;
         self.next_snapshot += 1;
-        for former in at("list", "its files", self.disk.names())? {
-            if snapshot::number(&former).is_some_and(|former| former < number) {
-                at("remove", &former, self.disk.remove(&former))?;
+        for file in at("list", "its files", self.disk.names())? {
+            if snapshot::number(&file).is_some_and(|older| older < number) {
+                at("remove", &file, self.disk.remove(&file))?;
             }
         }
         Ok(())
